--- a/cmd/citrontray/deploy_test.go
+++ b/cmd/citrontray/deploy_test.go
@@ -59,7 +59,7 @@
 		a, zone := addrs[6*i:], p.Zones[i]
 		host := place.Host(fmt.Sprintf("host-%d", i+1))
 		ts.Check(keys.MakeHost(time.Now(), dir, host, zone, []peer.Role{peer.RoleLead, peer.RoleEntry}, []netip.Addr{a[0].Addr()}))
-		store.SetHost(time.Now(), place.HostRow{Host: host, Zone: zone, Lead: a[0], Entry: a[1]})
+		store.SetHost(time.Now(), place.HostRow{Host: host, Zone: zone, LeadAddr: a[0], EntryAddr: a[1]})
 		common := fmt.Sprintf("--host %s --zone %s --region %s --platform %s --peers %s --keys %s",
 			host, zone, p.Region, ts.Getenv("PLATFORM"), strings.Join(seeds, ","), dir)
 		ts.Setenv(fmt.Sprintf("LEAD%d", i+1), fmt.Sprintf(
--- a/internal/bench/hosts.go
+++ b/internal/bench/hosts.go
@@ -53,7 +53,7 @@
 
 // Row returns the host's row of the platform's list.
 func (h Host) Row(state place.Liveness) place.HostRow {
-	return place.HostRow{Host: h.Name, Zone: h.Zone, State: state, Lead: h.LeadPeer, Entry: h.EntryPeer}
+	return place.HostRow{Host: h.Name, Zone: h.Zone, State: state, LeadAddr: h.LeadPeer, EntryAddr: h.EntryPeer}
 }
 
 // EntryHosts returns what the balancer needs to know.
--- a/internal/cell/codec_test.go
+++ b/internal/cell/codec_test.go
@@ -25,7 +25,7 @@
 		Rows:     []Row{{Shard: 0, Epoch: 2, Owner: 0, Standby: NoTarget}, {Shard: 4, Epoch: 1, Owner: NoTarget, Standby: 0}},
 		Solos:    []Solo{{Hash: 77, Shard: 4, Parent: 0, Cut: 2}},
 		NextSolo: 5, Custody: 12,
-		Given: []Given{{Shard: 1, Floor: 7, Evidence: grant.Lapsed{Since: at}}},
+		Given: []Given{{Shard: 1, Floor: 7, Evidence: grant.Expired{Since: at}}},
 		Moves: []Move{
 			{At: at, Shard: 0, Epoch: 1, From: "t1", To: "t2", Evidence: grant.Released{Epoch: 1}},
 			{At: at, Shard: 0, Epoch: 2, From: "t2", To: "t1", Evidence: grant.Restarted{Old: 1, New: 2}},
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -55,7 +55,7 @@
 	Target  place.Target
 	SentAt  time.Time
 	Reached bool
-	Answer  grant.Answer
+	Answer  grant.Response
 }
 
 // PeerReceived reports a message of another roster host of this cell.
--- a/internal/cell/evict_test.go
+++ b/internal/cell/evict_test.go
@@ -52,7 +52,7 @@
 	}
 	w.tracef("another zone evicts the cell")
 	w.stats.evicted++
-	next := Evict(w.doc, w.custody.Revision, gone, grant.Lapsed{Since: since})
+	next := Evict(w.doc, w.custody.Revision, gone, grant.Expired{Since: since})
 	w.watchDoc(&next)
 	w.revision++
 	w.doc, w.docAt = next, w.revision
--- a/internal/cell/maintain.go
+++ b/internal/cell/maintain.go
@@ -121,7 +121,7 @@
 		r := c.doc.Rows[i]
 		switch v := c.judge(i); v.kind {
 		case atStandby:
-			d.reassign(c, i, r.Standby, v.epoch, grant.Lapsed{Since: c.now})
+			d.reassign(c, i, r.Standby, v.epoch, grant.Expired{Since: c.now})
 			d.doc.Rows[i].Standby = r.Owner
 		case ownerNewer:
 			d.reassign(c, i, r.Owner, v.epoch, grant.Released{Epoch: r.Epoch})
@@ -161,7 +161,7 @@
 	if l, lost := c.targetLost(c.targets[t].target); lost {
 		return grant.Declared{By: l.By, Reason: l.Reason}
 	}
-	return grant.Lapsed{Since: c.quietAt(&c.targets[t])}
+	return grant.Expired{Since: c.quietAt(&c.targets[t])}
 }
 
 // moveRow picks the new owner of a row whose old owner is done.
@@ -219,18 +219,18 @@
 // openParent returns, for a solo key, the parent shard at the last epoch that
 // included the key, unless the owner has given that up. An owner that the key
 // was moved to may never have held the parent: only a release raises its floor.
-func (c *Cell) openParent(r Row) (grant.Held, bool) {
+func (c *Cell) openParent(r Row) (grant.ShardEpoch, bool) {
 	i := slices.IndexFunc(c.doc.Solos, func(s Solo) bool { return s.Shard == r.Shard })
 	if i < 0 || c.knobs.noParentCheck {
-		return grant.Held{}, false
+		return grant.ShardEpoch{}, false
 	}
 	solo := c.doc.Solos[i]
 	t := &c.targets[r.Owner]
 	held := t.holds(solo.Parent)
 	if held >= solo.Cut || held == 0 && t.floor(solo.Parent) >= solo.Cut {
-		return grant.Held{}, false
+		return grant.ShardEpoch{}, false
 	}
-	return grant.Held{Shard: solo.Parent, Epoch: solo.Cut - 1}, true
+	return grant.ShardEpoch{Shard: solo.Parent, Epoch: solo.Cut - 1}, true
 }
 
 // raiseEpochs follows an owner that refuses the recorded epoch, because an
--- a/internal/cell/network_test.go
+++ b/internal/cell/network_test.go
@@ -219,7 +219,7 @@
 		if !w.linked(h.name, t.name) {
 			return
 		}
-		w.arrive(t, e.Order, func(a grant.Answer) {
+		w.arrive(t, e.Order, func(a grant.Response) {
 			w.after(w.delay(), func() {
 				if w.linked(h.name, t.name) && (!answered || w.r.IntN(2) == 0) {
 					answered = true
@@ -240,7 +240,7 @@
 }
 
 // arrive gives an order to a target; a frozen one reads it after the thaw.
-func (w *world) arrive(t *targetNode, o grant.Order, answer func(grant.Answer)) {
+func (w *world) arrive(t *targetNode, o grant.Order, answer func(grant.Response)) {
 	if t.dead {
 		return
 	}
@@ -276,13 +276,13 @@
 					w.fail("shard %d doubled: %s at %d until +%v, %s at %d; order of term %d", mine.Shard, t.name, mine.Epoch,
 						time.Duration(mine.End-t.reading(w.now)), other.name, theirs.Epoch, o.Term)
 				}
-				w.checkSolos(t, mine.Held, other, theirs.Held)
+				w.checkSolos(t, mine.ShardEpoch, other, theirs.ShardEpoch)
 			}
 		}
 	}
 }
 
-func (w *world) checkSolos(t *targetNode, mine grant.Held, other *targetNode, theirs grant.Held) {
+func (w *world) checkSolos(t *targetNode, mine grant.ShardEpoch, other *targetNode, theirs grant.ShardEpoch) {
 	for hash := range w.solos {
 		if w.includes(mine, hash) && w.includes(theirs, hash) {
 			w.fail("hot key of shard %d doubled: %s by %v, %s by %v", w.solos[hash].Parent, t.name, mine, other.name, theirs)
@@ -292,7 +292,7 @@
 
 // includes reports whether a request for the hot key may be served under the
 // holding: by its own row, or by its parent at an epoch before the cut.
-func (w *world) includes(h grant.Held, hash key.Hash) bool {
+func (w *world) includes(h grant.ShardEpoch, hash key.Hash) bool {
 	s := w.solos[hash]
 	if h.Shard == s.Shard {
 		return true
--- a/internal/cell/order.go
+++ b/internal/cell/order.go
@@ -80,14 +80,14 @@
 
 // releases lists what the target has to give up: shards on the move, and
 // left-overs that its newest inventory shows beside what it should hold.
-func (c *Cell) releases(t TargetIndex, want []grant.Held) []grant.Held {
-	var out []grant.Held
+func (c *Cell) releases(t TargetIndex, want []grant.ShardEpoch) []grant.ShardEpoch {
+	var out []grant.ShardEpoch
 	for i := range c.doc.Rows {
 		r := c.row(i)
 		if r.Owner != t || !c.rows[i].releasing {
 			continue
 		}
-		out = append(out, grant.Held{Shard: r.Shard, Epoch: r.Epoch})
+		out = append(out, grant.ShardEpoch{Shard: r.Shard, Epoch: r.Epoch})
 		if parent, ok := c.openParent(r); ok {
 			out = append(out, parent)
 		}
@@ -106,7 +106,7 @@
 
 // leftOver reports whether a held shard belongs to another owner by a row
 // that is beyond doubt.
-func (c *Cell) leftOver(t TargetIndex, h grant.Held) bool {
+func (c *Cell) leftOver(t TargetIndex, h grant.ShardEpoch) bool {
 	i := c.doc.rowOf(h.Shard)
 	if i < 0 {
 		return true
--- a/internal/cell/row.go
+++ b/internal/cell/row.go
@@ -70,12 +70,12 @@
 }
 
 // expected returns what the target should hold by the rows in force.
-func (c *Cell) expected(t TargetIndex) []grant.Held {
-	var out []grant.Held
+func (c *Cell) expected(t TargetIndex) []grant.ShardEpoch {
+	var out []grant.ShardEpoch
 	for i := range c.doc.Rows {
 		r := c.row(i)
 		if r.Owner == t && c.granted(i) {
-			out = append(out, grant.Held{Shard: r.Shard, Epoch: r.Epoch})
+			out = append(out, grant.ShardEpoch{Shard: r.Shard, Epoch: r.Epoch})
 		}
 	}
 	return out
--- a/internal/cell/standby.go
+++ b/internal/cell/standby.go
@@ -34,7 +34,7 @@
 func (c *Cell) endEvidence(i int) grant.Evidence {
 	t := &c.targets[c.doc.Rows[i].Owner]
 	if !c.answering(t) && c.now.After(c.quietAt(t)) {
-		return grant.Lapsed{Since: c.quietAt(t)}
+		return grant.Expired{Since: c.quietAt(t)}
 	}
 	if c.rows[i].releasing {
 		return c.releaseEvidence(i)
--- a/internal/cell/target.go
+++ b/internal/cell/target.go
@@ -41,8 +41,8 @@
 	// inventoryTerm. Zero term: none since this host took the lead.
 	inventoryTerm grant.Term
 	inventoryAt   time.Time
-	held          []grant.Held
-	floors        []grant.Held
+	held          []grant.ShardEpoch
+	floors        []grant.ShardEpoch
 }
 
 // taken forgets what an answer to an earlier term proved.
@@ -59,8 +59,8 @@
 // as far as its newest inventory tells.
 func (t *targetState) floor(shard key.Shard) grant.Epoch { return epochIn(t.floors, shard) }
 
-func epochIn(list []grant.Held, shard key.Shard) grant.Epoch {
-	i, found := slices.BinarySearchFunc(list, shard, func(h grant.Held, s key.Shard) int {
+func epochIn(list []grant.ShardEpoch, shard key.Shard) grant.Epoch {
+	i, found := slices.BinarySearchFunc(list, shard, func(h grant.ShardEpoch, s key.Shard) int {
 		return cmp.Compare(h.Shard, s)
 	})
 	if !found {
@@ -213,8 +213,8 @@
 }
 
 // sorted returns a copy of a list from outside, sorted by shard.
-func sorted(list []grant.Held) []grant.Held {
+func sorted(list []grant.ShardEpoch) []grant.ShardEpoch {
 	out := slices.Clone(list)
-	slices.SortFunc(out, func(a, b grant.Held) int { return cmp.Compare(a.Shard, b.Shard) })
+	slices.SortFunc(out, func(a, b grant.ShardEpoch) int { return cmp.Compare(a.Shard, b.Shard) })
 	return out
 }
--- a/internal/cell/wire.go
+++ b/internal/cell/wire.go
@@ -214,7 +214,7 @@
 	switch e := e.(type) {
 	case grant.Released:
 		return wireEvidence{Kind: wireReleased, First: uint64(e.Epoch)}
-	case grant.Lapsed:
+	case grant.Expired:
 		return wireEvidence{Kind: wireLapsed, First: uint64(wire.Nanos(e.Since))}
 	case grant.Restarted:
 		return wireEvidence{Kind: wireRestarted, First: uint64(e.Old), Second: uint64(e.New)}
@@ -229,7 +229,7 @@
 	case wireReleased:
 		return grant.Released{Epoch: grant.Epoch(w.First)}
 	case wireLapsed:
-		return grant.Lapsed{Since: wire.Time(int64(w.First))}
+		return grant.Expired{Since: wire.Time(int64(w.First))}
 	case wireRestarted:
 		return grant.Restarted{Old: place.Incarnation(w.First), New: place.Incarnation(w.Second)}
 	case wireDeclared:
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -75,7 +75,7 @@
 	}
 	var out []place.Target
 	for i := range rows {
-		leaving, pause := b.Of(now, rows[i].Target, rows[i].Born)
+		leaving, pause := b.Of(now, rows[i].Target, rows[i].Incarnation)
 		if !leaving.IsZero() || pause > 0 {
 			out = append(out, rows[i].Target)
 		}
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -36,7 +36,7 @@
 			leaving, pause := b.Of(now, "a", test.born)
 			assert.Equal(t, !leaving.IsZero(), test.leaving)
 			assert.Equal(t, pause, test.pause)
-			rows := []place.TargetRow{{Target: "a", Born: test.born}, {Target: "b", Born: 1}}
+			rows := []place.TargetRow{{Target: "a", Incarnation: test.born}, {Target: "b", Incarnation: 1}}
 			assert.Equal(t, len(b.Excluded(now, rows)) > 0, test.leaving || test.pause > 0)
 		})
 	}
--- a/internal/dispatch/lane.go
+++ b/internal/dispatch/lane.go
@@ -95,11 +95,11 @@
 
 // describe takes over what the platform says of the target.
 func (l *lane) describe(row place.TargetRow, now time.Time) {
-	if row.Born != l.Born || row.Addr != l.Addr {
+	if row.Incarnation != l.Incarnation || row.Addr != l.Addr {
 		l.slow, l.failing, l.downs, l.downUntil, l.leaving = 1, 0, 0, time.Time{}, false
 	}
-	if row.Warming > 0 {
-		l.warmAt = now.Add(row.Warming)
+	if row.WarmupLeft > 0 {
+		l.warmAt = now.Add(row.WarmupLeft)
 	}
 	l.TargetRow = row
 	l.usable = row.State == place.Live
--- a/internal/entry/home_test.go
+++ b/internal/entry/home_test.go
@@ -80,7 +80,7 @@
 func TestHomeLost(t *testing.T) {
 	const hosts = 3
 	c := newCluster(t, hosts, patient(entry.ShareHome))
-	lost := place.HostRow{Host: hostName(0), Entry: c.links[0].Addr()}
+	lost := place.HostRow{Host: hostName(0), EntryAddr: c.links[0].Addr()}
 	_ = c.links[0].Close()
 	for host := 1; host < hosts; host++ {
 		c.entries[host].Use(lost)
--- a/internal/entry/homes.go
+++ b/internal/entry/homes.go
@@ -114,7 +114,7 @@
 		return nil
 	}
 	hosts := slices.DeleteFunc(fleet.Hosts, func(h place.HostRow) bool {
-		return h.State != place.Live || !h.Entry.IsValid()
+		return h.State != place.Live || !h.EntryAddr.IsValid()
 	})
 	slices.SortFunc(hosts, func(a, b place.HostRow) int { return cmp.Compare(a.Host, b.Host) })
 	return hosts
@@ -126,8 +126,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.rows[row.Host]
-	if s == nil || s.addr != row.Entry {
-		s = &homeState{addr: row.Entry}
+	if s == nil || s.addr != row.EntryAddr {
+		s = &homeState{addr: row.EntryAddr}
 		s.gone, s.leave = context.WithCancel(context.Background())
 		h.rows[row.Host] = s
 	}
--- a/internal/entry/slots_bench_test.go
+++ b/internal/entry/slots_bench_test.go
@@ -106,7 +106,7 @@
 	fleet := platform.Fleet{}
 	for i := range hosts {
 		links[i] = newLink(b, dir, hostName(i))
-		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", Entry: links[i].Addr()})
+		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
 	}
 	c.links = links
 	list, err := spread.EncodeFleet(fleet)
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -136,7 +136,7 @@
 	fleet := platform.Fleet{}
 	for i := range links {
 		links[i] = newLink(s, dir, hostName(i))
-		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", Entry: links[i].Addr()})
+		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
 	}
 	list, err := spread.EncodeFleet(fleet)
 	assert.NilError(s, err)
@@ -199,7 +199,7 @@
 }
 
 // order sends an order that is anchored on the target's newest answer.
-func (s *soak) order(name key.Service, addr netip.AddrPort, o grant.Order) (grant.Answer, error) {
+func (s *soak) order(name key.Service, addr netip.AddrPort, o grant.Order) (grant.Response, error) {
 	o.Service, o.Zone, o.Term, o.Duration = name, "zone-a", 1, soakGrant
 	first, err := s.control.Order(context.Background(), addr, grant.Order{Service: name, Zone: "zone-a", Term: 1})
 	if err != nil {
@@ -302,7 +302,7 @@
 	row := &s.rows[name][s.rand.IntN(soakShards)]
 	old := s.targetOf(name, row.Owner)
 	for range 100 {
-		a, err := s.order(name, old.Addr(), grant.Order{Release: []grant.Held{{Shard: row.Shard, Epoch: row.Epoch}}})
+		a, err := s.order(name, old.Addr(), grant.Order{Release: []grant.ShardEpoch{{Shard: row.Shard, Epoch: row.Epoch}}})
 		if err == nil && !holds(a, row.Shard) {
 			row.Owner = table.Index(s.rand.IntN(soakTargets))
 			row.Epoch++
@@ -312,7 +312,7 @@
 	}
 }
 
-func holds(a grant.Answer, shard key.Shard) bool {
+func holds(a grant.Response, shard key.Shard) bool {
 	for _, h := range a.Held {
 		if h.Shard == shard {
 			return true
--- a/internal/fleet/codec_test.go
+++ b/internal/fleet/codec_test.go
@@ -11,7 +11,7 @@
 
 // FuzzDoc: no document makes the decoder panic; what it takes can be written again.
 func FuzzDoc(f *testing.F) {
-	d := Doc{Targets: []place.TargetRow{{Target: "t", Service: "s", Zone: "z", State: place.Live, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 3, Born: 7}}}
+	d := List{Targets: []place.TargetRow{{Target: "t", Service: "s", Zone: "z", State: place.Live, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 3, Incarnation: 7}}}
 	body, err := d.Encode()
 	assert.NilError(f, err)
 	f.Add(body)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,42 +16,42 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// Doc is the list of targets at one revision of the store.
-type Doc struct {
+// List is the list of targets at one revision of the store.
+type List struct {
 	Targets []place.TargetRow
-	// Unsure tells that the store was out of reach a moment ago: entries that
+	// RecentOutage tells that the store was out of reach a moment ago: entries that
 	// lapsed meanwhile come back within moments.
-	Unsure bool
-	// Steady tells that the store has answered each read for a while: entries
+	RecentOutage bool
+	// StoreStable tells that the store has answered each read for a while: entries
 	// that are missing have not lapsed in an outage.
-	Steady bool
+	StoreStable bool
 }
 
-type wireDoc struct {
-	Targets []wireTarget `cbor:"1,keyasint"`
-	Unsure  bool         `cbor:"2,keyasint,omitempty"`
-	Steady  bool         `cbor:"3,keyasint,omitempty"`
+type wireList struct {
+	Targets      []wireTarget `cbor:"1,keyasint"`
+	RecentOutage bool         `cbor:"2,keyasint,omitempty"`
+	StoreStable  bool         `cbor:"3,keyasint,omitempty"`
 }
 
 type wireTarget struct {
-	_       struct{} `cbor:",toarray"`
-	Target  string
-	Service string
-	Zone    string
-	State   uint8
-	Addr    netip.AddrPort
-	Born    uint64
-	Slots   int
-	Warming int64
+	_           struct{} `cbor:",toarray"`
+	Target      string
+	Service     string
+	Zone        string
+	State       uint8
+	Addr        netip.AddrPort
+	Incarnation uint64
+	Slots       int
+	WarmupLeft  int64
 }
 
 // Encode returns the list as hosts pass it on.
-func (d *Doc) Encode() ([]byte, error) {
-	w := wireDoc{Unsure: d.Unsure, Steady: d.Steady}
+func (d *List) Encode() ([]byte, error) {
+	w := wireList{RecentOutage: d.RecentOutage, StoreStable: d.StoreStable}
 	for _, t := range d.Targets {
 		w.Targets = append(w.Targets, wireTarget{
 			Target: string(t.Target), Service: t.Service, Zone: string(t.Zone), State: uint8(t.State),
-			Addr: t.Addr, Born: uint64(t.Born), Slots: t.Slots, Warming: t.Warming.Milliseconds(),
+			Addr: t.Addr, Incarnation: uint64(t.Incarnation), Slots: t.Slots, WarmupLeft: t.WarmupLeft.Milliseconds(),
 		})
 	}
 	body, err := cbor.Marshal(w)
@@ -62,137 +62,137 @@
 }
 
 // Decode reads what Encode wrote.
-func Decode(body []byte) (Doc, error) {
-	var w wireDoc
+func Decode(body []byte) (List, error) {
+	var w wireList
 	if err := cbor.Unmarshal(body, &w); err != nil {
-		return Doc{}, fmt.Errorf("fleet: decode: %w", err)
+		return List{}, fmt.Errorf("fleet: decode: %w", err)
 	}
-	d := Doc{Unsure: w.Unsure, Steady: w.Steady}
+	d := List{RecentOutage: w.RecentOutage, StoreStable: w.StoreStable}
 	for _, t := range w.Targets {
 		d.Targets = append(d.Targets, place.TargetRow{
 			Target: place.Target(t.Target), Service: t.Service, Zone: place.Zone(t.Zone), State: place.Liveness(t.State),
-			Addr: t.Addr, Born: place.Incarnation(t.Born), Slots: t.Slots, Warming: time.Duration(t.Warming) * time.Millisecond,
+			Addr: t.Addr, Incarnation: place.Incarnation(t.Incarnation), Slots: t.Slots, WarmupLeft: time.Duration(t.WarmupLeft) * time.Millisecond,
 		})
 	}
 	return d, nil
 }
 
 const (
-	// graceSure is how long a target whose entry is gone is still used: long
+	// missingGrace is how long a target whose entry is gone is still used: long
 	// enough for a list that was read in the middle of a change.
-	graceSure = 200 * time.Millisecond
-	// graceUnsure is the same after the store was away. The platform has
+	missingGrace = 200 * time.Millisecond
+	// outageGrace is the same after the store was away. The platform has
 	// entries back within two seconds.
-	graceUnsure = 2500 * time.Millisecond
+	outageGrace = 2500 * time.Millisecond
 )
 
 // Tracker follows the lists over time. It is not safe for concurrent use.
 type Tracker struct {
-	rows map[place.Target]*tracked
+	targets map[place.Target]*trackedTarget
 	// ended are the lives that have left or gone, and era that of the last list.
-	ended map[place.Target]ended
+	ended map[place.Target]endedTarget
 	era   platform.Era
 }
 
-// ended is the end of one life of a target.
-type ended struct {
-	born place.Incarnation
-	// left tells that it had said that it leaves.
-	left bool
+// endedTarget is the end of one life of a target.
+type endedTarget struct {
+	incarnation place.Incarnation
+	// wasLeaving tells that it had said that it leaves.
+	wasLeaving bool
 	// era is that of the store when its entry was gone, at the time of that.
 	era platform.Era
 	at  time.Time
 }
 
 const (
-	// endedFor is how long the end of a life is remembered: a store that comes back
+	// endedRetention is how long the end of a life is remembered: a store that comes back
 	// from an older copy has lost some seconds.
-	endedFor = time.Minute
-	// copyFor is how long an entry that is back with such a copy is not gone by:
+	endedRetention = time.Minute
+	// restoredHoldOff is how long an entry that is back with such a copy is not gone by:
 	// without a sign of its target, which writes about once a second, it lapses after
 	// three times that.
-	copyFor = 4 * time.Second
+	restoredHoldOff = 4 * time.Second
 )
 
-type tracked struct {
+type trackedTarget struct {
 	place.TargetRow
 
-	// leavingAt is when its notice was first seen.
-	leavingAt time.Time
-	// from is when a target that is back with a copy of the store is used again.
-	from time.Time
-	// goneAt is when a target whose entry is gone is no longer used; zero
+	// leavingSince is when its notice was first seen.
+	leavingSince time.Time
+	// usableFrom is when a target that is back with a copy of the store is used again.
+	usableFrom time.Time
+	// removeAt is when a target whose entry is gone is no longer used; zero
 	// while the entry is there.
-	goneAt time.Time
+	removeAt time.Time
 }
 
 // NewTracker returns a tracker that knows no target.
 func NewTracker() *Tracker {
-	return &Tracker{rows: make(map[place.Target]*tracked), ended: make(map[place.Target]ended)}
+	return &Tracker{targets: make(map[place.Target]*trackedTarget), ended: make(map[place.Target]endedTarget)}
 }
 
-// returned returns from when on a target that had ended is used again, zero for at
+// readmit returns from when on a target that had ended is used again, zero for at
 // once, and whether it may come back at all.
-func (t *Tracker) returned(now time.Time, row *place.TargetRow) (from time.Time, ok bool) {
+func (t *Tracker) readmit(now time.Time, row *place.TargetRow) (from time.Time, ok bool) {
 	e, known := t.ended[row.Target]
 	delete(t.ended, row.Target)
-	if !known || e.born != row.Born || now.Sub(e.at) > endedFor {
+	if !known || e.incarnation != row.Incarnation || now.Sub(e.at) > endedRetention {
 		return time.Time{}, true
 	}
-	if e.left {
+	if e.wasLeaving {
 		t.ended[row.Target] = e
 		return time.Time{}, false
 	}
 	if t.era > e.era {
-		return now.Add(copyFor), true
+		return now.Add(restoredHoldOff), true
 	}
 	return time.Time{}, true
 }
 
 // Update takes over a newer list, of a store in an era.
-func (t *Tracker) Update(now time.Time, d Doc, era platform.Era) {
+func (t *Tracker) Update(now time.Time, d List, era platform.Era) {
 	t.expire(now)
 	t.era = max(t.era, era)
 	listed := make(map[place.Target]bool, len(d.Targets))
 	for _, row := range d.Targets {
-		from, ok := t.returned(now, &row)
+		from, ok := t.readmit(now, &row)
 		if !ok {
 			continue
 		}
 		listed[row.Target] = true
-		known := t.rows[row.Target]
-		if known != nil && row.Born < known.Born {
+		known := t.targets[row.Target]
+		if known != nil && row.Incarnation < known.Incarnation {
 			continue // a late word of an earlier life
 		}
-		if known != nil && known.State == place.Leaving && row.Born == known.Born {
+		if known != nil && known.State == place.Leaving && row.Incarnation == known.Incarnation {
 			row.State = place.Leaving // a life that leaves does not come back
 		}
-		next := &tracked{TargetRow: row, from: from}
-		if known != nil && known.Born == row.Born {
-			next.from = known.from
+		next := &trackedTarget{TargetRow: row, usableFrom: from}
+		if known != nil && known.Incarnation == row.Incarnation {
+			next.usableFrom = known.usableFrom
 		}
 		if row.State == place.Leaving {
-			next.leavingAt = now
-			if known != nil && known.State == place.Leaving && known.Born == row.Born {
-				next.leavingAt = known.leavingAt
+			next.leavingSince = now
+			if known != nil && known.State == place.Leaving && known.Incarnation == row.Incarnation {
+				next.leavingSince = known.leavingSince
 			}
 		}
-		t.rows[row.Target] = next
+		t.targets[row.Target] = next
 	}
-	grace := graceSure
-	if d.Unsure {
-		grace = graceUnsure
+	grace := missingGrace
+	if d.RecentOutage {
+		grace = outageGrace
 	}
-	for name, row := range t.rows {
+	for name, row := range t.targets {
 		switch {
 		case listed[name]:
 		case row.State == place.Leaving:
-			row.goneAt = now
-		case row.goneAt.IsZero():
-			row.goneAt = now.Add(grace)
-		case d.Steady:
-			if sure := now.Add(graceSure); sure.Before(row.goneAt) {
-				row.goneAt = sure
+			row.removeAt = now
+		case row.removeAt.IsZero():
+			row.removeAt = now.Add(grace)
+		case d.StoreStable:
+			if sure := now.Add(missingGrace); sure.Before(row.removeAt) {
+				row.removeAt = sure
 			}
 		}
 	}
@@ -200,13 +200,13 @@
 }
 
 func (t *Tracker) expire(now time.Time) {
-	for name, row := range t.rows {
-		if !now.Before(row.from) {
-			row.from = time.Time{}
+	for name, row := range t.targets {
+		if !now.Before(row.usableFrom) {
+			row.usableFrom = time.Time{}
 		}
-		if !row.goneAt.IsZero() && !now.Before(row.goneAt) {
-			t.ended[name] = ended{row.Born, row.State == place.Leaving, t.era, now}
-			delete(t.rows, name)
+		if !row.removeAt.IsZero() && !now.Before(row.removeAt) {
+			t.ended[name] = endedTarget{row.Incarnation, row.State == place.Leaving, t.era, now}
+			delete(t.targets, name)
 		}
 	}
 }
@@ -214,9 +214,9 @@
 // Rows returns the targets that are there at now, sorted by name.
 func (t *Tracker) Rows(now time.Time) []place.TargetRow {
 	t.expire(now)
-	out := make([]place.TargetRow, 0, len(t.rows))
-	for _, row := range t.rows {
-		if row.from.IsZero() {
+	out := make([]place.TargetRow, 0, len(t.targets))
+	for _, row := range t.targets {
+		if row.usableFrom.IsZero() {
 			out = append(out, row.TargetRow)
 		}
 	}
@@ -227,8 +227,8 @@
 // NextChange returns when Rows changes by itself, or the zero time.
 func (t *Tracker) NextChange() time.Time {
 	var next time.Time
-	for _, row := range t.rows {
-		for _, at := range []time.Time{row.goneAt, row.from} {
+	for _, row := range t.targets {
+		for _, at := range []time.Time{row.removeAt, row.usableFrom} {
 			if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 				next = at
 			}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,28 +10,28 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// TestMissing: how long a target is used whose entry is missing depends on what
+// TestMissingTarget: how long a target is used whose entry is missing depends on what
 // the watchers know of the store. One that was turned away alone must not make
 // hosts keep what another one has surely seen go.
-func TestMissing(t *testing.T) {
-	row := place.TargetRow{Target: "t", Born: 1, State: place.Live}
+func TestMissingTarget(t *testing.T) {
+	row := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
 	leaving := row
 	leaving.State = place.Leaving
-	there, gone := Doc{Targets: []place.TargetRow{row}}, Doc{}
-	unsure, steady := Doc{Unsure: true}, Doc{Steady: true}
+	there, gone := List{Targets: []place.TargetRow{row}}, List{}
+	unsure, steady := List{RecentOutage: true}, List{StoreStable: true}
 	const step = 100 * time.Millisecond // between two lists
 	tests := map[string]struct {
-		lists []Doc
+		lists []List
 		grace time.Duration // after the first list without it
 	}{
-		"gone":                          {[]Doc{there, gone}, graceSure},
-		"gone after its notice":         {[]Doc{{Targets: []place.TargetRow{leaving}}, gone}, 0},
-		"store was away":                {[]Doc{there, unsure}, graceUnsure},
-		"store was away, is read anew":  {[]Doc{there, unsure, gone}, graceUnsure},
-		"another watcher surely knows":  {[]Doc{there, unsure, steady}, step + graceSure},
-		"another one, then this again":  {[]Doc{there, unsure, steady, unsure}, step + graceSure},
-		"surely gone, then store away":  {[]Doc{there, steady, unsure}, graceSure},
-		"one watcher's store was never": {[]Doc{there, unsure, unsure, unsure}, graceUnsure},
+		"gone":                          {[]List{there, gone}, missingGrace},
+		"gone after its notice":         {[]List{{Targets: []place.TargetRow{leaving}}, gone}, 0},
+		"store was away":                {[]List{there, unsure}, outageGrace},
+		"store was away, is read anew":  {[]List{there, unsure, gone}, outageGrace},
+		"another watcher surely knows":  {[]List{there, unsure, steady}, step + missingGrace},
+		"another one, then this again":  {[]List{there, unsure, steady, unsure}, step + missingGrace},
+		"surely gone, then store away":  {[]List{there, steady, unsure}, missingGrace},
+		"one watcher's store was never": {[]List{there, unsure, unsure, unsure}, outageGrace},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -53,16 +53,16 @@
 	}
 }
 
-// TestOlderCopy: a store that comes back from an older copy brings entries of targets
+// TestRestoredEntries: a store that comes back from an older copy brings entries of targets
 // that have left or gone with it.
-func TestOlderCopy(t *testing.T) {
-	row := place.TargetRow{Target: "t", Born: 1, State: place.Live}
+func TestRestoredEntries(t *testing.T) {
+	row := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
 	leaving, again := row, row
-	leaving.State, again.Born = place.Leaving, 2
-	list := func(r place.TargetRow) Doc { return Doc{Targets: []place.TargetRow{r}} }
+	leaving.State, again.Incarnation = place.Leaving, 2
+	list := func(r place.TargetRow) List { return List{Targets: []place.TargetRow{r}} }
 	const step = time.Second
 	type listed struct {
-		Doc
+		List
 		era platform.Era
 	}
 	for name, test := range map[string]struct {
@@ -72,11 +72,11 @@
 		want, later place.Liveness
 	}{
 		"leaves, by the copy not yet":   {[]listed{{list(leaving), 1}, {list(row), 2}}, place.Leaving, place.Leaving},
-		"left, back with the copy":      {[]listed{{list(leaving), 1}, {Doc{}, 1}, {list(row), 2}}, place.Absent, place.Absent},
-		"left, started again":           {[]listed{{list(leaving), 1}, {Doc{}, 1}, {list(again), 2}}, place.Live, place.Live},
-		"gone, back with the copy":      {[]listed{{list(row), 1}, {Doc{}, 1}, {list(row), 2}}, place.Absent, place.Live},
-		"gone, back in the same era":    {[]listed{{list(row), 1}, {Doc{}, 1}, {list(row), 1}}, place.Live, place.Live},
-		"gone, back and gone":           {[]listed{{list(row), 1}, {Doc{}, 1}, {list(row), 2}, {Doc{}, 2}}, place.Absent, place.Absent},
+		"left, back with the copy":      {[]listed{{list(leaving), 1}, {List{}, 1}, {list(row), 2}}, place.Absent, place.Absent},
+		"left, started again":           {[]listed{{list(leaving), 1}, {List{}, 1}, {list(again), 2}}, place.Live, place.Live},
+		"gone, back with the copy":      {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 2}}, place.Absent, place.Live},
+		"gone, back in the same era":    {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 1}}, place.Live, place.Live},
+		"gone, back and gone":           {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 2}, {List{}, 2}}, place.Absent, place.Absent},
 		"there all the while":           {[]listed{{list(row), 1}, {list(row), 2}}, place.Live, place.Live},
 		"leaves and is called off":      {[]listed{{list(leaving), 1}, {list(row), 1}}, place.Leaving, place.Leaving},
 		"started again while it leaves": {[]listed{{list(leaving), 1}, {list(again), 1}}, place.Live, place.Live},
@@ -85,7 +85,7 @@
 			now := time.Unix(1000, 0)
 			tracker := NewTracker()
 			for _, l := range test.lists {
-				tracker.Update(now, l.Doc, l.era)
+				tracker.Update(now, l.List, l.era)
 				now = now.Add(step)
 			}
 			state := func(now time.Time) place.Liveness {
@@ -96,7 +96,7 @@
 				return rows[0].State
 			}
 			assert.Equal(t, state(now), test.want)
-			assert.Equal(t, state(now.Add(copyFor)), test.later)
+			assert.Equal(t, state(now.Add(restoredHoldOff)), test.later)
 		})
 	}
 }
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -32,8 +32,8 @@
 	Grant
 )
 
-// Held is one shard that a target holds.
-type Held struct {
+// ShardEpoch is one shard that a target holds.
+type ShardEpoch struct {
 	Shard key.Shard
 	Epoch Epoch
 }
@@ -68,11 +68,11 @@
 	Items     []Item
 	// Release lists shards to give up at that epoch; in-flight work ends
 	// before the answer reports them as not held.
-	Release []Held
+	Release []ShardEpoch
 }
 
-// Answer is a target's reply to an Order.
-type Answer struct {
+// Response is a target's reply to an Order.
+type Response struct {
 	Target      place.Target
 	Incarnation place.Incarnation
 	// Clock is the target's clock when it wrote the answer.
@@ -84,24 +84,24 @@
 	Digest   uint64
 	// Full tells that Held and Floors are the whole inventory.
 	Full   bool
-	Held   []Held
-	Floors []Held
+	Held   []ShardEpoch
+	Floors []ShardEpoch
 	// Draining tells that the target itself asks to leave.
 	Draining bool
 }
 
 // Digest returns an order-independent digest of holdings.
-func Digest(held []Held) uint64 {
+func Digest(held []ShardEpoch) uint64 {
 	var sum uint64
 	for _, h := range held {
-		sum ^= mix(uint64(h.Shard)<<40 ^ uint64(h.Epoch))
+		sum ^= splitMix64(uint64(h.Shard)<<40 ^ uint64(h.Epoch))
 	}
 	return sum
 }
 
-// mix is the finalizer of SplitMix64 (Steele, Lea, Flood: Fast Splittable
+// splitMix64 is the finalizer of SplitMix64 (Steele, Lea, Flood: Fast Splittable
 // Pseudorandom Number Generators, OOPSLA 2014).
-func mix(x uint64) uint64 {
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
@@ -115,9 +115,9 @@
 // Released says that the old owner confirmed the release of that epoch.
 type Released struct{ Epoch Epoch }
 
-// Lapsed says that nobody who may renew is left and the duration plus the clock-rate
+// Expired says that nobody who may renew is left and the duration plus the clock-rate
 // margin has passed since the last anchor.
-type Lapsed struct{ Since time.Time }
+type Expired struct{ Since time.Time }
 
 // Restarted says that a new incarnation answers at the old owner's address.
 type Restarted struct{ Old, New place.Incarnation }
@@ -126,16 +126,16 @@
 type Declared struct{ By, Reason string }
 
 func (Released) evidence()  {}
-func (Lapsed) evidence()    {}
+func (Expired) evidence()   {}
 func (Restarted) evidence() {}
 func (Declared) evidence()  {}
 
-// Name returns the short name of the evidence in logs and output.
-func Name(e Evidence) string {
+// EvidenceName returns the short name of the evidence in logs and output.
+func EvidenceName(e Evidence) string {
 	switch e.(type) {
 	case Released:
 		return "released"
-	case Lapsed:
+	case Expired:
 		return "lapsed"
 	case Restarted:
 		return "restarted"
--- a/internal/host/campaign.go
+++ b/internal/host/campaign.go
@@ -49,11 +49,11 @@
 
 // due reports whether this host should campaign now.
 func (r *runner) due(now time.Time, v *view) bool {
-	if r.core.Forgotten() {
+	if r.core.TermLost() {
 		return now.Sub(r.lookedAt) > campaignStep
 	}
-	lead, ok := v.members.Lead(r.service)
-	ok = ok && !lead.Forgotten()
+	lead, ok := v.members.Leader(r.service)
+	ok = ok && !lead.Restored()
 	if r.core.Leading() {
 		// Its entry went with its session. Right after a victory, the list of
 		// members does not have it yet.
@@ -106,8 +106,8 @@
 	if table == nil || place < candidates && now.Sub(r.heard) > silence {
 		return false
 	}
-	h, there := v.members.Host(table.Lead)
-	return there && h.Life == table.Life
+	h, there := v.members.Host(table.Leader)
+	return there && h.Incarnation == table.LeaderIncarnation
 }
 
 // campaign is one try to become the lead.
@@ -152,7 +152,7 @@
 		c.runner.lease = c.lease
 		c.work.Add(1)
 		go c.lease.run()
-		c.core.Lead(now, won.doc, won.revision, c.lease.current().end, won.before.prior())
+		c.core.BeginTerm(now, won.doc, won.revision, c.lease.current().end, won.before.prior())
 		c.known = 0
 		return true
 	})
@@ -213,7 +213,7 @@
 		return victory{}, err
 	}
 	old, err := store.Get(ctx, rangesPath(c.service))
-	doc := owner.Empty(c.service)
+	doc := owner.EmptyDoc(c.service)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		old.Revision = 0
@@ -229,22 +229,22 @@
 	}
 	session := c.lease.current().id
 	won := victory{before: c.predecessorOf(&doc, old.Revision, session.Era)}
-	doc.Term = doc.Term.After(session.Era)
+	doc.Term = doc.Term.Next(session.Era)
 	if won.before.forgotten && c.led != nil {
 		// What this host knows is newer than what the store has come back with.
-		doc.Rows, doc.Term = c.led.Rows, max(doc.Term, c.led.Term.After(session.Era))
+		doc.Rows, doc.Term = c.led.Rows, max(doc.Term, c.led.Term.Next(session.Era))
 	}
-	doc.Stragglers, doc.Doubt = won.before.prior() != owner.PriorEnded, won.before.forgotten
-	doc.Lead, doc.Life, doc.Write = c.host.site.Host, c.host.life, rand.Uint64()
+	doc.PriorMayRenew, doc.AfterRestore = won.before.prior() != owner.PriorEnded, won.before.forgotten
+	doc.Leader, doc.LeaderIncarnation, doc.WriteID = c.host.site.Host, c.host.life, rand.Uint64()
 	value, err := doc.Encode()
 	if err != nil {
 		return victory{}, err
 	}
-	entry, err := member.EncodeLead(member.Lead{Host: c.host.site.Host, Life: c.host.life, Era: session.Era})
+	entry, err := member.EncodeLeader(member.Leader{Host: c.host.site.Host, Incarnation: c.host.life, Era: session.Era})
 	if err != nil {
 		return victory{}, err
 	}
-	leadPath := member.LeadPath(c.service)
+	leadPath := member.LeaderPath(c.service)
 	txn := platform.Txn{
 		If: []platform.Condition{{Path: leadPath, Revision: held}, {Path: rangesPath(c.service), Revision: old.Revision}},
 		Put: []platform.Put{
@@ -253,7 +253,7 @@
 		},
 	}
 	won.doc = doc
-	won.revision, err = commitSurely(ctx, c.log, store, txn, rangesPath(c.service), doc.Write)
+	won.revision, err = commitSurely(ctx, c.log, store, txn, rangesPath(c.service), doc.WriteID)
 	if err == nil && won.revision.Era() != session.Era {
 		err = platform.ErrRestored // what was won is of a copy that is gone
 	}
@@ -263,10 +263,10 @@
 // vacant returns the revision of the entry that a new lead replaces, zero where there
 // is none, or errLed where another host leads.
 func (c *campaign) vacant(ctx context.Context) (platform.Revision, error) {
-	replaceable := func(l member.Lead) bool {
-		return l.Host == c.host.site.Host || c.members.Ended(l) || l.Forgotten()
+	replaceable := func(l member.Leader) bool {
+		return l.Host == c.host.site.Host || c.members.Ended(l) || l.Restored()
 	}
-	lead, listed := c.members.Lead(c.service)
+	lead, listed := c.members.Leader(c.service)
 	_, era := c.host.store.eras()
 	current := lead.Revision.Era() == era
 	if listed && current && replaceable(lead) {
@@ -275,14 +275,14 @@
 	if !listed && c.led == nil && !c.runner.restored(c.host.viewer.view()) {
 		return 0, nil
 	}
-	entry, err := c.host.env.Store.Get(ctx, member.LeadPath(c.service))
+	entry, err := c.host.env.Store.Get(ctx, member.LeaderPath(c.service))
 	if errors.Is(err, platform.ErrNotFound) {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	if lead, err = member.DecodeLead(entry); err != nil {
+	if lead, err = member.DecodeLeader(entry); err != nil {
 		return 0, err
 	}
 	if !replaceable(lead) {
@@ -296,9 +296,9 @@
 func (c *campaign) predecessorOf(doc *owner.Doc, revision platform.Revision, era platform.Era) predecessor {
 	first, _ := c.host.store.eras()
 	return predecessor{
-		host: doc.Lead, life: doc.Life, revision: revision, stragglers: doc.Stragglers,
-		ended:     doc.Lead == "" || doc.Lead == c.host.site.Host || c.members.Replaced(doc.Lead, doc.Life, revision),
-		forgotten: doc.Forgotten(era, c.first && first == era),
+		host: doc.Leader, life: doc.LeaderIncarnation, revision: revision, stragglers: doc.PriorMayRenew,
+		ended:     doc.Leader == "" || doc.Leader == c.host.site.Host || c.members.Replaced(doc.Leader, doc.LeaderIncarnation, revision),
+		forgotten: doc.HistoryLost(era, c.first && first == era),
 	}
 }
 
@@ -321,7 +321,7 @@
 				if e.Path != path {
 					continue
 				}
-				if doc, err := owner.DecodeDoc(e.Value); err == nil && doc.Write == write {
+				if doc, err := owner.DecodeDoc(e.Value); err == nil && doc.WriteID == write {
 					return e.Revision, nil
 				}
 			}
--- a/internal/host/desk.go
+++ b/internal/host/desk.go
@@ -332,7 +332,7 @@
 func (d *desk) heed(now time.Time, pool dispatch.PoolID, row place.TargetRow, s target.Signal) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	tell := d.backoffs.Note(now, row.Target, row.Born, s)
+	tell := d.backoffs.Note(now, row.Target, row.Incarnation, s)
 	if tell {
 		d.client.Drain(pool, row.Target)
 		d.flush(now, nil)
@@ -345,7 +345,7 @@
 func (d *desk) backoff(now time.Time, row place.TargetRow) (leaving time.Time, pause time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.backoffs.Of(now, row.Target, row.Born)
+	return d.backoffs.Of(now, row.Target, row.Incarnation)
 }
 
 // excluded returns the targets among rows that want no new request of this host.
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -174,7 +174,7 @@
 func (d *deployment) list(r *standin.Ranged, service string, state place.Liveness) {
 	d.t.Helper()
 	body, err := json.Marshal(place.TargetRow{
-		Target: r.Name, Service: service, Zone: "z", State: state, Addr: r.Addr, Born: 1, Slots: r.Slots,
+		Target: r.Name, Service: service, Zone: "z", State: state, Addr: r.Addr, Incarnation: 1, Slots: r.Slots,
 	})
 	assert.NilError(d.t, err)
 	d.store.Set(platform.PathTargets+platform.Path(r.Name), body)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -124,8 +124,8 @@
 
 func (h *Host) member() member.Host {
 	return member.Host{
-		Name: h.site.Host, Life: h.life, Zone: h.site.Zone,
-		Peer: h.site.Peer, Ticket: h.site.Ticket, Processor: h.site.Processor,
+		Name: h.site.Host, Incarnation: h.life, Zone: h.site.Zone,
+		PeerAddr: h.site.Peer, TicketAddr: h.site.Ticket, CPUShare: h.site.Processor,
 	}
 }
 
@@ -172,7 +172,7 @@
 	h.node = spread.NewNode(h.board, h.link, spread.Config{
 		Self: h.env.Keys.Self(), Addr: h.site.Peer, Seeds: seeds, Watch: h.watcher.run, Log: h.log,
 		Processor: h.site.Processor, Listed: docMembers,
-		Hosts: func() []place.HostRow { return h.viewer.view().members.Rows() },
+		Hosts: func() []place.HostRow { return h.viewer.view().members.HostRows() },
 	})
 	return nil
 }
@@ -214,7 +214,7 @@
 func (h *Host) ticketAddress(name place.Host) (netip.AddrPort, bool) {
 	list := h.viewer.view().members
 	m, ok := list.Host(name)
-	return m.Ticket, ok
+	return m.TicketAddr, ok
 }
 
 // Run serves until ctx ends, then stops in a planned way.
@@ -317,8 +317,8 @@
 func (h *Host) takeLists(now time.Time, v *view, lives map[place.Host]place.Incarnation) {
 	h.pools.setHosts(len(v.members.Hosts))
 	for _, m := range v.members.Hosts {
-		if lives[m.Name] != m.Life {
-			lives[m.Name] = m.Life
+		if lives[m.Name] != m.Incarnation {
+			lives[m.Name] = m.Incarnation
 			h.desk.started(m.Name)
 		}
 	}
--- a/internal/host/meter.go
+++ b/internal/host/meter.go
@@ -179,7 +179,7 @@
 		if table == nil {
 			continue
 		}
-		h.sendReport(v, table.Lead, r)
+		h.sendReport(v, table.Leader, r)
 	}
 }
 
@@ -198,7 +198,7 @@
 			h.log.Error("Load report not written.", slog.Any("error", err))
 			return
 		}
-		h.desk.write(to.Ticket, datagramReport, body)
+		h.desk.write(to.TicketAddr, datagramReport, body)
 	}
 }
 
--- a/internal/host/notice.go
+++ b/internal/host/notice.go
@@ -100,7 +100,7 @@
 	case noticeStop:
 		if r.core.Leading() && n.term > r.core.Term() {
 			r.log.Warn("Another host leads a later term, giving way.", slog.String("lead", string(n.host)), slog.Uint64("term", uint64(n.term)))
-			r.core.Depose()
+			r.core.StepDown()
 		}
 		if !r.core.Leading() && r.sending.Load() == 0 {
 			r.tell(n.host, noticeStopped)
@@ -130,7 +130,7 @@
 func (p *predecessor) prior() owner.Prior {
 	switch {
 	case p.forgotten:
-		return owner.PriorForgotten
+		return owner.PriorLost
 	case p.ended && !p.stragglers:
 		return owner.PriorEnded
 	}
--- a/internal/host/reading.go
+++ b/internal/host/reading.go
@@ -29,7 +29,7 @@
 		return
 	}
 	members := h.viewer.view().members
-	rows := members.Rows()
+	rows := members.HostRows()
 	told := make(map[place.Zone]bool)
 	for _, row := range rows {
 		if told[row.Zone] {
@@ -38,7 +38,7 @@
 		told[row.Zone] = true
 		for _, watcher := range spread.Watchers(row.Zone, rows) {
 			if m, ok := members.Host(watcher.Host); ok && m.Name != h.site.Host {
-				h.desk.write(m.Ticket, datagramReading, body)
+				h.desk.write(m.TicketAddr, datagramReading, body)
 			}
 		}
 	}
--- a/internal/host/registrar.go
+++ b/internal/host/registrar.go
@@ -63,7 +63,7 @@
 		rest := r.appear(ctx, now, list)
 		r.mu.Lock()
 		enter, remove := r.registry.Due(now, list)
-		if r.registry.Told(now) {
+		if r.registry.Active(now) {
 			rest = registerTick
 		}
 		r.mu.Unlock()
@@ -75,15 +75,15 @@
 }
 
 // hear takes the presence of a host.
-func (r *registrar) hear(now time.Time, p member.Presence) {
+func (r *registrar) hear(now time.Time, p member.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.registry.Hear(now, p)
+	r.registry.HandleHeartbeat(now, p)
 }
 
 // heardPresence takes a datagram with the presence of another host.
 func (h *Host) heardPresence(body []byte) {
-	p, err := member.DecodePresence(body)
+	p, err := member.DecodeHeartbeat(body)
 	if err != nil {
 		h.log.Warn("Presence not readable, dropped.", slog.Any("error", err))
 		return
@@ -94,12 +94,12 @@
 // appear tells this host's presence when that is due, and enters it where
 // nobody else has. It returns the time until the next look.
 func (r *registrar) appear(ctx context.Context, now time.Time, list *member.List) time.Duration {
-	every := member.PresenceInterval
+	every := member.HeartbeatInterval
 	if r.host.stopping.Load() {
 		return every
 	}
 	listed, ok := list.Host(r.self.Name)
-	missing := !ok || listed.Life != r.self.Life
+	missing := !ok || listed.Incarnation != r.self.Incarnation
 	switch {
 	case !missing:
 		r.missingSince = time.Time{}
@@ -107,7 +107,7 @@
 		r.missingSince, r.patience = now, alonePatience+rand.N(aloneSpread)
 	}
 	if missing {
-		every = member.EnterInterval
+		every = member.JoinInterval
 	}
 	if now.Sub(r.told) >= every {
 		r.told = now
@@ -123,8 +123,8 @@
 // tell sends this host's presence to its registrars.
 func (r *registrar) tell(now time.Time, list *member.List) {
 	for turn, addr := range r.registrars(list) {
-		p := member.Presence{Host: r.self, Turn: turn}
-		if addr == r.self.Ticket {
+		p := member.Heartbeat{Host: r.self, Rank: turn}
+		if addr == r.self.TicketAddr {
 			r.hear(now, p)
 			continue
 		}
@@ -141,9 +141,9 @@
 // first.
 func (r *registrar) registrars(list *member.List) []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, w := range spread.Watchers(r.self.Zone, list.Rows()) {
+	for _, w := range spread.Watchers(r.self.Zone, list.HostRows()) {
 		if m, ok := list.Host(w.Host); ok {
-			out = append(out, m.Ticket)
+			out = append(out, m.TicketAddr)
 		}
 	}
 	if len(out) > 0 {
@@ -154,7 +154,7 @@
 	}
 	spread.Shuffle(r.self.Name, out)
 	if len(out) == 0 {
-		out = append(out, r.self.Ticket)
+		out = append(out, r.self.TicketAddr)
 	}
 	return out
 }
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -45,7 +45,7 @@
 	defer m.mu.Unlock()
 	var out []status.Move
 	for _, s := range m.list {
-		if s.Range.Meets(r) {
+		if s.Range.Overlaps(r) {
 			out = append(out, status.Move{
 				At: s.at, Range: s.Range.String(), Epoch: uint64(s.Fence), From: string(s.From), To: string(s.To), Evidence: s.Text,
 			})
@@ -84,7 +84,7 @@
 // cellOf tells of a service with ranges: there is one cell for all zones.
 func (h *Host) cellOf(service key.Service, t *owner.Table) status.Cell {
 	out := status.Cell{
-		Service: string(service), Zone: "all", Term: uint64(t.Version.Term), Lead: string(t.Lead), Leading: t.Lead == h.site.Host,
+		Service: string(service), Zone: "all", Term: uint64(t.Version.Term), Lead: string(t.Leader), Leading: t.Leader == h.site.Host,
 		Shards: len(t.Spans),
 	}
 	for _, s := range t.Spans {
@@ -95,7 +95,7 @@
 		out.Moving++
 	}
 	if out.Leading {
-		out.Moves = h.movesOf(service, key.Whole())
+		out.Moves = h.movesOf(service, key.FullRange())
 	}
 	return out
 }
@@ -128,7 +128,7 @@
 	}
 	if span.Target == "" {
 		out.Why = fmt.Sprintf("on the move, back in about %v by a table %v old",
-			span.Back.Round(time.Millisecond), now.Sub(v.tableAt[q.Service]).Round(time.Millisecond))
+			span.AvailableIn.Round(time.Millisecond), now.Sub(v.tableAt[q.Service]).Round(time.Millisecond))
 	}
 	return out
 }
--- a/internal/host/report_test.go
+++ b/internal/host/report_test.go
@@ -61,9 +61,9 @@
 	for i := range 10 * keptMoves {
 		m.note(time.Unix(int64(i), 0), noteOf("span-1"))
 	}
-	kept := m.of(key.Whole())
+	kept := m.of(key.FullRange())
 	assert.Assert(t, len(kept) >= keptMoves && len(kept) <= 2*keptMoves)
 	assert.Equal(t, kept[len(kept)-1].At, time.Unix(10*keptMoves-1, 0))
 }
 
-func noteOf(to place.Target) owner.Note { return owner.Note{Range: key.Whole(), To: to} }
+func noteOf(to place.Target) owner.Note { return owner.Note{Range: key.FullRange(), To: to} }
--- a/internal/host/resign.go
+++ b/internal/host/resign.go
@@ -17,7 +17,7 @@
 	if r.resigning || !r.host.stopping.Load() || !r.core.Leading() {
 		return
 	}
-	if !r.core.Fresh(now) {
+	if !r.core.LeaseFresh(now) {
 		r.core.Resume()
 		return
 	}
@@ -49,7 +49,7 @@
 		switch {
 		case err == nil:
 			t.log.Info("Lead handed on.", slog.Uint64("term", uint64(t.core.Term())))
-			t.core.Depose()
+			t.core.StepDown()
 		case errors.Is(err, platform.ErrUnavailable):
 			// Surely not carried out: this host leads on until the store is back.
 			t.log.Warn("Lead not handed on, renewing meanwhile.", slog.Any("error", err))
@@ -60,25 +60,25 @@
 			t.log.Warn("Lead not handed on, renewing meanwhile.", slog.Any("error", err))
 			t.resigning = false
 			t.core.Resume()
-			t.core.Restored(now, t.doc.Term)
+			t.core.StoreRestored(now, t.doc.Term)
 		default:
 			// The next lead may go by it already: nothing is sent any more.
 			t.log.Warn("Lead given up.", slog.Any("error", err))
-			t.core.Depose()
+			t.core.StepDown()
 		}
 		return true
 	})
 }
 
 func (t *resignation) resign(ctx context.Context) error {
-	t.doc.Lead, t.doc.Life = "", 0
+	t.doc.Leader, t.doc.LeaderIncarnation = "", 0
 	value, err := t.doc.Encode()
 	if err != nil {
 		return err
 	}
 	txn := docTxn(t.service, value, t.expect, t.leadRevision)
-	txn.Remove = []platform.Path{member.LeadPath(t.service)}
-	_, err = commitSurely(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.doc.Write)
+	txn.Remove = []platform.Path{member.LeaderPath(t.service)}
+	_, err = commitSurely(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.doc.WriteID)
 	return err
 }
 
--- a/internal/host/restore_test.go
+++ b/internal/host/restore_test.go
@@ -114,8 +114,8 @@
 			assert.Equal(t, d.send(late, "POST", "/new/x", 0).status, http.StatusOK)
 			d.eventually("all hosts and the lead are listed", 5*time.Second, func() bool {
 				v := d.hosts[0].viewer.view()
-				lead, ok := v.members.Lead("span")
-				return len(v.members.Hosts) == 4 && ok && !lead.Forgotten()
+				lead, ok := v.members.Leader("span")
+				return len(v.members.Hosts) == 4 && ok && !lead.Restored()
 			})
 			before := left.Arrived()
 			d.ask(200*time.Millisecond, "POST", "/new/x", 0)
--- a/internal/host/runner.go
+++ b/internal/host/runner.go
@@ -70,7 +70,7 @@
 )
 
 // planBounds are the bounds of one plan.
-var planBounds = partition.Config{Moves: 12, Spans: 6, Imbalance: 0.1, Gap: 0.08}
+var planBounds = partition.Config{MaxMoves: 12, MaxSpans: 6, MaxImbalance: 0.1, MinGap: 0.08}
 
 // rangesPath returns the path of a service's document.
 func rangesPath(service key.Service) platform.Path {
@@ -119,7 +119,7 @@
 	// leaving are the lives of targets that have said to some host that they leave.
 	leaving    map[place.Target]place.Incarnation
 	load       partition.Load
-	capacities partition.Capacities
+	capacities partition.CapacityFilter
 }
 
 // opinion is what was last heard of a target.
@@ -139,12 +139,12 @@
 		host: h, service: service, log: log,
 		courier: newCourier(h.env.Orders, log),
 		core: owner.New(owner.Config{
-			Service: service, Host: h.site.Host, Life: h.life,
-			Hold: min(holdTime, h.site.Bounds.HoldMax), Renew: renewInterval, Order: orderTimeout,
-			Right: renewRight, Lease: max(leaseTTL, h.site.Bounds.SessionMin),
-			Plan: planBounds, PlanEvery: planInterval, LevelMost: levelInterval, First: firstGrant,
-			Publish: publishInterval, Pace: publishPace, Warn: releaseNotice,
-			Gather: gatherTime, Settle: settleTime, Fresh: freshLease, Confirm: confirmTime, Reclaim: reclaimAfter,
+			Service: service, Host: h.site.Host, Incarnation: h.life,
+			GrantDuration: min(holdTime, h.site.Bounds.HoldMax), RenewInterval: renewInterval, OrderTimeout: orderTimeout,
+			RenewGrace: renewRight, LeaseTTL: max(leaseTTL, h.site.Bounds.SessionMin),
+			Plan: planBounds, PlanInterval: planInterval, MaxRebalanceInterval: levelInterval, FirstGrantTimeout: firstGrant,
+			MaxPublishInterval: publishInterval, MinPublishInterval: publishPace, ReleaseNotice: releaseNotice,
+			WriteBatchDelay: gatherTime, SettleTime: settleTime, LeaseFreshness: freshLease, ConfirmTimeout: confirmTime, ReclaimTimeout: reclaimAfter,
 		}),
 		started:  clock.Now(),
 		events:   make(chan func(time.Time) bool, 256),
@@ -267,11 +267,11 @@
 func (r *runner) noteLeaving(name place.Target) {
 	row, ok := r.host.viewer.view().targets[name]
 	born, noted := r.leaving[name]
-	if !ok || row.State != place.Live || noted && born == row.Born {
+	if !ok || row.State != place.Live || noted && born == row.Incarnation {
 		return
 	}
 	r.log.Info("Target leaves by its own word.", slog.String("target", string(name)))
-	r.leaving[name] = row.Born
+	r.leaving[name] = row.Incarnation
 	r.known = 0 // the core has to hear of it
 }
 
@@ -279,7 +279,7 @@
 func (r *runner) listed(v *view) map[place.Target]place.TargetRow {
 	maps.DeleteFunc(r.leaving, func(name place.Target, born place.Incarnation) bool {
 		row, ok := v.targets[name]
-		return !ok || row.Born != born
+		return !ok || row.Incarnation != born
 	})
 	if len(r.leaving) == 0 {
 		return v.targets
@@ -299,7 +299,7 @@
 	if r.host.guard("lead", f) {
 		return
 	}
-	r.core.Depose()
+	r.core.StepDown()
 	r.lease.drop()
 	r.leads.Store(false)
 }
@@ -311,12 +311,12 @@
 	if r.core.Leading() {
 		session := r.lease.current()
 		if _, era := r.host.store.eras(); session.forgotten || max(era, v.era) > r.core.Term().Era() {
-			r.core.Restored(now, r.core.Term())
+			r.core.StoreRestored(now, r.core.Term())
 		}
-		r.core.Lease(session.end)
+		r.core.ExtendLease(session.end)
 		if v.fleet != r.known {
 			r.known = v.fleet
-			r.core.Fleet(now, r.listed(v))
+			r.core.SetTargets(now, r.listed(v))
 		}
 		r.weigh(now, v)
 		r.announce(now, v)
@@ -331,14 +331,14 @@
 
 // follow gives way to another lead that the list of members names.
 func (r *runner) follow(now time.Time, v *view) {
-	lead, ok := v.members.Lead(r.service)
-	ok = ok && !lead.Forgotten()
-	mine := ok && lead.Host == r.host.site.Host && lead.Life == r.host.life
+	lead, ok := v.members.Leader(r.service)
+	ok = ok && !lead.Restored()
+	mine := ok && lead.Host == r.host.site.Host && lead.Incarnation == r.host.life
 	switch {
 	case ok && !mine && r.core.Leading() && lead.Revision > r.leadRevision:
 		r.log.Warn("Another host leads, giving way.", slog.String("lead", string(lead.Host)),
 			slog.Uint64("revision", uint64(lead.Revision)), slog.Uint64("term", uint64(r.core.Term())))
-		r.core.Depose()
+		r.core.StepDown()
 		r.vacantSince = time.Time{}
 	case ok && !mine && !v.members.Ended(lead):
 		r.vacantSince = time.Time{}
@@ -358,10 +358,10 @@
 	r.weighed = now
 	if v.routes != nil {
 		if service := v.routes.Service(r.service); service != nil {
-			r.core.Warm(service.Warm)
+			r.core.SetWarmup(service.Warm)
 		}
 	}
-	r.meter.Fade(now)
+	r.meter.Decay(now)
 	mean := r.meanTime(now)
 	measured := make(map[place.Target]partition.Target)
 	suspect := make(map[place.Target]bool)
@@ -371,21 +371,21 @@
 			continue
 		}
 		suspect[row.Target] = o.down
-		t := partition.Measured(row.Target, row.Slots, partition.Sample{Time: o.time, Requests: o.requests}, mean)
-		steady, changed := r.capacities.Steady(t)
+		t := partition.EstimateTarget(row.Target, row.Slots, partition.Sample{MeanTime: o.time, Requests: o.requests}, mean)
+		steady, changed := r.capacities.Apply(t)
 		measured[row.Target] = steady
 		if changed {
 			r.log.Info("Capacity of target has changed.", slog.String("target", string(row.Target)),
-				slog.Float64("capacity", t.Capacity), slog.Float64("doubt", t.Doubt), slog.Int("slots", row.Slots),
+				slog.Float64("capacity", t.Capacity), slog.Float64("doubt", t.RelStdDev), slog.Int("slots", row.Slots),
 				millis("time", o.time), millis("mean", mean), slog.Float64("requests", o.requests))
 		}
 	}
-	r.capacities.Keep(func(name place.Target) bool { _, ok := v.targets[name]; return ok })
-	if r.meter.Watch(now, r.core.Held()) {
+	r.capacities.Retain(func(name place.Target) bool { _, ok := v.targets[name]; return ok })
+	if r.meter.DetectChanges(now, r.core.Ranges()) {
 		r.log.Info("Load has changed, averaging anew.")
 	}
 	r.meter.Load(now, &r.load, mean)
-	r.core.Load(&r.load, measured, suspect)
+	r.core.SetLoad(&r.load, measured, suspect)
 }
 
 // meanTime returns the mean time of a request over all targets.
--- a/internal/host/runner_test.go
+++ b/internal/host/runner_test.go
@@ -36,8 +36,8 @@
 			now := time.Unix(1000, 0)
 			r := &runner{service: "s", heard: now.Add(-test.heard)}
 			v := &view{
-				members: member.List{Hosts: []member.Host{{Name: "lead", Life: test.life}}},
-				tables:  map[key.Service]*owner.Table{"s": {Lead: "lead", Life: 1}},
+				members: member.List{Hosts: []member.Host{{Name: "lead", Incarnation: test.life}}},
+				tables:  map[key.Service]*owner.Table{"s": {Leader: "lead", LeaderIncarnation: 1}},
 			}
 			assert.Equal(t, r.incumbent(now, v, test.place), test.want)
 		})
@@ -47,21 +47,21 @@
 // TestPredecessor: that the lead before has ended tells nothing of those before
 // it, where it wrote that they may not have.
 func TestPredecessor(t *testing.T) {
-	members := member.List{Hosts: []member.Host{{Name: "again", Life: 2, Revision: 9}, {Name: "on", Life: 1, Revision: 1}}}
+	members := member.List{Hosts: []member.Host{{Name: "again", Incarnation: 2, Revision: 9}, {Name: "on", Incarnation: 1, Revision: 1}}}
 	tests := map[string]struct {
 		doc  owner.Doc
 		want owner.Prior
 	}{
-		"before a restore":            {owner.Doc{Term: owner.Term(0).After(1)}, owner.PriorForgotten},
-		"a moment after one":          {owner.Doc{Term: owner.Term(0).After(2), Doubt: true}, owner.PriorForgotten},
-		"since the last one":          {owner.Doc{Term: owner.Term(0).After(2)}, owner.PriorEnded},
+		"before a restore":            {owner.Doc{Term: owner.Term(0).Next(1)}, owner.PriorLost},
+		"a moment after one":          {owner.Doc{Term: owner.Term(0).Next(2), AfterRestore: true}, owner.PriorLost},
+		"since the last one":          {owner.Doc{Term: owner.Term(0).Next(2)}, owner.PriorEnded},
 		"handed on":                   {owner.Doc{}, owner.PriorEnded},
-		"handed on, one before may":   {owner.Doc{Stragglers: true}, owner.PriorUnknown},
-		"this host":                   {owner.Doc{Lead: "self", Life: 1}, owner.PriorEnded},
-		"this host, one before may":   {owner.Doc{Lead: "self", Life: 1, Stragglers: true}, owner.PriorUnknown},
-		"started again":               {owner.Doc{Lead: "again", Life: 1}, owner.PriorEnded},
-		"started again, one before":   {owner.Doc{Lead: "again", Life: 1, Stragglers: true}, owner.PriorUnknown},
-		"runs, for all that is known": {owner.Doc{Lead: "on", Life: 1}, owner.PriorUnknown},
+		"handed on, one before may":   {owner.Doc{PriorMayRenew: true}, owner.PriorUnknown},
+		"this host":                   {owner.Doc{Leader: "self", LeaderIncarnation: 1}, owner.PriorEnded},
+		"this host, one before may":   {owner.Doc{Leader: "self", LeaderIncarnation: 1, PriorMayRenew: true}, owner.PriorUnknown},
+		"started again":               {owner.Doc{Leader: "again", LeaderIncarnation: 1}, owner.PriorEnded},
+		"started again, one before":   {owner.Doc{Leader: "again", LeaderIncarnation: 1, PriorMayRenew: true}, owner.PriorUnknown},
+		"runs, for all that is known": {owner.Doc{Leader: "on", LeaderIncarnation: 1}, owner.PriorUnknown},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -118,8 +118,8 @@
 				started: now.Add(-test.started), heard: now.Add(-test.heard),
 			}
 			v := &view{ranks: newRanks(), members: member.List{
-				Hosts: []member.Host{{Name: "lead", Life: 1}, {Name: "self", Life: 1}},
-				Leads: []member.Lead{{Service: "s", Host: "lead", Life: 1, Revision: 9}},
+				Hosts:   []member.Host{{Name: "lead", Incarnation: 1}, {Name: "self", Incarnation: 1}},
+				Leaders: []member.Leader{{Service: "s", Host: "lead", Incarnation: 1, Revision: 9}},
 			}}
 			v.ranks.leads["s"] = []place.Host{"self", "lead"}
 			assert.Equal(t, r.due(now, v), test.want)
--- a/internal/host/scale_bench_test.go
+++ b/internal/host/scale_bench_test.go
@@ -19,7 +19,7 @@
 
 // largeTable returns a table of a service whose targets own two ranges each.
 func largeTable(targets int, sequence uint64) *owner.Table {
-	t := &owner.Table{Service: "s", Version: owner.Version{Term: 1, Sequence: sequence}, Lead: "host-1", Life: 1}
+	t := &owner.Table{Service: "s", Version: owner.Version{Term: 1, Sequence: sequence}, Leader: "host-1", LeaderIncarnation: 1}
 	spans := 2 * targets
 	for i := range spans {
 		n := (i + int(sequence)) % targets
@@ -39,8 +39,8 @@
 			share = 0.8
 		}
 		l.Hosts = append(l.Hosts, member.Host{
-			Name: place.Host(fmt.Sprintf("host-%03d", i)), Life: 1, Zone: place.Zone(fmt.Sprintf("z%d", i%5)), Processor: share,
-			Peer: netip.MustParseAddrPort("10.0.0.1:1"), Ticket: netip.MustParseAddrPort("10.0.0.1:2"),
+			Name: place.Host(fmt.Sprintf("host-%03d", i)), Incarnation: 1, Zone: place.Zone(fmt.Sprintf("z%d", i%5)), CPUShare: share,
+			PeerAddr: netip.MustParseAddrPort("10.0.0.1:1"), TicketAddr: netip.MustParseAddrPort("10.0.0.1:2"),
 		})
 	}
 	return l
@@ -57,11 +57,11 @@
 			body, err := members.Encode()
 			assert.NilError(b, err)
 			board.Publish(spread.Document{Name: docMembers, Version: spread.Version{Major: 1}, Body: body})
-			var d fleet.Doc
+			var d fleet.List
 			for i := range targets {
 				d.Targets = append(d.Targets, place.TargetRow{
 					Target: place.Target(fmt.Sprintf("i-%010x", i*7919)), Service: "s", Zone: "z0", State: place.Live,
-					Addr: netip.MustParseAddrPort("10.0.0.1:1"), Born: 1, Slots: 3,
+					Addr: netip.MustParseAddrPort("10.0.0.1:1"), Incarnation: 1, Slots: 3,
 				})
 			}
 			body, err = d.Encode()
@@ -89,7 +89,7 @@
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			members := largeMembers(hosts)
 			for b.Loop() {
-				member.RankLeads("ranges/s", members.Hosts)
+				member.RankLeaders("ranges/s", members.Hosts)
 			}
 		})
 	}
--- a/internal/host/serve.go
+++ b/internal/host/serve.go
@@ -172,7 +172,7 @@
 	span, back := j.span(now, v)
 	if span != nil && span.Target != "" {
 		j.parkedAt = time.Time{}
-		j.cold = span.Cold > j.tableAge
+		j.cold = span.ColdFor > j.tableAge
 		if s := j.refrain(now, v.targets[span.Target]); s != nil {
 			return dispatch.PoolID{}, "", s
 		}
@@ -203,7 +203,7 @@
 	if span == nil {
 		return nil, retryUnowned
 	}
-	return span, max(span.Back-now.Sub(v.tableAt[j.service.Name]), 0)
+	return span, max(span.AvailableIn-now.Sub(v.tableAt[j.service.Name]), 0)
 }
 
 // ticket waits for a slot.
--- a/internal/host/status.go
+++ b/internal/host/status.go
@@ -67,7 +67,7 @@
 		for _, service := range v.routes.Config().Services {
 			row := wireService{Name: string(service.Name), Targets: len(v.services[service.Name])}
 			if t := v.tables[service.Name]; t != nil {
-				row.Lead, row.Term = string(t.Lead), uint64(t.Version.Term)
+				row.Lead, row.Term = string(t.Leader), uint64(t.Version.Term)
 				row.Age = now.Sub(v.tableAt[service.Name]).Milliseconds()
 				for _, span := range t.Spans {
 					row.Spans = append(row.Spans, wireSpan{
--- a/internal/host/tasks.go
+++ b/internal/host/tasks.go
@@ -89,7 +89,7 @@
 		return
 	}
 	txn := docTxn(t.service, value, t.effect.Expect, t.leadRevision)
-	revision, err := commitSurely(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.effect.Doc.Write)
+	revision, err := commitSurely(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.effect.Doc.WriteID)
 	t.post(func(now time.Time) bool { t.ended(now, revision, err); return true })
 }
 
@@ -98,7 +98,7 @@
 func docTxn(service key.Service, value []byte, expect, leadRevision platform.Revision) platform.Txn {
 	path := rangesPath(service)
 	return platform.Txn{
-		If:  []platform.Condition{{Path: member.LeadPath(service), Revision: leadRevision}, {Path: path, Revision: expect}},
+		If:  []platform.Condition{{Path: member.LeaderPath(service), Revision: leadRevision}, {Path: path, Revision: expect}},
 		Put: []platform.Put{{Path: path, Value: value}},
 	}
 }
@@ -109,10 +109,10 @@
 		t.core.Written(now, t.effect, revision)
 	case errors.Is(err, errLost):
 		t.log.Warn("Document was changed before this write.", slog.Uint64("expected", uint64(t.effect.Expect)))
-		t.core.Outrun(t.effect)
+		t.core.WriteConflict(t.effect)
 	case errors.Is(err, platform.ErrRestored):
 		t.log.Warn("Document not written.", slog.Any("error", err))
-		t.core.Restored(now, t.effect.Doc.Term)
+		t.core.StoreRestored(now, t.effect.Doc.Term)
 	default:
 		t.log.Warn("Document not written.", slog.Any("error", err))
 		t.core.NotWritten(now, t.effect)
--- a/internal/host/view.go
+++ b/internal/host/view.go
@@ -139,7 +139,7 @@
 	defer v.ranks.mu.Unlock()
 	out, ok := v.ranks.leads[service]
 	if !ok {
-		out = member.RankLeads(string(rangesPath(service)), v.members.Hosts)
+		out = member.RankLeaders(string(rangesPath(service)), v.members.Hosts)
 		v.ranks.leads[service] = out
 	}
 	return out
@@ -300,8 +300,8 @@
 		return
 	}
 	for _, h := range list.Hosts {
-		if was, ok := old.Host(h.Name); !ok || was.Life != h.Life {
-			v.log.Info("Host is there.", slog.String("host", string(h.Name)), slog.Uint64("life", uint64(h.Life)),
+		if was, ok := old.Host(h.Name); !ok || was.Incarnation != h.Incarnation {
+			v.log.Info("Host is there.", slog.String("host", string(h.Name)), slog.Uint64("life", uint64(h.Incarnation)),
 				slog.Uint64("revision", revision))
 		}
 	}
@@ -368,7 +368,7 @@
 		return
 	}
 	for name, row := range now {
-		if was, ok := old[name]; !ok || was.State != row.State || was.Born != row.Born {
+		if was, ok := old[name]; !ok || was.State != row.State || was.Incarnation != row.Incarnation {
 			v.log.Info("Target seen.", slog.String("target", string(name)), slog.String("service", row.Service),
 				slog.String("state", row.State.String()), slog.String("zone", string(row.Zone)), slog.Uint64("revision", revision))
 		}
@@ -440,7 +440,7 @@
 	heard, stored := v.heard[service], v.stored[service]
 	// Without a lead's table, or where the owners have changed since one was
 	// last heard, the store's document tells them.
-	if stored != nil && (heard.Table == nil || now.Sub(heard.at) >= tableAge && stored.revision() > heard.Based) {
+	if stored != nil && (heard.Table == nil || now.Sub(heard.at) >= tableAge && stored.revision() > heard.DocRevision) {
 		if table := v.readOwners(stored); table != nil {
 			return table, now
 		}
@@ -460,6 +460,6 @@
 		v.log.Error("Document not readable, the last one stays.", slog.String("document", string(s.Name)), slog.Any("error", err))
 		return s.table
 	}
-	s.table = owner.TableOf(&d, s.revision())
+	s.table = owner.TableFromDoc(&d, s.revision())
 	return s.table
 }
--- a/internal/host/view_test.go
+++ b/internal/host/view_test.go
@@ -20,11 +20,11 @@
 // TestChosenTable: a lead's table is used while it is fresh, and after that
 // only until the store has newer owners.
 func TestChosenTable(t *testing.T) {
-	doc := owner.Empty("s")
+	doc := owner.EmptyDoc("s")
 	doc.Rows[0].Target = "t"
 	body, err := doc.Encode()
 	assert.NilError(t, err)
-	table := func(based platform.Revision) *owner.Table { return owner.TableOf(&doc, based) }
+	table := func(based platform.Revision) *owner.Table { return owner.TableFromDoc(&doc, based) }
 	const fresh, old = time.Second, 2 * tableAge
 	tests := map[string]struct {
 		heard, stored platform.Revision // revisions that they rest on, 0 for none
@@ -58,7 +58,7 @@
 // TestLeaves: a target that was seen to leave or go counts as leaving until it
 // is listed again; one that was never listed may be new.
 func TestLeaves(t *testing.T) {
-	live := place.TargetRow{Target: "t", Born: 1, State: place.Live}
+	live := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
 	leaving := live
 	leaving.State = place.Leaving
 	tests := map[string]struct {
@@ -79,8 +79,8 @@
 			v := newViewer(board, journal.Nop(), nil)
 			for i, rows := range test.lists {
 				// Lists differ, or they are not read again.
-				other := place.TargetRow{Target: place.Target(fmt.Sprint("other-", i)), Born: 1}
-				doc := fleet.Doc{Targets: append([]place.TargetRow{other}, rows...)}
+				other := place.TargetRow{Target: place.Target(fmt.Sprint("other-", i)), Incarnation: 1}
+				doc := fleet.List{Targets: append([]place.TargetRow{other}, rows...)}
 				body, err := doc.Encode()
 				assert.NilError(t, err)
 				board.PublishRead(spread.Document{Name: docTargets, Version: spread.Version{Major: uint64(i + 1)}, Body: body})
--- a/internal/host/watcher.go
+++ b/internal/host/watcher.go
@@ -290,7 +290,7 @@
 }
 
 func (w *watcher) encodeTargets(now time.Time, entries []platform.Entry) ([]byte, error) {
-	d := fleet.Doc{Unsure: w.unsure(now), Steady: w.steady(now)}
+	d := fleet.List{RecentOutage: w.unsure(now), StoreStable: w.steady(now)}
 	for _, e := range entries {
 		name := place.Target(strings.TrimPrefix(string(e.Path), string(platform.PathTargets)))
 		row, err := w.decodeTarget(name, e.Value)
--- a/internal/host/watcher_test.go
+++ b/internal/host/watcher_test.go
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	start := func() { go func() { done <- w.run(ctx) }() }
-	listed := func() (d fleet.Doc, ok bool) {
+	listed := func() (d fleet.List, ok bool) {
 		doc, ok := board.Get(docTargets)
 		if !ok {
 			return d, false
@@ -120,7 +120,7 @@
 	cancel()
 	assert.NilError(t, <-done)
 	d, _ := listed()
-	assert.Assert(t, d.Unsure && !d.Steady)
+	assert.Assert(t, d.RecentOutage && !d.StoreStable)
 	assert.Equal(t, told.Load(), int32(0))
 }
 
--- a/internal/lead/evict.go
+++ b/internal/lead/evict.go
@@ -135,7 +135,7 @@
 	if now.Sub(since) < silenceBound(s.Hold, k.cfg.Timing) {
 		return nil
 	}
-	return grant.Lapsed{Since: since}
+	return grant.Expired{Since: since}
 }
 
 // silenceBound is how long another zone's lease has to be held before all
@@ -192,7 +192,7 @@
 func (k *keeper) answers(ctx context.Context, hosts []place.HostRow) bool {
 	for _, h := range hosts[:min(len(hosts), pingHosts)] {
 		call, cancel := context.WithTimeout(ctx, pingTimeout)
-		_, err := k.link.Call(call, h.Lead, peer.KindStatus, nil)
+		_, err := k.link.Call(call, h.LeadAddr, peer.KindStatus, nil)
 		cancel()
 		if err == nil {
 			return true
--- a/internal/lead/evict_test.go
+++ b/internal/lead/evict_test.go
@@ -47,7 +47,7 @@
 var (
 	cellA = cell.ID{Service: "balance", Zone: "a"}
 	cellB = cell.ID{Service: "balance", Zone: "b"}
-	hostA = place.HostRow{Host: "host-a", Zone: "a", Lead: netip.MustParseAddrPort("127.0.0.1:1")}
+	hostA = place.HostRow{Host: "host-a", Zone: "a", LeadAddr: netip.MustParseAddrPort("127.0.0.1:1")}
 )
 
 func newZones(t *testing.T, hold time.Duration) *zones {
@@ -147,7 +147,7 @@
 	}
 	assert.Equal(t, len(z.round(t, time.Second).Of("b")), 16)
 
-	z.link.answering[hostA.Lead] = true
+	z.link.answering[hostA.LeadAddr] = true
 	for range 15 {
 		z.round(t, time.Second)
 	}
@@ -162,7 +162,7 @@
 	}{
 		"hold is forever": {0, func(*testing.T, *zones) {}},
 		"a peer answers": {time.Second, func(_ *testing.T, z *zones) {
-			z.link.answering[hostA.Lead] = true
+			z.link.answering[hostA.LeadAddr] = true
 		}},
 		"its lead renews the lease, though it is cut from the peers": {time.Second, func(t *testing.T, z *zones) {
 			_, err := z.platform.Acquire(t.Context(), leaseName(cellA), "host-a", time.Hour)
--- a/internal/lead/reconciler_test.go
+++ b/internal/lead/reconciler_test.go
@@ -16,7 +16,7 @@
 // from now on; the cell of b goes on until all its shards are on their way.
 func TestZoneTakenOutOfAServiceGivesItsShards(t *testing.T) {
 	z := newZones(t, 0)
-	z.link.answering[hostA.Lead] = true
+	z.link.answering[hostA.LeadAddr] = true
 	z.service.Zones = []place.Zone{"a"}
 	z.view.settings.Services = []settings.Service{z.service}
 	var doc custody.Doc
--- a/internal/lead/runner.go
+++ b/internal/lead/runner.go
@@ -200,7 +200,7 @@
 		r.log.Error("Message not encoded.", slog.Any("error", err))
 		return
 	}
-	r.start(ctx, peerCall{r, peer.Lead, body})
+	r.start(ctx, peerCall{r, peer.LeadAddr, body})
 }
 
 // publish puts the cell's routing table on the board of this process.
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -79,7 +79,7 @@
 	for _, m := range moves {
 		out = append(out, status.Move{
 			At: m.At, Shard: uint32(m.Shard), Epoch: uint64(m.Epoch),
-			From: string(m.From), To: string(m.To), Evidence: grant.Name(m.Evidence),
+			From: string(m.From), To: string(m.To), Evidence: grant.EvidenceName(m.Evidence),
 		})
 	}
 	return out
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -13,70 +13,70 @@
 )
 
 type wireList struct {
-	Hosts []wireMember `cbor:"1,keyasint"`
-	Leads []wireLeader `cbor:"2,keyasint"`
+	Hosts   []wireMember `cbor:"1,keyasint"`
+	Leaders []wireLeader `cbor:"2,keyasint"`
 }
 
 type wireMember struct {
-	_      struct{} `cbor:",toarray"`
-	Name   string
-	Life   uint64
-	Zone   string
-	Peer   netip.AddrPort
-	Ticket netip.AddrPort
-	Share  float64
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Incarnation uint64
+	Zone        string
+	Peer        netip.AddrPort
+	Ticket      netip.AddrPort
+	Share       float64
 
 	Revision uint64
 }
 
 type wireLeader struct {
-	_        struct{} `cbor:",toarray"`
-	Service  string
-	Host     string
-	Life     uint64
-	Revision uint64
-	Era      uint64
+	_           struct{} `cbor:",toarray"`
+	Service     string
+	Host        string
+	Incarnation uint64
+	Revision    uint64
+	Era         uint64
 }
 
-type wirePresence struct {
+type wireHeartbeat struct {
 	_    struct{} `cbor:",toarray"`
 	Host wireMember
-	Turn int
+	Rank int
 }
 
 func wireOf(h Host) wireMember {
 	return wireMember{
-		Name: string(h.Name), Life: uint64(h.Life), Zone: string(h.Zone), Peer: h.Peer, Ticket: h.Ticket, Share: h.Processor,
+		Name: string(h.Name), Incarnation: uint64(h.Incarnation), Zone: string(h.Zone), Peer: h.PeerAddr, Ticket: h.TicketAddr, Share: h.CPUShare,
 		Revision: uint64(h.Revision),
 	}
 }
 
 func (w *wireMember) host() Host {
 	return Host{
-		Name: place.Host(w.Name), Life: place.Incarnation(w.Life), Zone: place.Zone(w.Zone),
-		Peer: w.Peer, Ticket: w.Ticket, Processor: w.Share, Revision: platform.Revision(w.Revision),
+		Name: place.Host(w.Name), Incarnation: place.Incarnation(w.Incarnation), Zone: place.Zone(w.Zone),
+		PeerAddr: w.Peer, TicketAddr: w.Ticket, CPUShare: w.Share, Revision: platform.Revision(w.Revision),
 	}
 }
 
 // Encode returns the presence as a host tells it.
-func (p *Presence) Encode() ([]byte, error) {
-	body, err := cbor.Marshal(wirePresence{Host: wireOf(p.Host), Turn: p.Turn})
+func (p *Heartbeat) Encode() ([]byte, error) {
+	body, err := cbor.Marshal(wireHeartbeat{Host: wireOf(p.Host), Rank: p.Rank})
 	if err != nil {
 		return nil, fmt.Errorf("member: encode presence: %w", err)
 	}
 	return body, nil
 }
 
-// DecodePresence reads what Encode wrote.
-func DecodePresence(body []byte) (Presence, error) {
-	var w wirePresence
+// DecodeHeartbeat reads what Encode wrote.
+func DecodeHeartbeat(body []byte) (Heartbeat, error) {
+	var w wireHeartbeat
 	if err := cbor.Unmarshal(body, &w); err != nil {
-		return Presence{}, fmt.Errorf("member: decode presence: %w", err)
+		return Heartbeat{}, fmt.Errorf("member: decode presence: %w", err)
 	}
-	if w.Host.Name == "" || w.Turn < 0 {
-		return Presence{}, errors.New("member: decode presence: no host or turn")
+	if w.Host.Name == "" || w.Rank < 0 {
+		return Heartbeat{}, errors.New("member: decode presence: no host or turn")
 	}
-	return Presence{Host: w.Host.host(), Turn: w.Turn}, nil
+	return Heartbeat{Host: w.Host.host(), Rank: w.Rank}, nil
 }
 
 // Encode returns the list as hosts pass it on.
@@ -85,9 +85,9 @@
 	for _, h := range l.Hosts {
 		w.Hosts = append(w.Hosts, wireOf(h))
 	}
-	for _, lead := range l.Leads {
-		w.Leads = append(w.Leads, wireLeader{
-			Service: string(lead.Service), Host: string(lead.Host), Life: uint64(lead.Life), Revision: uint64(lead.Revision), Era: uint64(lead.Era),
+	for _, lead := range l.Leaders {
+		w.Leaders = append(w.Leaders, wireLeader{
+			Service: string(lead.Service), Host: string(lead.Host), Incarnation: uint64(lead.Incarnation), Revision: uint64(lead.Revision), Era: uint64(lead.Era),
 		})
 	}
 	body, err := cbor.Marshal(w)
@@ -107,10 +107,10 @@
 	for _, h := range w.Hosts {
 		l.Hosts = append(l.Hosts, h.host())
 	}
-	for _, lead := range w.Leads {
-		l.Leads = append(l.Leads, Lead{
+	for _, lead := range w.Leaders {
+		l.Leaders = append(l.Leaders, Leader{
 			Service: key.Service(lead.Service), Host: place.Host(lead.Host),
-			Life: place.Incarnation(lead.Life), Revision: platform.Revision(lead.Revision), Era: platform.Era(lead.Era),
+			Incarnation: place.Incarnation(lead.Incarnation), Revision: platform.Revision(lead.Revision), Era: platform.Era(lead.Era),
 		})
 	}
 	return l, nil
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -21,67 +21,67 @@
 
 // The paths of members, all below Prefix.
 const (
-	Prefix     platform.Path = "members/"
-	hostPrefix platform.Path = "members/hosts/"
-	leadPrefix platform.Path = "members/leads/"
+	Prefix       platform.Path = "members/"
+	hostPrefix   platform.Path = "members/hosts/"
+	leaderPrefix platform.Path = "members/leads/"
 )
 
 // HostPath returns the path of a host's entry.
 func HostPath(host place.Host) platform.Path { return hostPrefix + platform.Path(host) }
 
-// LeadPath returns the path of the entry that the lead of a service holds.
-func LeadPath(service key.Service) platform.Path { return leadPrefix + platform.Path(service) }
+// LeaderPath returns the path of the entry that the lead of a service holds.
+func LeaderPath(service key.Service) platform.Path { return leaderPrefix + platform.Path(service) }
 
 // Host is one life of a host.
 type Host struct {
-	Name place.Host
-	Life place.Incarnation
-	Zone place.Zone
-	// Peer and Ticket are its UDP addresses.
-	Peer   netip.AddrPort
-	Ticket netip.AddrPort
-	// Processor is its share of a core; hosts with more get more of the work
+	Name        place.Host
+	Incarnation place.Incarnation
+	Zone        place.Zone
+	// PeerAddr and Ticket are its UDP addresses.
+	PeerAddr   netip.AddrPort
+	TicketAddr netip.AddrPort
+	// CPUShare is its share of a core; hosts with more get more of the work
 	// that can be anywhere.
-	Processor float64
+	CPUShare float64
 	// Revision is that of its entry.
 	Revision platform.Revision
 }
 
-// Lead is the lead of a service.
-type Lead struct {
-	Service key.Service
-	Host    place.Host
-	Life    place.Incarnation
+// Leader is the lead of a service.
+type Leader struct {
+	Service     key.Service
+	Host        place.Host
+	Incarnation place.Incarnation
 	// Era is that of the store in which it began to lead.
 	Era platform.Era
 	// Revision is that of its entry.
 	Revision platform.Revision
 }
 
-// Forgotten reports whether the entry is from a copy that the store came back from:
+// Restored reports whether the entry is from a copy that the store came back from:
 // its session is gone, and others may have led since the copy was taken.
-func (l *Lead) Forgotten() bool { return l.Era < l.Revision.Era() }
+func (l *Leader) Restored() bool { return l.Era < l.Revision.Era() }
 
-type wireHost struct {
-	Host   string  `json:"host"`
-	Life   uint64  `json:"life"`
-	Zone   string  `json:"zone"`
-	Peer   string  `json:"peer"`
-	Ticket string  `json:"ticket"`
-	Share  float64 `json:"share"`
+type hostValue struct {
+	Host        string  `json:"host"`
+	Incarnation uint64  `json:"life"`
+	Zone        string  `json:"zone"`
+	Peer        string  `json:"peer"`
+	Ticket      string  `json:"ticket"`
+	Share       float64 `json:"share"`
 }
 
-type wireLead struct {
-	Host string `json:"host"`
-	Life uint64 `json:"life"`
-	Era  uint64 `json:"era,omitempty"`
+type leaderValue struct {
+	Host        string `json:"host"`
+	Incarnation uint64 `json:"life"`
+	Era         uint64 `json:"era,omitempty"`
 }
 
 // EncodeHost returns the value of a host's entry.
 func EncodeHost(h Host) ([]byte, error) {
-	body, err := json.Marshal(wireHost{
-		Host: string(h.Name), Life: uint64(h.Life), Zone: string(h.Zone),
-		Peer: h.Peer.String(), Ticket: h.Ticket.String(), Share: h.Processor,
+	body, err := json.Marshal(hostValue{
+		Host: string(h.Name), Incarnation: uint64(h.Incarnation), Zone: string(h.Zone),
+		Peer: h.PeerAddr.String(), Ticket: h.TicketAddr.String(), Share: h.CPUShare,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("member: encode: %w", err)
@@ -89,41 +89,41 @@
 	return body, nil
 }
 
-// EncodeLead returns the value of a lead's entry.
-func EncodeLead(l Lead) ([]byte, error) {
-	body, err := json.Marshal(wireLead{Host: string(l.Host), Life: uint64(l.Life), Era: uint64(l.Era)})
+// EncodeLeader returns the value of a lead's entry.
+func EncodeLeader(l Leader) ([]byte, error) {
+	body, err := json.Marshal(leaderValue{Host: string(l.Host), Incarnation: uint64(l.Incarnation), Era: uint64(l.Era)})
 	if err != nil {
 		return nil, fmt.Errorf("member: encode: %w", err)
 	}
 	return body, nil
 }
 
-// DecodeLead reads the value of a lead's entry.
-func DecodeLead(e platform.Entry) (Lead, error) {
-	var w wireLead
+// DecodeLeader reads the value of a lead's entry.
+func DecodeLeader(e platform.Entry) (Leader, error) {
+	var w leaderValue
 	if err := json.Unmarshal(e.Value, &w); err != nil {
-		return Lead{}, fmt.Errorf("member: %s: %w", e.Path, err)
+		return Leader{}, fmt.Errorf("member: %s: %w", e.Path, err)
 	}
-	service, _ := strings.CutPrefix(string(e.Path), string(leadPrefix))
-	return Lead{
+	service, _ := strings.CutPrefix(string(e.Path), string(leaderPrefix))
+	return Leader{
 		Service: key.Service(service), Host: place.Host(w.Host),
-		Life: place.Incarnation(w.Life), Era: platform.Era(w.Era), Revision: e.Revision,
+		Incarnation: place.Incarnation(w.Incarnation), Era: platform.Era(w.Era), Revision: e.Revision,
 	}, nil
 }
 
 func decodeHost(e platform.Entry) (Host, error) {
-	var w wireHost
+	var w hostValue
 	if err := json.Unmarshal(e.Value, &w); err != nil {
 		return Host{}, fmt.Errorf("member: %s: %w", e.Path, err)
 	}
 	h := Host{
-		Name: place.Host(w.Host), Life: place.Incarnation(w.Life), Zone: place.Zone(w.Zone), Processor: w.Share, Revision: e.Revision,
+		Name: place.Host(w.Host), Incarnation: place.Incarnation(w.Incarnation), Zone: place.Zone(w.Zone), CPUShare: w.Share, Revision: e.Revision,
 	}
 	var err error
-	if h.Peer, err = netip.ParseAddrPort(w.Peer); err != nil {
+	if h.PeerAddr, err = netip.ParseAddrPort(w.Peer); err != nil {
 		return Host{}, fmt.Errorf("member: %s: %w", e.Path, err)
 	}
-	if h.Ticket, err = netip.ParseAddrPort(w.Ticket); err != nil {
+	if h.TicketAddr, err = netip.ParseAddrPort(w.Ticket); err != nil {
 		return Host{}, fmt.Errorf("member: %s: %w", e.Path, err)
 	}
 	return h, nil
@@ -131,8 +131,8 @@
 
 // List is all members at one moment, sorted by name.
 type List struct {
-	Hosts []Host
-	Leads []Lead
+	Hosts   []Host
+	Leaders []Leader
 }
 
 // NewList reads the entries below Prefix. It returns an error for each entry
@@ -149,17 +149,17 @@
 				continue
 			}
 			l.Hosts = append(l.Hosts, h)
-		case strings.HasPrefix(string(e.Path), string(leadPrefix)):
-			lead, err := DecodeLead(e)
+		case strings.HasPrefix(string(e.Path), string(leaderPrefix)):
+			lead, err := DecodeLeader(e)
 			if err != nil {
 				errs = append(errs, err)
 				continue
 			}
-			l.Leads = append(l.Leads, lead)
+			l.Leaders = append(l.Leaders, lead)
 		}
 	}
 	slices.SortFunc(l.Hosts, func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
-	slices.SortFunc(l.Leads, func(a, b Lead) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(l.Leaders, func(a, b Leader) int { return cmp.Compare(a.Service, b.Service) })
 	return l, errs
 }
 
@@ -172,13 +172,13 @@
 	return l.Hosts[i], true
 }
 
-// Lead returns the lead of a service.
-func (l *List) Lead(service key.Service) (Lead, bool) {
-	i := slices.IndexFunc(l.Leads, func(lead Lead) bool { return lead.Service == service })
+// Leader returns the lead of a service.
+func (l *List) Leader(service key.Service) (Leader, bool) {
+	i := slices.IndexFunc(l.Leaders, func(lead Leader) bool { return lead.Service == service })
 	if i < 0 {
-		return Lead{}, false
+		return Leader{}, false
 	}
-	return l.Leads[i], true
+	return l.Leaders[i], true
 }
 
 // Replaced reports whether a life of a host is over, of which something was
@@ -188,31 +188,31 @@
 // store say nothing of what came first.
 func (l *List) Replaced(host place.Host, life place.Incarnation, revision platform.Revision) bool {
 	h, ok := l.Host(host)
-	return ok && h.Life > life && h.Revision > revision && h.Revision.Era() == revision.Era()
+	return ok && h.Incarnation > life && h.Revision > revision && h.Revision.Era() == revision.Era()
 }
 
 // Ended reports whether the life of a lead is over.
-func (l *List) Ended(lead Lead) bool { return l.Replaced(lead.Host, lead.Life, lead.Revision) }
+func (l *List) Ended(lead Leader) bool { return l.Replaced(lead.Host, lead.Incarnation, lead.Revision) }
 
-// Rows returns the hosts as the passing on of documents wants them.
-func (l *List) Rows() []place.HostRow {
+// HostRows returns the hosts as the passing on of documents wants them.
+func (l *List) HostRows() []place.HostRow {
 	out := make([]place.HostRow, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
-		out = append(out, place.HostRow{Host: h.Name, Zone: h.Zone, Lead: h.Peer, Processor: h.Processor})
+		out = append(out, place.HostRow{Host: h.Name, Zone: h.Zone, LeadAddr: h.PeerAddr, CPUShare: h.CPUShare})
 	}
 	return out
 }
 
-// RankLeads orders hosts for the lead of a service: the strong ones first, as a
+// RankLeaders orders hosts for the lead of a service: the strong ones first, as a
 // lead orders all targets of its service about, twice a second.
-func RankLeads(work string, hosts []Host) []place.Host {
+func RankLeaders(work string, hosts []Host) []place.Host {
 	var most float64
 	for _, h := range hosts {
-		most = max(most, h.Processor)
+		most = max(most, h.CPUShare)
 	}
 	var strong, weak []Host
 	for _, h := range hosts {
-		if place.Strong(h.Processor, most) {
+		if place.Strong(h.CPUShare, most) {
 			strong = append(strong, h)
 		} else {
 			weak = append(weak, h)
@@ -234,7 +234,7 @@
 		sum := xxhash.Sum64String(work + "\x00" + string(h.Name))
 		const scale = 1 << 53
 		u := (float64(sum>>11) + 0.5) / scale
-		list = append(list, scored{h.Name, -max(h.Processor, 0.01) / math.Log(u)})
+		list = append(list, scored{h.Name, -max(h.CPUShare, 0.01) / math.Log(u)})
 	}
 	slices.SortFunc(list, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -18,12 +18,12 @@
 		revision platform.Revision
 		want     bool
 	}{
-		"entered again since":         {Host{Name: "a", Life: 9, Revision: 20}, 5, 10, true},
-		"the same life":               {Host{Name: "a", Life: 5, Revision: 20}, 5, 10, false},
-		"the list is older":           {Host{Name: "a", Life: 3, Revision: 8}, 5, 10, false},
-		"late entry of an older life": {Host{Name: "a", Life: 3, Revision: 20}, 5, 10, false},
-		"it wrote after the entry":    {Host{Name: "a", Life: 9, Revision: 8}, 5, 10, false},
-		"not listed":                  {Host{Name: "b", Life: 9, Revision: 20}, 5, 10, false},
+		"entered again since":         {Host{Name: "a", Incarnation: 9, Revision: 20}, 5, 10, true},
+		"the same life":               {Host{Name: "a", Incarnation: 5, Revision: 20}, 5, 10, false},
+		"the list is older":           {Host{Name: "a", Incarnation: 3, Revision: 8}, 5, 10, false},
+		"late entry of an older life": {Host{Name: "a", Incarnation: 3, Revision: 20}, 5, 10, false},
+		"it wrote after the entry":    {Host{Name: "a", Incarnation: 9, Revision: 8}, 5, 10, false},
+		"not listed":                  {Host{Name: "b", Incarnation: 9, Revision: 20}, 5, 10, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := List{Hosts: []Host{test.entry}}
@@ -32,9 +32,9 @@
 	}
 }
 
-func TestRankLeads(t *testing.T) {
-	hosts := []Host{{Name: "a", Processor: 0.2}, {Name: "b", Processor: 0.8}, {Name: "c", Processor: 0.4}, {Name: "d", Processor: 0.39}}
-	ranked := RankLeads("s", hosts)
+func TestRankLeaders(t *testing.T) {
+	hosts := []Host{{Name: "a", CPUShare: 0.2}, {Name: "b", CPUShare: 0.8}, {Name: "c", CPUShare: 0.4}, {Name: "d", CPUShare: 0.39}}
+	ranked := RankLeaders("s", hosts)
 	assert.Equal(t, len(ranked), 4)
 	strong := map[place.Host]bool{ranked[0]: true, ranked[1]: true}
 	assert.DeepEqual(t, strong, map[place.Host]bool{"b": true, "c": true})
--- a/internal/member/registry_test.go
+++ b/internal/member/registry_test.go
@@ -10,36 +10,36 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// book is a registry, the list that follows from what it says, and the hosts
+// registrySim is a registry, the list that follows from what it says, and the hosts
 // that tell it their presence.
-type book struct {
+type registrySim struct {
 	*Registry
 
 	now    time.Time
 	list   List
 	hosts  map[place.Host]Host
-	turn   int
+	rank   int
 	writes int
 }
 
-func newBook(hosts int) *book {
-	b := &book{Registry: NewRegistry("a"), now: time.Unix(1000, 0), hosts: make(map[place.Host]Host)}
+func newRegistrySim(hosts int) *registrySim {
+	b := &registrySim{Registry: NewRegistry("a"), now: time.Unix(1000, 0), hosts: make(map[place.Host]Host)}
 	for i := range hosts {
 		b.start(place.Host(fmt.Sprintf("h%03d", i)), 1)
 	}
 	return b
 }
 
-func (b *book) start(name place.Host, life place.Incarnation) {
-	b.hosts[name] = Host{Name: name, Life: life, Zone: "a"}
+func (b *registrySim) start(name place.Host, life place.Incarnation) {
+	b.hosts[name] = Host{Name: name, Incarnation: life, Zone: "a"}
 }
 
 // run lets time pass; what the registry wants is in the list a moment later.
-func (b *book) run(d time.Duration) {
+func (b *registrySim) run(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(step) {
 		for _, h := range b.hosts {
-			b.Hear(b.now, Presence{Host: h, Turn: b.turn})
+			b.HandleHeartbeat(b.now, Heartbeat{Host: h, Rank: b.rank})
 		}
 		enter, remove := b.Due(b.now, &b.list)
 		if len(enter)+len(remove) > 0 {
@@ -62,45 +62,45 @@
 	return out
 }
 
-func (b *book) life(name place.Host) place.Incarnation {
+func (b *registrySim) incarnation(name place.Host) place.Incarnation {
 	h, _ := b.list.Host(name)
-	return h.Life
+	return h.Incarnation
 }
 
 // TestRegistry plays hosts that come, go and start again.
 func TestRegistry(t *testing.T) {
-	tests := map[string]func(t *testing.T, b *book){
-		"hosts that start together are entered together": func(t *testing.T, b *book) {
+	tests := map[string]func(t *testing.T, b *registrySim){
+		"hosts that start together are entered together": func(t *testing.T, b *registrySim) {
 			b.run(time.Second)
 			assert.Equal(t, len(b.list.Hosts), 60)
 			assert.Equal(t, b.writes, 1)
 		},
-		"a minute without changes costs nothing": func(t *testing.T, b *book) {
+		"a minute without changes costs nothing": func(t *testing.T, b *registrySim) {
 			b.run(time.Minute)
 			assert.Equal(t, b.writes, 1)
 		},
-		"a later life replaces the one before": func(t *testing.T, b *book) {
+		"a later life replaces the one before": func(t *testing.T, b *registrySim) {
 			b.run(time.Second)
 			b.start("h007", 2)
 			b.run(time.Second)
-			assert.Equal(t, b.life("h007"), place.Incarnation(2))
+			assert.Equal(t, b.incarnation("h007"), place.Incarnation(2))
 		},
-		"an earlier life does not": func(t *testing.T, b *book) {
+		"an earlier life does not": func(t *testing.T, b *registrySim) {
 			b.start("h007", 2)
 			b.run(time.Second)
 			b.start("h007", 1)
 			b.run(time.Second)
-			assert.Equal(t, b.life("h007"), place.Incarnation(2))
+			assert.Equal(t, b.incarnation("h007"), place.Incarnation(2))
 		},
-		"a silent host is removed, not at once": func(t *testing.T, b *book) {
+		"a silent host is removed, not at once": func(t *testing.T, b *registrySim) {
 			b.run(10 * time.Second)
 			delete(b.hosts, "h007")
-			b.run(silenceMost - time.Second)
+			b.run(maxSilence - time.Second)
 			assert.Equal(t, len(b.list.Hosts), 60)
 			b.run(2 * time.Second)
 			assert.Equal(t, len(b.list.Hosts), 59)
 		},
-		"one that hears few hosts removes none": func(t *testing.T, b *book) {
+		"one that hears few hosts removes none": func(t *testing.T, b *registrySim) {
 			b.run(10 * time.Second)
 			for i := range 31 {
 				delete(b.hosts, place.Host(fmt.Sprintf("h%03d", i)))
@@ -108,27 +108,27 @@
 			b.run(time.Minute)
 			assert.Equal(t, len(b.list.Hosts), 60)
 		},
-		"one that has just become registrar removes none": func(t *testing.T, b *book) {
-			b.list.Hosts = append(b.list.Hosts, Host{Name: "gone", Life: 1, Zone: "a"})
-			b.run(silenceMost - time.Second)
+		"one that has just become registrar removes none": func(t *testing.T, b *registrySim) {
+			b.list.Hosts = append(b.list.Hosts, Host{Name: "gone", Incarnation: 1, Zone: "a"})
+			b.run(maxSilence - time.Second)
 			assert.Equal(t, len(b.list.Hosts), 61)
 			b.run(2 * time.Second)
 			assert.Equal(t, len(b.list.Hosts), 60)
 		},
-		"hosts of other zones are not this registrar's to remove": func(t *testing.T, b *book) {
-			b.list.Hosts = append(b.list.Hosts, Host{Name: "far", Life: 1, Zone: "b"})
+		"hosts of other zones are not this registrar's to remove": func(t *testing.T, b *registrySim) {
+			b.list.Hosts = append(b.list.Hosts, Host{Name: "far", Incarnation: 1, Zone: "b"})
 			b.run(time.Minute)
 			assert.Equal(t, len(b.list.Hosts), 61)
 		},
-		"the second registrar leaves the first one time": func(t *testing.T, b *book) {
-			b.turn = 1
-			b.run(turnStep)
+		"the second registrar leaves the first one time": func(t *testing.T, b *registrySim) {
+			b.rank = 1
+			b.run(rankDelay)
 			assert.Equal(t, len(b.list.Hosts), 0)
 			b.run(time.Second)
 			assert.Equal(t, len(b.list.Hosts), 60)
 		},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { test(t, newBook(60)) })
+		t.Run(name, func(t *testing.T) { test(t, newRegistrySim(60)) })
 	}
 }
--- a/internal/owner/codec_test.go
+++ b/internal/owner/codec_test.go
@@ -14,11 +14,11 @@
 func codecTable() *Table {
 	addr := netip.MustParseAddrPort("10.0.0.1:80")
 	return &Table{
-		Service: "s", Version: Version{Term: 3, Sequence: 9}, Lead: "h", Life: 7, Based: 11,
+		Service: "s", Version: Version{Term: 3, Sequence: 9}, Leader: "h", LeaderIncarnation: 7, DocRevision: 11,
 		Spans: []Span{
 			{Range: key.Range{First: 0, Last: 9}, Target: "a", Addr: addr},
-			{Range: key.Range{First: 10, Last: 10}, Back: 300 * time.Millisecond},
-			{Range: key.Range{First: 11, Last: 2000}, Target: "b", Addr: netip.MustParseAddrPort("[::1]:8080"), Cold: 4 * time.Second},
+			{Range: key.Range{First: 10, Last: 10}, AvailableIn: 300 * time.Millisecond},
+			{Range: key.Range{First: 11, Last: 2000}, Target: "b", Addr: netip.MustParseAddrPort("[::1]:8080"), ColdFor: 4 * time.Second},
 			{Range: key.Range{First: 2001, Last: key.Points - 1}, Target: "a", Addr: addr},
 		},
 	}
@@ -58,7 +58,7 @@
 
 // FuzzDoc: no body makes the decoder panic, and what it takes covers all keys once.
 func FuzzDoc(f *testing.F) {
-	doc := Empty("s")
+	doc := EmptyDoc("s")
 	doc.Rows[0].Target, doc.Rows[0].Addr = "a", netip.MustParseAddrPort("10.0.0.1:80")
 	body, err := doc.Encode()
 	assert.NilError(f, err)
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -18,10 +18,10 @@
 
 func testConfig() Config {
 	return Config{
-		Service: "s", Host: "h", Life: 1, Hold: 4 * time.Second, Renew: time.Second, Order: 600 * time.Millisecond,
-		Right: 8 * time.Second, Lease: 1800 * time.Millisecond, PlanEvery: 200 * time.Millisecond, First: 800 * time.Millisecond,
-		Plan: partition.Config{Moves: 12, Spans: 6, Imbalance: 0.25, Gap: 0.15}, Settle: time.Second,
-		Fresh: 900 * time.Millisecond, Confirm: 300 * time.Millisecond, Reclaim: 400 * time.Millisecond,
+		Service: "s", Host: "h", Incarnation: 1, GrantDuration: 4 * time.Second, RenewInterval: time.Second, OrderTimeout: 600 * time.Millisecond,
+		RenewGrace: 8 * time.Second, LeaseTTL: 1800 * time.Millisecond, PlanInterval: 200 * time.Millisecond, FirstGrantTimeout: 800 * time.Millisecond,
+		Plan: partition.Config{MaxMoves: 12, MaxSpans: 6, MaxImbalance: 0.25, MinGap: 0.15}, SettleTime: time.Second,
+		LeaseFreshness: 900 * time.Millisecond, ConfirmTimeout: 300 * time.Millisecond, ReclaimTimeout: 400 * time.Millisecond,
 	}
 }
 
@@ -30,7 +30,7 @@
 	for i := range n {
 		name := place.Target(fmt.Sprintf("t%d", i))
 		out[name] = place.TargetRow{
-			Target: name, Service: "s", Zone: "z", Born: 1, Slots: 3,
+			Target: name, Service: "s", Zone: "z", Incarnation: 1, Slots: 3,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
 		}
 	}
@@ -40,13 +40,13 @@
 func TestFirstOwners(t *testing.T) {
 	c := New(testConfig())
 	now := time.Unix(1000, 0)
-	doc := Empty("s")
-	doc.Term, doc.Lead, doc.Life = 1, "h", 1
-	c.Lead(now, doc, 5, now.Add(c.cfg.Lease), PriorEnded)
-	c.Fleet(now, testTargets(3))
+	doc := EmptyDoc("s")
+	doc.Term, doc.Leader, doc.LeaderIncarnation = 1, "h", 1
+	c.BeginTerm(now, doc, 5, now.Add(c.cfg.LeaseTTL), PriorEnded)
+	c.SetTargets(now, testTargets(3))
 	c.Tick(now)
 	now = now.Add(1100 * time.Millisecond)
-	c.Lease(now.Add(c.cfg.Lease))
+	c.ExtendLease(now.Add(c.cfg.LeaseTTL))
 	var write WriteDoc
 	for _, e := range c.Tick(now) {
 		if w, ok := e.(WriteDoc); ok {
@@ -62,37 +62,37 @@
 
 	now      time.Time
 	revision platform.Revision
-	// refuse tells that the store takes no write, refused counts them.
-	refuse  bool
-	refused int
+	// refuseWrites tells that the store takes no write, refused counts them.
+	refuseWrites  bool
+	refusedWrites int
 	// conn is the last connection of grants to each target.
 	conn map[place.Target]uint64
-	// away tells that the store renews no lease, hangs that it answers no write, and
+	// storeDown tells that the store renews no lease, hangs that it answers no write, and
 	// work that targets answer no release while work runs there.
-	away, hangs, work bool
-	pending           []Effect
-	// grants tells that targets answer no grant yet.
-	grants bool
-	// silent answers no order.
-	silent place.Target
-	tables []*Table
-	notes  []Note
+	storeDown, writesHang, releasesHang bool
+	heldBack                            []Effect
+	// grantsHang tells that targets answer no grant yet.
+	grantsHang bool
+	// silentTarget answers no order.
+	silentTarget place.Target
+	tables       []*Table
+	notes        []Note
 }
 
 func newDriver(targets int) *driver {
 	d := &driver{Core: New(testConfig()), now: time.Unix(1000, 0), revision: 5, conn: make(map[place.Target]uint64)}
-	doc := Empty("s")
-	doc.Term, doc.Lead, doc.Life = 1, "h", 1
-	d.Lead(d.now, doc, d.revision, d.now.Add(d.cfg.Lease), PriorEnded)
-	d.Fleet(d.now, testTargets(targets))
+	doc := EmptyDoc("s")
+	doc.Term, doc.Leader, doc.LeaderIncarnation = 1, "h", 1
+	d.BeginTerm(d.now, doc, d.revision, d.now.Add(d.cfg.LeaseTTL), PriorEnded)
+	d.SetTargets(d.now, testTargets(targets))
 	return d
 }
 
 // run lets time pass with a lease that is renewed.
 func (d *driver) run(span time.Duration) {
 	for end := d.now.Add(span); d.now.Before(end); d.now = d.now.Add(20 * time.Millisecond) {
-		if !d.away {
-			d.Lease(d.now.Add(d.cfg.Lease))
+		if !d.storeDown {
+			d.ExtendLease(d.now.Add(d.cfg.LeaseTTL))
 		}
 		for _, e := range d.Tick(d.now) {
 			d.do(e)
@@ -100,10 +100,10 @@
 	}
 }
 
-// settle answers all that was held back.
-func (d *driver) settle() {
-	held := d.pending
-	d.work, d.hangs, d.pending = false, false, nil
+// answerHeldBack answers all that was held back.
+func (d *driver) answerHeldBack() {
+	held := d.heldBack
+	d.releasesHang, d.writesHang, d.heldBack = false, false, nil
 	for _, e := range held {
 		d.do(e)
 	}
@@ -112,31 +112,31 @@
 func (d *driver) do(e Effect) {
 	switch e := e.(type) {
 	case SendGrants:
-		if d.grants {
-			d.pending = append(d.pending, e)
+		if d.grantsHang {
+			d.heldBack = append(d.heldBack, e)
 			return
 		}
 		d.conn[e.Target] = e.Conn
 		results := make([]error, len(e.Grants))
-		if e.Target == d.silent {
+		if e.Target == d.silentTarget {
 			for i := range results {
 				results[i] = target.ErrUnanswered
 			}
 		}
 		d.Granted(d.now, e, results)
 	case SendRelease:
-		if d.work {
-			d.pending = append(d.pending, e)
+		if d.releasesHang {
+			d.heldBack = append(d.heldBack, e)
 			return
 		}
 		d.Released(d.now, e, "token", nil)
 	case WriteDoc:
-		if d.hangs {
-			d.pending = append(d.pending, e)
+		if d.writesHang {
+			d.heldBack = append(d.heldBack, e)
 			return
 		}
-		if d.refuse || d.away {
-			d.refused++
+		if d.refuseWrites || d.storeDown {
+			d.refusedWrites++
 			d.NotWritten(d.now, e)
 			return
 		}
@@ -159,15 +159,15 @@
 	for p := range first.Range.Last {
 		meter.Add(d.now, p, 1)
 	}
-	meter.Fade(d.now)
+	meter.Decay(d.now)
 	var load partition.Load
 	meter.Load(d.now, &load, 20*time.Microsecond)
-	d.Load(&load, nil, nil) // the first target is far busier than the second
-	d.refuse = true
+	d.SetLoad(&load, nil, nil) // the first target is far busier than the second
+	d.refuseWrites = true
 	d.run(2 * time.Second)
-	assert.Assert(t, d.refused > 0, "nothing had to be written")
+	assert.Assert(t, d.refusedWrites > 0, "nothing had to be written")
 	// Reclaimed after 0.4 s, planned again after 2 s: each call is billed.
-	assert.Assert(t, d.refused <= 5, "%d writes to a store that takes none", d.refused)
+	assert.Assert(t, d.refusedWrites <= 5, "%d writes to a store that takes none", d.refusedWrites)
 	last := d.tables[len(d.tables)-1]
 	for _, s := range last.Spans {
 		assert.Assert(t, s.Target != "", "%v has no owner", s.Range)
@@ -175,10 +175,10 @@
 	}
 }
 
-// TestMoveMeetsOutage: a range whose move meets an outage of the store is served by
+// TestMoveDuringStoreOutage: a range whose move meets an outage of the store is served by
 // the owner that the document names, soon after and until the right to renew ends.
 // What is looked at is a range that the balance moves.
-func TestMoveMeetsOutage(t *testing.T) {
+func TestMoveDuringStoreOutage(t *testing.T) {
 	const without = 900 * time.Millisecond // Warn, Confirm or Reclaim, and tables
 	for name, test := range map[string]struct {
 		// until lets the move come to the point at which the store goes away.
@@ -186,48 +186,48 @@
 	}{
 		"before the plan": {func(*driver) {}},
 		"between plan and release": {func(d *driver) {
-			d.runUntil(func() bool { return d.count(leaving) > 0 })
+			d.runUntil(func() bool { return d.countState(releasePending) > 0 })
 		}},
 		"between release and record": {func(d *driver) {
-			d.work = true
-			d.runUntil(func() bool { return d.count(releasing) > 0 })
+			d.releasesHang = true
+			d.runUntil(func() bool { return d.countState(releasing) > 0 })
 		}},
 		"after a release without an answer": {func(d *driver) {
-			d.work = true
-			d.runUntil(func() bool { return d.count(releasing) > 0 })
-			for _, e := range d.pending {
+			d.releasesHang = true
+			d.runUntil(func() bool { return d.countState(releasing) > 0 })
+			for _, e := range d.heldBack {
 				if e, ok := e.(SendRelease); ok {
 					d.Released(d.now, e, "", target.ErrUnanswered)
 				}
 			}
-			d.pending = nil
+			d.heldBack = nil
 		}},
 		"late in the lease": {func(d *driver) {
-			d.work = true
-			d.runUntil(func() bool { return d.count(releasing) > 0 })
-			d.away = true
-			d.run(d.cfg.Lease - 150*time.Millisecond)
+			d.releasesHang = true
+			d.runUntil(func() bool { return d.countState(releasing) > 0 })
+			d.storeDown = true
+			d.run(d.cfg.LeaseTTL - 150*time.Millisecond)
 		}},
 		"while the write is on its way": {func(d *driver) {
-			d.hangs = true
-			d.runUntil(func() bool { return d.count(writing) > 0 })
+			d.writesHang = true
+			d.runUntil(func() bool { return d.countState(writing) > 0 })
 		}},
 		"between record and grant": {func(d *driver) {
-			d.runUntil(func() bool { return d.noted("New owner recorded.") > 2 })
+			d.runUntil(func() bool { return d.countNotes("New owner recorded.") > 2 })
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDriver(2)
-			d.cfg.Warn, d.cfg.Publish = 80*time.Millisecond, time.Second
+			d.cfg.ReleaseNotice, d.cfg.MaxPublishInterval = 80*time.Millisecond, time.Second
 			d.run(3 * time.Second)
-			d.skew()
+			d.skewLoad()
 			test.until(d)
-			d.away = true
-			d.settle()
+			d.storeDown = true
+			d.answerHeldBack()
 			served := d.now
-			for end := d.now.Add(d.cfg.Right); d.now.Before(end); {
+			for end := d.now.Add(d.cfg.RenewGrace); d.now.Before(end); {
 				d.run(20 * time.Millisecond)
-				if d.served() {
+				if d.allRoutable() {
 					served = d.now
 				}
 				assert.Assert(t, d.now.Sub(served) < without, "a range has had no owner for %v", d.now.Sub(served))
@@ -236,36 +236,36 @@
 	}
 }
 
-// TestBackOfNewOwner: a range whose new owner has been recorded is said to be back in
+// TestAvailableInAfterRecord: a range whose new owner has been recorded is said to be back in
 // the time of a move: requests that are told more are refused, though its grant is
 // answered within moments. TestLeadStopsWithoutStore failed by it once.
-func TestBackOfNewOwner(t *testing.T) {
+func TestAvailableInAfterRecord(t *testing.T) {
 	d := newDriver(2)
 	d.run(3 * time.Second)
-	d.skew()
-	d.grants = true
+	d.skewLoad()
+	d.grantsHang = true
 	recorded := func() *row {
 		for _, r := range d.rows {
-			if r.state == held && !r.served {
+			if r.state == held && !r.routable {
 				return r
 			}
 		}
 		return nil
 	}
 	d.runUntil(func() bool { return recorded() != nil })
-	assert.Assert(t, d.back(d.now, recorded()) <= moveTime)
+	assert.Assert(t, d.availableIn(d.now, recorded()) <= typicalMoveTime)
 }
 
-// skew makes the first range far busier than all others.
-func (d *driver) skew() {
+// skewLoad makes the first range far busier than all others.
+func (d *driver) skewLoad() {
 	var meter partition.Meter
 	for p := range d.tables[len(d.tables)-1].Spans[0].Range.Last {
 		meter.Add(d.now, p, 1)
 	}
-	meter.Fade(d.now)
+	meter.Decay(d.now)
 	var load partition.Load
 	meter.Load(d.now, &load, 20*time.Microsecond)
-	d.Load(&load, nil, nil)
+	d.SetLoad(&load, nil, nil)
 }
 
 // runUntil lets time pass until something has happened.
@@ -279,8 +279,8 @@
 	panic("it never happened")
 }
 
-// count returns how many ranges are in a state, noted how often a text was noted.
-func (d *driver) count(s state) (out int) {
+// countState returns how many ranges are in a state, noted how often a text was noted.
+func (d *driver) countState(s state) (out int) {
 	for _, r := range d.rows {
 		if r.state == s {
 			out++
@@ -289,7 +289,7 @@
 	return out
 }
 
-func (d *driver) noted(text string) (out int) {
+func (d *driver) countNotes(text string) (out int) {
 	for _, n := range d.notes {
 		if n.Text == text {
 			out++
@@ -298,8 +298,8 @@
 	return out
 }
 
-// served reports whether all ranges have an owner by the last table.
-func (d *driver) served() bool {
+// allRoutable reports whether all ranges have an owner by the last table.
+func (d *driver) allRoutable() bool {
 	return !slices.ContainsFunc(d.tables[len(d.tables)-1].Spans, func(s Span) bool { return s.Target == "" })
 }
 
@@ -307,7 +307,7 @@
 // for a while to send nothing more to its owner.
 func TestReleaseAfterTable(t *testing.T) {
 	d := newDriver(2)
-	d.cfg.Warn = 100 * time.Millisecond
+	d.cfg.ReleaseNotice = 100 * time.Millisecond
 	d.run(3 * time.Second)
 	owners := func(table *Table) (out int) {
 		for _, s := range table.Spans {
@@ -322,10 +322,10 @@
 	leaving := targets["t0"]
 	leaving.State = place.Leaving
 	targets["t0"] = leaving
-	d.Fleet(d.now, targets)
+	d.SetTargets(d.now, targets)
 	var hidden time.Time
 	for end := d.now.Add(3 * time.Second); d.now.Before(end); d.now = d.now.Add(20 * time.Millisecond) {
-		d.Lease(d.now.Add(d.cfg.Lease))
+		d.ExtendLease(d.now.Add(d.cfg.LeaseTTL))
 		for _, e := range d.Tick(d.now) {
 			switch e := e.(type) {
 			case Publish:
@@ -336,7 +336,7 @@
 				}
 			case SendRelease:
 				assert.Assert(t, !hidden.IsZero(), "released before a table said so")
-				assert.Assert(t, d.now.Sub(hidden) >= d.cfg.Warn, "released after %v", d.now.Sub(hidden))
+				assert.Assert(t, d.now.Sub(hidden) >= d.cfg.ReleaseNotice, "released after %v", d.now.Sub(hidden))
 				return
 			}
 			d.do(e)
@@ -359,9 +359,9 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDriver(test.targets)
 			d.run(3 * time.Second)
-			d.silent, d.notes = "t1", nil
+			d.silentTarget, d.notes = "t1", nil
 			if test.targets == 1 {
-				d.silent = "t0"
+				d.silentTarget = "t0"
 			}
 			lapsed := func() bool {
 				return slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant has lapsed." })
@@ -369,12 +369,12 @@
 			for !lapsed() {
 				d.run(20 * time.Millisecond)
 			}
-			d.run(forgiveAfter / 2)
+			d.run(failureCooldown / 2)
 			recorded := 0
 			for _, n := range d.notes {
 				if n.Text == "New owner recorded." {
 					recorded++
-					assert.Equal(t, n.To == d.silent, test.back, "%v went to %s", n.Range, n.To)
+					assert.Equal(t, n.To == d.silentTarget, test.back, "%v went to %s", n.Range, n.To)
 				}
 			}
 			assert.Assert(t, recorded > 0)
@@ -386,11 +386,11 @@
 // without a handover, and for how long.
 func TestColdSpans(t *testing.T) {
 	d := newDriver(4)
-	d.Warm(2 * time.Second)
+	d.SetWarmup(2 * time.Second)
 	cold := func() (out int) {
 		for _, s := range d.tables[len(d.tables)-1].Spans {
-			if s.Cold > 0 {
-				assert.Assert(t, s.Target != "" && s.Cold <= 2*time.Second, "%+v", s)
+			if s.ColdFor > 0 {
+				assert.Assert(t, s.Target != "" && s.ColdFor <= 2*time.Second, "%+v", s)
 				out++
 			}
 		}
@@ -402,10 +402,10 @@
 	leaving := targets["t0"]
 	leaving.State = place.Leaving
 	targets["t0"] = leaving
-	d.Fleet(d.now, targets)
+	d.SetTargets(d.now, targets)
 	d.run(time.Second)
 	assert.Equal(t, cold(), 0, "handed over")
-	d.silent, d.notes = "t1", nil
+	d.silentTarget, d.notes = "t1", nil
 	for !slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant has lapsed." }) {
 		d.run(20 * time.Millisecond)
 	}
@@ -416,15 +416,15 @@
 	table, err := DecodeTable(body)
 	assert.NilError(t, err)
 	for i, s := range d.tables[len(d.tables)-1].Spans {
-		assert.Equal(t, table.Spans[i].Cold, s.Cold.Truncate(time.Millisecond))
+		assert.Equal(t, table.Spans[i].ColdFor, s.ColdFor.Truncate(time.Millisecond))
 	}
 	d.run(2 * time.Second)
 	assert.Equal(t, cold(), 0, "warm again")
 }
 
-// TestWithoutLease: a lead whose lease has ended renews what its targets surely
+// TestRenewalAfterLeaseEnd: a lead whose lease has ended renews what its targets surely
 // hold, and gives nothing to one that may have started again.
-func TestWithoutLease(t *testing.T) {
+func TestRenewalAfterLeaseEnd(t *testing.T) {
 	tests := map[string]struct {
 		breaks bool // the connections to a target break, once
 		want   int  // ranges with an owner at the end
@@ -461,10 +461,10 @@
 	}
 }
 
-// TestStragglers: what a lead writes says whether leads before it may still
+// TestPriorMayRenew: what a lead writes says whether leads before it may still
 // renew, so that one that follows soon does not take them for ended. Seed 60496
 // of the random runs found it.
-func TestStragglers(t *testing.T) {
+func TestPriorMayRenew(t *testing.T) {
 	tests := map[string]struct {
 		prior Prior
 		ended bool // it is told so later
@@ -480,37 +480,37 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c, now := New(testConfig()), time.Unix(1000, 0)
-			doc := Empty("s")
-			doc.Term, doc.Stragglers = 2, test.prior == PriorUnknown
-			c.Lead(now, doc, 5, now.Add(c.cfg.Lease), test.prior)
+			doc := EmptyDoc("s")
+			doc.Term, doc.PriorMayRenew = 2, test.prior == PriorUnknown
+			c.BeginTerm(now, doc, 5, now.Add(c.cfg.LeaseTTL), test.prior)
 			if test.ended {
 				c.PriorEnded(now)
 			}
 			now = now.Add(test.after)
-			c.Lease(now.Add(c.cfg.Lease))
+			c.ExtendLease(now.Add(c.cfg.LeaseTTL))
 			got := c.Doc(now)
 			body, err := got.Encode()
 			assert.NilError(t, err)
 			got, err = DecodeDoc(body)
 			assert.NilError(t, err)
-			assert.Equal(t, got.Stragglers, test.want)
+			assert.Equal(t, got.PriorMayRenew, test.want)
 			// A mark that is no longer true is taken off, once.
 			writes := 0
 			for _, e := range append(c.Tick(now), c.Tick(now)...) {
 				if w, ok := e.(WriteDoc); ok {
 					writes++
-					assert.Assert(t, !w.Doc.Stragglers)
+					assert.Assert(t, !w.Doc.PriorMayRenew)
 				}
 			}
-			assert.Equal(t, writes == 1, doc.Stragglers && !test.want)
+			assert.Equal(t, writes == 1, doc.PriorMayRenew && !test.want)
 		})
 	}
 }
 
-// TestAnsweredTwice: where answers to orders came twice, no range that was granted
+// TestDuplicateResponse: where answers to orders came twice, no range that was granted
 // over that connection is released before its owner has answered a higher fence:
 // the grant that it seemed to answer may yet arrive.
-func TestAnsweredTwice(t *testing.T) {
+func TestDuplicateResponse(t *testing.T) {
 	d := newDriver(3)
 	d.run(3 * time.Second)
 	first := d.rows[0]
@@ -519,7 +519,7 @@
 	name, before := first.Target, beside.fence
 	granted := false
 	for end := d.now.Add(2 * time.Second); !granted && d.now.Before(end); d.now = d.now.Add(20 * time.Millisecond) {
-		d.Lease(d.now.Add(d.cfg.Lease))
+		d.ExtendLease(d.now.Add(d.cfg.LeaseTTL))
 		for _, e := range d.Tick(d.now) {
 			g, ok := e.(SendGrants)
 			if !ok || g.Target != name {
@@ -539,39 +539,39 @@
 	for _, r := range d.rows {
 		assert.Assert(t, r.Target != name || !d.releasable(r), "range %s", r.Range)
 	}
-	d.leave(d.now, beside, "", "test")
+	d.startMove(d.now, beside, "", "test")
 	d.run(100 * time.Millisecond) // the next grants are sent after 200 ms
-	assert.Equal(t, beside.state, leaving)
+	assert.Equal(t, beside.state, releasePending)
 	assert.Equal(t, beside.fence, before)
 	d.run(time.Second)
-	assert.Assert(t, beside.state != leaving)
+	assert.Assert(t, beside.state != releasePending)
 }
 
-// TestBusyRangeLeavesInParts answers a busy range that moves while requests run on
+// TestBusyRangeMovesInParts answers a busy range that moves while requests run on
 // it: the keys on which none runs are served by the new owner within moments, the
 // others once their work has ended.
-func TestBusyRangeLeavesInParts(t *testing.T) {
+func TestBusyRangeMovesInParts(t *testing.T) {
 	d := newDriver(2)
 	var meter partition.Meter
 	for now := d.now.Add(-10 * time.Second); now.Before(d.now); now = now.Add(100 * time.Millisecond) {
-		meter.Fade(now)
+		meter.Decay(now)
 		for p := key.Point(0); p < key.Points; p += 512 {
 			meter.Add(now, p, 1)
 		}
 	}
 	var load partition.Load
 	meter.Load(d.now, &load, 4*time.Millisecond) // some five requests at a time
-	d.Load(&load, nil, nil)
+	d.SetLoad(&load, nil, nil)
 	d.run(3 * time.Second)
 	r := d.rows[0]
 	moved, busy := r.Range, r.Range.First+100
 	other := d.rows[len(d.rows)-1].Target
-	d.leave(d.now, r, other, "test")
+	d.startMove(d.now, r, other, "test")
 	waits := 0
 	for end := d.now.Add(2 * time.Second); d.now.Before(end); d.now = d.now.Add(20 * time.Millisecond) {
-		d.Lease(d.now.Add(d.cfg.Lease))
+		d.ExtendLease(d.now.Add(d.cfg.LeaseTTL))
 		for _, e := range d.Tick(d.now) {
-			if s, ok := e.(SendRelease); ok && s.Release.Range.Has(busy) {
+			if s, ok := e.(SendRelease); ok && s.Release.Range.Contains(busy) {
 				waits++
 				continue // not answered while this test looks
 			}
@@ -581,7 +581,7 @@
 	assert.Equal(t, waits, 1)
 	keys, back := 0, 0
 	for _, s := range d.tables[len(d.tables)-1].Spans {
-		if !s.Range.Meets(moved) {
+		if !s.Range.Overlaps(moved) {
 			continue
 		}
 		first, last := max(s.Range.First, moved.First), min(s.Range.Last, moved.Last)
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -27,8 +27,8 @@
 // does not know which terms an earlier one gave out last; its own are higher.
 const termsPerEra = 1 << 20
 
-// After returns the next term in an era.
-func (t Term) After(era platform.Era) Term { return max(t+1, Term(era)*termsPerEra+1) }
+// Next returns the next term in an era.
+func (t Term) Next(era platform.Era) Term { return max(t+1, Term(era)*termsPerEra+1) }
 
 // Era returns the era of the store that a term began in.
 func (t Term) Era() platform.Era { return platform.Era(t / termsPerEra) }
@@ -45,17 +45,17 @@
 type Doc struct {
 	Service key.Service
 	Term    Term
-	// Lead and Life name the process that wrote it; Lead is empty once that
+	// Leader and Life name the process that wrote it; Lead is empty once that
 	// has stopped and will send no more grants.
-	Lead place.Host
-	Life place.Incarnation
-	// Stragglers tells that a lead before this one may still renew.
-	Stragglers bool
-	// Doubt tells that the store came back from an older copy a moment before, so that
+	Leader            place.Host
+	LeaderIncarnation place.Incarnation
+	// PriorMayRenew tells that a lead before this one may still renew.
+	PriorMayRenew bool
+	// AfterRestore tells that the store came back from an older copy a moment before, so that
 	// the rows may not name those that hold the ranges.
-	Doubt bool
-	// Write tells this write from all others.
-	Write uint64
+	AfterRestore bool
+	// WriteID tells this write from all others.
+	WriteID uint64
 	// Rows cover the key space, in order.
 	Rows []Row
 }
@@ -64,60 +64,60 @@
 type Row struct {
 	Range key.Range
 	// Target is empty where no target may hold the range.
-	Target place.Target
-	Born   place.Incarnation
-	Addr   netip.AddrPort
+	Target      place.Target
+	Incarnation place.Incarnation
+	Addr        netip.AddrPort
 	// Handover is what the last owner handed on, until the new one has it.
 	Handover target.Handover
 }
 
-// Forgotten reports whether leads and owners since the document was written may be
+// HistoryLost reports whether leads and owners since the document was written may be
 // known to nobody: the store is of a later era, or came back a moment before it. Where
 // there is no document, first tells that there has been none: not before this process
 // started, nor before the era did.
-func (d *Doc) Forgotten(era platform.Era, first bool) bool {
+func (d *Doc) HistoryLost(era platform.Era, first bool) bool {
 	if d.Term == 0 {
 		return era > 0 && !first
 	}
-	return d.Doubt || d.Term.Era() < era
+	return d.AfterRestore || d.Term.Era() < era
 }
 
-// Empty returns the document of a service that nobody has led yet.
-func Empty(service key.Service) Doc {
-	return Doc{Service: service, Rows: []Row{{Range: key.Whole()}}}
+// EmptyDoc returns the document of a service that nobody has led yet.
+func EmptyDoc(service key.Service) Doc {
+	return Doc{Service: service, Rows: []Row{{Range: key.FullRange()}}}
 }
 
 type wireDoc struct {
-	Service string    `cbor:"1,keyasint"`
-	Term    uint64    `cbor:"2,keyasint"`
-	Lead    string    `cbor:"3,keyasint"`
-	Life    uint64    `cbor:"4,keyasint"`
-	Write   uint64    `cbor:"5,keyasint"`
-	Rows    []wireRow `cbor:"6,keyasint"`
-	Late    bool      `cbor:"7,keyasint,omitempty"`
-	Doubt   bool      `cbor:"8,keyasint,omitempty"`
+	Service           string    `cbor:"1,keyasint"`
+	Term              uint64    `cbor:"2,keyasint"`
+	Leader            string    `cbor:"3,keyasint"`
+	LeaderIncarnation uint64    `cbor:"4,keyasint"`
+	WriteID           uint64    `cbor:"5,keyasint"`
+	Rows              []wireRow `cbor:"6,keyasint"`
+	PriorMayRenew     bool      `cbor:"7,keyasint,omitempty"`
+	AfterRestore      bool      `cbor:"8,keyasint,omitempty"`
 }
 
 type wireRow struct {
-	_        struct{} `cbor:",toarray"`
-	First    uint32
-	Last     uint32
-	Target   string
-	Born     uint64
-	Addr     netip.AddrPort
-	Handover string
+	_           struct{} `cbor:",toarray"`
+	First       uint32
+	Last        uint32
+	Target      string
+	Incarnation uint64
+	Addr        netip.AddrPort
+	Handover    string
 }
 
 // Encode returns the document as the store holds it.
 func (d *Doc) Encode() ([]byte, error) {
 	w := wireDoc{
-		Service: string(d.Service), Term: uint64(d.Term), Lead: string(d.Lead), Life: uint64(d.Life), Write: d.Write,
-		Late: d.Stragglers, Doubt: d.Doubt,
+		Service: string(d.Service), Term: uint64(d.Term), Leader: string(d.Leader), LeaderIncarnation: uint64(d.LeaderIncarnation), WriteID: d.WriteID,
+		PriorMayRenew: d.PriorMayRenew, AfterRestore: d.AfterRestore,
 	}
 	for _, r := range d.Rows {
 		w.Rows = append(w.Rows, wireRow{
 			First: uint32(r.Range.First), Last: uint32(r.Range.Last), Target: string(r.Target),
-			Born: uint64(r.Born), Addr: r.Addr, Handover: string(r.Handover),
+			Incarnation: uint64(r.Incarnation), Addr: r.Addr, Handover: string(r.Handover),
 		})
 	}
 	body, err := cbor.Marshal(w)
@@ -135,14 +135,14 @@
 		return Doc{}, fmt.Errorf("owner: decode document: %w", err)
 	}
 	d := Doc{
-		Service: key.Service(w.Service), Term: Term(w.Term), Lead: place.Host(w.Lead),
-		Life: place.Incarnation(w.Life), Write: w.Write, Stragglers: w.Late, Doubt: w.Doubt,
+		Service: key.Service(w.Service), Term: Term(w.Term), Leader: place.Host(w.Leader),
+		LeaderIncarnation: place.Incarnation(w.LeaderIncarnation), WriteID: w.WriteID, PriorMayRenew: w.PriorMayRenew, AfterRestore: w.AfterRestore,
 	}
 	next := key.Point(0)
 	for _, r := range w.Rows {
 		row := Row{
 			Range: key.Range{First: key.Point(r.First), Last: key.Point(r.Last)}, Target: place.Target(r.Target),
-			Born: place.Incarnation(r.Born), Addr: r.Addr, Handover: target.Handover(r.Handover),
+			Incarnation: place.Incarnation(r.Incarnation), Addr: r.Addr, Handover: target.Handover(r.Handover),
 		}
 		if !row.Range.Valid() || row.Range.First != next {
 			return Doc{}, fmt.Errorf("owner: decode document: range %s does not follow %d", row.Range, next)
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -22,29 +22,29 @@
 
 // The guards that -owner.break leaves out.
 const (
-	breakForgotten = iota + 1 // a lead goes by a document from before a restore
-	breakTerm                 // terms do not rise with the era
-	breakCaution              // what was forgotten is not waited for
+	breakHistoryLost = iota + 1 // a lead goes by a document from before a restore
+	breakEraTerms               // terms do not rise with the era
+	breakFreeze                 // what was forgotten is not waited for
 )
 
-func (w *world) broke(guard int) bool { return *randomBreak == guard }
+func (w *sim) leavesOut(guard int) bool { return *randomBreak == guard }
 
-// faults lets something go wrong now and then.
-func (w *world) faults(until time.Time) {
-	w.after(w.span(100*time.Millisecond, 2500*time.Millisecond), func() {
+// scheduleFaults lets something go wrong now and then.
+func (w *sim) scheduleFaults(until time.Time) {
+	w.after(w.randomDuration(100*time.Millisecond, 2500*time.Millisecond), func() {
 		if w.now.After(until) {
 			return
 		}
-		w.fault()
-		w.faults(until)
+		w.injectFault()
+		w.scheduleFaults(until)
 	})
 }
 
-// newFaults reports whether a run has the faults that came later than the seeds that
+// hasNewFaults reports whether a run has the faults that came later than the seeds that
 // are kept: those play as they did when they failed.
-func (w *world) newFaults() bool { return w.seed%4 == 2 }
+func (w *sim) hasNewFaults() bool { return w.seed%4 == 2 }
 
-func (w *world) fault() {
+func (w *sim) injectFault() {
 	h := w.hosts[w.rng.IntN(len(w.hosts))]
 	if w.chance(0.5) {
 		for _, o := range w.hosts {
@@ -54,32 +54,32 @@
 		}
 	}
 	t := w.targets[w.rng.IntN(len(w.targets))]
-	lasts := w.span(200*time.Millisecond, 9*time.Second)
+	lasts := w.randomDuration(200*time.Millisecond, 9*time.Second)
 	kinds := 14
 	if w.seed%2 == 0 {
 		kinds += 2 // these came later than the first seed that is kept
 	}
-	if w.newFaults() {
+	if w.hasNewFaults() {
 		kinds += 3 // a store that comes back older
 	}
 	switch w.rng.IntN(kinds) {
 	case 0:
-		w.note("freeze %s %v", h.name, lasts)
+		w.tracef("freeze %s %v", h.name, lasts)
 		h.frozen = w.now.Add(lasts)
 	case 1:
-		w.note("kill %s", h.name)
+		w.tracef("kill %s", h.name)
 		h.dead = true
-		w.after(lasts, func() { h.dead, h.life = false, h.life+1; h.begin() })
+		w.after(lasts, func() { h.dead, h.incarnation = false, h.incarnation+1; h.boot() })
 	case 2:
-		w.note("cut %s from the store %v", h.name, lasts)
+		w.tracef("cut %s from the store %v", h.name, lasts)
 		h.cutStore = true
 		w.after(lasts, func() { h.cutStore = false })
 	case 3:
-		w.note("cut %s off %v", h.name, lasts)
+		w.tracef("cut %s off %v", h.name, lasts)
 		h.cutAll = true
 		w.after(lasts, func() { h.cutAll = false })
 	case 4:
-		w.note("store down %v", lasts)
+		w.tracef("store down %v", lasts)
 		w.store.down = true
 		if w.chance(0.5) {
 			w.store.listed = make(map[place.Target]place.TargetRow) // entries lapse
@@ -88,76 +88,76 @@
 			w.store.down = false
 			for _, t := range w.targets {
 				if t.up {
-					t.list(t.row)
+					t.writeEntry(t.row)
 				}
 			}
 		})
 	case 5:
-		w.note("store slow %v", lasts)
+		w.tracef("store slow %v", lasts)
 		w.store.slow = 250 * time.Millisecond
 		w.after(lasts, func() { w.store.slow = 0 })
 	case 6:
-		w.note("store loses answers %v", lasts)
-		w.store.loses = true
-		w.after(lasts, func() { w.store.loses = false })
+		w.tracef("store loses answers %v", lasts)
+		w.store.losesResponses = true
+		w.after(lasts, func() { w.store.losesResponses = false })
 	case 7:
-		w.note("%s's lease is revoked", w.store.lead)
-		w.store.leadEnds = w.now
+		w.tracef("%s's lease is revoked", w.store.lead)
+		w.store.leadSessionEnd = w.now
 	case 8:
-		w.note("crash %s %v", t.row.Target, lasts)
+		w.tracef("crash %s %v", t.row.Target, lasts)
 		w.crash(t)
 		w.after(lasts, func() {
 			if !t.up {
-				w.note("%s starts again", t.row.Target)
+				w.tracef("%s starts again", t.row.Target)
 				t.boot()
 			}
 		})
 	case 9:
-		w.note("cut %s %v", t.row.Target, lasts)
+		w.tracef("cut %s %v", t.row.Target, lasts)
 		t.cut = true
 		w.after(lasts, func() { t.cut = false })
 		if w.chance(0.5) {
 			w.after(2600*time.Millisecond, func() { delete(w.store.listed, t.row.Target) })
 			w.after(lasts, func() {
 				if t.up {
-					t.list(t.row)
+					t.writeEntry(t.row)
 				}
 			})
 		}
 	case 10, 11:
-		w.note("%s carries out late %v", t.row.Target, lasts)
-		t.late = true
-		w.after(lasts, func() { t.late = false })
+		w.tracef("%s carries out late %v", t.row.Target, lasts)
+		t.appliesLate = true
+		w.after(lasts, func() { t.appliesLate = false })
 	case 12:
-		w.note("%s leaves", t.row.Target)
+		w.tracef("%s leaves", t.row.Target)
 		row := t.row
 		row.State = place.Leaving
 		w.store.listed[row.Target] = row
 		w.after(lasts, func() {
-			if t.up && t.row.Born == row.Born {
-				t.list(t.row)
+			if t.up && t.row.Incarnation == row.Incarnation {
+				t.writeEntry(t.row)
 			}
 		})
 	case 13:
-		w.note("crash and restart %s", t.row.Target)
+		w.tracef("crash and restart %s", t.row.Target)
 		w.crash(t)
-		w.after(w.span(10*time.Millisecond, 300*time.Millisecond), func() {
+		w.after(w.randomDuration(10*time.Millisecond, 300*time.Millisecond), func() {
 			if !t.up {
 				t.boot()
 			}
 		})
 	case 14:
-		w.note("stop %s %v", h.name, lasts)
+		w.tracef("stop %s %v", h.name, lasts)
 		h.stopping = true
-		life := h.life
+		life := h.incarnation
 		w.after(lasts, func() {
-			if h.life == life {
-				h.life++
-				h.begin()
+			if h.incarnation == life {
+				h.incarnation++
+				h.boot()
 			}
 		})
 	case 16, 17, 18:
-		age := w.span(0, 10*time.Second)
+		age := w.randomDuration(0, 10*time.Second)
 		if w.chance(0.3) {
 			w.store.down = true
 			w.after(lasts/4, func() { w.store.down = false; w.restore(age) })
@@ -165,64 +165,64 @@
 		}
 		w.restore(age)
 		if w.chance(0.2) { // twice in a row
-			w.after(w.span(10*time.Millisecond, 2*time.Second), func() { w.restore(w.span(0, 5*time.Second)) })
+			w.after(w.randomDuration(10*time.Millisecond, 2*time.Second), func() { w.restore(w.randomDuration(0, 5*time.Second)) })
 		}
 	case 15:
-		w.note("cut %s from %s %v", h.name, t.row.Target, lasts)
+		w.tracef("cut %s from %s %v", h.name, t.row.Target, lasts)
 		h.cutFrom = t
 		w.after(lasts, func() { h.cutFrom = nil })
 	}
 }
 
-func (w *world) crash(t *worldTarget) {
+func (w *sim) crash(t *simTarget) {
 	t.up = false
-	born := t.row.Born
+	born := t.row.Incarnation
 	w.after(2600*time.Millisecond, func() {
-		if w.store.listed[t.row.Target].Born == born {
+		if w.store.listed[t.row.Target].Incarnation == born {
 			delete(w.store.listed, t.row.Target)
 		}
 	})
 }
 
 const (
-	worldLasts = 40 * time.Second
-	worldCalm  = 25 * time.Second
+	faultPhase = 40 * time.Second
+	calmPhase  = 25 * time.Second
 )
 
-// play runs the world: faults for a while, then calm.
-func (w *world) play() {
-	until := w.start.Add(worldLasts)
-	w.after(4*time.Second, func() { w.faults(until) })
-	w.watch()
-	end := until.Add(worldCalm)
-	for len(w.events) > 0 && w.now.Before(end) && w.broken == "" {
-		e := heap.Pop(&w.events).(worldEvent)
+// run runs the world: faults for a while, then calm.
+func (w *sim) run() {
+	until := w.start.Add(faultPhase)
+	w.after(4*time.Second, func() { w.scheduleFaults(until) })
+	w.trackHeld()
+	end := until.Add(calmPhase)
+	for len(w.events) > 0 && w.now.Before(end) && w.violation == "" {
+		e := heap.Pop(&w.events).(simEvent)
 		w.now = e.at
 		e.do()
 	}
 }
 
-// watch notes which points are held.
-func (w *world) watch() {
-	for _, p := range w.sample {
+// trackHeld notes which points are held.
+func (w *sim) trackHeld() {
+	for _, p := range w.points {
 		for _, t := range w.targets {
 			if t.holds(p, w.now) {
 				w.heldAt[p] = w.now
 			}
 		}
 	}
-	w.after(100*time.Millisecond, w.watch)
+	w.after(100*time.Millisecond, w.trackHeld)
 }
 
-// moveMost is longer than any planned move takes.
-const moveMost = 1500 * time.Millisecond
+// maxMoveTime is longer than any planned move takes.
+const maxMoveTime = 1500 * time.Millisecond
 
-// unserved returns a point that nobody holds at the end, and not only because
+// unheldPoint returns a point that nobody holds at the end, and not only because
 // it is on the move, or "".
-func (w *world) unserved() string {
-	for _, p := range w.sample {
-		if gone := w.now.Sub(w.heldAt[p]); gone > moveMost {
-			return fmt.Sprintf("nobody holds %d for %v after %v of calm", p, gone, worldCalm)
+func (w *sim) unheldPoint() string {
+	for _, p := range w.points {
+		if gone := w.now.Sub(w.heldAt[p]); gone > maxMoveTime {
+			return fmt.Sprintf("nobody holds %d for %v after %v of calm", p, gone, calmPhase)
 		}
 	}
 	return ""
@@ -266,12 +266,12 @@
 func TestRandomRuns(t *testing.T) {
 	moves := 0
 	for _, seed := range randomSeeds() {
-		w := newOwnerWorld(t, seed)
-		w.play()
+		w := newSim(t, seed)
+		w.run()
 		moves += w.moves
-		problem := w.broken
+		problem := w.violation
 		if problem == "" {
-			problem = w.unserved()
+			problem = w.unheldPoint()
 		}
 		if problem == "" {
 			continue
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -15,8 +15,8 @@
 const (
 	// held: the owner holds the range, or may hold it.
 	held state = iota
-	// leaving: the range shall go elsewhere; requests are no longer sent.
-	leaving
+	// releasePending: the range shall go elsewhere; requests are no longer sent.
+	releasePending
 	// releasing: a release is on its way.
 	releasing
 	// free: there is evidence that nobody holds the range.
@@ -34,75 +34,75 @@
 	to place.Target
 	// since is when the state began.
 	since time.Time
-	// conn and fence are those of the newest grant.
-	conn  uint64
-	fence target.Fence
+	// grantConn and fence are those of the newest grant.
+	grantConn uint64
+	fence     target.Fence
 	// acked is the highest fence that the owner answered in this term, lost
 	// the highest of those without an answer: such a grant may take effect
 	// late, unless the owner has seen a higher fence.
-	acked target.Fence
-	lost  target.Fence
-	// end is when the owner holds the range no more, if no further grant is
+	acked   target.Fence
+	unacked target.Fence
+	// expiresBy is when the owner holds the range no more, if no further grant is
 	// sent.
-	end time.Time
-	// sure is until when the owner certainly holds the range.
-	sure time.Time
-	// served tells that requests may be sent to the owner, hidden since when a
+	expiresBy time.Time
+	// heldUntil is until when the owner certainly holds the range.
+	heldUntil time.Time
+	// routable tells that requests may be sent to the owner, hidden since when a
 	// table has said that they may not.
-	served bool
-	hidden time.Time
+	routable        bool
+	unroutableSince time.Time
 	// warmAt is when the keys are as fast as ever at an owner that took them
 	// without a handover; zero where they are.
 	warmAt time.Time
-	// release numbers the release under way.
-	release uint64
+	// releaseID numbers the release under way.
+	releaseID uint64
 	// released tells that a free range was released by its owner, which the
 	// document still names.
 	released bool
 }
 
-// judge looks at what the passing of time has decided.
-func (c *Core) judge(now time.Time) {
+// checkRows looks at what the passing of time has decided.
+func (c *Core) checkRows(now time.Time) {
 	for _, r := range c.rows {
 		if !now.Before(r.warmAt) {
 			r.warmAt = time.Time{}
 		}
 		switch r.state {
 		case held:
-			c.judgeHeld(now, r)
+			c.checkHeld(now, r)
 		case free:
-			if r.released && c.reclaimable(now, r) && c.usable(now, r.Target) {
+			if r.released && c.shouldReclaim(now, r) && c.usable(now, r.Target) {
 				c.reclaim(now, r)
 			}
-		case leaving, releasing, writing:
+		case releasePending, releasing, writing:
 		}
-		if now.After(r.end) && r.state != free && r.state != writing && !c.lane(r.Target).busy {
-			c.lapse(now, r)
+		if now.After(r.expiresBy) && r.state != free && r.state != writing && !c.targetConn(r.Target).inFlight {
+			c.expire(now, r)
 		}
 	}
 }
 
-// judgeHeld hides a range whose owner does not surely hold it, and lets one leave an
+// checkHeld hides a range whose owner does not surely hold it, and lets one leave an
 // owner that leaves. A move has to wait where another lead may have made one.
-func (c *Core) judgeHeld(now time.Time, r *row) {
+func (c *Core) checkHeld(now time.Time, r *row) {
 	switch {
-	case c.staying(r):
-	case !now.Before(c.cautious):
-		c.leave(now, r, "", "Range leaves a target that leaves.")
+	case c.ownerLive(r):
+	case !now.Before(c.frozenUntil):
+		c.startMove(now, r, "", "Range leaves a target that leaves.")
 		return
-	case r.served:
-		r.served, c.changed = false, true
+	case r.routable:
+		r.routable, c.changed = false, true
 	}
-	if r.served && now.After(r.sure) {
+	if r.routable && now.After(r.heldUntil) {
 		c.note(now, "Target leaves grants unanswered.", r, "")
-		r.served, c.changed = false, true
+		r.routable, c.changed = false, true
 	}
 }
 
-// lapse notes that the last grant of a range has ended.
-func (c *Core) lapse(now time.Time, r *row) {
-	c.free(now, r, "Grant has lapsed.")
-	if l := c.lane(r.Target); !l.failing.IsZero() && c.alternative(now, r.Target) {
+// expire notes that the last grant of a range has ended.
+func (c *Core) expire(now time.Time, r *row) {
+	c.markFree(now, r, "Grant has lapsed.")
+	if l := c.targetConn(r.Target); !l.failingSince.IsZero() && c.hasAlternative(now, r.Target) {
 		// No order went out after it was in doubt: its silence is as new as the lapse.
 		l.failedAt = now
 	}
@@ -113,34 +113,34 @@
 }
 
 const (
-	// partsOfWork is into how many parts a range is cut to be released, for each
+	// partsPerRequest is into how many parts a range is cut to be released, for each
 	// request that runs on it at a time; partsMost bounds them.
-	partsOfWork = 4
-	partsMost   = 8
+	partsPerRequest = 4
+	maxParts        = 8
 )
 
-// leave starts the move of a range; to may be empty. A release is answered once all
+// startMove starts the move of a range; to may be empty. A release is answered once all
 // work on its keys has ended, so a busy range leaves in parts: most of them have no
 // work running, and are back in a moment.
-func (c *Core) leave(now time.Time, r *row, to place.Target, why string) {
+func (c *Core) startMove(now time.Time, r *row, to place.Target, why string) {
 	c.note(now, why, r, to)
-	parts := int(partsOfWork * c.load.Of(r.Range))
-	for _, part := range c.load.Parts(r.Range, min(parts, partsMost)) {
+	parts := int(partsPerRequest * c.load.Work(r.Range))
+	for _, part := range c.load.Split(r.Range, min(parts, maxParts)) {
 		p := c.split(part)
-		p.state, p.to, p.since = leaving, to, now
+		p.state, p.to, p.since = releasePending, to, now
 	}
 	c.confirm(now)
 }
 
-// free notes that nobody holds the range.
-func (c *Core) free(now time.Time, r *row, why string) {
+// markFree notes that nobody holds the range.
+func (c *Core) markFree(now time.Time, r *row, why string) {
 	c.note(now, why, r, r.to)
-	if now.Before(c.cautious) {
-		c.doubtful(now, r)
+	if now.Before(c.frozenUntil) {
+		c.markUnknown(now, r)
 		return
 	}
-	r.state, r.since, r.served, r.released = free, now, false, false
-	r.acked, r.lost, r.fence, r.conn, r.release = 0, 0, 0, 0, 0
+	r.state, r.since, r.routable, r.released = free, now, false, false
+	r.acked, r.unacked, r.fence, r.grantConn, r.releaseID = 0, 0, 0, 0, 0
 	c.changed = true
 }
 
@@ -148,13 +148,13 @@
 // could not record elsewhere: without a lease, another lead may have given it away.
 const reclaimMargin = 100 * time.Millisecond
 
-// reclaimable reports whether a released range should go back to its owner: the
+// shouldReclaim reports whether a released range should go back to its owner: the
 // store has refused to record another one, or takes too long.
-func (c *Core) reclaimable(now time.Time, r *row) bool {
+func (c *Core) shouldReclaim(now time.Time, r *row) bool {
 	if !now.Before(c.leaseEnd) {
 		return false
 	}
-	return c.refused.After(r.since) || now.Sub(r.since) > c.cfg.Reclaim || now.After(c.leaseEnd.Add(-reclaimMargin))
+	return c.writeRefusedAt.After(r.since) || now.Sub(r.since) > c.cfg.ReclaimTimeout || now.After(c.leaseEnd.Add(-reclaimMargin))
 }
 
 // reclaim gives a released range back to its owner: the store does not take the
@@ -162,12 +162,12 @@
 func (c *Core) reclaim(now time.Time, r *row) {
 	c.note(now, "Range goes back, its new owner can't be recorded.", r, r.to)
 	r.state, r.to, r.since, r.released = held, "", now, false
-	r.end, r.sure = now.Add(c.cfg.First), now.Add(c.cfg.First)
-	c.changed, c.reclaimed = true, now
+	r.expiresBy, r.heldUntil = now.Add(c.cfg.FirstGrantTimeout), now.Add(c.cfg.FirstGrantTimeout)
+	c.changed, c.reclaimedAt = true, now
 }
 
-// unowned reports whether no range has ever had an owner.
-func (c *Core) unowned() bool {
+// neverOwned reports whether no range has ever had an owner.
+func (c *Core) neverOwned() bool {
 	return len(c.rows) == 1 && c.rows[0].Target == "" && c.rows[0].state == free
 }
 
@@ -175,12 +175,12 @@
 func (c *Core) coalesce() {
 	out := c.rows[:0]
 	for _, r := range c.rows {
-		if n := len(out); n > 0 && c.joinable(out[n-1], r) {
+		if n := len(out); n > 0 && c.canCoalesce(out[n-1], r) {
 			last := out[n-1]
 			last.Range.Last = r.Range.Last
-			last.end = later(last.end, r.end)
-			last.acked, last.lost, last.fence = min(last.acked, r.acked), max(last.lost, r.lost), max(last.fence, r.fence)
-			last.conn = 0 // the next grant gets a fence above both
+			last.expiresBy = later(last.expiresBy, r.expiresBy)
+			last.acked, last.unacked, last.fence = min(last.acked, r.acked), max(last.unacked, r.unacked), max(last.fence, r.fence)
+			last.grantConn = 0 // the next grant gets a fence above both
 			continue
 		}
 		out = append(out, r)
@@ -189,17 +189,17 @@
 	c.rows = out
 }
 
-func (c *Core) joinable(a, b *row) bool {
-	same := a.Target == b.Target && a.Born == b.Born && a.Addr == b.Addr
-	quiet := a.state == held && b.state == held && a.served && b.served && a.Handover == "" && b.Handover == ""
-	return same && quiet && a.warmAt.Equal(b.warmAt) && a.Target != "" && min(a.acked, b.acked) > max(a.lost, b.lost) && !c.lane(a.Target).busy
+func (c *Core) canCoalesce(a, b *row) bool {
+	same := a.Target == b.Target && a.Incarnation == b.Incarnation && a.Addr == b.Addr
+	quiet := a.state == held && b.state == held && a.routable && b.routable && a.Handover == "" && b.Handover == ""
+	return same && quiet && a.warmAt.Equal(b.warmAt) && a.Target != "" && min(a.acked, b.acked) > max(a.unacked, b.unacked) && !c.targetConn(a.Target).inFlight
 }
 
 // split cuts a row so that one row has exactly the range, and returns it.
 func (c *Core) split(r key.Range) *row {
 	for i := 0; i < len(c.rows); i++ {
 		at := c.rows[i]
-		if !at.Range.Has(r.First) {
+		if !at.Range.Contains(r.First) {
 			continue
 		}
 		if at.Range.First < r.First {
--- /dev/null
+++ b/internal/owner/sim_test.go
@@ -0,0 +1,268 @@
+package owner
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"testing"
+	"time"
+
+	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/place"
+	"citrontray.example/citrontray/internal/platform"
+	"citrontray.example/citrontray/internal/target"
+)
+
+// The sim of one random run: hosts that may lead, one store, targets, and
+// faults of all of them. Times are one clock's; targets measure holds with
+// clocks of their own that run up to 2% slow.
+type sim struct {
+	t      *testing.T
+	rng    *rand.Rand
+	seed   uint64
+	now    time.Time
+	start  time.Time
+	events simEvents
+	order  int
+
+	hosts     []*simHost
+	targets   []*simTarget
+	store     simStore
+	snapshots []simSnapshot
+	points    []key.Point
+	// highest is the highest fence that any target has taken of each point.
+	highest map[key.Point]simFence
+	// heldAt is when each point was last seen held.
+	heldAt    map[key.Point]time.Time
+	violation string
+	trace     []string
+	moves     int
+}
+
+type simFence struct {
+	fence  target.Fence
+	holder *simTarget
+}
+
+type simEvent struct {
+	at    time.Time
+	order int
+	do    func()
+}
+
+type simEvents []simEvent
+
+func (e simEvents) Len() int { return len(e) }
+func (e simEvents) Less(i, j int) bool {
+	if e[i].at.Equal(e[j].at) {
+		return e[i].order < e[j].order
+	}
+	return e[i].at.Before(e[j].at)
+}
+func (e simEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *simEvents) Push(x any)   { *e = append(*e, x.(simEvent)) }
+func (e *simEvents) Pop() any {
+	old := *e
+	last := old[len(old)-1]
+	*e = old[:len(old)-1]
+	return last
+}
+
+type simStore struct {
+	era platform.Era
+	// leadEra is the era that the lead's entry was written in.
+	leadEra         platform.Era
+	doc             Doc
+	revision        platform.Revision
+	lead            place.Host
+	leadIncarnation place.Incarnation
+	leadRev         platform.Revision
+	leadSessionEnd  time.Time // of the lead's session
+	down            bool
+	slow            time.Duration
+	losesResponses  bool
+	listed          map[place.Target]place.TargetRow
+	incarnations    map[place.Host]place.Incarnation
+}
+
+type simTarget struct {
+	w           *sim
+	row         place.TargetRow
+	up          bool
+	cut         bool
+	appliesLate bool // carries orders out late and does not answer them
+	clockRate   float64
+	seen        map[key.Point]target.Fence
+	until       map[key.Point]time.Time
+}
+
+// simSnapshot is what of the store a lead has written, as it was before a change.
+type simSnapshot struct {
+	until time.Time
+	store simStore
+}
+
+// takeSnapshot takes a copy of the store before a change.
+func (w *sim) takeSnapshot() {
+	w.snapshots = append(w.snapshots, simSnapshot{w.now, w.store})
+	const kept = 400
+	if len(w.snapshots) > kept {
+		w.snapshots = w.snapshots[kept/2:]
+	}
+}
+
+// restore lets the store come back from a copy of that age. Leases of the copy have
+// lapsed, or go on; what targets and hosts have entered is written again.
+func (w *sim) restore(age time.Duration) {
+	s := &w.store
+	w.tracef("store comes back from a copy %v old", age)
+	for i, c := range w.snapshots {
+		if c.until.After(w.now.Add(-age)) {
+			back := c.store
+			s.doc, s.revision = back.doc, back.revision
+			s.lead, s.leadIncarnation, s.leadRev, s.leadEra = back.lead, back.leadIncarnation, back.leadRev, back.leadEra
+			w.snapshots = w.snapshots[:i]
+			break
+		}
+	}
+	s.era++
+	s.leadSessionEnd = w.now
+	if w.chance(0.5) {
+		s.leadSessionEnd = w.now.Add(w.randomDuration(0, 2*time.Second))
+	}
+}
+
+func (w *sim) after(d time.Duration, do func()) {
+	w.order++
+	heap.Push(&w.events, simEvent{w.now.Add(d), w.order, do})
+}
+
+func (w *sim) chance(p float64) bool { return w.rng.Float64() < p }
+
+func (w *sim) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.rng.Int64N(int64(high-low)))
+}
+
+func (w *sim) tracef(format string, args ...any) {
+	w.trace = append(w.trace, fmt.Sprintf("%8.3f ", w.now.Sub(w.start).Seconds())+fmt.Sprintf(format, args...))
+	const kept = 20000
+	if len(w.trace) > kept {
+		w.trace = w.trace[kept/2:]
+	}
+}
+
+func simConfig(h *simHost) Config {
+	c := testConfig()
+	c.Host, c.Incarnation = h.name, h.incarnation
+	c.GrantDuration, c.RenewInterval = 2500*time.Millisecond, 600*time.Millisecond
+	c.WriteBatchDelay, c.MaxPublishInterval = 40*time.Millisecond, time.Second
+	return c
+}
+
+func newSim(t *testing.T, seed uint64) *sim {
+	start := time.Unix(10_000, 0)
+	w := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), seed: seed, now: start, start: start}
+	w.heldAt, w.highest = make(map[key.Point]time.Time), make(map[key.Point]simFence)
+	w.store = simStore{
+		doc: EmptyDoc("s"), listed: make(map[place.Target]place.TargetRow), incarnations: make(map[place.Host]place.Incarnation),
+	}
+	for i := range 24 {
+		w.points = append(w.points, key.Point(i*key.Points/24+w.rng.IntN(key.Points/24)))
+	}
+	for i := range 2 + w.rng.IntN(3) {
+		h := &simHost{w: w, name: place.Host(fmt.Sprintf("h%d", i)), incarnation: 1}
+		h.boot()
+		w.hosts = append(w.hosts, h)
+		w.after(w.randomDuration(0, 20*time.Millisecond), h.tick)
+	}
+	for i := range 3 + w.rng.IntN(3) {
+		w.addTarget(i)
+	}
+	return w
+}
+
+func (w *sim) addTarget(i int) {
+	t := &simTarget{w: w, clockRate: 1 - 0.02*w.rng.Float64(), row: place.TargetRow{
+		Target: place.Target(fmt.Sprintf("t%d", i)), Service: "s", Zone: "z", Slots: 3, Incarnation: place.Incarnation(1 + i),
+		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
+	}}
+	t.boot()
+	w.targets = append(w.targets, t)
+}
+
+// boot starts a life of a target; it knows nothing of before.
+func (t *simTarget) boot() {
+	t.up = true
+	t.seen, t.until = make(map[key.Point]target.Fence), make(map[key.Point]time.Time)
+	t.row.Incarnation = place.Incarnation(t.w.now.UnixMilli()) + t.row.Incarnation%7
+	t.writeEntry(t.row)
+}
+
+// writeEntry puts the target's entry into the store; it is there a moment later.
+func (t *simTarget) writeEntry(row place.TargetRow) {
+	t.w.after(t.w.randomDuration(10*time.Millisecond, 900*time.Millisecond), func() {
+		if t.up && t.row.Incarnation == row.Incarnation {
+			t.w.store.listed[row.Target] = row
+		}
+	})
+}
+
+func (t *simTarget) holds(p key.Point, now time.Time) bool {
+	return t.up && now.Before(t.until[p])
+}
+
+func (t *simTarget) eachPoint(r key.Range, f func(p key.Point)) {
+	for _, p := range t.w.points {
+		if r.Contains(p) {
+			f(p)
+		}
+	}
+}
+
+// grant applies an order that arrived at a time.
+func (t *simTarget) grant(g target.Grant, arrived time.Time) error {
+	fenced := false
+	t.eachPoint(g.Range, func(p key.Point) { fenced = fenced || t.seen[p] > g.Fence })
+	if fenced {
+		return target.ErrFenced
+	}
+	end := arrived.Add(time.Duration(float64(g.Hold) / t.clockRate))
+	t.eachPoint(g.Range, func(p key.Point) {
+		if last := t.w.highest[p]; end.After(t.w.now) && last.fence >= g.Fence && last.holder != t && t.w.violation == "" {
+			t.w.violation = fmt.Sprintf("%s takes %d at fence %d, %s had it at %d", t.row.Target, p, g.Fence, last.holder.row.Target, last.fence)
+		}
+		if t.w.highest[p].fence < g.Fence {
+			t.w.highest[p] = simFence{g.Fence, t}
+		}
+	})
+	t.eachPoint(g.Range, func(p key.Point) {
+		t.seen[p] = g.Fence
+		t.until[p] = end
+	})
+	t.w.checkOwners()
+	return nil
+}
+
+func (t *simTarget) release(r target.Release) {
+	t.eachPoint(r.Range, func(p key.Point) {
+		t.seen[p] = max(t.seen[p], r.Fence)
+		t.until[p] = time.Time{}
+	})
+}
+
+// checkOwners looks for a point that two targets hold.
+func (w *sim) checkOwners() {
+	for _, p := range w.points {
+		holder := ""
+		for _, t := range w.targets {
+			if !t.holds(p, w.now) {
+				continue
+			}
+			if holder != "" && w.violation == "" {
+				w.violation = fmt.Sprintf("%s and %s hold %d at %.3f s", holder, t.row.Target, p, w.now.Sub(w.start).Seconds())
+			}
+			holder = string(t.row.Target)
+		}
+	}
+}
--- /dev/null
+++ b/internal/owner/simhost_test.go
@@ -0,0 +1,485 @@
+package owner
+
+import (
+	"fmt"
+	"net/netip"
+	"time"
+
+	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/partition"
+	"citrontray.example/citrontray/internal/place"
+	"citrontray.example/citrontray/internal/platform"
+	"citrontray.example/citrontray/internal/target"
+)
+
+type simHost struct {
+	w           *sim
+	name        place.Host
+	incarnation place.Incarnation
+	core        *Core
+	dead        bool
+	frozen      time.Time // until
+	cutStore    bool
+	cutAll      bool // from targets and hosts too
+	leaseEnd    time.Time
+	campaignAt  time.Time
+	campaigning bool // campaigning
+	// stopping is set for a planned stop, resigning while it hands the lead on.
+	stopping, resigning bool
+	// priorMayRenew tells that leads before the one before may send.
+	priorMayRenew bool
+	// cutFrom is the target that this host doesn't reach.
+	cutFrom *simTarget
+	leadRev platform.Revision
+	// era is the latest that this host has heard of, leadEra that of its lead's entry,
+	// firstEra that in which its life began.
+	era, leadEra, firstEra platform.Era
+	inFlight               int
+	predecessor            place.Host
+	predecessorIncarnation place.Incarnation
+	predecessorSettled     bool
+	// conns are the connections for grants: each is to one life of a target.
+	conns map[place.Target]simConn
+	// tickedAt is when it last ticked.
+	tickedAt time.Time
+}
+
+type simConn struct {
+	number      uint64
+	incarnation place.Incarnation
+}
+
+// boot starts a life of a host.
+func (h *simHost) boot() {
+	h.core = New(simConfig(h))
+	h.inFlight, h.campaigning, h.leaseEnd, h.campaignAt = 0, false, time.Time{}, time.Time{}
+	h.stopping, h.resigning = false, false
+	h.era, h.firstEra = h.w.store.era, h.w.store.era
+	h.conns = make(map[place.Target]simConn)
+	h.w.store.incarnations[h.name] = h.incarnation
+}
+
+func (h *simHost) alive(life place.Incarnation) bool { return !h.dead && h.incarnation == life }
+
+// run calls f in the host's life, once it is not frozen.
+func (h *simHost) run(life place.Incarnation, f func()) {
+	if !h.alive(life) {
+		return
+	}
+	if wait := h.frozen.Sub(h.w.now); wait > 0 {
+		h.w.after(wait, func() { h.run(life, f) })
+		return
+	}
+	f()
+}
+
+func (h *simHost) tick() {
+	life := h.incarnation
+	h.run(life, func() {
+		h.step()
+		h.apply(h.core.Tick(h.w.now))
+		h.checkStranded()
+		h.tickedAt = h.w.now
+	})
+	h.w.after(h.w.randomDuration(15*time.Millisecond, 25*time.Millisecond), h.tick)
+}
+
+// checkStranded looks for ranges that a planned move has left without an owner at
+// the end of the lease: they have none until the store is back.
+func (h *simHost) checkStranded() {
+	const steady = 50 * time.Millisecond // between two ticks of a host that is not frozen
+	c, now := h.core, h.w.now
+	ends := c.Leading() && h.tickedAt.Before(c.leaseEnd) && !now.Before(c.leaseEnd)
+	if now.Sub(c.writeRefusedAt) <= steady {
+		return // a write was on its way until now: seeds 2001522, 2081334
+	}
+	if !ends || now.Sub(h.tickedAt) > steady || c.stopping || c.pending != nil || h.w.violation != "" {
+		return
+	}
+	for _, r := range c.rows {
+		if r.state == free && r.released && c.usable(now, r.Target) && now.Sub(r.since) > reclaimMargin {
+			h.w.violation = fmt.Sprintf("%s has released %v and can't record another owner at %.3f s", h.name, r.Range, now.Sub(h.w.start).Seconds())
+		}
+	}
+}
+
+func (h *simHost) reachesStore() bool { return !h.cutStore && !h.cutAll && !h.w.store.down }
+
+// step keeps the lease, looks at the store and campaigns.
+func (h *simHost) step() {
+	w := h.w
+	if h.reachesStore() {
+		h.followStore()
+	}
+	if !h.core.Leading() {
+		return
+	}
+	h.core.ExtendLease(h.leaseEnd)
+	h.core.SetTargets(w.now, w.store.listed) // a stale list is as good
+	if w.chance(0.02) {
+		load := w.randomLoad()
+		h.core.SetLoad(load, nil, nil)
+	}
+	h.askPredecessor()
+	h.resign()
+}
+
+// resign hands the lead on in a planned stop, as soon as the store takes it.
+func (h *simHost) resign() {
+	w, life, leadRev := h.w, h.incarnation, h.leadRev
+	if !h.stopping || h.resigning {
+		return
+	}
+	if !h.core.LeaseFresh(w.now) {
+		h.core.Resume()
+		return
+	}
+	h.core.Stop()
+	if !h.core.Idle() {
+		return
+	}
+	h.resigning = true
+	doc, expect := h.core.Doc(w.now), h.core.Revision()
+	doc.Leader, doc.LeaderIncarnation = "", 0
+	w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond)+w.store.slow, func() {
+		s := &w.store
+		away := !h.reachesStore()
+		if !away && s.revision == expect && s.leadRev == leadRev && w.now.Before(s.leadSessionEnd) {
+			w.tracef("%s hands on term %d", h.name, doc.Term)
+			w.takeSnapshot()
+			s.doc, s.revision, s.lead, s.leadSessionEnd = doc, s.revision+1, "", w.now
+		}
+		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
+			h.run(life, func() {
+				if away { // surely not carried out
+					h.resigning = false
+					h.core.Resume()
+					return
+				}
+				h.core.StepDown()
+			})
+		})
+	})
+}
+
+func (w *sim) randomLoad() *partition.Load {
+	m := &partition.Meter{}
+	m.Decay(w.now)
+	for range 6 {
+		m.Add(w.now, key.Point(w.rng.IntN(key.Points)), 40)
+	}
+	l := &partition.Load{}
+	m.Load(w.now, l, 100*time.Millisecond)
+	return l
+}
+
+// followStore follows the store: its lead, this host's session, a campaign.
+func (h *simHost) followStore() {
+	w, s := h.w, &h.w.store
+	h.era = s.era
+	if s.era > h.core.Term().Era() {
+		h.core.StoreRestored(w.now, h.core.Term())
+	}
+	held := s.lead != "" && w.now.Before(s.leadSessionEnd) && s.leadEra == s.era
+	mine := held && s.lead == h.name && s.leadIncarnation == h.incarnation
+	if mine {
+		sent := w.now
+		if w.chance(0.3) {
+			s.leadSessionEnd = w.now.Add(simConfig(h).LeaseTTL)
+			h.leaseEnd = sent.Add(simConfig(h).LeaseTTL)
+		}
+		if !h.core.Leading() && !h.campaigning && !h.stopping {
+			h.campaign()
+		}
+		return
+	}
+	later := s.leadEra > h.leadEra || s.leadEra == h.leadEra && s.leadRev > h.leadRev
+	if held && h.core.Leading() && later {
+		h.core.StepDown()
+	}
+	if held {
+		h.campaignAt = time.Time{}
+		return
+	}
+	if h.core.TermLost() && !h.campaigning && !h.stopping {
+		h.campaign() // others give it time
+		return
+	}
+	if h.campaignAt.IsZero() {
+		h.campaignAt = w.now.Add(w.randomDuration(0, 400*time.Millisecond))
+	}
+	if w.now.After(h.campaignAt) && !h.campaigning && !h.stopping {
+		h.campaign()
+	}
+}
+
+func (h *simHost) campaign() {
+	w, life := h.w, h.incarnation
+	h.campaigning = true
+	base, era := w.store.revision, w.store.era
+	doc := w.store.doc
+	sent := w.now
+	prior := PriorUnknown
+	if doc.Leader == "" || doc.Leader == h.name || w.store.incarnations[doc.Leader] != doc.LeaderIncarnation {
+		prior = PriorEnded
+	}
+	h.predecessor, h.predecessorIncarnation, h.predecessorSettled, h.priorMayRenew = doc.Leader, doc.LeaderIncarnation, prior == PriorEnded, doc.PriorMayRenew
+	if doc.PriorMayRenew {
+		prior = PriorUnknown
+	}
+	next := doc
+	if doc.HistoryLost(era, h.incarnation == 1 && h.firstEra == era) && !w.leavesOut(breakHistoryLost) {
+		prior = PriorLost
+		next.AfterRestore = true
+		if h.core.Leading() {
+			next.Rows = h.core.Doc(w.now).Rows
+			next.Term = max(next.Term, h.core.Term())
+		}
+	}
+	next.PriorMayRenew = prior != PriorEnded
+	next.Term = next.Term.Next(era)
+	if w.leavesOut(breakEraTerms) {
+		next.Term = doc.Term + 1
+	}
+	next.Leader, next.LeaderIncarnation, next.WriteID = h.name, h.incarnation, w.rng.Uint64()
+	w.after(w.randomDuration(2*time.Millisecond, 60*time.Millisecond)+w.store.slow, func() {
+		s := &w.store
+		held := s.lead != "" && w.now.Before(s.leadSessionEnd) && s.leadEra == s.era
+		mine := s.lead == h.name && s.leadIncarnation == h.incarnation
+		ok := h.reachesStore() && s.revision == base && (!held || mine)
+		if ok {
+			w.takeSnapshot()
+			s.doc, s.revision = next, s.revision+1
+			s.lead, s.leadIncarnation, s.leadRev, s.leadEra = h.name, h.incarnation, s.revision, era
+			s.leadSessionEnd = w.now.Add(simConfig(h).LeaseTTL)
+		}
+		revision := s.revision
+		ok = ok && s.era == era
+		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
+			h.run(life, func() {
+				h.campaigning = false
+				if !ok {
+					return
+				}
+				h.leadRev, h.leadEra = revision, era
+				h.leaseEnd = sent.Add(simConfig(h).LeaseTTL)
+				w.tracef("%s leads term %d prior %d", h.name, next.Term, prior)
+				h.core.BeginTerm(w.now, next, revision, h.leaseEnd, prior)
+				if w.leavesOut(breakFreeze) {
+					h.core.frozenUntil = time.Time{}
+				}
+			})
+		})
+	})
+}
+
+// askPredecessor asks the lead before whether it has stopped.
+func (h *simHost) askPredecessor() {
+	if h.predecessorSettled || !h.w.chance(0.1) {
+		return
+	}
+	for _, o := range h.w.hosts {
+		if o.name != h.predecessor || o.dead || o.cutAll || h.cutAll || h.w.now.Before(o.frozen) {
+			continue
+		}
+		if o.incarnation != h.predecessorIncarnation {
+			h.predecessorEnded()
+			return
+		}
+		if o.core.Leading() && o.core.Term() < h.core.Term() {
+			o.core.StepDown()
+		}
+		if !o.core.Leading() && o.inFlight == 0 {
+			h.predecessorEnded()
+		}
+	}
+}
+
+func (h *simHost) predecessorEnded() {
+	h.predecessorSettled = true
+	if !h.priorMayRenew {
+		h.core.PriorEnded(h.w.now)
+	}
+}
+
+func (h *simHost) apply(effects []Effect) {
+	for _, e := range effects {
+		switch e := e.(type) {
+		case SendGrants:
+			h.sendGrants(e)
+		case SendRelease:
+			h.sendRelease(e)
+		case WriteDoc:
+			h.write(&simWrite{WriteDoc: e, w: h.w, era: h.leadEra}, h.incarnation, h.leadRev)
+		case RenewLease: // look renews it within moments
+		case Publish:
+		case Note:
+			h.w.tracef("%s %s %s %s>%s fence %d", h.name, e.Text, e.Range, e.From, e.To, e.Fence)
+		}
+	}
+}
+
+func (w *sim) targetAt(addr netip.AddrPort) *simTarget {
+	for _, t := range w.targets {
+		if t.row.Addr == addr {
+			return t
+		}
+	}
+	return nil
+}
+
+// order carries one order to a target and its answer back: it arrives in time,
+// or its connection is reset and it never does. An order that arrived may be
+// carried out late and never answered.
+func (h *simHost) order(addr netip.AddrPort, apply func(t *simTarget, arrived time.Time) error, done func(error)) {
+	w, life := h.w, h.incarnation
+	bound := simConfig(h).OrderTimeout
+	t := w.targetAt(addr)
+	if h.cutAll || t == nil || !t.up || t.cut || h.cutFrom == t {
+		wait := w.randomDuration(time.Millisecond, bound)
+		w.after(wait, func() { h.run(life, func() { done(target.ErrNotSent) }) })
+		return
+	}
+	born := t.row.Incarnation
+	w.after(w.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
+		if !t.up || t.row.Incarnation != born || t.cut || h.cutAll || h.cutFrom == t {
+			w.after(bound, func() { h.run(life, func() { done(target.ErrUnanswered) }) })
+			return
+		}
+		if t.appliesLate && w.chance(0.5) {
+			arrived := w.now
+			w.after(w.randomDuration(time.Second, 12*time.Second), func() {
+				if t.up && t.row.Incarnation == born {
+					_ = apply(t, arrived)
+				}
+			})
+			w.after(bound, func() { h.run(life, func() { done(target.ErrUnanswered) }) })
+			return
+		}
+		err := apply(t, w.now)
+		lost := w.now.Before(w.start.Add(faultPhase)) && w.chance(0.02)
+		back := w.randomDuration(time.Millisecond, 30*time.Millisecond)
+		if lost {
+			back, err = bound, target.ErrUnanswered
+		}
+		w.after(back, func() { h.run(life, func() { done(err) }) })
+	})
+}
+
+func (h *simHost) sendGrants(e SendGrants) {
+	life := h.incarnation
+	results := make([]error, len(e.Grants))
+	for i := range results {
+		results[i] = target.ErrNotSent
+	}
+	h.inFlight++
+	if conn := h.conns[e.Target]; conn.number != e.Conn {
+		conn = simConn{number: e.Conn}
+		if t := h.w.targetAt(e.Addr); t != nil {
+			conn.incarnation = t.row.Incarnation
+		}
+		h.conns[e.Target] = conn
+	}
+	var next func(i int)
+	next = func(i int) {
+		if i == len(e.Grants) || i > 0 && results[i-1] != nil {
+			h.inFlight--
+			h.core.Granted(h.w.now, e, results)
+			return
+		}
+		h.order(e.Addr, func(t *simTarget, arrived time.Time) error {
+			if t.row.Incarnation != h.conns[e.Target].incarnation {
+				return target.ErrNotSent // the connection ended with the life
+			}
+			return t.grant(e.Grants[i], arrived)
+		}, func(err error) {
+			results[i] = err
+			next(i + 1)
+		})
+	}
+	// The process may be frozen between its decision and the sending.
+	h.w.after(h.w.randomDuration(0, 2*time.Millisecond), func() { h.run(life, func() { next(0) }) })
+}
+
+func (h *simHost) sendRelease(e SendRelease) {
+	h.inFlight++
+	h.order(e.Addr, func(t *simTarget, _ time.Time) error {
+		t.release(e.Release)
+		return nil
+	}, func(err error) {
+		h.inFlight--
+		h.core.Released(h.w.now, e, "token", err)
+	})
+}
+
+// simWrite is a write on its way; sent tells that the store may have it.
+type simWrite struct {
+	WriteDoc
+
+	w *sim
+	// era is that of the lead that writes.
+	era  platform.Era
+	sent bool
+}
+
+// commit carries the write out where its conditions hold.
+func (e *simWrite) commit(leadRev platform.Revision) bool {
+	w, s := e.w, &e.w.store
+	if s.revision != e.Expect || s.leadRev != leadRev || !w.now.Before(s.leadSessionEnd) {
+		return false
+	}
+	w.takeSnapshot()
+	s.doc, s.revision = e.Doc, s.revision+1
+	w.moves++
+	return true
+}
+
+// write carries the document to the store until it is certain whether it is
+// there.
+func (h *simHost) write(e *simWrite, life place.Incarnation, leadRev platform.Revision) {
+	w := h.w
+	w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond)+w.store.slow, func() {
+		s := &w.store
+		if !h.reachesStore() {
+			refused := w.hasNewFaults() && !e.sent && w.chance(0.5)
+			w.after(100*time.Millisecond, func() {
+				h.run(life, func() {
+					if refused {
+						h.core.NotWritten(w.now, e.WriteDoc)
+						return
+					}
+					h.write(e, life, leadRev)
+				})
+			})
+			return
+		}
+		e.sent = true
+		there := s.doc.WriteID == e.Doc.WriteID
+		if !there && e.commit(leadRev) {
+			there = true
+		}
+		if s.losesResponses && w.chance(0.4) {
+			w.after(100*time.Millisecond, func() { h.run(life, func() { h.write(e, life, leadRev) }) })
+			return
+		}
+		revision, era := s.revision, s.era
+		if w.hasNewFaults() && w.chance(0.02) {
+			// A copy of it that was held up takes effect late, if it still may.
+			w.after(w.randomDuration(time.Second, 6*time.Second), func() { e.commit(leadRev) })
+		}
+		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
+			h.run(life, func() {
+				if era != e.era {
+					h.era = max(h.era, era)
+					h.core.StoreRestored(w.now, e.Doc.Term)
+					return
+				}
+				if there {
+					h.core.Written(w.now, e.WriteDoc, revision)
+					return
+				}
+				h.core.WriteConflict(e.WriteDoc)
+			})
+		})
+	})
+}
--- a/internal/owner/table.go
+++ b/internal/owner/table.go
@@ -33,11 +33,11 @@
 type Table struct {
 	Service key.Service
 	Version Version
-	Lead    place.Host
-	// Life is the lead's.
-	Life place.Incarnation
-	// Based is the revision of the document that the table rests on.
-	Based platform.Revision
+	Leader  place.Host
+	// LeaderIncarnation is the lead's.
+	LeaderIncarnation place.Incarnation
+	// DocRevision is the revision of the document that the table rests on.
+	DocRevision platform.Revision
 	// Spans cover the key space, in order.
 	Spans []Span
 }
@@ -48,18 +48,18 @@
 	// Target is empty while the range has no owner to send requests to.
 	Target place.Target
 	Addr   netip.AddrPort
-	// Back is, for a range without one, the time after the table was made at
+	// AvailableIn is, for a range without one, the time after the table was made at
 	// which it probably has one again.
-	Back time.Duration
-	// Cold is how long after the table was made the keys are slow, as their
+	AvailableIn time.Duration
+	// ColdFor is how long after the table was made the keys are slow, as their
 	// owner took them without a handover.
-	Cold time.Duration
+	ColdFor time.Duration
 }
 
 // add appends a span, or joins it to the last one where only their ranges differ.
 func (t *Table) add(s Span) {
 	if n := len(t.Spans); n > 0 {
-		if last := &t.Spans[n-1]; last.Target == s.Target && last.Back == s.Back && last.Cold == s.Cold {
+		if last := &t.Spans[n-1]; last.Target == s.Target && last.AvailableIn == s.AvailableIn && last.ColdFor == s.ColdFor {
 			last.Range.Last = s.Range.Last
 			return
 		}
@@ -76,10 +76,10 @@
 	return &t.Spans[i]
 }
 
-// TableOf returns the table that follows from a document alone, for hosts that
+// TableFromDoc returns the table that follows from a document alone, for hosts that
 // hear no lead. Ranges on the move are not known to be.
-func TableOf(d *Doc, revision platform.Revision) *Table {
-	t := &Table{Service: d.Service, Version: Version{Term: d.Term}, Lead: d.Lead, Life: d.Life, Based: revision}
+func TableFromDoc(d *Doc, revision platform.Revision) *Table {
+	t := &Table{Service: d.Service, Version: Version{Term: d.Term}, Leader: d.Leader, LeaderIncarnation: d.LeaderIncarnation, DocRevision: revision}
 	for _, r := range d.Rows {
 		t.add(Span{Range: r.Range, Target: r.Target, Addr: r.Addr})
 	}
@@ -93,27 +93,27 @@
 	Service  string `cbor:"1,keyasint"`
 	Term     uint64 `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
-	Lead     string `cbor:"4,keyasint"`
+	Leader   string `cbor:"4,keyasint"`
 	// Targets are the length of a name, the name, the length of an address, the
 	// address. Spans are the number of keys less one, and a word: 0 for no owner,
 	// followed by Back in ms, or 2i+1 for target i, 2i+2 followed by Cold in ms.
-	Targets []byte `cbor:"5,keyasint"`
-	Spans   []byte `cbor:"6,keyasint"`
-	Based   uint64 `cbor:"7,keyasint,omitempty"`
-	Life    uint64 `cbor:"8,keyasint,omitempty"`
+	Targets           []byte `cbor:"5,keyasint"`
+	Spans             []byte `cbor:"6,keyasint"`
+	DocRevision       uint64 `cbor:"7,keyasint,omitempty"`
+	LeaderIncarnation uint64 `cbor:"8,keyasint,omitempty"`
 }
 
 // Encode returns the table as hosts pass it on.
 func (t *Table) Encode() ([]byte, error) {
 	w := wireTable{
-		Service: string(t.Service), Term: uint64(t.Version.Term), Sequence: t.Version.Sequence, Lead: string(t.Lead),
-		Based: uint64(t.Based), Life: uint64(t.Life),
+		Service: string(t.Service), Term: uint64(t.Version.Term), Sequence: t.Version.Sequence, Leader: string(t.Leader),
+		DocRevision: uint64(t.DocRevision), LeaderIncarnation: uint64(t.LeaderIncarnation),
 	}
 	index := make(map[place.Target]uint64)
 	for _, s := range t.Spans {
 		w.Spans = binary.AppendUvarint(w.Spans, uint64(s.Range.Last-s.Range.First))
 		if s.Target == "" {
-			w.Spans = binary.AppendUvarint(append(w.Spans, 0), uint64(s.Back.Milliseconds()))
+			w.Spans = binary.AppendUvarint(append(w.Spans, 0), uint64(s.AvailableIn.Milliseconds()))
 			continue
 		}
 		at, ok := index[s.Target]
@@ -127,11 +127,11 @@
 			w.Targets = append(binary.AppendUvarint(w.Targets, uint64(len(s.Target))), s.Target...)
 			w.Targets = append(binary.AppendUvarint(w.Targets, uint64(len(addr))), addr...)
 		}
-		if s.Cold == 0 {
+		if s.ColdFor == 0 {
 			w.Spans = binary.AppendUvarint(w.Spans, 2*at+1)
 			continue
 		}
-		w.Spans = binary.AppendUvarint(binary.AppendUvarint(w.Spans, 2*at+2), uint64(s.Cold.Milliseconds()))
+		w.Spans = binary.AppendUvarint(binary.AppendUvarint(w.Spans, 2*at+2), uint64(s.ColdFor.Milliseconds()))
 	}
 	body, err := cbor.Marshal(w)
 	if err != nil {
@@ -147,9 +147,9 @@
 		return nil, fmt.Errorf("owner: decode table: %w", err)
 	}
 	t := &Table{
-		Service: key.Service(w.Service), Lead: place.Host(w.Lead),
-		Version: Version{Term: Term(w.Term), Sequence: w.Sequence}, Based: platform.Revision(w.Based),
-		Life: place.Incarnation(w.Life),
+		Service: key.Service(w.Service), Leader: place.Host(w.Leader),
+		Version: Version{Term: Term(w.Term), Sequence: w.Sequence}, DocRevision: platform.Revision(w.DocRevision),
+		LeaderIncarnation: place.Incarnation(w.LeaderIncarnation),
 	}
 	targets, err := decodeTargets(w.Targets)
 	if err != nil {
@@ -167,20 +167,20 @@
 	addr netip.AddrPort
 }
 
-var errColumn = errors.New("column ends early")
+var errTruncated = errors.New("column ends early")
 
 func decodeTargets(column []byte) ([]tableTarget, error) {
 	const shortest = 12 // bytes of a target, about
 	out := make([]tableTarget, 0, len(column)/shortest)
 	names := string(column) // all names share it
 	for at := 0; at < len(column); {
-		first, last, ok := field(column, at)
+		first, last, ok := fieldBounds(column, at)
 		if !ok {
-			return nil, errColumn
+			return nil, errTruncated
 		}
 		t := tableTarget{name: place.Target(names[first:last])}
-		if first, last, ok = field(column, last); !ok {
-			return nil, errColumn
+		if first, last, ok = fieldBounds(column, last); !ok {
+			return nil, errTruncated
 		}
 		if err := t.addr.UnmarshalBinary(column[first:last]); err != nil {
 			return nil, err
@@ -190,8 +190,8 @@
 	return out, nil
 }
 
-// field returns where the field lies whose length stands at a place.
-func field(column []byte, at int) (first, last int, ok bool) {
+// fieldBounds returns where the field lies whose length stands at a place.
+func fieldBounds(column []byte, at int) (first, last int, ok bool) {
 	length, n := binary.Uvarint(column[at:])
 	if n <= 0 || length > uint64(len(column)-at-n) {
 		return 0, 0, false
@@ -199,54 +199,54 @@
 	return at + n, at + n + int(length), true
 }
 
-// numbers reads the numbers of a column one after the other.
-type numbers struct {
-	column []byte
-	short  bool
+// uvarintReader reads the numbers of a column one after the other.
+type uvarintReader struct {
+	column    []byte
+	truncated bool
 }
 
-func (r *numbers) next() uint64 {
+func (r *uvarintReader) next() uint64 {
 	v, n := binary.Uvarint(r.column)
 	if n <= 0 {
-		r.short, r.column = true, nil
+		r.truncated, r.column = true, nil
 		return 0
 	}
 	r.column = r.column[n:]
 	return v
 }
 
-// longestSpell bounds the times in a table, in ms.
-const longestSpell = uint64(time.Hour / time.Millisecond)
+// maxDurationMs bounds the times in a table, in ms.
+const maxDurationMs = uint64(time.Hour / time.Millisecond)
 
-func (r *numbers) spell() time.Duration {
-	return time.Duration(min(r.next(), longestSpell)) * time.Millisecond
+func (r *uvarintReader) duration() time.Duration {
+	return time.Duration(min(r.next(), maxDurationMs)) * time.Millisecond
 }
 
 func decodeSpans(column []byte, targets []tableTarget) ([]Span, error) {
 	const shortest = 3 // bytes of a span, about
 	out := make([]Span, 0, len(column)/shortest)
 	next := uint64(0)
-	for r := (numbers{column: column}); len(r.column) > 0; {
+	for r := (uvarintReader{column: column}); len(r.column) > 0; {
 		last := next + r.next()
-		if r.short || last < next || last >= key.Points {
+		if r.truncated || last < next || last >= key.Points {
 			return nil, fmt.Errorf("bad span from %d", next)
 		}
 		s := Span{Range: key.Range{First: key.Point(next), Last: key.Point(last)}}
 		word := r.next()
 		switch {
 		case word == 0:
-			s.Back = r.spell()
+			s.AvailableIn = r.duration()
 		case (word-1)/2 < uint64(len(targets)):
 			t := targets[(word-1)/2]
 			s.Target, s.Addr = t.name, t.addr
 			if word%2 == 0 {
-				s.Cold = r.spell()
+				s.ColdFor = r.duration()
 			}
 		default:
 			return nil, fmt.Errorf("no target %d", (word-1)/2)
 		}
-		if r.short {
-			return nil, errColumn
+		if r.truncated {
+			return nil, errTruncated
 		}
 		next = last + 1
 		out = append(out, s)
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -6,17 +6,17 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// writeAgain is the pause after a write that the store did not take: each call
+// writeRetryDelay is the pause after a write that the store did not take: each call
 // is billed, and the store is out for seconds.
-const writeAgain = 200 * time.Millisecond
+const writeRetryDelay = 200 * time.Millisecond
 
-// write puts the new owners of free ranges into the store, all in one write.
-func (c *Core) write(now time.Time) {
-	cleared := c.marked && !now.Before(later(c.stragglers, c.cautious))
-	if c.pending != nil || !c.gathered(now) && !cleared || now.Sub(c.refused) < writeAgain {
+// writeDoc puts the new owners of free ranges into the store, all in one write.
+func (c *Core) writeDoc(now time.Time) {
+	cleared := c.docFlagged && !now.Before(later(c.priorMayRenewUntil, c.frozenUntil))
+	if c.pending != nil || !c.writeDue(now) && !cleared || now.Sub(c.writeRefusedAt) < writeRetryDelay {
 		return
 	}
-	c.marked = c.marked && !cleared
+	c.docFlagged = c.docFlagged && !cleared
 	for _, r := range c.rows {
 		if c.placeable(now, r) {
 			r.state = writing
@@ -25,8 +25,8 @@
 	doc := c.Doc(now)
 	for i, r := range c.rows {
 		if r.state == writing {
-			t := c.fleet[r.to]
-			doc.Rows[i] = Row{Range: r.Range, Target: r.to, Born: t.Born, Addr: t.Addr, Handover: r.Handover}
+			t := c.targetRows[r.to]
+			doc.Rows[i] = Row{Range: r.Range, Target: r.to, Incarnation: t.Incarnation, Addr: t.Addr, Handover: r.Handover}
 		}
 	}
 	c.pending = &doc
@@ -38,13 +38,13 @@
 	return r.state == free && r.to != "" && c.usable(now, r.to)
 }
 
-// gathered reports whether there is something to write that should not wait.
-func (c *Core) gathered(now time.Time) bool {
+// writeDue reports whether there is something to write that should not wait.
+func (c *Core) writeDue(now time.Time) bool {
 	ready, due, coming := false, false, false
 	for _, r := range c.rows {
 		if c.placeable(now, r) {
 			ready = true
-			due = due || now.Sub(r.since) >= c.cfg.Gather
+			due = due || now.Sub(r.since) >= c.cfg.WriteBatchDelay
 		}
 		coming = coming || r.state == releasing
 	}
@@ -53,7 +53,7 @@
 
 // Written tells that the document has been written.
 func (c *Core) Written(now time.Time, e WriteDoc, revision platform.Revision) {
-	if !c.leading || c.pending == nil || c.pending.Write != e.Doc.Write {
+	if !c.leading || c.pending == nil || c.pending.WriteID != e.Doc.WriteID {
 		return
 	}
 	c.pending, c.revision = nil, revision
@@ -65,25 +65,25 @@
 			if w.Range.Covers(r.Range) {
 				w.Range = r.Range
 				if w.Handover == "" && r.Target != "" && w.Target != r.Target {
-					r.warmAt = now.Add(c.warm)
+					r.warmAt = now.Add(c.warmup)
 				}
 				r.Row = w
 			}
 		}
 		r.state, r.to, r.since = held, "", now
 		// An owner that takes no grant by then holds nothing.
-		r.end, r.sure = now.Add(c.cfg.First), now.Add(c.cfg.First)
-		c.lane(r.Target)
+		r.expiresBy, r.heldUntil = now.Add(c.cfg.FirstGrantTimeout), now.Add(c.cfg.FirstGrantTimeout)
+		c.targetConn(r.Target)
 		c.note(now, "New owner recorded.", r, r.Target)
 	}
 }
 
 // NotWritten tells that the document has certainly not been written.
 func (c *Core) NotWritten(now time.Time, e WriteDoc) {
-	if !c.leading || c.pending == nil || c.pending.Write != e.Doc.Write {
+	if !c.leading || c.pending == nil || c.pending.WriteID != e.Doc.WriteID {
 		return
 	}
-	c.pending, c.refused = nil, now
+	c.pending, c.writeRefusedAt = nil, now
 	for _, r := range c.rows {
 		if r.state == writing {
 			r.state = free
@@ -91,10 +91,10 @@
 	}
 }
 
-// Outrun tells that another write came before this one. If the document is
+// WriteConflict tells that another write came before this one. If the document is
 // still this lead's concern, another host leads.
-func (c *Core) Outrun(e WriteDoc) {
-	if c.leading && c.pending != nil && c.pending.Write == e.Doc.Write {
-		c.Depose()
+func (c *Core) WriteConflict(e WriteDoc) {
+	if c.leading && c.pending != nil && c.pending.WriteID == e.Doc.WriteID {
+		c.StepDown()
 	}
 }
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -20,9 +20,9 @@
 	// Capacity is how many requests it can work on at once, less where it is
 	// slow.
 	Capacity float64
-	// Doubt is the standard deviation of what the capacity was measured as, as a
+	// RelStdDev is the standard deviation of what the capacity was measured as, as a
 	// share of it.
-	Doubt float64
+	RelStdDev float64
 }
 
 // Span is a range and its owner.
@@ -45,18 +45,18 @@
 
 // Config bounds a plan.
 type Config struct {
-	// Moves is how many ranges may move at once.
-	Moves int
-	// Spans is how many ranges a target may own before cool ones are merged.
-	Spans int
-	// Imbalance is the use of the busiest target over the mean that is left
+	// MaxMoves is how many ranges may move at once.
+	MaxMoves int
+	// MaxSpans is how many ranges a target may own before cool ones are merged.
+	MaxSpans int
+	// MaxImbalance is the use of the busiest target over the mean that is left
 	// alone, Gap the least difference of use between two targets that is
 	// worth a move. Use is work over capacity.
-	Imbalance float64
-	Gap       float64
-	// Urgent is the use from which work is taken from a target. Where it is zero,
+	MaxImbalance float64
+	MinGap       float64
+	// UrgentUtilization is the use from which work is taken from a target. Where it is zero,
 	// all that is too uneven is evened out.
-	Urgent float64
+	UrgentUtilization float64
 }
 
 // Plan returns the moves that even out the use of the targets, the most
@@ -67,162 +67,162 @@
 	if len(p.targets) == 0 {
 		return nil
 	}
-	p.place()
-	p.level()
-	p.merge()
+	p.assignUnowned()
+	p.rebalance()
+	p.mergeCool()
 	return p.moves
 }
 
-// bearer is a target while a plan is made.
-type bearer struct {
+// targetState is a target while a plan is made.
+type targetState struct {
 	Target
 
 	work  float64
 	spans int
 	// variance is that of its work.
 	variance float64
-	// stuck tells that nothing of its work can usefully be moved.
-	stuck bool
+	// immovable tells that nothing of its work can usefully be moved.
+	immovable bool
 }
 
-func (b *bearer) use() float64 { return b.work / b.Capacity }
+func (b *targetState) utilization() float64 { return b.work / b.Capacity }
 
 type planner struct {
-	cfg     Config
-	load    *Load
-	targets []*bearer
-	byName  map[place.Target]*bearer
-	spans   []Span
-	mean    float64
-	moves   []Move
+	cfg             Config
+	load            *Load
+	targets         []*targetState
+	byName          map[place.Target]*targetState
+	spans           []Span
+	meanUtilization float64
+	moves           []Move
 }
 
 func newPlanner(cfg Config, targets []Target, spans []Span, load *Load) *planner {
-	p := &planner{cfg: cfg, load: load, byName: make(map[place.Target]*bearer), spans: slices.Clone(spans)}
+	p := &planner{cfg: cfg, load: load, byName: make(map[place.Target]*targetState), spans: slices.Clone(spans)}
 	var capacity float64
 	for _, t := range targets {
 		if t.Capacity <= 0 {
 			continue
 		}
-		b := &bearer{Target: t}
+		b := &targetState{Target: t}
 		p.targets = append(p.targets, b)
 		p.byName[t.Name] = b
 		capacity += t.Capacity
 	}
 	for _, s := range spans {
 		if b := p.byName[s.Owner]; b != nil {
-			b.work += load.Of(s.Range)
+			b.work += load.Work(s.Range)
 			b.variance += load.variance(s.Range)
 			b.spans++
 		}
 	}
 	if capacity > 0 {
-		p.mean = load.within(capacity/float64(len(p.targets))) / capacity
+		p.meanUtilization = load.cappedWork(capacity/float64(len(p.targets))) / capacity
 	}
 	return p
 }
 
-func (p *planner) full() bool { return len(p.moves) >= p.cfg.Moves }
+func (p *planner) atLimit() bool { return len(p.moves) >= p.cfg.MaxMoves }
 
-// least returns the target with the lowest use.
-func (p *planner) least() *bearer {
-	return slices.MinFunc(p.targets, func(a, b *bearer) int {
-		return cmp.Or(cmp.Compare(a.use(), b.use()), cmp.Compare(a.spans, b.spans), cmp.Compare(a.Name, b.Name))
+// leastUtilized returns the target with the lowest use.
+func (p *planner) leastUtilized() *targetState {
+	return slices.MinFunc(p.targets, func(a, b *targetState) int {
+		return cmp.Or(cmp.Compare(a.utilization(), b.utilization()), cmp.Compare(a.spans, b.spans), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// most returns the target with the highest use that is not stuck, or nil.
-func (p *planner) most() *bearer {
-	var most *bearer
+// mostUtilized returns the target with the highest use that is not stuck, or nil.
+func (p *planner) mostUtilized() *targetState {
+	var most *targetState
 	for _, b := range p.targets {
-		if !b.stuck && (most == nil || b.use() > most.use()) {
+		if !b.immovable && (most == nil || b.utilization() > most.utilization()) {
 			most = b
 		}
 	}
 	return most
 }
 
-// leastRoom is the part of a target's fair share that it may be given of a
+// minRoomShare is the part of a target's fair share that it may be given of a
 // span without an owner although it has its share already: smaller pieces
 // would make more spans than they are worth.
-const leastRoom = 0.2
+const minRoomShare = 0.2
 
-// place finds owners for the spans that have none. A span with more work than
+// assignUnowned finds owners for the spans that have none. A span with more work than
 // the least busy target should take is dealt out in parts.
-func (p *planner) place() {
+func (p *planner) assignUnowned() {
 	for i := 0; i < len(p.spans); i++ {
 		s := p.spans[i]
 		if s.Fixed || p.byName[s.Owner] != nil {
 			continue
 		}
-		to := p.least()
-		fair := p.mean * to.Capacity
-		room := max(fair-to.work, leastRoom*fair)
+		to := p.leastUtilized()
+		fair := p.meanUtilization * to.Capacity
+		room := max(fair-to.work, minRoomShare*fair)
 		part := s.Range
-		if s.Range.Len() > 1 && p.load.Of(s.Range) > room*(1+leastRoom) {
+		if s.Range.Len() > 1 && p.load.Work(s.Range) > room*(1+minRoomShare) {
 			part = p.load.prefix(s.Range, room)
 		}
-		p.give(i, part, to)
+		p.assign(i, part, to)
 	}
 }
 
-// sureDeviations is how many standard deviations a target's work must lie above
+// overloadDeviations is how many standard deviations a target's work must lie above
 // its share to be taken from it. Of hundreds of targets many lie that far above by
 // chance; a move of a few of them costs less than one that is truly too busy.
-const sureDeviations = 1.6
+const overloadDeviations = 1.6
 
-// level takes work from the busiest targets and gives it to the least busy.
-func (p *planner) level() {
-	for !p.full() {
-		hot, cool := p.most(), p.least()
-		if hot == nil || hot == cool || hot.use() < p.cfg.Urgent || hot.use()-cool.use() < p.cfg.Gap || !p.tooBusy(hot.use()) {
+// rebalance takes work from the busiest targets and gives it to the least busy.
+func (p *planner) rebalance() {
+	for !p.atLimit() {
+		hot, cool := p.mostUtilized(), p.leastUtilized()
+		if hot == nil || hot == cool || hot.utilization() < p.cfg.UrgentUtilization || hot.utilization()-cool.utilization() < p.cfg.MinGap || !p.overloaded(hot.utilization()) {
 			return
 		}
-		fair := p.mean * hot.Capacity
-		if chance := math.Hypot(math.Sqrt(hot.variance), fair*hot.Doubt); hot.work-fair < sureDeviations*chance {
-			hot.stuck = true // chance may explain it
+		fair := p.meanUtilization * hot.Capacity
+		if chance := math.Hypot(math.Sqrt(hot.variance), fair*hot.RelStdDev); hot.work-fair < overloadDeviations*chance {
+			hot.immovable = true // chance may explain it
 			continue
 		}
-		want := min(hot.work-p.mean*hot.Capacity, p.mean*cool.Capacity-cool.work)
-		at, part := p.piece(hot, cool, want)
+		want := min(hot.work-p.meanUtilization*hot.Capacity, p.meanUtilization*cool.Capacity-cool.work)
+		at, part := p.bestPiece(hot, cool, want)
 		if at < 0 {
-			at, part, cool = p.heavy(hot)
+			at, part, cool = p.heavySpan(hot)
 		}
 		if at < 0 {
-			hot.stuck = true
+			hot.immovable = true
 			continue
 		}
-		hot.work -= p.load.Of(part)
+		hot.work -= p.load.Work(part)
 		hot.variance -= min(p.load.variance(part), hot.variance)
-		p.give(at, part, cool)
+		p.assign(at, part, cool)
 	}
 }
 
 // idleUse is the use up to which a target has a free slot nearly always, so
 // that work need not be even; idleImbalance is what is left alone there.
 const (
-	idleUse       = 0.45
-	idleImbalance = 0.5
+	lowUtilization  = 0.45
+	lowMaxImbalance = 0.5
 )
 
-// tooBusy reports whether a use is too far above the mean.
-func (p *planner) tooBusy(use float64) bool {
-	if use < idleUse {
-		return use > p.mean*(1+max(p.cfg.Imbalance, idleImbalance))
+// overloaded reports whether a use is too far above the mean.
+func (p *planner) overloaded(use float64) bool {
+	if use < lowUtilization {
+		return use > p.meanUtilization*(1+max(p.cfg.MaxImbalance, lowMaxImbalance))
 	}
-	return use > p.mean*(1+p.cfg.Imbalance)
+	return use > p.meanUtilization*(1+p.cfg.MaxImbalance)
 }
 
-// heavy finds a span of a hot target that is too much for any target's room,
+// heavySpan finds a span of a hot target that is too much for any target's room,
 // such as one very busy key, and the target that would be least busy with it.
 // That one gives its other work away in turn. Each move interrupts the span's
 // requests, so it must gain a good deal.
-func (p *planner) heavy(hot *bearer) (int, key.Range, *bearer) {
-	best, to := -1, (*bearer)(nil)
-	lowest := hot.use() * heavyGain
+func (p *planner) heavySpan(hot *targetState) (int, key.Range, *targetState) {
+	best, to := -1, (*targetState)(nil)
+	lowest := hot.utilization() * maxHeavyRatio
 	for i, s := range p.spans {
-		work := p.load.Of(s.Range)
-		if s.Owner != hot.Name || s.Fixed || s.Recent || work < heavyShare*hot.Capacity {
+		work := p.load.Work(s.Range)
+		if s.Owner != hot.Name || s.Fixed || s.Recent || work < minHeavyShare*hot.Capacity {
 			continue
 		}
 		for _, b := range p.targets {
@@ -238,18 +238,18 @@
 }
 
 const (
-	// heavyShare is the share of a target's capacity from which a span is
+	// minHeavyShare is the share of a target's capacity from which a span is
 	// moved although no target has room for it.
-	heavyShare = 0.3
-	// heavyGain is the use of the new owner over the hot one's up to which
+	minHeavyShare = 0.3
+	// maxHeavyRatio is the use of the new owner over the hot one's up to which
 	// such a move pays.
-	heavyGain = 0.75
+	maxHeavyRatio = 0.75
 )
 
-// rest returns the parts of a span on both sides of its busiest point, where
+// aroundBusiest returns the parts of a span on both sides of its busiest point, where
 // that point alone is more than a target should have.
-func (p *planner) rest(r key.Range, most float64) []key.Range {
-	at, work := p.load.busiest(r)
+func (p *planner) aroundBusiest(r key.Range, most float64) []key.Range {
+	at, work := p.load.busiestPoint(r)
 	if work < most || r.Len() == 1 {
 		return nil
 	}
@@ -268,32 +268,32 @@
 const (
 	wholeBonus     = 0.1
 	neighbourBonus = 0.15
-	// keysCost is taken off for moving all keys: what a move costs goes by its
+	// keyCost is taken off for moving all keys: what a move costs goes by its
 	// keys, what it gains by its work.
-	keysCost = 1.5
-	// leastFit is the score of a piece that is too small or too large to be
+	keyCost = 1.5
+	// minFit is the score of a piece that is too small or too large to be
 	// worth its move.
-	leastFit = 0.25
+	minFit = 0.25
 )
 
-// piece returns the part of a hot target's spans that best carries the work
+// bestPiece returns the part of a hot target's spans that best carries the work
 // wanted, as an index into spans and a range; the index is -1 where none does.
-func (p *planner) piece(hot, cool *bearer, want float64) (int, key.Range) {
-	best, at := leastFit, -1
+func (p *planner) bestPiece(hot, cool *targetState, want float64) (int, key.Range) {
+	best, at := minFit, -1
 	var part key.Range
 	consider := func(i int, r key.Range, bonus float64) {
-		work := p.load.Of(r)
+		work := p.load.Work(r)
 		if work <= 0 || want <= 0 {
 			return
 		}
 		fit := min(work, want) / max(work, want)
-		if fit < leastFit {
+		if fit < minFit {
 			return
 		}
-		if p.touches(i, r, cool.Name) {
+		if p.adjoins(i, r, cool.Name) {
 			bonus += neighbourBonus
 		}
-		score := fit + bonus - keysCost*float64(r.Len())/key.Points
+		score := fit + bonus - keyCost*float64(r.Len())/key.Points
 		if score > best {
 			best, at, part = score, i, r
 		}
@@ -309,22 +309,22 @@
 		}
 	}
 	if at < 0 {
-		return p.beside(hot, want)
+		return p.besideHotKey(hot, want)
 	}
 	return at, part
 }
 
-// beside returns the largest part that lies beside a very busy key of a hot
+// besideHotKey returns the largest part that lies beside a very busy key of a hot
 // target: it goes elsewhere however little it is, as the key itself stays.
-func (p *planner) beside(hot *bearer, want float64) (int, key.Range) {
+func (p *planner) besideHotKey(hot *targetState, want float64) (int, key.Range) {
 	at, most := -1, 0.0
 	var part key.Range
 	for i, s := range p.spans {
 		if s.Owner != hot.Name || s.Fixed {
 			continue
 		}
-		for _, r := range p.rest(s.Range, p.mean*hot.Capacity) {
-			if work := p.load.Of(r); work > most && work > leastRest*hot.Capacity && work <= want*restExcess {
+		for _, r := range p.aroundBusiest(s.Range, p.meanUtilization*hot.Capacity) {
+			if work := p.load.Work(r); work > most && work > minRestShare*hot.Capacity && work <= want*maxRestExcess {
 				most, at, part = work, i, r
 			}
 		}
@@ -333,27 +333,27 @@
 }
 
 const (
-	// leastRest is the work beside a very busy key, as a share of its target's
+	// minRestShare is the work beside a very busy key, as a share of its target's
 	// capacity, that is worth a move.
-	leastRest = 0.02
-	// restExcess is how far such work may exceed what is wanted: it can't be
+	minRestShare = 0.02
+	// maxRestExcess is how far such work may exceed what is wanted: it can't be
 	// cut to size.
-	restExcess = 1.5
+	maxRestExcess = 1.5
 )
 
-// touches reports whether a part of span i borders on a span of the target.
-func (p *planner) touches(i int, r key.Range, name place.Target) bool {
+// adjoins reports whether a part of span i borders on a span of the target.
+func (p *planner) adjoins(i int, r key.Range, name place.Target) bool {
 	s := p.spans[i].Range
 	before := i > 0 && r.First == s.First && p.spans[i-1].Owner == name
 	after := i+1 < len(p.spans) && r.Last == s.Last && p.spans[i+1].Owner == name
 	return before || after
 }
 
-// give moves a part of span i, a prefix, a suffix or all of it.
-func (p *planner) give(i int, part key.Range, to *bearer) {
+// assign moves a part of span i, a prefix, a suffix or all of it.
+func (p *planner) assign(i int, part key.Range, to *targetState) {
 	s := p.spans[i]
 	p.moves = append(p.moves, Move{Range: part, To: to.Name})
-	to.work += p.load.Of(part)
+	to.work += p.load.Work(part)
 	to.spans++
 	moved := Span{Range: part, Owner: to.Name, Fixed: true}
 	switch {
@@ -375,34 +375,34 @@
 // cool and may go to a neighbour's owner whatever their use.
 const coolShare = 0.05
 
-// merge gives cool spans of targets with many spans to the owner next to them.
-func (p *planner) merge() {
-	for i := 0; i < len(p.spans) && !p.full(); i++ {
+// mergeCool gives cool spans of targets with many spans to the owner next to them.
+func (p *planner) mergeCool() {
+	for i := 0; i < len(p.spans) && !p.atLimit(); i++ {
 		s := p.spans[i]
 		from := p.byName[s.Owner]
-		if s.Fixed || s.Recent || from == nil || from.spans <= p.cfg.Spans || p.load.Of(s.Range) > coolShare*from.Capacity {
+		if s.Fixed || s.Recent || from == nil || from.spans <= p.cfg.MaxSpans || p.load.Work(s.Range) > coolShare*from.Capacity {
 			continue
 		}
-		to := p.neighbour(i, from)
+		to := p.neighbourOwner(i, from)
 		if to == nil {
 			continue
 		}
-		from.work -= p.load.Of(s.Range)
-		p.give(i, s.Range, to)
+		from.work -= p.load.Work(s.Range)
+		p.assign(i, s.Range, to)
 	}
 }
 
-// neighbour returns the less busy owner next to span i.
-func (p *planner) neighbour(i int, from *bearer) *bearer {
-	var best *bearer
+// neighbourOwner returns the less busy owner next to span i.
+func (p *planner) neighbourOwner(i int, from *targetState) *targetState {
+	var best *targetState
 	lowest := math.Inf(1)
 	for _, j := range []int{i - 1, i + 1} {
 		if j < 0 || j >= len(p.spans) {
 			continue
 		}
 		b := p.byName[p.spans[j].Owner]
-		if b != nil && b != from && b.use() < lowest {
-			best, lowest = b, b.use()
+		if b != nil && b != from && b.utilization() < lowest {
+			best, lowest = b, b.utilization()
 		}
 	}
 	return best
