--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -14,28 +14,28 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// fleetWorld is a world of many targets whose speeds show only in the times of
+// fleetSim is a world of many targets whose speeds show only in the times of
 // their requests. Each has three slots and refuses what would be late.
-type fleetWorld struct {
-	*world
+type fleetSim struct {
+	*sim
 
-	times map[place.Target]*sample
+	times map[place.Target]*timeSample
 	speed map[place.Target]float64
-	steps int
+	plans int
 	// reports are what the lead has not heard yet, under what is on the move; both
 	// take fleetLag steps.
-	reports []report
-	under   [][]Move
+	reports  []loadReport
+	inFlight [][]Move
 }
 
-// report is what a lead hears of one step: requests by key, and times of targets.
-type report struct {
+// loadReport is what a lead hears of one step: requests by key, and times of targets.
+type loadReport struct {
 	points map[key.Point]int
-	times  map[place.Target]sample
+	times  map[place.Target]timeSample
 }
 
-// sample is a target's time as its home measures it.
-type sample struct{ mean, seen float64 }
+// timeSample is a target's time as its home measures it.
+type timeSample struct{ mean, seen float64 }
 
 const (
 	// fleetMean is the mean time of a request at a target of speed 1, in seconds,
@@ -43,69 +43,69 @@
 	// fleetRareX times as long.
 	fleetMean   = 0.36
 	fleetSpread = 0.5
-	fleetRare   = 0.01
-	fleetRareX  = 5
-	// fleetAim is the time within which an answer has its whole worth, fleetLate
+	slowShare   = 0.01
+	slowFactor  = 5
+	// latencyObjective is the time within which an answer has its whole worth, fleetLate
 	// the worth of a later one.
-	fleetAim  = 1.0
-	fleetLate = 0.3
-	// fleetLevel is how many steps lie between two plans that even out all, and
+	latencyObjective = 1.0
+	lateUtility      = 0.3
+	// rebalanceEvery is how many steps lie between two plans that even out all, and
 	// fleetLag how many pass until the lead hears of one, or a move has ended.
-	fleetLevel = 5
-	fleetLag   = 2
+	rebalanceEvery = 5
+	lagSteps       = 2
 )
 
-func newFleet(targets int, perTarget float64) *fleetWorld {
-	f := &fleetWorld{
-		world: newWorld(1, perTarget*float64(targets)), times: make(map[place.Target]*sample), speed: make(map[place.Target]float64),
+func newFleetSim(targets int, perTarget float64) *fleetSim {
+	f := &fleetSim{
+		sim: newSim(1, perTarget*float64(targets)), times: make(map[place.Target]*timeSample), speed: make(map[place.Target]float64),
 	}
 	f.targets = nil
 	for i := range targets {
 		name := place.Target(fmt.Sprintf("t%04d", i))
 		f.speed[name] = []float64{0.7, 0.7, 1.6}[i%3]
 		f.targets = append(f.targets, Target{Name: name, Capacity: Capacity(3, 1)})
-		f.times[name] = &sample{}
+		f.times[name] = &timeSample{}
 	}
-	f.spans = []Span{{Range: key.Whole()}}
+	f.spans = []Span{{Range: key.FullRange()}}
 	f.flat = true
-	f.apply(Plan(f.bounds(), f.targets, f.spans, Even()))
+	f.apply(Plan(f.planConfig(), f.targets, f.spans, UniformLoad()))
 	f.moves, f.keys = 0, 0
 	return f
 }
 
-// bounds are those of a lead: the more targets, the more moves at once.
-func (f *fleetWorld) bounds() Config {
-	b := testBounds
-	b.Moves = max(b.Moves, len(f.targets)/4)
-	if f.steps++; f.steps%fleetLevel != 0 {
+// planConfig are those of a lead: the more targets, the more moves at once.
+func (f *fleetSim) planConfig() Config {
+	b := testConfig
+	b.MaxMoves = max(b.MaxMoves, len(f.targets)/4)
+	if f.plans++; f.plans%rebalanceEvery != 0 {
 		const urgent = 1.3
-		b.Urgent = urgent
+		b.UrgentUtilization = urgent
 	}
 	return b
 }
 
 // serve has a target work on requests.
-func (f *fleetWorld) serve(name place.Target, requests int) {
+func (f *fleetSim) serve(name place.Target, requests int) {
 	const weight = 0.02
 	s := f.times[name]
 	for range requests {
 		took := fleetMean * math.Exp(fleetSpread*f.rng.NormFloat64()-fleetSpread*fleetSpread/2) / f.speed[name]
-		if f.rng.Float64() < fleetRare {
-			took *= fleetRareX
+		if f.rng.Float64() < slowShare {
+			took *= slowFactor
 		}
 		s.seen++
 		s.mean += max(weight, 1/s.seen) * (took - s.mean)
 	}
 }
 
-// play lets time pass, with a plan every 200 ms.
-func (f *fleetWorld) play(d time.Duration) {
+// simulate lets time pass, with a plan every 200 ms.
+func (f *fleetSim) simulate(d time.Duration) {
 	const step = 200 * time.Millisecond
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
-		f.meter.Fade(f.now)
+		f.meter.Decay(f.now)
 		arrived := make(map[place.Target]int)
-		heard := report{points: make(map[key.Point]int), times: make(map[place.Target]sample)}
-		for n := f.around(f.perS * step.Seconds()); n > 0; n-- {
+		heard := loadReport{points: make(map[key.Point]int), times: make(map[place.Target]timeSample)}
+		for n := f.randomCount(f.rate * step.Seconds()); n > 0; n-- {
 			p := f.point()
 			heard.points[p]++
 			arrived[f.spans[f.find(p)].Owner]++
@@ -114,19 +114,19 @@
 			f.serve(t.Name, arrived[t.Name])
 			heard.times[t.Name] = *f.times[t.Name]
 		}
-		if f.reports = append(f.reports, heard); len(f.reports) > fleetLag {
+		if f.reports = append(f.reports, heard); len(f.reports) > lagSteps {
 			f.plan(f.reports[0])
 			f.reports = f.reports[1:]
 		}
-		if len(f.under) > fleetLag {
-			f.apply(f.under[0])
-			f.under = f.under[1:]
+		if len(f.inFlight) > lagSteps {
+			f.apply(f.inFlight[0])
+			f.inFlight = f.inFlight[1:]
 		}
 	}
 }
 
 // plan is what a lead does when it hears a report.
-func (f *fleetWorld) plan(heard report) {
+func (f *fleetSim) plan(heard loadReport) {
 	const remembered = 50 // requests
 	for _, p := range slices.Sorted(maps.Keys(heard.points)) {
 		f.meter.Add(f.now, p, heard.points[p])
@@ -135,7 +135,7 @@
 	for _, s := range f.spans {
 		held = append(held, s.Range)
 	}
-	f.meter.Watch(f.now, held)
+	f.meter.DetectChanges(f.now, held)
 	var sum, n float64
 	for _, t := range f.targets {
 		if s := heard.times[t.Name]; s.seen > 0 {
@@ -148,20 +148,20 @@
 		s := heard.times[t.Name]
 		targets[i] = t
 		if s.seen > 0 {
-			own := Sample{Time: time.Duration(s.mean * float64(time.Second)), Requests: min(s.seen, remembered)}
-			targets[i], _ = f.capacities.Steady(Measured(t.Name, 3, own, mean))
+			own := Sample{MeanTime: time.Duration(s.mean * float64(time.Second)), Requests: min(s.seen, remembered)}
+			targets[i], _ = f.capacities.Apply(EstimateTarget(t.Name, 3, own, mean))
 		}
 	}
 	f.meter.Load(f.now, &f.load, mean)
-	planned := &world{spans: f.spans} // what is on the move is planned for already
-	for _, moves := range f.under {
+	planned := &sim{spans: f.spans} // what is on the move is planned for already
+	for _, moves := range f.inFlight {
 		planned.apply(moves)
 	}
-	f.under = append(f.under, Plan(f.bounds(), targets, planned.spans, &f.load))
+	f.inFlight = append(f.inFlight, Plan(f.planConfig(), targets, planned.spans, &f.load))
 }
 
 // find returns the index of the span that a point lies in.
-func (f *fleetWorld) find(p key.Point) int {
+func (f *fleetSim) find(p key.Point) int {
 	low, high := 0, len(f.spans)-1
 	for low < high {
 		if middle := (low + high) / 2; f.spans[middle].Range.Last >= p {
@@ -173,13 +173,13 @@
 	return low
 }
 
-// around returns a count that varies as the arrivals of many callers do.
-func (f *fleetWorld) around(mean float64) int {
+// randomCount returns a count that varies as the arrivals of many callers do.
+func (f *fleetSim) randomCount(mean float64) int {
 	return max(0, int(mean+math.Sqrt(mean)*f.rng.NormFloat64()+0.5))
 }
 
-// inTime returns the share of requests at a target that end within a time.
-func inTime(mean, left float64) float64 {
+// onTimeShare returns the share of requests at a target that end within a time.
+func onTimeShare(mean, left float64) float64 {
 	if left <= 0 {
 		return 0
 	}
@@ -187,7 +187,7 @@
 		z := (math.Log(left/mean) + fleetSpread*fleetSpread/2) / fleetSpread
 		return 0.5 * (1 + math.Erf(z/math.Sqrt2))
 	}
-	return (1-fleetRare)*under(left) + fleetRare*under(left/fleetRareX)
+	return (1-slowShare)*under(left) + slowShare*under(left/slowFactor)
 }
 
 // worth returns what callers get from a target of a speed, a request: it has three
@@ -195,8 +195,8 @@
 func worth(perS, speed float64) float64 {
 	const slots, patience = 3, 0.8
 	mean := fleetMean / speed
-	work := perS * mean * (1 + fleetRare*(fleetRareX-1))
-	queue := max(0, int(slots*(patience*fleetAim/mean-1)))
+	work := perS * mean * (1 + slowShare*(slowFactor-1))
+	queue := max(0, int(slots*(patience*latencyObjective/mean-1)))
 	chance := make([]float64, slots+queue+1) // of so many requests there
 	chance[0] = 1
 	sum := 1.0
@@ -207,31 +207,31 @@
 	var out float64
 	for n, c := range chance[:len(chance)-1] {
 		wait := float64(max(0, n-slots+1)) * mean / slots
-		onTime := inTime(mean, fleetAim-wait)
-		out += c / sum * (onTime + fleetLate*(1-onTime))
+		onTime := onTimeShare(mean, latencyObjective-wait)
+		out += c / sum * (onTime + lateUtility*(1-onTime))
 	}
 	return out
 }
 
-// served returns what callers get a request by the true load, and what they would
+// meanUtility returns what callers get a request by the true load, and what they would
 // get if each target had its share of it.
-func (f *fleetWorld) served() (got, best float64) {
+func (f *fleetSim) meanUtility() (got, best float64) {
 	const draws = 200000
 	rates := make(map[place.Target]float64)
 	for range draws {
-		rates[f.spans[f.find(f.point())].Owner] += f.perS / draws
+		rates[f.spans[f.find(f.point())].Owner] += f.rate / draws
 	}
 	var all float64
 	for _, t := range f.targets {
-		all += math.Pow(f.speed[t.Name], speedTilt)
+		all += math.Pow(f.speed[t.Name], speedExponent)
 	}
 	for _, t := range f.targets {
 		speed := f.speed[t.Name]
 		got += rates[t.Name] * worth(rates[t.Name], speed)
-		fair := f.perS * math.Pow(speed, speedTilt) / all
+		fair := f.rate * math.Pow(speed, speedExponent) / all
 		best += fair * worth(fair, speed)
 	}
-	return got / f.perS, best / f.perS
+	return got / f.rate, best / f.rate
 }
 
 // TestManyTargets answers loads of services of 37 to 575 targets whose speeds
@@ -253,18 +253,18 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(test.targets, test.perS)
+			f := newFleetSim(test.targets, test.perS)
 			const learning, known = 20, 15 // s
 			early := 0.0
 			for range learning {
-				f.play(time.Second)
-				got, _ := f.served()
+				f.simulate(time.Second)
+				got, _ := f.meanUtility()
 				early += got / learning
 			}
 			first := f.moves
 			f.moves, f.keys = 0, 0
-			f.play(known * time.Second)
-			got, best := f.served()
+			f.simulate(known * time.Second)
+			got, best := f.meanUtility()
 			perTarget := float64(f.moves) / known / float64(test.targets)
 			keys := float64(f.keys) / key.Points
 			t.Logf("%d moves at first, then %.3f a second and target, %.2f of the keys; worth %.3f at first, %.3f then, of %.3f",
--- a/internal/partition/play_test.go
+++ b/internal/partition/sim_test.go
@@ -15,19 +15,19 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-var testBounds = Config{Moves: 12, Spans: 6, Imbalance: 0.1, Gap: 0.08}
+var testConfig = Config{MaxMoves: 12, MaxSpans: 6, MaxImbalance: 0.1, MinGap: 0.08}
 
-// world is a key space under a load, whose plans take effect at once.
-type world struct {
+// sim is a key space under a load, whose plans take effect at once.
+type sim struct {
 	rng     *rand.Rand
 	meter   Meter
 	load    Load
 	targets []Target
 	spans   []Span
 	now     time.Time
-	perS    float64
+	rate    float64
 
-	capacities Capacities
+	capacities CapacityFilter
 	// hot is a range that gets a share of all requests.
 	hot   key.Range
 	share float64
@@ -38,23 +38,23 @@
 	flat bool
 }
 
-const workMean = 90 * time.Millisecond
+const meanTime = 90 * time.Millisecond
 
-func newWorld(targets int, perS float64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(5, 5)), now: time.Unix(1000, 0), perS: perS}
+func newSim(targets int, perS float64) *sim {
+	w := &sim{rng: rand.New(rand.NewPCG(5, 5)), now: time.Unix(1000, 0), rate: perS}
 	speeds := []float64{0.6, 1, 1.4}
 	for i := range targets {
 		w.targets = append(w.targets, Target{Name: place.Target(fmt.Sprintf("t%02d", i)), Capacity: 3 * speeds[i%3]})
 	}
-	w.spans = []Span{{Range: key.Whole()}}
-	w.apply(Plan(testBounds, w.targets, w.spans, Even()))
+	w.spans = []Span{{Range: key.FullRange()}}
+	w.apply(Plan(testConfig, w.targets, w.spans, UniformLoad()))
 	w.moves, w.keys = 0, 0
 	return w
 }
 
 // point draws the key of a request: few keys are far busier than most, and
 // they lie together.
-func (w *world) point() key.Point {
+func (w *sim) point() key.Point {
 	if w.rng.Float64() < w.share {
 		return w.hot.First + key.Point(w.rng.IntN(w.hot.Len()))
 	}
@@ -66,35 +66,35 @@
 }
 
 // run lets time pass, with a plan every 200 ms.
-func (w *world) run(d time.Duration) {
+func (w *sim) run(d time.Duration) {
 	const step = 200 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(step) {
-		w.meter.Fade(w.now)
-		for n := w.poisson(w.perS * step.Seconds()); n > 0; n-- {
+		w.meter.Decay(w.now)
+		for n := w.poissonCount(w.rate * step.Seconds()); n > 0; n-- {
 			w.meter.Add(w.now, w.point(), 1)
 		}
 		held := make([]key.Range, 0, len(w.spans))
 		for _, s := range w.spans {
 			held = append(held, s.Range)
 		}
-		w.meter.Watch(w.now, held)
-		w.meter.Load(w.now, &w.load, workMean)
-		w.apply(Plan(testBounds, w.estimated(), w.spans, &w.load))
+		w.meter.DetectChanges(w.now, held)
+		w.meter.Load(w.now, &w.load, meanTime)
+		w.apply(Plan(testConfig, w.estimated(), w.spans, &w.load))
 	}
 }
 
 // estimated returns the targets with capacities as they are measured: off by a
 // tenth either way.
-func (w *world) estimated() []Target {
+func (w *sim) estimated() []Target {
 	out := slices.Clone(w.targets)
 	for i := range out {
 		out[i].Capacity *= 0.9 + 0.2*w.rng.Float64()
-		out[i], _ = w.capacities.Steady(out[i])
+		out[i], _ = w.capacities.Apply(out[i])
 	}
 	return out
 }
 
-func (w *world) poisson(mean float64) int {
+func (w *sim) poissonCount(mean float64) int {
 	n, p := 0, math.Exp(-mean)
 	for u := w.rng.Float64(); u > p && n < 10000; n++ {
 		u *= w.rng.Float64()
@@ -102,7 +102,7 @@
 	return n
 }
 
-func (w *world) apply(moves []Move) {
+func (w *sim) apply(moves []Move) {
 	for _, m := range moves {
 		w.moves++
 		w.keys += m.Range.Len()
@@ -133,14 +133,14 @@
 
 // imbalance returns the use of the busiest target over the mean by the true
 // load.
-func (w *world) imbalance() float64 {
+func (w *sim) imbalance() float64 {
 	const draws = 200000
 	rng := w.rng
 	work := make(map[place.Target]float64)
 	for range draws {
 		p := w.point()
 		for _, s := range w.spans {
-			if s.Range.Has(p) {
+			if s.Range.Contains(p) {
 				work[s.Owner]++
 			}
 		}
@@ -160,7 +160,7 @@
 func TestSteadyLoad(t *testing.T) {
 	for name, perS := range map[string]float64{"quiet": 200, "heavy": 450} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(19, perS)
+			w := newSim(19, perS)
 			w.run(4 * time.Second)
 			assert.Assert(t, w.imbalance() < 1.5, "imbalance %.2f", w.imbalance())
 			w.moves, w.keys = 0, 0
@@ -176,7 +176,7 @@
 // one target can do; they are dealt out within a second, and a second hot range
 // after it.
 func TestHotRange(t *testing.T) {
-	w := newWorld(19, 450)
+	w := newSim(19, 450)
 	w.run(5 * time.Second)
 	for _, hot := range []key.Range{{First: 30000, Last: 30199}, {First: 900, Last: 959}} {
 		w.hot, w.share = hot, 0.35
@@ -191,11 +191,11 @@
 	}
 }
 
-// TestComingAndGoing: single keys become hot and cool again every few seconds,
+// TestRecurringHotKeys: single keys become hot and cool again every few seconds,
 // as they do all through a heavy day. What is known of all other keys is kept:
 // the targets without a hot key stay even.
-func TestComingAndGoing(t *testing.T) {
-	w := newWorld(60, 1200)
+func TestRecurringHotKeys(t *testing.T) {
+	w := newSim(60, 1200)
 	w.run(8 * time.Second)
 	var sum float64
 	const spells = 6
@@ -203,7 +203,7 @@
 		hot := key.Point(7000 + 9000*i)
 		w.hot, w.share = key.Range{First: hot, Last: hot}, 0.35
 		w.run(2500 * time.Millisecond)
-		sum += w.unevenness(hot)
+		sum += w.utilizationSpread(hot)
 		w.share = 0
 		w.run(1500 * time.Millisecond)
 	}
@@ -211,16 +211,16 @@
 	assert.Assert(t, sum/spells < 0.16, "unevenness %.3f", sum/spells)
 }
 
-// unevenness returns the deviation of the targets' use from its mean, as a
+// utilizationSpread returns the deviation of the targets' use from its mean, as a
 // share of it, by the true load without the owner of a hot key.
-func (w *world) unevenness(hot key.Point) float64 {
+func (w *sim) utilizationSpread(hot key.Point) float64 {
 	const draws = 200000
 	share := w.share
 	w.share = 0
 	work := make(map[place.Target]float64)
 	without := place.Target("")
 	for _, s := range w.spans {
-		if s.Range.Has(hot) {
+		if s.Range.Contains(hot) {
 			without = s.Owner
 		}
 	}
@@ -246,7 +246,7 @@
 // do. It stays where it is, on one of the faster targets, and what lay beside it
 // goes elsewhere.
 func TestOneHotKey(t *testing.T) {
-	w := newWorld(19, 400)
+	w := newSim(19, 400)
 	w.run(5 * time.Second)
 	w.hot, w.share = key.Range{First: 17490, Last: 17490}, 0.4
 	w.run(2 * time.Second)
@@ -255,18 +255,18 @@
 	for range 30 {
 		w.run(200 * time.Millisecond)
 		for _, s := range w.spans {
-			if s.Range.Has(17490) {
+			if s.Range.Contains(17490) {
 				owners[s.Owner] = true
 			}
 		}
 	}
 	assert.Assert(t, len(owners) <= 2, "moved between %v", owners)
 	for _, s := range w.spans {
-		if !s.Range.Has(17490) {
+		if !s.Range.Contains(17490) {
 			continue
 		}
-		beside := w.load.Of(s.Range)
-		alone := w.load.Of(key.Range{First: 17490, Last: 17490})
+		beside := w.load.Work(s.Range)
+		alone := w.load.Work(key.Range{First: 17490, Last: 17490})
 		assert.Assert(t, beside-alone < 0.3, "%.2f beside it", beside-alone)
 		for _, target := range w.targets {
 			if target.Name == s.Owner {
@@ -277,16 +277,16 @@
 	t.Logf("%d moves in 6 s", w.moves)
 }
 
-// TestBesideHotKey: a key with far more work than any target can do stays for
+// TestBalanceBesideHotKey: a key with far more work than any target can do stays for
 // seconds. The others are evened out all the same: what nobody can do does not
 // count as work that they might share.
-func TestBesideHotKey(t *testing.T) {
-	w := newWorld(60, 1200)
+func TestBalanceBesideHotKey(t *testing.T) {
+	w := newSim(60, 1200)
 	w.run(2 * time.Second)
 	w.hot, w.share = key.Range{First: 40000, Last: 40000}, 0.5
-	w.perS *= 2
+	w.rate *= 2
 	w.run(10 * time.Second)
-	uneven := w.unevenness(w.hot.First)
+	uneven := w.utilizationSpread(w.hot.First)
 	t.Logf("unevenness %.3f", uneven)
 	assert.Assert(t, uneven < 0.13, "unevenness %.3f", uneven)
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -49,11 +49,11 @@
 	Host  Host
 	Zone  Zone
 	State Liveness
-	// Lead and Entry are the peer addresses (UDP) of the host's processes.
-	Lead  netip.AddrPort
-	Entry netip.AddrPort
-	// Processor is the host's share of a core, zero where it is not known.
-	Processor float64
+	// LeadAddr and Entry are the peer addresses (UDP) of the host's processes.
+	LeadAddr  netip.AddrPort
+	EntryAddr netip.AddrPort
+	// CPUShare is the host's share of a core, zero where it is not known.
+	CPUShare float64
 }
 
 // strongShare is the part of the strongest host's processor from which a host
@@ -71,12 +71,12 @@
 	Zone    Zone
 	State   Liveness
 	Addr    netip.AddrPort
-	// Born tells the lives of a target that starts again under its name; zero
+	// Incarnation tells the lives of a target that starts again under its name; zero
 	// where the platform does not say.
-	Born Incarnation
+	Incarnation Incarnation
 	// Slots is how many requests the target works on at once, where the
 	// platform says so.
 	Slots int
-	// Warming is how much longer the target is slow after its start.
-	Warming time.Duration
+	// WarmupLeft is how much longer the target is slow after its start.
+	WarmupLeft time.Duration
 }
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -129,7 +129,7 @@
 	for _, row := range fleet.Hosts {
 		out.Hosts = append(out.Hosts, wireHost{
 			Host: string(row.Host), Zone: string(row.Zone), State: uint8(row.State),
-			Lead: row.Lead, Entry: row.Entry,
+			Lead: row.LeadAddr, Entry: row.EntryAddr,
 		})
 	}
 	for _, row := range fleet.Targets {
@@ -146,7 +146,7 @@
 	for _, row := range w.Hosts {
 		out.Hosts = append(out.Hosts, place.HostRow{
 			Host: place.Host(row.Host), Zone: place.Zone(row.Zone),
-			State: place.Liveness(row.State), Lead: row.Lead, Entry: row.Entry,
+			State: place.Liveness(row.State), LeadAddr: row.Lead, EntryAddr: row.Entry,
 		})
 	}
 	for _, row := range w.Targets {
--- a/internal/settings/converge_bench_test.go
+++ b/internal/settings/converge_bench_test.go
@@ -118,7 +118,7 @@
 	for i := range count {
 		id := peer.Identity{Host: place.Host(fmt.Sprintf("h%d", i)), Zone: place.Zone(fmt.Sprintf("z%d", i%3)), Role: peer.RoleLead}
 		l := &link{wire: net, self: id, handlers: make(map[peer.Kind]peer.Handler)}
-		s.store.SetHost(time.Now(), place.HostRow{Host: id.Host, Zone: id.Zone, Lead: address(i)})
+		s.store.SetHost(time.Now(), place.HostRow{Host: id.Host, Zone: id.Zone, LeadAddr: address(i)})
 		h := &holder{board: spread.New()}
 		s.holders = append(s.holders, h)
 		node := spread.NewNode(h.board, l, spread.Config{Self: id, Addr: address(i), Seeds: seeds, Store: s.store, Log: journal.Nop()})
--- a/internal/spread/fleet.go
+++ b/internal/spread/fleet.go
@@ -36,7 +36,7 @@
 	var w wireFleet
 	for _, h := range fleet.Hosts {
 		w.Hosts = append(w.Hosts, wireHost{
-			Host: string(h.Host), Zone: string(h.Zone), State: uint8(h.State), Lead: h.Lead, Entry: h.Entry,
+			Host: string(h.Host), Zone: string(h.Zone), State: uint8(h.State), Lead: h.LeadAddr, Entry: h.EntryAddr,
 		})
 	}
 	for _, t := range fleet.Targets {
@@ -56,7 +56,7 @@
 	var fleet platform.Fleet
 	for _, h := range w.Hosts {
 		fleet.Hosts = append(fleet.Hosts, place.HostRow{
-			Host: place.Host(h.Host), Zone: place.Zone(h.Zone), State: place.Liveness(h.State), Lead: h.Lead, Entry: h.Entry,
+			Host: place.Host(h.Host), Zone: place.Zone(h.Zone), State: place.Liveness(h.State), LeadAddr: h.Lead, EntryAddr: h.Entry,
 		})
 	}
 	for _, t := range w.Targets {
--- a/internal/spread/followers_bench_test.go
+++ b/internal/spread/followers_bench_test.go
@@ -67,7 +67,7 @@
 		must(b, err)
 		z.conns = append(z.conns, &countedConn{PacketConn: conn})
 		fleet.Hosts = append(fleet.Hosts, place.HostRow{
-			Host: place.Host(fmt.Sprintf("h%03d", i)), Zone: "z1", Lead: conn.LocalAddr().(*net.UDPAddr).AddrPort(),
+			Host: place.Host(fmt.Sprintf("h%03d", i)), Zone: "z1", LeadAddr: conn.LocalAddr().(*net.UDPAddr).AddrPort(),
 		})
 	}
 	body, err := spread.EncodeFleet(fleet)
@@ -79,14 +79,14 @@
 		work.Wait()
 	})
 	for i, row := range fleet.Hosts {
-		must(b, keys.MakeHost(time.Now(), dir, row.Host, row.Zone, []peer.Role{peer.RoleLead}, []netip.Addr{row.Lead.Addr()}))
+		must(b, keys.MakeHost(time.Now(), dir, row.Host, row.Zone, []peer.Role{peer.RoleLead}, []netip.Addr{row.LeadAddr.Addr()}))
 		m, err := keys.Load(time.Now(), dir, row.Host, peer.RoleLead)
 		must(b, err)
 		p, err := peer.New(peer.Config{Conn: z.conns[i], Keys: m})
 		must(b, err)
 		link, board := &countedLink{Peer: p}, spread.New()
 		board.Publish(spread.Document{Name: spread.Fleet, Version: spread.Version{Major: 1}, Body: body})
-		node := spread.NewNode(board, link, spread.Config{Self: m.Self(), Addr: row.Lead})
+		node := spread.NewNode(board, link, spread.Config{Self: m.Self(), Addr: row.LeadAddr})
 		z.links, z.boards = append(z.links, link), append(z.boards, board)
 		work.Go(func() { _ = p.Run(ctx) })
 		work.Go(func() { _ = node.Run(ctx) })
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -278,7 +278,7 @@
 		addr := netip.AddrFrom4([4]byte{10, byte(i % zones), byte(i >> 8), byte(i)})
 		d.hosts = append(d.hosts, place.HostRow{
 			Host: place.Host(fmt.Sprintf("host-%02d", i)), Zone: zoneOf(i, zones),
-			Lead: netip.AddrPortFrom(addr, 1), Entry: netip.AddrPortFrom(addr, 2),
+			LeadAddr: netip.AddrPortFrom(addr, 1), EntryAddr: netip.AddrPortFrom(addr, 2),
 		})
 	}
 	d.store.fleet.Hosts = d.hosts
@@ -295,12 +295,12 @@
 func (d *deployment) start(row place.HostRow) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.stops[row.Host] = cancel
-	seeds := []netip.AddrPort{d.hosts[0].Lead, d.hosts[1].Lead, d.hosts[2].Lead}
+	seeds := []netip.AddrPort{d.hosts[0].LeadAddr, d.hosts[1].LeadAddr, d.hosts[2].LeadAddr}
 	lead := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleLead}
 	entry := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleEntry}
 	d.leads[row.Host], d.entry[row.Host] = spread.New(), spread.New()
-	leadNode := spread.NewNode(d.leads[row.Host], d.net.link(lead, row.Lead), spread.Config{Self: lead, Addr: row.Lead, Seeds: seeds, Store: d.store.from(row.Zone)})
-	entryNode := spread.NewNode(d.entry[row.Host], d.net.link(entry, row.Entry), spread.Config{Self: entry, OwnLead: row.Lead, Seeds: seeds})
+	leadNode := spread.NewNode(d.leads[row.Host], d.net.link(lead, row.LeadAddr), spread.Config{Self: lead, Addr: row.LeadAddr, Seeds: seeds, Store: d.store.from(row.Zone)})
+	entryNode := spread.NewNode(d.entry[row.Host], d.net.link(entry, row.EntryAddr), spread.Config{Self: entry, OwnLead: row.LeadAddr, Seeds: seeds})
 	go func() { _ = leadNode.Run(ctx) }()
 	go func() { _ = entryNode.Run(ctx) }()
 }
@@ -308,8 +308,8 @@
 // stop ends a host's processes; their boards are lost.
 func (d *deployment) stop(row place.HostRow) {
 	d.stops[row.Host]()
-	d.net.remove(row.Lead)
-	d.net.remove(row.Entry)
+	d.net.remove(row.LeadAddr)
+	d.net.remove(row.EntryAddr)
 	delete(d.leads, row.Host)
 	delete(d.entry, row.Host)
 }
--- a/internal/spread/node_test.go
+++ b/internal/spread/node_test.go
@@ -160,7 +160,7 @@
 		lost := make(map[netip.AddrPort]bool)
 		for _, row := range d.hosts {
 			if row.Zone == "zone-a" && row.Host != watchers[0].Host && row.Host != watchers[1].Host {
-				lost[row.Lead] = true
+				lost[row.LeadAddr] = true
 				delete(d.leads, row.Host)
 			}
 		}
@@ -186,7 +186,7 @@
 				time.Sleep(inForce + moment)
 				watchers := spread.Watchers("zone-a", d.hosts)
 				dark := func(a netip.AddrPort) bool {
-					return a.Addr() == watchers[0].Lead.Addr() || a.Addr() == watchers[1].Lead.Addr()
+					return a.Addr() == watchers[0].LeadAddr.Addr() || a.Addr() == watchers[1].LeadAddr.Addr()
 				}
 				d.net.setCut(func(from, to netip.AddrPort) bool { return dark(from) || dark(to) })
 				for _, w := range watchers {
@@ -217,7 +217,7 @@
 				d.startAll()
 				time.Sleep(inForce)
 				watchers := spread.Watchers("zone-a", d.hosts)
-				d.net.choke(watchers[choked].Lead)
+				d.net.choke(watchers[choked].LeadAddr)
 				delete(d.leads, watchers[choked].Host)
 				d.entry = nil
 				large := make([]byte, 16<<10)
@@ -269,7 +269,7 @@
 		for _, row := range d.hosts {
 			switch {
 			case row.Host == watchers[0].Host:
-				silent = row.Lead.Addr()
+				silent = row.LeadAddr.Addr()
 			case row.Zone == zone && row.Host != watchers[1].Host:
 				lead = d.leads[row.Host]
 			}
--- a/internal/spread/random_test.go
+++ b/internal/spread/random_test.go
@@ -62,7 +62,7 @@
 
 func (c *chaos) cutHost(row place.HostRow) {
 	c.setCut(func(from, to netip.AddrPort) bool {
-		return (from.Addr() == row.Lead.Addr()) != (to.Addr() == row.Lead.Addr())
+		return (from.Addr() == row.LeadAddr.Addr()) != (to.Addr() == row.LeadAddr.Addr())
 	})
 }
 
--- a/internal/spread/topology.go
+++ b/internal/spread/topology.go
@@ -40,12 +40,12 @@
 	list := make([]ranked, 0, len(hosts))
 	for _, h := range hosts {
 		if h.Zone == zone {
-			most = max(most, h.Processor)
+			most = max(most, h.CPUShare)
 			list = append(list, ranked{HostRow: h, weight: weight(zone, h.Host)})
 		}
 	}
 	for i := range list {
-		list[i].strong = place.Strong(list[i].Processor, most)
+		list[i].strong = place.Strong(list[i].CPUShare, most)
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
 		if a.strong != b.strong {
@@ -157,7 +157,7 @@
 	for _, suspected := range []func(netip.AddrPort) bool{none, v.Suspected} {
 		for _, row := range v.chosen(zone, suspected) {
 			if row.Host != v.Self {
-				out.add(row.Lead)
+				out.add(row.LeadAddr)
 			}
 		}
 	}
@@ -180,17 +180,17 @@
 func (v View) chosen(zone place.Zone, suspected func(netip.AddrPort) bool) []place.HostRow {
 	var hosts []place.HostRow
 	for _, row := range v.Hosts {
-		if row.Zone == zone && row.Host != v.Self && row.State == place.Live && row.Lead.IsValid() {
+		if row.Zone == zone && row.Host != v.Self && row.State == place.Live && row.LeadAddr.IsValid() {
 			hosts = append(hosts, row)
 		}
 	}
 	if zone == v.Zone && v.Role == peer.RoleLead && !v.leaving() {
-		hosts = append(hosts, place.HostRow{Host: v.Self, Zone: zone, Processor: v.Processor})
+		hosts = append(hosts, place.HostRow{Host: v.Self, Zone: zone, CPUShare: v.Processor})
 	}
 	ranked := rank(zone, hosts)
 	var out []place.HostRow
 	for _, row := range ranked[:min(len(ranked), maxRank)] {
-		if row.Host != v.Self && suspected(row.Lead) {
+		if row.Host != v.Self && suspected(row.LeadAddr) {
 			continue
 		}
 		if out = append(out, row); len(out) == watchersPerZone {
--- a/internal/standin/admin.go
+++ b/internal/standin/admin.go
@@ -93,7 +93,7 @@
 		for _, row := range rows {
 			p.SetHost(time.Now(), place.HostRow{
 				Host: place.Host(row.Name), Zone: place.Zone(row.Zone),
-				State: place.Liveness(row.State), Lead: row.Lead, Entry: row.Entry,
+				State: place.Liveness(row.State), LeadAddr: row.Lead, EntryAddr: row.Entry,
 			})
 		}
 	}).Methods(http.MethodPost)
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -64,7 +64,7 @@
 }
 
 // hold records that target holds the shard at epoch until end.
-func (l *Ledger) hold(now time.Time, service key.Service, target place.Target, held grant.Held, end time.Time) {
+func (l *Ledger) hold(now time.Time, service key.Service, target place.Target, held grant.ShardEpoch, end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := ownedShard{service: service, shard: held.Shard}
--- a/internal/standin/ranged.go
+++ b/internal/standin/ranged.go
@@ -147,7 +147,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range r.held {
-		if h.Meets(span) && now.Before(h.end) {
+		if h.Overlaps(span) && now.Before(h.end) {
 			return true
 		}
 	}
@@ -156,7 +156,7 @@
 
 func (r *Ranged) holds(now time.Time, p key.Point) bool {
 	for _, h := range r.held {
-		if h.Has(p) && now.Before(h.end) {
+		if h.Contains(p) && now.Before(h.end) {
 			return true
 		}
 	}
@@ -315,7 +315,7 @@
 func (r *Ranged) drop(out key.Range) {
 	var next []heldRange
 	for _, h := range r.held {
-		if !h.Meets(out) {
+		if !h.Overlaps(out) {
 			next = append(next, h)
 			continue
 		}
--- a/internal/standin/remote.go
+++ b/internal/standin/remote.go
@@ -45,7 +45,7 @@
 	for i, row := range rows {
 		out[i] = wireRow{
 			Name: string(row.Host), Zone: string(row.Zone),
-			State: uint8(row.State), Lead: row.Lead, Entry: row.Entry,
+			State: uint8(row.State), Lead: row.LeadAddr, Entry: row.EntryAddr,
 		}
 	}
 	return r.call(ctx, pathHosts, out, nil)
--- a/internal/standin/remote_test.go
+++ b/internal/standin/remote_test.go
@@ -50,7 +50,7 @@
 	remote := remoteOf(t, standin.NewPlatformAdmin(p))
 	ctx := context.Background()
 	addr := netip.MustParseAddrPort("127.0.0.1:9")
-	host := place.HostRow{Host: "host-1", Zone: "zone-a", Lead: addr, Entry: addr}
+	host := place.HostRow{Host: "host-1", Zone: "zone-a", LeadAddr: addr, EntryAddr: addr}
 	target := place.TargetRow{Target: "balance-1", Service: "balance", Zone: "zone-a", Addr: addr}
 	assert.NilError(t, remote.SetHosts(ctx, []place.HostRow{host}))
 	assert.NilError(t, remote.SetTargets(ctx, []place.TargetRow{target}))
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -188,7 +188,7 @@
 }
 
 // apply gives the order to the holdings and records what came of it.
-func (t *Target) apply(l *life, order grant.Order) grant.Answer {
+func (t *Target) apply(l *life, order grant.Order) grant.Response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -205,7 +205,7 @@
 	held := make(map[key.Shard]bool)
 	for _, h := range l.holdings.Each(l.stamp(now)) {
 		held[h.Shard] = true
-		t.ledger.hold(now, t.config.Service, t.config.Name, h.Held, l.started.Add(time.Duration(h.End)))
+		t.ledger.hold(now, t.config.Service, t.config.Name, h.ShardEpoch, l.started.Add(time.Duration(h.End)))
 	}
 	for shard := range l.held {
 		if !held[shard] {
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -42,20 +42,20 @@
 
 // Order implements Control. Any error leaves open whether the order took
 // effect.
-func (c *HTTPControl) Order(ctx context.Context, addr netip.AddrPort, order grant.Order) (grant.Answer, error) {
+func (c *HTTPControl) Order(ctx context.Context, addr netip.AddrPort, order grant.Order) (grant.Response, error) {
 	body, err := EncodeOrder(order)
 	if err != nil {
-		return grant.Answer{}, oops.Wrapf(err, "target: encode the order")
+		return grant.Response{}, oops.Wrapf(err, "target: encode the order")
 	}
 	url := "http://" + addr.String() + OrderPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return grant.Answer{}, oops.Wrapf(err, "target: order for %s", addr)
+		return grant.Response{}, oops.Wrapf(err, "target: order for %s", addr)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
 	if err != nil {
-		return grant.Answer{}, oops.Wrapf(err, "target: order for %s", addr)
+		return grant.Response{}, oops.Wrapf(err, "target: order for %s", addr)
 	}
 	defer response.Body.Close()
 	return readAnswer(response)
@@ -64,20 +64,20 @@
 // Close closes the kept connections.
 func (c *HTTPControl) Close() { c.client.CloseIdleConnections() }
 
-func readAnswer(response *http.Response) (grant.Answer, error) {
+func readAnswer(response *http.Response) (grant.Response, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes+1))
 	if err != nil {
-		return grant.Answer{}, oops.Wrapf(err, "target: read the answer")
+		return grant.Response{}, oops.Wrapf(err, "target: read the answer")
 	}
 	if len(body) > maxMessageBytes {
-		return grant.Answer{}, fmt.Errorf("target: answer is longer than %d bytes", maxMessageBytes)
+		return grant.Response{}, fmt.Errorf("target: answer is longer than %d bytes", maxMessageBytes)
 	}
 	if response.StatusCode != http.StatusOK {
-		return grant.Answer{}, fmt.Errorf("target: order answered with status %d", response.StatusCode)
+		return grant.Response{}, fmt.Errorf("target: order answered with status %d", response.StatusCode)
 	}
 	answer, err := DecodeAnswer(body)
 	if err != nil {
-		return grant.Answer{}, oops.Wrapf(err, "target: decode the answer")
+		return grant.Response{}, oops.Wrapf(err, "target: decode the answer")
 	}
 	return answer, nil
 }
--- a/internal/target/holdings.go
+++ b/internal/target/holdings.go
@@ -45,7 +45,7 @@
 
 // Holding is one shard that a target holds, as Each reports it.
 type Holding struct {
-	grant.Held
+	grant.ShardEpoch
 	// End is the reading of the target's clock at which the grant ends.
 	End grant.Stamp
 	// Releasing tells that no new work starts; work in flight goes on.
@@ -71,7 +71,7 @@
 // Apply takes one order at the reading now of the target's clock and returns
 // the answer. An order of a lower term, of another service or for another
 // incarnation changes nothing.
-func (h *Holdings) Apply(now grant.Stamp, order grant.Order) grant.Answer {
+func (h *Holdings) Apply(now grant.Stamp, order grant.Order) grant.Response {
 	h.expire(now)
 	accepted := h.accepts(order)
 	full := order.Inventory || len(order.Release) > 0
@@ -98,7 +98,7 @@
 
 // release stops new work on the shards. The floor rises at once, so that a
 // late renewal of the released epoch has no effect.
-func (h *Holdings) release(shards []grant.Held) {
+func (h *Holdings) release(shards []grant.ShardEpoch) {
 	for _, r := range shards {
 		h.raiseFloor(r.Shard, r.Epoch+1)
 		row := h.rows[r.Shard]
@@ -195,9 +195,9 @@
 			continue
 		}
 		out = append(out, Holding{
-			Held:      grant.Held{Shard: shard, Epoch: row.epoch},
-			End:       row.end,
-			Releasing: row.releasing,
+			ShardEpoch: grant.ShardEpoch{Shard: shard, Epoch: row.epoch},
+			End:        row.end,
+			Releasing:  row.releasing,
 		})
 	}
 	slices.SortFunc(out, func(a, b Holding) int { return cmp.Compare(a.Shard, b.Shard) })
@@ -227,20 +227,20 @@
 }
 
 // held returns the holdings, sorted by shard.
-func (h *Holdings) held(releasing bool) []grant.Held {
-	out := make([]grant.Held, 0, len(h.rows))
+func (h *Holdings) held(releasing bool) []grant.ShardEpoch {
+	out := make([]grant.ShardEpoch, 0, len(h.rows))
 	for shard, row := range h.rows {
 		if releasing || !row.releasing {
-			out = append(out, grant.Held{Shard: shard, Epoch: row.epoch})
+			out = append(out, grant.ShardEpoch{Shard: shard, Epoch: row.epoch})
 		}
 	}
 	sortHeld(out)
 	return out
 }
 
-func (h *Holdings) answer(now grant.Stamp, accepted, full bool) grant.Answer {
+func (h *Holdings) answer(now grant.Stamp, accepted, full bool) grant.Response {
 	held := h.held(true)
-	answer := grant.Answer{
+	answer := grant.Response{
 		Target:      h.name,
 		Incarnation: h.incarnation,
 		Clock:       now,
@@ -257,15 +257,15 @@
 	return answer
 }
 
-func (h *Holdings) floorList() []grant.Held {
-	out := make([]grant.Held, 0, len(h.floors))
+func (h *Holdings) floorList() []grant.ShardEpoch {
+	out := make([]grant.ShardEpoch, 0, len(h.floors))
 	for shard, epoch := range h.floors {
-		out = append(out, grant.Held{Shard: shard, Epoch: epoch})
+		out = append(out, grant.ShardEpoch{Shard: shard, Epoch: epoch})
 	}
 	sortHeld(out)
 	return out
 }
 
-func sortHeld(held []grant.Held) {
-	slices.SortFunc(held, func(a, b grant.Held) int { return cmp.Compare(a.Shard, b.Shard) })
+func sortHeld(held []grant.ShardEpoch) {
+	slices.SortFunc(held, func(a, b grant.ShardEpoch) int { return cmp.Compare(a.Shard, b.Shard) })
 }
--- a/internal/target/holdings_test.go
+++ b/internal/target/holdings_test.go
@@ -45,7 +45,7 @@
 		"other service":                  {checksTerms: true, orders: []grant.Order{{Service: "plans", Incarnation: 7, Anchor: 10, Duration: 100, Items: []grant.Item{granted(3)}}}, at: 20},
 		"late grant after the release": {checksTerms: true, orders: []grant.Order{
 			order(1, 10, granted(3)),
-			{Service: "balance", Term: 1, Incarnation: 7, Release: []grant.Held{{Shard: 1, Epoch: 3}}},
+			{Service: "balance", Term: 1, Incarnation: 7, Release: []grant.ShardEpoch{{Shard: 1, Epoch: 3}}},
 			order(1, 10, granted(3)),
 		}, at: 20},
 	}
@@ -68,14 +68,14 @@
 	h := newHoldings(true)
 	h.Apply(10, order(1, 10, granted(3)))
 	assert.Assert(t, h.Begin(11, 1, 3))
-	release := grant.Order{Service: "balance", Term: 1, Incarnation: 7, Release: []grant.Held{{Shard: 1, Epoch: 3}}}
+	release := grant.Order{Service: "balance", Term: 1, Incarnation: 7, Release: []grant.ShardEpoch{{Shard: 1, Epoch: 3}}}
 	answer := h.Apply(12, release)
 	assert.Equal(t, len(answer.Held), 1)
 	assert.Assert(t, !h.Begin(13, 1, 3))
 	h.End(1)
 	answer = h.Apply(14, release)
 	assert.Equal(t, len(answer.Held), 0)
-	assert.DeepEqual(t, answer.Floors, []grant.Held{{Shard: 1, Epoch: 4}})
+	assert.DeepEqual(t, answer.Floors, []grant.ShardEpoch{{Shard: 1, Epoch: 4}})
 }
 
 func TestHoldingsExtendAllNeedsTheDigest(t *testing.T) {
@@ -93,7 +93,7 @@
 
 func TestOrderAndAnswerSurviveTheWire(t *testing.T) {
 	sent := order(4, 99, granted(3))
-	sent.Release = []grant.Held{{Shard: 9, Epoch: 2}}
+	sent.Release = []grant.ShardEpoch{{Shard: 9, Epoch: 2}}
 	body, err := target.EncodeOrder(sent)
 	assert.NilError(t, err)
 	got, err := target.DecodeOrder(body)
@@ -101,7 +101,7 @@
 	assert.DeepEqual(t, got, sent)
 
 	answer := newHoldings(true).Apply(10, order(1, 10, granted(3)))
-	answer.Held, answer.Floors = []grant.Held{{Shard: 1, Epoch: 3}}, []grant.Held{{Shard: 1, Epoch: 3}}
+	answer.Held, answer.Floors = []grant.ShardEpoch{{Shard: 1, Epoch: 3}}, []grant.ShardEpoch{{Shard: 1, Epoch: 3}}
 	body, err = target.EncodeAnswer(answer)
 	assert.NilError(t, err)
 	back, err := target.DecodeAnswer(body)
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -89,5 +89,5 @@
 // Control carries orders of ownership to targets.
 type Control interface {
 	// Order sends one order and waits for the answer.
-	Order(ctx context.Context, addr netip.AddrPort, order grant.Order) (grant.Answer, error)
+	Order(ctx context.Context, addr netip.AddrPort, order grant.Order) (grant.Response, error)
 }
--- a/internal/target/wire.go
+++ b/internal/target/wire.go
@@ -98,7 +98,7 @@
 }
 
 // EncodeAnswer returns the answer as it travels.
-func EncodeAnswer(answer grant.Answer) ([]byte, error) {
+func EncodeAnswer(answer grant.Response) ([]byte, error) {
 	return json.Marshal(wireAnswer{
 		Target:      string(answer.Target),
 		Incarnation: uint64(answer.Incarnation),
@@ -114,12 +114,12 @@
 }
 
 // DecodeAnswer reads an answer; the error tells that body is none.
-func DecodeAnswer(body []byte) (grant.Answer, error) {
+func DecodeAnswer(body []byte) (grant.Response, error) {
 	var w wireAnswer
 	if err := json.Unmarshal(body, &w); err != nil {
-		return grant.Answer{}, err
+		return grant.Response{}, err
 	}
-	return grant.Answer{
+	return grant.Response{
 		Target:      place.Target(w.Target),
 		Incarnation: place.Incarnation(w.Incarnation),
 		Clock:       grant.Stamp(w.Clock),
@@ -133,7 +133,7 @@
 	}, nil
 }
 
-func toWire(held []grant.Held) []wireHeld {
+func toWire(held []grant.ShardEpoch) []wireHeld {
 	out := make([]wireHeld, len(held))
 	for i, h := range held {
 		out[i] = wireHeld{uint64(h.Shard), uint64(h.Epoch)}
@@ -141,10 +141,10 @@
 	return out
 }
 
-func fromWire(held []wireHeld) []grant.Held {
-	out := make([]grant.Held, len(held))
+func fromWire(held []wireHeld) []grant.ShardEpoch {
+	out := make([]grant.ShardEpoch, len(held))
 	for i, h := range held {
-		out[i] = grant.Held{Shard: key.Shard(h[0]), Epoch: grant.Epoch(h[1])}
+		out[i] = grant.ShardEpoch{Shard: key.Shard(h[0]), Epoch: grant.Epoch(h[1])}
 	}
 	return out
 }
