--- a/internal/cell/fault_test.go
+++ b/internal/cell/fault_test.go
@@ -310,7 +310,7 @@
 		if t.dead || w.now < t.paused {
 			continue
 		}
-		for _, h := range t.holds.Each(t.reading(w.now)) {
+		for _, h := range t.holds.List(t.reading(w.now)) {
 			held[h.Shard] = true
 		}
 	}
--- a/internal/cell/network_test.go
+++ b/internal/cell/network_test.go
@@ -263,7 +263,7 @@
 // checkTarget reports a shard or hot key that the target holds beside another.
 // Ownership begins with an order alone, so that this check sees every instant.
 func (w *world) checkTarget(t *targetNode, o grant.Order) {
-	for _, mine := range t.holds.Each(t.reading(w.now)) {
+	for _, mine := range t.holds.List(t.reading(w.now)) {
 		if epoch, away := w.outside[mine.Shard]; away {
 			w.fail("%s holds shard %d at %d, given away at floor %d", t.name, mine.Shard, mine.Epoch, epoch)
 		}
@@ -271,7 +271,7 @@
 			if other == t || other.dead {
 				continue
 			}
-			for _, theirs := range other.holds.Each(other.reading(w.now)) {
+			for _, theirs := range other.holds.List(other.reading(w.now)) {
 				if theirs.Shard == mine.Shard {
 					w.fail("shard %d doubled: %s at %d until +%v, %s at %d; order of term %d", mine.Shard, t.name, mine.Epoch,
 						time.Duration(mine.End-t.reading(w.now)), other.name, theirs.Epoch, o.Term)
@@ -318,7 +318,7 @@
 		if t.dead {
 			continue
 		}
-		for _, held := range t.holds.Each(t.reading(w.now)) {
+		for _, held := range t.holds.List(t.reading(w.now)) {
 			if held.Shard == shard {
 				w.fail("%s holds shard %d at %d as it is given away", t.name, shard, held.Epoch)
 			}
--- a/internal/cell/scenario_test.go
+++ b/internal/cell/scenario_test.go
@@ -26,7 +26,7 @@
 			if t.dead || w.now < t.paused {
 				continue
 			}
-			for _, h := range t.holds.Each(t.reading(w.now)) {
+			for _, h := range t.holds.List(t.reading(w.now)) {
 				last[h.Shard] = w.now
 			}
 		}
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -30,10 +30,10 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewBackoffs()
 			for _, s := range test.signals {
-				b.Note(start, "a", 1, s)
+				b.Record(start, "a", 1, s)
 			}
 			now := start.Add(test.after)
-			leaving, pause := b.Of(now, "a", test.born)
+			leaving, pause := b.State(now, "a", test.born)
 			assert.Equal(t, !leaving.IsZero(), test.leaving)
 			assert.Equal(t, pause, test.pause)
 			rows := []place.TargetRow{{Target: "a", Incarnation: test.born}, {Target: "b", Incarnation: 1}}
@@ -42,30 +42,30 @@
 	}
 }
 
-// TestDrainToldAgain: homes are told again that a target leaves, but not in each
+// TestDrainNoticeRepeats: homes are told again that a target leaves, but not in each
 // answer.
-func TestDrainToldAgain(t *testing.T) {
+func TestDrainNoticeRepeats(t *testing.T) {
 	b, now, told := NewBackoffs(), time.Unix(1000, 0), 0
 	for range 100 {
-		if b.Note(now, "a", 1, target.Signal{Leaving: true}) {
+		if b.Record(now, "a", 1, target.Signal{Leaving: true}) {
 			told++
 		}
-		now = now.Add(drainAgain / 20)
+		now = now.Add(drainNoticeInterval / 20)
 	}
 	assert.Equal(t, told, 5)
 }
 
-// TestLeavingIsKept: a target that has said that it leaves is not taken for another one
+// TestLeavingRetained: a target that has said that it leaves is not taken for another one
 // where the platform's list loses it and has it back.
-func TestLeavingIsKept(t *testing.T) {
+func TestLeavingRetained(t *testing.T) {
 	b, now := NewBackoffs(), time.Unix(1000, 0)
-	b.Note(now, "a", 1, target.Signal{Leaving: true})
-	b.Note(now, "b", 1, target.Signal{Pause: time.Second})
+	b.Record(now, "a", 1, target.Signal{Leaving: true})
+	b.Record(now, "b", 1, target.Signal{Pause: time.Second})
 	none := func(place.Target) bool { return false }
-	b.Keep(now.Add(time.Minute), none)
-	leaving, _ := b.Of(now.Add(time.Minute), "a", 1)
+	b.Prune(now.Add(time.Minute), none)
+	leaving, _ := b.State(now.Add(time.Minute), "a", 1)
 	assert.Assert(t, !leaving.IsZero())
 	assert.Equal(t, len(b.targets), 1)
-	b.Keep(now.Add(leavingKept+time.Second), none)
+	b.Prune(now.Add(leavingRetention+time.Second), none)
 	assert.Equal(t, len(b.targets), 0)
 }
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -12,12 +12,12 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// kind tells the messages apart on the wire.
-type kind uint8
+// messageKind tells the messages apart on the wire.
+type messageKind uint8
 
 const (
-	kindAsk kind = iota + 1
-	kindPlaced
+	kindAcquire messageKind = iota + 1
+	kindAssigned
 	kindQueued
 	kindRefused
 	kindDone
@@ -32,25 +32,25 @@
 // wireMessage is any message: each kind uses some of the fields. Durations are
 // in microseconds.
 type wireMessage struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     kind
-	Host     string
-	Life     uint64
-	Zone     string
-	ID       uint64
-	Pool     wirePool
-	Target   string
-	Class    string
-	Priority int
-	Left     int64
-	Aim      int64
-	Tried    []string
-	Addr     netip.AddrPort
-	Code     uint8
-	Last     uint64
-	Held     []wireHeld
-	Alone    bool
-	Cold     bool
+	_           struct{} `cbor:",toarray"`
+	Kind        messageKind
+	Host        string
+	Incarnation uint64
+	Zone        string
+	ID          uint64
+	Pool        wirePool
+	Target      string
+	Class       string
+	Priority    int
+	Timeout     int64
+	SoftTimeout int64
+	Excluded    []string
+	Addr        netip.AddrPort
+	Code        uint8
+	Last        uint64
+	Held        []wireHeld
+	Isolated    bool
+	Cold        bool
 }
 
 type wirePool struct {
@@ -83,16 +83,16 @@
 
 // Encode returns a message as it travels, with the peer that sends it.
 func Encode(from Peer, m Message) ([]byte, error) {
-	w := wireMessage{Host: string(from.Host), Life: uint64(from.Life), Zone: string(from.Zone)}
+	w := wireMessage{Host: string(from.Host), Incarnation: uint64(from.Incarnation), Zone: string(from.Zone)}
 	switch m := m.(type) {
-	case Ask:
-		w.Kind, w.ID, w.Pool, w.Class, w.Priority = kindAsk, uint64(m.ID), poolToWire(m.Pool), string(m.Class), int(m.Priority)
-		w.Left, w.Aim, w.Alone, w.Cold = micros(m.Left), micros(m.Aim), m.Alone, m.Cold
-		for _, t := range m.Tried {
-			w.Tried = append(w.Tried, string(t))
+	case Acquire:
+		w.Kind, w.ID, w.Pool, w.Class, w.Priority = kindAcquire, uint64(m.ID), poolToWire(m.Pool), string(m.Class), int(m.Priority)
+		w.Timeout, w.SoftTimeout, w.Isolated, w.Cold = micros(m.Timeout), micros(m.SoftTimeout), m.Isolated, m.Cold
+		for _, t := range m.Excluded {
+			w.Excluded = append(w.Excluded, string(t))
 		}
-	case Placed:
-		w.Kind, w.ID, w.Target, w.Addr = kindPlaced, uint64(m.ID), string(m.Target), m.Addr
+	case Assigned:
+		w.Kind, w.ID, w.Target, w.Addr = kindAssigned, uint64(m.ID), string(m.Target), m.Addr
 	case Queued:
 		w.Kind, w.ID = kindQueued, uint64(m.ID)
 	case Ping:
@@ -102,10 +102,10 @@
 	case Leave:
 		w.Kind = kindLeave
 	case Refused:
-		w.Kind, w.ID, w.Left, w.Code = kindRefused, uint64(m.ID), micros(m.RetryAfter), uint8(m.Reason)
+		w.Kind, w.ID, w.Timeout, w.Code = kindRefused, uint64(m.ID), micros(m.RetryAfter), uint8(m.Reason)
 	case Done:
 		w.Kind, w.ID, w.Pool, w.Target, w.Class = kindDone, uint64(m.ID), poolToWire(m.Pool), string(m.Target), string(m.Class)
-		w.Code, w.Left = uint8(m.End), micros(m.Took)
+		w.Code, w.Timeout = uint8(m.Result), micros(m.Took)
 	case Drain:
 		w.Kind, w.Pool, w.Target = kindDrain, poolToWire(m.Pool), string(m.Target)
 	case Cancel:
@@ -131,7 +131,7 @@
 	if err := cbor.Unmarshal(body, &w); err != nil {
 		return Peer{}, nil, fmt.Errorf("dispatch: decode: %w", err)
 	}
-	from := Peer{Host: place.Host(w.Host), Life: place.Incarnation(w.Life), Zone: place.Zone(w.Zone)}
+	from := Peer{Host: place.Host(w.Host), Incarnation: place.Incarnation(w.Incarnation), Zone: place.Zone(w.Zone)}
 	m, err := w.message()
 	return from, m, err
 }
@@ -139,25 +139,25 @@
 func (w *wireMessage) message() (Message, error) {
 	id := TicketID(w.ID)
 	switch w.Kind {
-	case kindAsk:
-		a := Ask{
+	case kindAcquire:
+		a := Acquire{
 			ID: id, Pool: w.Pool.pool(), Class: traffic.RouteName(w.Class), Priority: traffic.Priority(w.Priority),
-			Left: duration(w.Left), Aim: duration(w.Aim), Alone: w.Alone, Cold: w.Cold,
+			Timeout: duration(w.Timeout), SoftTimeout: duration(w.SoftTimeout), Isolated: w.Isolated, Cold: w.Cold,
 		}
-		for _, t := range w.Tried {
-			a.Tried = append(a.Tried, place.Target(t))
+		for _, t := range w.Excluded {
+			a.Excluded = append(a.Excluded, place.Target(t))
 		}
 		return a, nil
-	case kindPlaced:
-		return Placed{ID: id, Target: place.Target(w.Target), Addr: w.Addr}, nil
+	case kindAssigned:
+		return Assigned{ID: id, Target: place.Target(w.Target), Addr: w.Addr}, nil
 	case kindQueued:
 		return Queued{ID: id}, nil
 	case kindRefused:
-		return Refused{ID: id, RetryAfter: duration(w.Left), Reason: Reason(w.Code)}, nil
+		return Refused{ID: id, RetryAfter: duration(w.Timeout), Reason: Reason(w.Code)}, nil
 	case kindDone:
 		return Done{
 			ID: id, Pool: w.Pool.pool(), Target: place.Target(w.Target), Class: traffic.RouteName(w.Class),
-			End: End(w.Code), Took: duration(w.Left),
+			Result: Result(w.Code), Took: duration(w.Timeout),
 		}, nil
 	case kindDrain:
 		return Drain{Pool: w.Pool.pool(), Target: place.Target(w.Target)}, nil
--- a/internal/dispatch/codec_test.go
+++ b/internal/dispatch/codec_test.go
@@ -23,18 +23,18 @@
 func FuzzMessage(f *testing.F) {
 	pool := PoolID{Service: "s", Zone: "z", Target: "t"}
 	for _, m := range []Message{
-		Ask{ID: 1, Pool: pool, Class: "c", Left: time.Second, Aim: time.Second, Tried: nil},
-		Placed{ID: 1, Target: "t", Addr: netip.MustParseAddrPort("10.0.0.1:1")},
+		Acquire{ID: 1, Pool: pool, Class: "c", Timeout: time.Second, SoftTimeout: time.Second, Excluded: nil},
+		Assigned{ID: 1, Target: "t", Addr: netip.MustParseAddrPort("10.0.0.1:1")},
 		Queued{ID: 1},
 		Refused{ID: 1, RetryAfter: time.Second, Reason: ReasonFull},
-		Done{ID: 1, Pool: pool, Target: "t", Class: "c", End: EndServed, Took: time.Second},
+		Done{ID: 1, Pool: pool, Target: "t", Class: "c", Result: ResultServed, Took: time.Second},
 		Cancel{ID: 1, Pool: pool},
 		Report{First: 1, Last: 9, Held: []Held{{ID: 2, Pool: pool, Target: "t", Class: "c", Since: time.Second}}},
 		Ping{},
 		Pong{},
 		Leave{},
 	} {
-		body, err := Encode(Peer{Host: "h", Life: 1, Zone: "z"}, m)
+		body, err := Encode(Peer{Host: "h", Incarnation: 1, Zone: "z"}, m)
 		assert.NilError(f, err)
 		f.Add(body)
 		f.Add(body[:len(body)/2])
@@ -48,7 +48,7 @@
 		now := time.Unix(1000, 0)
 		for range 2 {
 			home.Handle(now, from, m)
-			client.Hear(now, from.Host, m)
+			client.Receive(now, from.Host, m)
 			now = now.Add(time.Second)
 			home.Tick(now)
 			client.Tick(now)
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// lostAfter is how long a host may go without a message before its tickets
+	// hostTimeout is how long a host may go without a message before its tickets
 	// count as given back; it reports those that are in use for long every
 	// ReportInterval.
-	lostAfter = 2*ReportInterval + ReportInterval/2
-	// settleAfter is how long a ticket may be missing from its host's reports: they
+	hostTimeout = 2*ReportInterval + ReportInterval/2
+	// reportGrace is how long a ticket may be missing from its host's reports: they
 	// list those that are in use for reportFrom, and the report may have left before
 	// the ticket arrived.
-	settleAfter = reportFrom + ReportInterval/2
-	// unusedAfter is how long a pool without asks is kept.
-	unusedAfter = 30 * time.Second
+	reportGrace = minReportAge + ReportInterval/2
+	// poolIdleTimeout is how long a pool without asks is kept.
+	poolIdleTimeout = 30 * time.Second
 )
 
 // Peer is one life of a host that asks.
 type Peer struct {
-	Host place.Host
-	Life place.Incarnation
-	Zone place.Zone
+	Host        place.Host
+	Incarnation place.Incarnation
+	Zone        place.Zone
 }
 
-// Letter is a message to a peer.
-type Letter struct {
+// PeerMessage is a message to a peer.
+type PeerMessage struct {
 	To      Peer
 	Message Message
 }
@@ -40,21 +40,21 @@
 
 // Home holds the pools of one host. It is not safe for concurrent use.
 type Home struct {
-	catalog Catalog
-	pools   map[PoolID]*pool
-	waiting map[ticketKey]*pool
-	tickets map[ticketKey]*ticket
-	peers   map[place.Host]*caller
-	out     []Letter
-	denials []Denial
-	// learned are the times of the classes of requests that this host sent
+	catalog  Catalog
+	pools    map[PoolID]*pool
+	waiting  map[ticketKey]*pool
+	tickets  map[ticketKey]*ticket
+	peers    map[place.Host]*peerState
+	out      []PeerMessage
+	refusals []Refusal
+	// observed are the times of the classes of requests that this host sent
 	// itself, whoever their home was: where a pool starts from.
-	learned map[traffic.RouteName]*classTime
-	cutoffs *cutoffs
+	observed map[traffic.RouteName]*serviceTime
+	breakers *breakers
 }
 
-// Denial is a refusal with what decided it.
-type Denial struct {
+// Refusal is a refusal with what decided it.
+type Refusal struct {
 	Pool       PoolID
 	Host       place.Host
 	ID         TicketID
@@ -62,58 +62,58 @@
 	RetryAfter time.Duration
 	// Wait is how long the request waited here, End when it was expected to
 	// end, Left what it had.
-	Wait, End, Left time.Duration
+	Wait, Estimate, Remaining time.Duration
 	// Waiting is the queue at that moment, Open the targets that could be
 	// tried, Pressure the share of free slots that requests on time wait for.
-	Waiting, Open int
-	Pressure      float64
+	Waiting, Available int
+	Pressure           float64
 	// Cold tells that its key was.
 	Cold bool
 }
 
-// Denials returns the refusals since the last call.
-func (h *Home) Denials() []Denial {
-	out := h.denials
-	h.denials = nil
+// Refusals returns the refusals since the last call.
+func (h *Home) Refusals() []Refusal {
+	out := h.refusals
+	h.refusals = nil
 	return out
 }
 
-// caller is what a home knows of a host that asks.
-type caller struct {
+// peerState is what a home knows of a host that asks.
+type peerState struct {
 	Peer
 
-	heard time.Time
+	heardAt time.Time
 }
 
 // NewHome returns a home without pools; they come with the first ask.
 func NewHome(catalog Catalog) *Home {
 	return &Home{
-		catalog: catalog,
-		pools:   make(map[PoolID]*pool),
-		waiting: make(map[ticketKey]*pool),
-		tickets: make(map[ticketKey]*ticket),
-		peers:   make(map[place.Host]*caller),
-		learned: make(map[traffic.RouteName]*classTime),
-		cutoffs: newCutoffs(),
+		catalog:  catalog,
+		pools:    make(map[PoolID]*pool),
+		waiting:  make(map[ticketKey]*pool),
+		tickets:  make(map[ticketKey]*ticket),
+		peers:    make(map[place.Host]*peerState),
+		observed: make(map[traffic.RouteName]*serviceTime),
+		breakers: newBreakers(),
 	}
 }
 
-// Learn notes how long a request of this host took at a target.
-func (h *Home) Learn(class traffic.RouteName, took time.Duration) {
-	c := h.learned[class]
+// Observe notes how long a request of this host took at a target.
+func (h *Home) Observe(class traffic.RouteName, took time.Duration) {
+	c := h.observed[class]
 	if c == nil {
-		c = &classTime{}
-		h.learned[class] = c
+		c = &serviceTime{}
+		h.observed[class] = c
 	}
 	c.add(took)
 }
 
 // Handle takes a message of a peer and returns what to send.
-func (h *Home) Handle(now time.Time, from Peer, m Message) []Letter {
-	h.hear(now, from)
+func (h *Home) Handle(now time.Time, from Peer, m Message) []PeerMessage {
+	h.markAlive(now, from)
 	switch m := m.(type) {
-	case Ask:
-		h.ask(now, from, m)
+	case Acquire:
+		h.acquire(now, from, m)
 	case Done:
 		h.done(now, from, m)
 	case Cancel:
@@ -124,32 +124,32 @@
 		h.report(now, from, m)
 	case Ping:
 		h.send(from, Pong{})
-	case Placed, Queued, Refused, Pong, Leave:
+	case Assigned, Queued, Refused, Pong, Leave:
 		// These are a home's own words.
 	}
 	return h.flush()
 }
 
 // Refresh takes over changes of the catalog.
-func (h *Home) Refresh(now time.Time) []Letter {
+func (h *Home) Refresh(now time.Time) []PeerMessage {
 	for _, p := range h.pools {
 		p.setTargets(now, h.catalog.Members(p.id))
-		h.run(now, p)
+		h.runQueue(now, p)
 	}
 	return h.flush()
 }
 
 // Tick lets what depends on the passing of time happen.
-func (h *Home) Tick(now time.Time) []Letter {
+func (h *Home) Tick(now time.Time) []PeerMessage {
 	for name, c := range h.peers {
-		if now.Sub(c.heard) > lostAfter {
-			h.lose(now, c)
+		if now.Sub(c.heardAt) > hostTimeout {
+			h.expireHost(now, c)
 			delete(h.peers, name)
 		}
 	}
 	for id, p := range h.pools {
-		h.run(now, p)
-		if len(p.waiting) == 0 && now.Sub(p.used) > unusedAfter {
+		h.runQueue(now, p)
+		if len(p.waiting) == 0 && now.Sub(p.usedAt) > poolIdleTimeout {
 			delete(h.pools, id)
 		}
 	}
@@ -157,85 +157,85 @@
 }
 
 const (
-	// queueTick is the time between two looks at queues in which somebody
+	// queueTickInterval is the time between two looks at queues in which somebody
 	// waits: who can't be served in time is told that much later.
-	queueTick = 20 * time.Millisecond
-	// useTick is the same for slots in use, which hosts may have lost.
-	useTick = lostAfter
+	queueTickInterval = 20 * time.Millisecond
+	// ticketTickInterval is the same for slots in use, which hosts may have lost.
+	ticketTickInterval = hostTimeout
 )
 
-// Next returns when Tick has something to do again, if nothing else happens;
+// NextTick returns when Tick has something to do again, if nothing else happens;
 // zero for never.
-func (h *Home) Next(now time.Time) time.Time {
+func (h *Home) NextTick(now time.Time) time.Time {
 	switch {
 	case len(h.waiting) > 0:
-		return now.Add(queueTick)
+		return now.Add(queueTickInterval)
 	case len(h.tickets) > 0:
-		return now.Add(useTick)
+		return now.Add(ticketTickInterval)
 	}
 	return time.Time{}
 }
 
-func (h *Home) flush() []Letter {
+func (h *Home) flush() []PeerMessage {
 	out := h.out
 	h.out = nil
 	return out
 }
 
-func (h *Home) send(to Peer, m Message) { h.out = append(h.out, Letter{to, m}) }
+func (h *Home) send(to Peer, m Message) { h.out = append(h.out, PeerMessage{to, m}) }
 
-// hear notes a sign of life. Tickets of a host's earlier life are given back.
-func (h *Home) hear(now time.Time, from Peer) {
+// markAlive notes a sign of life. Tickets of a host's earlier life are given back.
+func (h *Home) markAlive(now time.Time, from Peer) {
 	c := h.peers[from.Host]
-	if c != nil && c.Life != from.Life {
-		h.lose(now, c)
+	if c != nil && c.Incarnation != from.Incarnation {
+		h.expireHost(now, c)
 		c = nil
 	}
 	if c == nil {
-		c = &caller{Peer: from}
+		c = &peerState{Peer: from}
 		h.peers[from.Host] = c
 	}
-	c.heard = now
+	c.heardAt = now
 }
 
-// lose gives back all tickets of a host, drops its asks and forgets its
+// expireHost gives back all tickets of a host, drops its asks and forgets its
 // connections.
-func (h *Home) lose(now time.Time, c *caller) {
+func (h *Home) expireHost(now time.Time, c *peerState) {
 	touched := make(map[*pool]bool)
 	for key, t := range h.tickets {
-		if key.host == c.Host && key.life == c.Life {
-			touched[h.free(now, t, EndUnused, 0)] = true
+		if key.host == c.Host && key.incarnation == c.Incarnation {
+			touched[h.releaseTicket(now, t, ResultUnused, 0)] = true
 		}
 	}
 	for key, p := range h.waiting {
-		if key.host == c.Host && key.life == c.Life {
-			h.drop(key, p)
+		if key.host == c.Host && key.incarnation == c.Incarnation {
+			h.dequeue(key, p)
 		}
 	}
 	for _, p := range h.pools {
-		delete(p.visits, c.Host)
+		delete(p.affinity, c.Host)
 	}
 	for p := range touched {
-		h.run(now, p)
+		h.runQueue(now, p)
 	}
 }
 
 func (h *Home) pool(now time.Time, id PoolID) *pool {
 	p := h.pools[id]
 	if p == nil {
-		p = newPool(id, h.learned, h.cutoffs)
+		p = newPool(id, h.observed, h.breakers)
 		h.pools[id] = p
 		p.setTargets(now, h.catalog.Members(id))
 	}
-	p.used = now
+	p.usedAt = now
 	return p
 }
 
-func (h *Home) ask(now time.Time, from Peer, a Ask) {
-	key := ticketKey{from.Host, from.Life, a.ID}
+func (h *Home) acquire(now time.Time, from Peer, a Acquire) {
+	key := ticketKey{from.Host, from.Incarnation, a.ID}
 	if t, ok := h.tickets[key]; ok {
 		// The answer to the first ask was lost.
-		h.send(from, Placed{ID: a.ID, Target: t.lane.Target, Addr: t.lane.Addr})
+		h.send(from, Assigned{ID: a.ID, Target: t.target.Target, Addr: t.target.Addr})
 		return
 	}
 	if _, ok := h.waiting[key]; ok {
@@ -243,71 +243,71 @@
 		return
 	}
 	p := h.pool(now, a.Pool)
-	if a.Alone {
-		p.aloneAt = now
+	if a.Isolated {
+		p.isolatedAt = now
 	} else {
 		p.sharedAt = now
 	}
 	if !a.Cold {
-		p.askedWarm = now
+		p.warmAskedAt = now
 	}
 	p.waiting = append(p.waiting, &waiter{
-		Ask: a, key: key, zone: from.Zone, arrived: now,
-		deadline: now.Add(a.Left), aimAt: now.Add(a.Aim),
+		Acquire: a, key: key, zone: from.Zone, arrivedAt: now,
+		deadline: now.Add(a.Timeout), softDeadline: now.Add(a.SoftTimeout),
 	})
 	h.waiting[key] = p
-	h.run(now, p)
+	h.runQueue(now, p)
 	if _, ok := h.waiting[key]; ok {
 		h.send(from, Queued{ID: a.ID})
 	}
 }
 
-// run starts and dismisses what the pool's queue says.
-func (h *Home) run(now time.Time, p *pool) {
+// runQueue starts and dismisses what the pool's queue says.
+func (h *Home) runQueue(now time.Time, p *pool) {
 	starts, out := p.schedule(now)
 	for _, s := range starts {
-		t := p.occupy(now, s)
+		t := p.acquire(now, s)
 		delete(h.waiting, t.key)
 		h.tickets[t.key] = t
-		h.send(h.peerOf(t.key), Placed{ID: t.key.id, Target: s.lane.Target, Addr: s.lane.Addr})
+		h.send(h.peerOf(t.key), Assigned{ID: t.key.id, Target: s.target.Target, Addr: s.target.Addr})
 	}
 	for _, d := range out {
 		delete(h.waiting, d.waiter.key)
-		h.denials = append(h.denials, Denial{
+		h.refusals = append(h.refusals, Refusal{
 			Pool: p.id, Host: d.waiter.key.host, ID: d.waiter.ID, Reason: d.reason, RetryAfter: d.retryAfter,
-			Wait: now.Sub(d.waiter.arrived), End: d.end, Left: d.waiter.deadline.Sub(now),
-			Waiting: len(p.waiting), Open: d.open, Pressure: p.pressure, Cold: d.waiter.Cold,
+			Wait: now.Sub(d.waiter.arrivedAt), Estimate: d.estimate, Remaining: d.waiter.deadline.Sub(now),
+			Waiting: len(p.waiting), Available: d.available, Pressure: p.pressure, Cold: d.waiter.Cold,
 		})
 		h.send(h.peerOf(d.waiter.key), Refused{ID: d.waiter.ID, RetryAfter: d.retryAfter, Reason: d.reason})
 	}
 }
 
 func (h *Home) peerOf(key ticketKey) Peer {
-	if c := h.peers[key.host]; c != nil && c.Life == key.life {
+	if c := h.peers[key.host]; c != nil && c.Incarnation == key.incarnation {
 		return c.Peer
 	}
-	return Peer{Host: key.host, Life: key.life}
+	return Peer{Host: key.host, Incarnation: key.incarnation}
 }
 
 func (h *Home) done(now time.Time, from Peer, d Done) {
-	t, ok := h.tickets[ticketKey{from.Host, from.Life, d.ID}]
+	t, ok := h.tickets[ticketKey{from.Host, from.Incarnation, d.ID}]
 	if !ok {
 		return
 	}
-	h.run(now, h.free(now, t, d.End, d.Took))
+	h.runQueue(now, h.releaseTicket(now, t, d.Result, d.Took))
 }
 
-// free gives a slot back and returns its pool.
-func (h *Home) free(now time.Time, t *ticket, end End, took time.Duration) *pool {
+// releaseTicket gives a slot back and returns its pool.
+func (h *Home) releaseTicket(now time.Time, t *ticket, end Result, took time.Duration) *pool {
 	delete(h.tickets, t.key)
-	t.pool.vacate(now, t, end, took)
+	t.pool.release(now, t, end, took)
 	return t.pool
 }
 
 func (h *Home) cancel(from Peer, c Cancel) {
-	key := ticketKey{from.Host, from.Life, c.ID}
+	key := ticketKey{from.Host, from.Incarnation, c.ID}
 	if p, ok := h.waiting[key]; ok {
-		h.drop(key, p)
+		h.dequeue(key, p)
 	}
 }
 
@@ -315,14 +315,14 @@
 // now on; what a single target owns stays there until its lead has moved it.
 func (h *Home) drain(now time.Time, d Drain) {
 	p := h.pool(now, d.Pool)
-	if l := p.lanes[d.Target]; l != nil {
+	if l := p.targets[d.Target]; l != nil {
 		l.leaving = true
 		l.usable = l.usable && d.Pool.Target != ""
-		h.run(now, p)
+		h.runQueue(now, p)
 	}
 }
 
-func (h *Home) drop(key ticketKey, p *pool) {
+func (h *Home) dequeue(key ticketKey, p *pool) {
 	delete(h.waiting, key)
 	for i, w := range p.waiting {
 		if w.key == key {
@@ -338,50 +338,50 @@
 	touched := make(map[*pool]bool)
 	listed := make(map[ticketKey]bool, len(r.Held))
 	for _, held := range r.Held {
-		key := ticketKey{from.Host, from.Life, held.ID}
+		key := ticketKey{from.Host, from.Incarnation, held.ID}
 		listed[key] = true
 		if t, ok := h.tickets[key]; ok {
-			t.confirmed = now
+			t.confirmedAt = now
 			continue
 		}
 		h.adopt(now, key, held)
 	}
 	for key, t := range h.tickets {
-		mine := key.host == from.Host && key.life == from.Life && r.First <= key.id && key.id <= r.Last
-		if mine && !listed[key] && now.Sub(t.confirmed) > settleAfter {
-			touched[h.free(now, t, EndUnused, 0)] = true
+		mine := key.host == from.Host && key.incarnation == from.Incarnation && r.First <= key.id && key.id <= r.Last
+		if mine && !listed[key] && now.Sub(t.confirmedAt) > reportGrace {
+			touched[h.releaseTicket(now, t, ResultUnused, 0)] = true
 		}
 	}
 	for p := range touched {
-		h.run(now, p)
+		h.runQueue(now, p)
 	}
 }
 
 // adopt enters a ticket that another home gave.
 func (h *Home) adopt(now time.Time, key ticketKey, held Held) {
 	p := h.pool(now, held.Pool)
-	l := p.lanes[held.Target]
+	l := p.targets[held.Target]
 	if l == nil {
 		return
 	}
 	t := &ticket{
-		key: key, pool: p, class: held.Class, lane: l, started: now.Add(-held.Since),
-		mean: p.mean(held.Class), queued: len(l.running) >= l.slots(), confirmed: now,
+		key: key, pool: p, class: held.Class, target: l, started: now.Add(-held.Since),
+		mean: p.mean(held.Class), queued: len(l.running) >= l.slots(), confirmedAt: now,
 	}
 	l.running[key] = t
 	h.tickets[key] = t
 }
 
-// Opinion is what a home knows of a target by the requests that went there.
-type Opinion struct {
+// TargetStats is what a home knows of a target by the requests that went there.
+type TargetStats struct {
 	Pool   PoolID
 	Target place.Target
 	// Mean is the time of a usual request there by those that went there alone, zero
 	// where none has ended yet, Slow that time over the mean of its class; Requests
 	// is how many Mean rests on.
 	Mean     time.Duration
-	Slow     float64
-	Requests float64
+	Slowdown float64
+	Samples  float64
 	// Down tells that it takes no connections.
 	Down bool
 	// Leaving tells that it has said that it leaves.
@@ -390,15 +390,15 @@
 	Used bool
 }
 
-// Opinions returns the opinions of all targets of all pools held here.
-func (h *Home) Opinions(now time.Time) []Opinion {
-	var out []Opinion
+// TargetStats returns the opinions of all targets of all pools held here.
+func (h *Home) TargetStats(now time.Time) []TargetStats {
+	var out []TargetStats
 	for _, p := range h.pools {
-		mean, requests := usualOf(p.classes)
-		for _, l := range p.order {
-			out = append(out, Opinion{
-				Pool: p.id, Target: l.Target, Mean: mean, Slow: l.factor(now), Requests: requests,
-				Down: l.downs >= downSure, Leaving: l.leaving, Used: requests > 0 && now.Sub(l.judged) < opinionAge,
+		mean, requests := dominantMean(p.classes)
+		for _, l := range p.sorted {
+			out = append(out, TargetStats{
+				Pool: p.id, Target: l.Target, Mean: mean, Slowdown: l.timeFactor(now), Samples: requests,
+				Down: l.connectFailures >= minConnectFailures, Leaving: l.leaving, Used: requests > 0 && now.Sub(l.updatedAt) < maxStatsAge,
 			})
 		}
 	}
@@ -406,11 +406,11 @@
 }
 
 const (
-	// downSure is how many connections in a row must fail before a target
+	// minConnectFailures is how many connections in a row must fail before a target
 	// counts as down for others than its home.
-	downSure = 2
-	// opinionAge is how old an opinion may be to count.
-	opinionAge = 2 * time.Second
+	minConnectFailures = 2
+	// maxStatsAge is how old an opinion may be to count.
+	maxStatsAge = 2 * time.Second
 )
 
 // PoolState is what a home has in one pool now.
@@ -426,7 +426,7 @@
 	out := make([]PoolState, 0, len(h.pools))
 	for _, p := range h.pools {
 		s := PoolState{ID: p.id, Waiting: len(p.waiting), Pressure: p.pressure}
-		for _, l := range p.order {
+		for _, l := range p.sorted {
 			s.Running += len(l.running)
 		}
 		out = append(out, s)
--- a/internal/dispatch/lane_test.go
+++ b/internal/dispatch/home_test.go
@@ -12,9 +12,9 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// TestClassTime: the time of a class is known after a few requests, whatever it
+// TestServiceTime: the time of a class is known after a few requests, whatever it
 // was at other targets, and is steady after many.
-func TestClassTime(t *testing.T) {
+func TestServiceTime(t *testing.T) {
 	const ms = time.Millisecond
 	for name, test := range map[string]struct {
 		before   time.Duration
@@ -29,9 +29,9 @@
 		"after hundreds it sticks": {before: 160 * ms, requests: 300, took: 160 * ms, least: 159 * ms, most: 161 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := classTime{mean: test.before}
+			c := serviceTime{mean: test.before}
 			if test.before > 0 {
-				c.prior = priorWeight
+				c.priorSamples = priorWeight
 			}
 			for range test.requests {
 				c.add(test.took)
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestRareClasses: the time of a target is that of its usual requests. Rare ones
+// TestDominantMean: the time of a target is that of its usual requests. Rare ones
 // that are over in a moment, such as those of routes just added, don't make it
 // look fast; one that has served nothing yet has no time.
-func TestRareClasses(t *testing.T) {
+func TestDominantMean(t *testing.T) {
 	const ms = time.Millisecond
 	const usual, rare = 270 * ms, 30 * ms
 	now := time.Unix(1000, 0)
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := NewHome(nil)
-			p := newPool(PoolID{Service: "s", Target: "t"}, h.learned, h.cutoffs)
+			p := newPool(PoolID{Service: "s", Target: "t"}, h.observed, h.breakers)
 			h.pools[p.id] = p
 			p.setTargets(now, []place.TargetRow{{Target: "t", Service: "s", Slots: 3}})
 			for range test.usual {
@@ -69,7 +69,7 @@
 			for i := range test.rare {
 				p.class(traffic.RouteName(fmt.Sprint("rare-", i))).add(rare)
 			}
-			o := h.Opinions(now)
+			o := h.TargetStats(now)
 			assert.Equal(t, len(o), 1)
 			assert.Equal(t, o[0].Used, test.used)
 			if test.used {
@@ -79,43 +79,43 @@
 	}
 }
 
-// TestCutOff: once some targets of a zone were out of reach, a host that is alone
+// TestBreaker: once some targets of a zone were out of reach, a host that is alone
 // refuses what goes there at once, tries again now and then, and forgets it when
 // one answers.
-func TestCutOff(t *testing.T) {
+func TestBreaker(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := newCutoffs()
+	c := newBreakers()
 	for i, name := range []place.Target{"a", "b", "b", "c"} {
-		assert.Assert(t, c.open(now, "z"), "after %d", i)
-		c.fail(now, "z", name)
+		assert.Assert(t, c.available(now, "z"), "after %d", i)
+		c.connectFailed(now, "z", name)
 	}
-	assert.Assert(t, !c.open(now, "z"))
-	assert.Assert(t, c.open(now, "y"))
-	now = now.Add(cutProbe)
-	assert.Assert(t, c.open(now, "z"))
-	c.try(now, "z")
-	assert.Assert(t, !c.open(now, "z"), "one probe at a time")
-	c.reach("z")
-	assert.Assert(t, c.open(now, "z"))
+	assert.Assert(t, !c.available(now, "z"))
+	assert.Assert(t, c.available(now, "y"))
+	now = now.Add(breakerProbeInterval)
+	assert.Assert(t, c.available(now, "z"))
+	c.attempted(now, "z")
+	assert.Assert(t, !c.available(now, "z"), "one probe at a time")
+	c.reset("z")
+	assert.Assert(t, c.available(now, "z"))
 }
 
-// TestRefusedInACut: the zone of many targets is cut off together with the homes
+// TestBreakerLimitsAttempts: the zone of many targets is cut off together with the homes
 // there. A few requests find out, the others are refused at once.
-func TestRefusedInACut(t *testing.T) {
-	d := &alonePlay{now: time.Unix(1000, 0)}
+func TestBreakerLimitsAttempts(t *testing.T) {
+	d := &isolatedHome{now: time.Unix(1000, 0)}
 	d.home = NewHome(d)
 	tried := 0
 	for i := range 100 {
 		d.now = d.now.Add(50 * time.Millisecond)
 		pool := PoolID{Service: "s", Target: place.Target(fmt.Sprintf("t%d", i))}
-		ask := Ask{ID: TicketID(i + 1), Pool: pool, Alone: true, Left: time.Second, Aim: time.Second}
-		for _, l := range d.home.Handle(d.now, Peer{Host: "h", Life: 1}, ask) {
+		ask := Acquire{ID: TicketID(i + 1), Pool: pool, Isolated: true, Timeout: time.Second, SoftTimeout: time.Second}
+		for _, l := range d.home.Handle(d.now, Peer{Host: "h", Incarnation: 1}, ask) {
 			switch m := l.Message.(type) {
-			case Placed:
+			case Assigned:
 				tried++
-				d.home.Handle(d.now, Peer{Host: "h", Life: 1}, Done{ID: m.ID, Pool: pool, End: EndUnreachable})
+				d.home.Handle(d.now, Peer{Host: "h", Incarnation: 1}, Done{ID: m.ID, Pool: pool, Result: ResultUnreachable})
 			case Refused:
-				assert.Equal(t, m.Reason, ReasonNone)
+				assert.Equal(t, m.Reason, ReasonNoTarget)
 				assert.Assert(t, m.RetryAfter > 0)
 			}
 		}
@@ -124,19 +124,19 @@
 	assert.Assert(t, tried >= 10, "only %d probes in five seconds", tried)
 }
 
-// alonePlay has any target, each in the zone that is cut off.
-type alonePlay struct {
+// isolatedHome has any target, each in the zone that is cut off.
+type isolatedHome struct {
 	now  time.Time
 	home *Home
 }
 
-func (d *alonePlay) Members(pool PoolID) []place.TargetRow {
+func (d *isolatedHome) Members(pool PoolID) []place.TargetRow {
 	return []place.TargetRow{{Target: pool.Target, Zone: "cut", Slots: 3}}
 }
 
-// TestSpeedTilt: three targets of different speeds get work by their capacity;
+// TestCapacityWeighting: three targets of different speeds get work by their capacity;
 // more of it is on time than if each had the same use.
-func TestSpeedTilt(t *testing.T) {
+func TestCapacityWeighting(t *testing.T) {
 	speeds := []float64{0.6, 1, 1.4}
 	worth := func(weight func(speed float64) float64) float64 {
 		var total, asked, got float64
@@ -144,13 +144,13 @@
 			total += weight(s)
 		}
 		for _, s := range speeds {
-			k := lookups.at(0.7 * 3 * 3 / lookups.work.Seconds() * weight(s) / total)
+			k := lookups.withRate(0.7 * 3 * 3 / lookups.work.Seconds() * weight(s) / total)
 			for seed := range uint64(4) {
-				for _, o := range play(played{
-					kinds: []kindOfWork{k}, speeds: []float64{s}, slots: 3, queue: 12, hosts: 6, lasts: 30 * time.Second, seed: seed,
+				for _, o := range simulate(simConfig{
+					workloads: []workload{k}, speeds: []float64{s}, slots: 3, queue: 12, hosts: 6, duration: 30 * time.Second, seed: seed,
 					pool: PoolID{Service: "s", Target: "t00"},
 				}) {
-					asked, got = asked+float64(o.asked), got+o.worth()*float64(o.asked)
+					asked, got = asked+float64(o.sent), got+o.utility()*float64(o.sent)
 				}
 			}
 		}
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -29,29 +29,29 @@
 	Target  place.Target
 }
 
-// Ask wants a slot for one request.
-type Ask struct {
+// Acquire wants a slot for one request.
+type Acquire struct {
 	ID   TicketID
 	Pool PoolID
 	// Class is the route, whose requests take about the same time.
 	Class    traffic.RouteName
 	Priority traffic.Priority
-	// Left is the time until the request must be answered, Aim the time until
+	// Timeout is the time until the request must be answered, Aim the time until
 	// its answer loses worth; Aim may be negative.
-	Left time.Duration
-	Aim  time.Duration
-	// Tried are targets that failed this request already.
-	Tried []place.Target
+	Timeout     time.Duration
+	SoftTimeout time.Duration
+	// Excluded are targets that failed this request already.
+	Excluded []place.Target
 	// Cold tells that the request's key is slow, as its owner took it without a
 	// handover a moment ago.
 	Cold bool
-	// Alone tells that the asking host is its own home because it reaches no
+	// Isolated tells that the asking host is its own home because it reaches no
 	// other that could be.
-	Alone bool
+	Isolated bool
 }
 
-// Placed gives a slot of a target.
-type Placed struct {
+// Assigned gives a slot of a target.
+type Assigned struct {
 	ID     TicketID
 	Target place.Target
 	Addr   netip.AddrPort
@@ -77,8 +77,8 @@
 	ReasonFull Reason = iota + 1
 	// ReasonLate: the time ran out while waiting.
 	ReasonLate
-	// ReasonNone: the pool has no target that could take the request.
-	ReasonNone
+	// ReasonNoTarget: the pool has no target that could take the request.
+	ReasonNoTarget
 )
 
 // String returns the reason's word in logs.
@@ -88,37 +88,37 @@
 		return "full"
 	case ReasonLate:
 		return "late"
-	case ReasonNone:
+	case ReasonNoTarget:
 		return "none"
 	}
 	return "unknown"
 }
 
-// End is how a try at a target ended.
-type End uint8
+// Result is how a try at a target ended.
+type Result uint8
 
 // The ends of a try.
 const (
-	// EndServed: a whole answer that is no failure of the target.
-	EndServed End = iota + 1
-	// EndFailed: a whole answer with a failure of the target's own.
-	EndFailed
-	// EndBusy: the target had no room; nothing ran.
-	EndBusy
-	// EndForeign: the target does not own the key, or is another one.
-	EndForeign
-	// EndUnreachable: no connection; nothing was sent.
-	EndUnreachable
-	// EndCut: the connection broke, or the answer was unusable.
-	EndCut
-	// EndTimeout: no answer in the time given.
-	EndTimeout
-	// EndUnused: the slot was not used.
-	EndUnused
+	// ResultServed: a whole answer that is no failure of the target.
+	ResultServed Result = iota + 1
+	// ResultFailed: a whole answer with a failure of the target's own.
+	ResultFailed
+	// ResultBusy: the target had no room; nothing ran.
+	ResultBusy
+	// ResultMisdirected: the target does not own the key, or is another one.
+	ResultMisdirected
+	// ResultUnreachable: no connection; nothing was sent.
+	ResultUnreachable
+	// ResultCut: the connection broke, or the answer was unusable.
+	ResultCut
+	// ResultTimeout: no answer in the time given.
+	ResultTimeout
+	// ResultUnused: the slot was not used.
+	ResultUnused
 )
 
 // String returns the end's word in logs and metrics.
-func (e End) String() string {
+func (e Result) String() string {
 	names := [...]string{"", "served", "failed", "busy", "foreign", "unreachable", "cut", "timeout", "unused"}
 	if int(e) < len(names) {
 		return names[e]
@@ -132,7 +132,7 @@
 	Pool   PoolID
 	Target place.Target
 	Class  traffic.RouteName
-	End    End
+	Result Result
 	Took   time.Duration
 }
 
@@ -177,14 +177,14 @@
 // Message is what hosts and homes send each other.
 type Message interface{ message() }
 
-func (Ask) message()     {}
-func (Placed) message()  {}
-func (Queued) message()  {}
-func (Refused) message() {}
-func (Done) message()    {}
-func (Drain) message()   {}
-func (Cancel) message()  {}
-func (Report) message()  {}
-func (Ping) message()    {}
-func (Pong) message()    {}
-func (Leave) message()   {}
+func (Acquire) message()  {}
+func (Assigned) message() {}
+func (Queued) message()   {}
+func (Refused) message()  {}
+func (Done) message()     {}
+func (Drain) message()    {}
+func (Cancel) message()   {}
+func (Report) message()   {}
+func (Ping) message()     {}
+func (Pong) message()     {}
+func (Leave) message()    {}
--- a/internal/dispatch/reach_test.go
+++ b/internal/dispatch/reachability_test.go
@@ -13,9 +13,9 @@
 // few targets, and for nothing else.
 func TestReach(t *testing.T) {
 	now := time.Unix(1000, 0)
-	whole := map[place.Zone]Zone{"a": {Targets: 10, Hosts: 4}, "b": {Targets: 10, Hosts: 4}, "c": {Targets: 10, Hosts: 4}}
-	suspects := func(n map[place.Zone]int) map[place.Zone]Zone {
-		out := make(map[place.Zone]Zone)
+	whole := map[place.Zone]ZoneState{"a": {Targets: 10, Hosts: 4}, "b": {Targets: 10, Hosts: 4}, "c": {Targets: 10, Hosts: 4}}
+	suspects := func(n map[place.Zone]int) map[place.Zone]ZoneState {
+		out := make(map[place.Zone]ZoneState)
 		for name, z := range whole {
 			z.Suspects = n[name]
 			out[name] = z
@@ -23,7 +23,7 @@
 		return out
 	}
 	for name, test := range map[string]struct {
-		zones  map[place.Zone]Zone
+		zones  map[place.Zone]ZoneState
 		failed []place.Zone
 		heard  map[place.Zone]time.Duration
 		want   bool
@@ -38,29 +38,29 @@
 			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"c": 100 * time.Millisecond}, false,
 		},
 		"heard before the cut": {
-			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"b": time.Second, "c": zoneSilence}, true,
+			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"b": time.Second, "c": zoneSilenceTimeout}, true,
 		},
 		"zones of one host": {
-			map[place.Zone]Zone{"a": {Targets: 1, Hosts: 1}, "b": {Targets: 1, Hosts: 1, Suspects: 1}, "c": {Targets: 1, Hosts: 1, Suspects: 1}},
+			map[place.Zone]ZoneState{"a": {Targets: 1, Hosts: 1}, "b": {Targets: 1, Hosts: 1, Suspects: 1}, "c": {Targets: 1, Hosts: 1, Suspects: 1}},
 			[]place.Zone{"b", "c"},
 			nil, true,
 		},
 		"the own zone": {suspects(map[place.Zone]int{"a": 3}), []place.Zone{"a"}, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := NewReach()
+			r := NewReachability()
 			for zone, ago := range test.heard {
-				r.Hear(now.Add(-ago), zone)
+				r.RecordMessage(now.Add(-ago), zone)
 			}
 			for _, zone := range test.failed {
-				r.Try(zone, EndUnreachable)
+				r.RecordAttempt(zone, ResultUnreachable)
 			}
-			assert.Equal(t, r.Suspect(), len(test.failed) > 0)
-			assert.Equal(t, r.Lost(now, "a", test.zones), test.want)
+			assert.Equal(t, r.Suspected(), len(test.failed) > 0)
+			assert.Equal(t, r.Partitioned(now, "a", test.zones), test.want)
 			for _, zone := range test.failed {
-				r.Try(zone, EndServed) // the way is open again
+				r.RecordAttempt(zone, ResultServed) // the way is open again
 			}
-			assert.Assert(t, !r.Lost(now, "a", test.zones))
+			assert.Assert(t, !r.Partitioned(now, "a", test.zones))
 		})
 	}
 }
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -98,7 +98,7 @@
 		return
 	}
 	f.size = joinOverhead
-	if a, ok := result.(outcome.Answer); ok {
+	if a, ok := result.(outcome.Response); ok {
 		f.size += len(a.Body)
 	}
 	j.bytes += f.size
--- a/internal/entry/lane.go
+++ b/internal/entry/lane.go
@@ -115,8 +115,8 @@
 	}
 	l.pool = forward.New(forward.Config{
 		Addr:        row.Addr,
-		Limit:       limit,
-		Warm:        max(cfg.Slots, 1),
+		MaxOpen:     limit,
+		MinOpen:     max(cfg.Slots, 1),
 		Dial:        e.cfg.Dial,
 		DialTimeout: dialTimeout,
 	})
@@ -285,7 +285,7 @@
 		l.bulk--
 	}
 	switch r := r.(type) {
-	case forward.Answered:
+	case forward.Completed:
 		l.meter.ended(now, took, false)
 		l.succeed(now, took)
 	case forward.Refused:
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -98,7 +98,7 @@
 func (m *metrics) tried(result forward.Result) {
 	name := "uncertain"
 	switch result.(type) {
-	case forward.Answered:
+	case forward.Completed:
 		name = "answered"
 	case forward.Refused:
 		name = "refused"
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -85,7 +85,7 @@
 		deadline: now.Add(time.Duration(m.LeftUS) * time.Microsecond),
 	}
 	w.request = forward.Request{
-		Method: m.Method, URI: m.URI, Header: forward.Forwardable(m.Header), Body: m.Body,
+		Method: m.Method, URI: m.URI, Header: forward.SanitizeHeader(m.Header), Body: m.Body,
 		Service: key.Service(m.Service), Deadline: w.deadline, MaxBody: m.MaxBody,
 	}
 	return w, nil
@@ -94,7 +94,7 @@
 func encodeResult(result outcome.Result, waited bool) ([]byte, error) {
 	m := wireResult{Outcome: string(outcome.Of(result)), Reason: string(outcome.ReasonOf(result)), Waited: waited}
 	switch r := result.(type) {
-	case outcome.Answer:
+	case outcome.Response:
 		m.Status, m.Header, m.Body = r.Status, r.Header, r.Body
 	case outcome.NotRunFailure:
 		m.RetryMS = uint32(r.RetryAfter.Milliseconds())
@@ -112,7 +112,7 @@
 		if m.Status < http.StatusOK || m.Status > maxStatus {
 			return nil, false, errMalformed
 		}
-		result = outcome.Answer{Status: m.Status, Header: forward.Forwardable(m.Header), Body: m.Body}
+		result = outcome.Response{Status: m.Status, Header: forward.SanitizeHeader(m.Header), Body: m.Body}
 	case outcome.NotRun:
 		result = outcome.NotRunFailure{
 			Reason:     outcome.Reason(m.Reason),
--- a/internal/entry/wire_test.go
+++ b/internal/entry/wire_test.go
@@ -34,7 +34,7 @@
 
 func TestResultWire(t *testing.T) {
 	tests := map[string]outcome.Result{
-		"answer":  outcome.Answer{Status: 201, Header: http.Header{"Accept": {"x"}}, Body: []byte("body")},
+		"answer":  outcome.Response{Status: 201, Header: http.Header{"Accept": {"x"}}, Body: []byte("body")},
 		"not run": outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: 2 * time.Second},
 		"unknown": outcome.UnknownFailure{Reason: outcome.AnswerCut},
 	}
@@ -53,7 +53,7 @@
 func FuzzDecode(f *testing.F) {
 	body, _ := encodeWork(time.Unix(1000, 0), &work{deadline: time.Unix(1001, 0)})
 	f.Add(body)
-	body, _ = encodeResult(outcome.Answer{Status: 200, Body: []byte("x")}, false)
+	body, _ = encodeResult(outcome.Response{Status: 200, Body: []byte("x")}, false)
 	f.Add(body)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if w, err := decodeWork(time.Unix(1000, 0), body); err == nil && w.deadline.After(time.Unix(1000, 0).Add(maxLeft)) {
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -206,8 +206,8 @@
 // judge decides what follows one try.
 func (e *Entry) judge(ctx context.Context, o owner, w *work, result forward.Result) step {
 	switch r := result.(type) {
-	case forward.Answered:
-		return finish{r.Answer}
+	case forward.Completed:
+		return finish{r.Response}
 	case forward.Refused:
 		return e.judgeRefused(o, w, r.Refusal)
 	case forward.NotSent:
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -16,100 +16,100 @@
 )
 
 const (
-	// maxAnswerHead bounds the status line and headers of an answer.
-	maxAnswerHead = 64 << 10
-	// readBuffer is the size of a connection's read buffer.
-	readBuffer = 4 << 10
-	// maxInterim bounds the 1xx answers before the final one.
-	maxInterim = 4
+	// maxHeaderBytes bounds the status line and headers of an answer.
+	maxHeaderBytes = 64 << 10
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 4 << 10
+	// maxInterimResponses bounds the 1xx answers before the final one.
+	maxInterimResponses = 4
 )
 
 // conn is one connection to a target; one request at a time uses it.
 type conn struct {
 	net.Conn
-	raw    syscall.RawConn
-	br     *bufio.Reader
-	bound  io.LimitedReader
-	out    []byte
-	sent   http.Request // what ReadResponse wants to know of the request
-	broken bool
-	// idleAt is when its last request ended; zero for a new connection.
-	idleAt time.Time
+	raw      syscall.RawConn
+	br       *bufio.Reader
+	limit    io.LimitedReader
+	writeBuf []byte
+	request  http.Request // what ReadResponse wants to know of the request
+	broken   bool
+	// idleSince is when its last request ended; zero for a new connection.
+	idleSince time.Time
 }
 
 // idleFor returns how long the connection has been idle, zero for a new one.
 func (c *conn) idleFor(now time.Time) time.Duration {
-	if c.idleAt.IsZero() {
+	if c.idleSince.IsZero() {
 		return 0
 	}
-	return max(now.Sub(c.idleAt), 1)
+	return max(now.Sub(c.idleSince), 1)
 }
 
 func newConn(c net.Conn) *conn {
 	k := &conn{Conn: c}
-	k.bound.R = c
-	k.br = bufio.NewReaderSize(&k.bound, readBuffer)
+	k.limit.R = c
+	k.br = bufio.NewReaderSize(&k.limit, readBufferBytes)
 	if s, ok := c.(syscall.Conn); ok {
 		k.raw, _ = s.SyscallConn()
 	}
 	return k
 }
 
-// quiet reports whether a kept connection is still open and silent. Bytes that
+// reusable reports whether a kept connection is still open and silent. Bytes that
 // wait on it are a late or doubled answer: the connection is not used again.
-func (c *conn) quiet() bool {
+func (c *conn) reusable() bool {
 	if c.broken || c.br.Buffered() > 0 {
 		return false
 	}
-	return c.raw == nil || Quiet(c.raw)
+	return c.raw == nil || Idle(c.raw)
 }
 
-// Pending is what a read of a connection would find now.
-type Pending uint8
+// ReadState is what a read of a connection would find now.
+type ReadState uint8
 
 // PendingNothing is an open connection without bytes to read, PendingBytes one
 // with some, PendingEnd one that the other side has ended or that has failed.
 const (
-	PendingNothing Pending = iota
-	PendingBytes
-	PendingEnd
+	ReadBlocks ReadState = iota
+	ReadData
+	ReadClosed
 )
 
-// Look returns what a read of a connection would find. It does not wait, also
+// Peek returns what a read of a connection would find. It does not wait, also
 // where another goroutine is reading.
-func Look(raw syscall.RawConn) Pending {
-	found := PendingEnd
+func Peek(raw syscall.RawConn) ReadState {
+	found := ReadClosed
 	err := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			found = PendingNothing
+			found = ReadBlocks
 		case err == nil && n > 0:
-			found = PendingBytes
+			found = ReadData
 		}
 	})
 	if err != nil {
-		return PendingEnd
+		return ReadClosed
 	}
 	return found
 }
 
-// Quiet reports whether a connection is open and no bytes wait on it.
-func Quiet(raw syscall.RawConn) bool { return Look(raw) == PendingNothing }
+// Idle reports whether a connection is open and no bytes wait on it.
+func Idle(raw syscall.RawConn) bool { return Peek(raw) == ReadBlocks }
 
-// do sends a request and reads its answer. After anything but a whole answer
+// roundTrip sends a request and reads its answer. After anything but a whole answer
 // the connection is broken and must be closed.
-func (c *conn) do(r *Request, host string, now time.Time) Result {
+func (c *conn) roundTrip(r *Request, host string, now time.Time) Result {
 	c.broken = true
-	c.out = appendHead(c.out[:0], r, host, r.Deadline.Sub(now))
-	if r.Names != nil {
-		return c.exchange(r)
+	c.writeBuf = appendHead(c.writeBuf[:0], r, host, r.Deadline.Sub(now))
+	if r.HeaderNames != nil {
+		return c.roundTripUnsharded(r)
 	}
-	c.out = append(c.out, r.Body...)
-	n, err := c.Write(c.out)
-	if cap(c.out) > readBuffer {
-		c.out = nil // a large body's buffer is not kept per connection
+	c.writeBuf = append(c.writeBuf, r.Body...)
+	n, err := c.Write(c.writeBuf)
+	if cap(c.writeBuf) > readBufferBytes {
+		c.writeBuf = nil // a large body's buffer is not kept per connection
 	}
 	if err != nil && n == 0 {
 		return NotSent{Err: err}
@@ -117,16 +117,16 @@
 	if err != nil {
 		return uncertain(outcome.SendCut, err)
 	}
-	return c.read(r)
+	return c.readSharded(r)
 }
 
-func (c *conn) read(r *Request) Result {
-	c.bound.N = maxAnswerHead
+func (c *conn) readSharded(r *Request) Result {
+	c.limit.N = maxHeaderBytes
 	resp, err := c.readHead(r.Method)
 	if err != nil {
 		return uncertain(outcome.AnswerCut, err)
 	}
-	defer c.end(resp)
+	defer c.closeBody(resp)
 	if ids := resp.Header[target.HeaderRequest]; len(ids) != 1 || ids[0] != r.ID {
 		return Uncertain{Reason: outcome.AnswerWrong, Err: errors.New("forward: answer to another request")}
 	}
@@ -144,12 +144,12 @@
 	if refusal := resp.Header[target.HeaderNotRun]; len(refusal) == 1 {
 		return Refused{Refusal: target.Refusal(refusal[0]), Status: resp.StatusCode}
 	}
-	return Answered{Answer: outcome.Answer{Status: resp.StatusCode, Header: Forwardable(resp.Header), Body: body}}
+	return Completed{Response: outcome.Response{Status: resp.StatusCode, Header: SanitizeHeader(resp.Header), Body: body}}
 }
 
-// end closes the body of an answer. Closing reads what is left of it, so a
+// closeBody closes the body of an answer. Closing reads what is left of it, so a
 // broken connection is closed first: its target may send nothing more.
-func (c *conn) end(resp *http.Response) {
+func (c *conn) closeBody(resp *http.Response) {
 	if c.broken {
 		_ = c.Close()
 	}
@@ -158,9 +158,9 @@
 
 // readHead reads the final answer's head. An upgrade was never asked for.
 func (c *conn) readHead(method string) (*http.Response, error) {
-	c.sent.Method = method
-	for range maxInterim {
-		resp, err := http.ReadResponse(c.br, &c.sent)
+	c.request.Method = method
+	for range maxInterimResponses {
+		resp, err := http.ReadResponse(c.br, &c.request)
 		if err != nil {
 			return nil, err
 		}
@@ -182,29 +182,29 @@
 }
 
 const (
-	// bodyFirst is the memory in bytes that is reserved first for a body of unknown
+	// firstBodyRead is the memory in bytes that is reserved first for a body of unknown
 	// length, bodyMost that at once for any: an answer that claims to be long may be
 	// bytes without end.
-	bodyFirst = 4 << 10
-	bodyMost  = 64 << 10
+	firstBodyRead = 4 << 10
+	maxBodyRead   = 64 << 10
 )
 
 var (
-	errOverBound = errors.New("forward: answer over the bound")
-	errNoMemory  = errors.New("forward: no memory left for the answer")
+	errBodyTooLarge = errors.New("forward: answer over the bound")
+	errNoMemory     = errors.New("forward: no memory left for the answer")
 )
 
 // readBody reads a body, within the request's bound and the memory that is left.
 func (c *conn) readBody(resp *http.Response, r *Request) ([]byte, Result) {
-	c.bound.N = r.MaxBody + maxAnswerHead // chunk heads and trailers included
-	step := int64(bodyFirst)
+	c.limit.N = r.MaxBody + maxHeaderBytes // chunk heads and trailers included
+	step := int64(firstBodyRead)
 	if n := resp.ContentLength; n >= 0 {
 		step = n + 1 // the last read finds the end
 	}
 	var body []byte
 	for {
-		step = min(step, bodyMost, r.MaxBody+1-int64(len(body)))
-		if r.Take != nil && !r.Take(step) {
+		step = min(step, maxBodyRead, r.MaxBody+1-int64(len(body)))
+		if r.Reserve != nil && !r.Reserve(step) {
 			return nil, Uncertain{Reason: outcome.AnswerTooBig, Err: errNoMemory}
 		}
 		body = slices.Grow(body, int(step))
@@ -217,7 +217,7 @@
 			case err != nil:
 				return nil, uncertain(outcome.AnswerCut, err)
 			case int64(len(body)) > r.MaxBody:
-				return nil, Uncertain{Reason: outcome.AnswerTooBig, Err: errOverBound}
+				return nil, Uncertain{Reason: outcome.AnswerTooBig, Err: errBodyTooLarge}
 			}
 		}
 		step = int64(len(body))
--- a/internal/forward/endless_test.go
+++ b/internal/forward/endless_test.go
@@ -17,9 +17,9 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// endless sends a start and then a piece again and again, until the other side
+// endlessServer sends a start and then a piece again and again, until the other side
 // closes.
-type endless struct {
+type endlessServer struct {
 	start, piece string
 	pause        time.Duration
 	sent         atomic.Int64
@@ -27,7 +27,7 @@
 	closed chan time.Time
 }
 
-func (e *endless) serve(c net.Conn) {
+func (e *endlessServer) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestEndlessBytes: bytes without end that are no answer cost bounded memory, and end
+// TestEndlessResponse: bytes without end that are no answer cost bounded memory, and end
 // with the connection, at the request's deadline at the latest.
-func TestEndlessBytes(t *testing.T) {
+func TestEndlessResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\n"
 	block := strings.Repeat("x", 8<<10)
 	// The kernel's buffers of both sides, and one read of ours.
@@ -72,17 +72,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := &endless{start: test.start, piece: test.piece, pause: test.pause, closed: make(chan time.Time, 8)}
+			e := &endlessServer{start: test.start, piece: test.piece, pause: test.pause, closed: make(chan time.Time, 8)}
 			p := listenTo(t, e.serve)
-			r := namedRequest("r")
+			r := unshardedRequest("r")
 			taken := int64(0)
-			r.Take = func(n int64) bool {
+			r.Reserve = func(n int64) bool {
 				taken += n
 				return taken <= test.memory
 			}
 			r.MaxBody, r.Deadline = 1<<20, time.Now().Add(500*time.Millisecond)
 			result := p.Do(context.Background(), r, time.Now())
-			if a, ok := result.(forward.Answered); ok {
+			if a, ok := result.(forward.Completed); ok {
 				assert.Equal(t, string(a.Body), "xx") // whole, before the bytes too many
 			} else {
 				_, ok := result.(forward.Uncertain)
@@ -96,10 +96,10 @@
 				t.Fatal("the connection stays open")
 			}
 			assert.Assert(t, e.sent.Load() < r.MaxBody+slack, "%d bytes were taken", e.sent.Load())
-			assert.Assert(t, taken <= r.MaxBody+bodySteps, "%d bytes reserved", taken)
+			assert.Assert(t, taken <= r.MaxBody+reserveSlack, "%d bytes reserved", taken)
 		})
 	}
 }
 
-// bodySteps is what a pool may reserve beyond a body's bound.
-const bodySteps = 128 << 10
+// reserveSlack is what a pool may reserve beyond a body's bound.
+const reserveSlack = 128 << 10
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -22,7 +22,7 @@
 // pipeTo returns a pool whose connections end in serve.
 func pipeTo(serve func(net.Conn)) *forward.Pool {
 	return forward.New(forward.Config{
-		Addr: netip.MustParseAddrPort("127.0.0.1:1"), Limit: 2, Warm: 1, DialTimeout: time.Second,
+		Addr: netip.MustParseAddrPort("127.0.0.1:1"), MaxOpen: 2, MinOpen: 1, DialTimeout: time.Second,
 		Dial: func(context.Context, netip.AddrPort) (net.Conn, error) {
 			near, far := net.Pipe()
 			go serve(far)
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestForwardedHead shows what of a caller's headers reaches a target.
-func TestForwardedHead(t *testing.T) {
+// TestForwardedHeader shows what of a caller's headers reaches a target.
+func TestForwardedHeader(t *testing.T) {
 	heads := make(chan *http.Request, 1)
 	p := pipeTo(func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
@@ -54,7 +54,7 @@
 		"Citrontray-Shard": {"1"}, "Citrontray_shard": {"1"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"999"},
 		"X-Forwarded-For": {"1.2.3.4"}, "X-Cut": {"a\r\nCitrontray-Epoch: 1"}, "Idempotency-Key": {"k"},
 	}
-	p.Do(context.Background(), request(forward.Forwardable(h)), time.Now())
+	p.Do(context.Background(), request(forward.SanitizeHeader(h)), time.Now())
 	r := <-heads
 	want := http.Header{
 		"Accept": {"text/plain"}, "X-Cut": {"aCitrontray-Epoch: 1"}, "Idempotency-Key": {"k"}, "Content-Length": {"4"},
@@ -111,7 +111,7 @@
 		r := request(nil)
 		r.Deadline = time.Now().Add(5 * time.Second)
 		switch result := p.Do(context.Background(), r, time.Now()).(type) {
-		case forward.Answered:
+		case forward.Completed:
 			if len(result.Body) > 100 || !bytes.Contains(answer, []byte("id-1")) {
 				t.Fatalf("answer %q", result.Body)
 			}
--- a/internal/forward/header.go
+++ b/internal/forward/header.go
@@ -9,11 +9,11 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// ownPrefix starts the names of the headers that only the system may set.
-const ownPrefix = "Citrontray-"
+// reservedPrefix starts the names of the headers that only the system may set.
+const reservedPrefix = "Citrontray-"
 
-// dropped are the headers that end at this hop or that a caller may not set.
-var dropped = map[string]bool{
+// strippedHeaders are the headers that end at this hop or that a caller may not set.
+var strippedHeaders = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
 	"Content-Length":      true,
@@ -34,18 +34,18 @@
 	"X-Real-Ip":           true,
 }
 
-// Forwardable removes from the headers of a caller's request, or of an answer,
+// SanitizeHeader removes from the headers of a caller's request, or of an answer,
 // what may not pass: hop-by-hop headers, those that Connection names, and
 // ours. A name with an underscore goes too, since some servers read
 // "Citrontray_Shard" as "Citrontray-Shard". It changes h and returns it.
-func Forwardable(h http.Header) http.Header {
+func SanitizeHeader(h http.Header) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			delete(h, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
 	for name := range h {
-		if dropped[name] || strings.HasPrefix(name, ownPrefix) || strings.IndexByte(name, '_') >= 0 {
+		if strippedHeaders[name] || strings.HasPrefix(name, reservedPrefix) || strings.IndexByte(name, '_') >= 0 {
 			delete(h, name)
 		}
 	}
@@ -69,9 +69,9 @@
 	"Upgrade":             true,
 }
 
-// EndToEnd removes from h the headers that concern one connection only, and
+// StripHopByHop removes from h the headers that concern one connection only, and
 // those that Connection names. It changes h and returns it.
-func EndToEnd(h http.Header) http.Header {
+func StripHopByHop(h http.Header) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			delete(h, http.CanonicalHeaderKey(strings.TrimSpace(name)))
@@ -85,18 +85,18 @@
 	return h
 }
 
-// appendNamed writes the headers for targets without shards.
-func appendNamed(b []byte, r *Request, left time.Duration) []byte {
+// appendUnsharded writes the headers for targets without shards.
+func appendUnsharded(b []byte, r *Request, left time.Duration) []byte {
 	b = appendField(b, "Host", r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
 			b = appendField(b, name, value)
 		}
 	}
-	b = appendField(b, r.Names.Request, r.ID)
-	b = appendNumber(b, r.Names.Deadline, uint64(max(left.Milliseconds(), 0)))
+	b = appendField(b, r.HeaderNames.Request, r.ID)
+	b = appendNumber(b, r.HeaderNames.Deadline, uint64(max(left.Milliseconds(), 0)))
 	if r.Expect != "" {
-		b = appendField(b, r.Names.Expect, string(r.Expect))
+		b = appendField(b, r.HeaderNames.Expect, string(r.Expect))
 	}
 	return b
 }
@@ -108,8 +108,8 @@
 	b = append(b, ' ')
 	b = appendClean(b, r.URI)
 	b = append(b, " HTTP/1.1\r\n"...)
-	if r.Names != nil {
-		b = appendNamed(b, r, left)
+	if r.HeaderNames != nil {
+		b = appendUnsharded(b, r, left)
 	} else {
 		b = appendSharded(b, r, host, left)
 	}
--- a/internal/forward/quiet_test.go
+++ b/internal/forward/peek_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestQuietBesideReader: the look whether bytes wait on a connection does not
+// TestIdleDuringRead: the look whether bytes wait on a connection does not
 // itself wait for the goroutine that reads it.
-func TestQuietBesideReader(t *testing.T) {
+func TestIdleDuringRead(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
@@ -28,7 +28,7 @@
 	raw, err := conn.SyscallConn()
 	assert.NilError(t, err)
 	done := make(chan bool)
-	go func() { done <- Quiet(raw) }()
+	go func() { done <- Idle(raw) }()
 	select {
 	case quiet := <-done:
 		assert.Assert(t, quiet)
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -27,11 +27,11 @@
 // Config bounds a pool.
 type Config struct {
 	Addr netip.AddrPort
-	// Limit is the largest number of open connections.
-	Limit int
-	// Warm is the number of idle connections that Warm keeps open.
-	Warm int
-	Dial Dial
+	// MaxOpen is the largest number of open connections.
+	MaxOpen int
+	// MinOpen is the number of idle connections that Warm keeps open.
+	MinOpen int
+	Dial    Dial
 	// DialTimeout bounds one attempt to connect.
 	DialTimeout time.Duration
 }
@@ -75,7 +75,7 @@
 		stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	}
 	idle := c.idleFor(now)
-	result := c.do(r, p.host, now)
+	result := c.roundTrip(r, p.host, now)
 	if u, ok := result.(Uncertain); ok {
 		u.Idle = idle
 		result = u
@@ -97,7 +97,7 @@
 		if c == nil {
 			return p.connect(ctx, r.Deadline)
 		}
-		if (r.MaxIdle == 0 || c.idleFor(now) <= r.MaxIdle) && c.quiet() {
+		if (r.MaxIdle == 0 || c.idleFor(now) <= r.MaxIdle) && c.reusable() {
 			return c, nil
 		}
 		c.broken = true
@@ -119,7 +119,7 @@
 		p.idle = p.idle[:n-1]
 		return c, nil
 	}
-	if p.open >= p.cfg.Limit {
+	if p.open >= p.cfg.MaxOpen {
 		return nil, ErrFull
 	}
 	p.open++
@@ -135,13 +135,13 @@
 	}
 	c, err := p.cfg.Dial(ctx, p.cfg.Addr)
 	if err != nil {
-		p.forget()
+		p.unreserve()
 		return nil, err
 	}
 	return newConn(c), nil
 }
 
-func (p *Pool) forget() {
+func (p *Pool) unreserve() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
@@ -152,7 +152,7 @@
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		c.broken = true
 	}
-	c.idleAt = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	keep := !c.broken && !p.closed
 	if keep {
@@ -169,7 +169,7 @@
 // Warm opens connections until Config.Warm are idle or in use. It stops at
 // the first failure and returns it.
 func (p *Pool) Warm(ctx context.Context, now time.Time) error {
-	for p.wantsWarm() {
+	for p.reserveWarm() {
 		c, err := p.connect(ctx, now.Add(p.cfg.DialTimeout))
 		if err != nil {
 			return err
@@ -179,10 +179,10 @@
 	return nil
 }
 
-func (p *Pool) wantsWarm() bool {
+func (p *Pool) reserveWarm() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.open >= min(p.cfg.Warm, p.cfg.Limit) {
+	if p.closed || p.open >= min(p.cfg.MinOpen, p.cfg.MaxOpen) {
 		return false
 	}
 	p.open++
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -31,15 +31,15 @@
 	Deadline time.Time
 	// MaxBody bounds the body of the answer, in bytes.
 	MaxBody int64
-	// Take reserves memory for that many more bytes of the answer, and reports whether
+	// Reserve reserves memory for that many more bytes of the answer, and reports whether
 	// there is any left; nil takes no account.
-	Take func(bytes int64) bool
+	Reserve func(bytes int64) bool
 	// MaxIdle is how long a connection may have been idle to be used; zero
 	// stands for any time.
 	MaxIdle time.Duration
-	// Names are set for targets without shards; Service, Shard and Epoch are
+	// HeaderNames are set for targets without shards; Service, Shard and Epoch are
 	// not sent to them.
-	Names *target.Names
+	HeaderNames *target.HeaderNames
 	// Host is the client's Host header, and Expect the only target that may
 	// take the request. Both are sent only with Names.
 	Host   string
@@ -49,9 +49,9 @@
 // Result is what is known of a request after one try.
 type Result interface{ result() }
 
-// Answered is the whole answer to this very request.
-type Answered struct {
-	outcome.Answer
+// Completed is the whole answer to this very request.
+type Completed struct {
+	outcome.Response
 
 	Signal target.Signal
 }
@@ -75,7 +75,7 @@
 	Idle time.Duration
 }
 
-func (Answered) result()  {}
+func (Completed) result() {}
 func (Refused) result()   {}
 func (NotSent) result()   {}
 func (Uncertain) result() {}
--- a/internal/forward/named_test.go
+++ b/internal/forward/unsharded_test.go
@@ -20,12 +20,12 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-func namedRequest(id string) *forward.Request {
-	names := target.OwnNames()
+func unshardedRequest(id string) *forward.Request {
+	names := target.DefaultHeaderNames()
 	names.Stamp = "Citrontray-Stamp"
 	return &forward.Request{
 		ID: id, Method: "GET", URI: "/span/7", Host: "a.example", Expect: "t-1",
-		Deadline: time.Now().Add(2 * time.Second), MaxBody: 1000, Names: names,
+		Deadline: time.Now().Add(2 * time.Second), MaxBody: 1000, HeaderNames: names,
 	}
 }
 
@@ -65,21 +65,21 @@
 			go serve(c)
 		}
 	}()
-	p := forward.New(forward.Config{Addr: netip.MustParseAddrPort(l.Addr().String()), Limit: 4, DialTimeout: time.Second})
+	p := forward.New(forward.Config{Addr: netip.MustParseAddrPort(l.Addr().String()), MaxOpen: 4, DialTimeout: time.Second})
 	t.Cleanup(p.Close)
 	return p
 }
 
-// TestKeptConnection sends a second request after the first one's deadline has
+// TestReuseAfterDeadline sends a second request after the first one's deadline has
 // passed: the connection has no deadline left from it.
-func TestKeptConnection(t *testing.T) {
+func TestReuseAfterDeadline(t *testing.T) {
 	var conns atomic.Int32
 	p := listenTo(t, answerWith("HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok", &conns))
 	for i := range 2 {
-		r := namedRequest("r-" + strconv.Itoa(i))
+		r := unshardedRequest("r-" + strconv.Itoa(i))
 		r.Deadline = time.Now().Add(200 * time.Millisecond)
 		result := p.Do(context.Background(), r, time.Now())
-		_, ok := result.(forward.Answered)
+		_, ok := result.(forward.Completed)
 		assert.Assert(t, ok, "%#v", result)
 		time.Sleep(300 * time.Millisecond)
 	}
@@ -94,7 +94,7 @@
 	answer := "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 	p := listenTo(t, answerWith(answer, &conns))
 	do := func(maxIdle time.Duration) forward.Result {
-		r := namedRequest("r")
+		r := unshardedRequest("r")
 		r.Deadline, r.MaxIdle = time.Now().Add(time.Second), maxIdle
 		defer time.Sleep(pause)
 		return p.Do(context.Background(), r, time.Now())
@@ -106,7 +106,7 @@
 	assert.Equal(t, conns.Load(), int32(2))
 
 	p = listenTo(t, func(c net.Conn) {
-		answerWith(answer, &conns)(&once{Conn: c}) // closes after one answer, when the next request is read
+		answerWith(answer, &conns)(&oneRequestConn{Conn: c}) // closes after one answer, when the next request is read
 	})
 	do(0)
 	cut, ok := do(0).(forward.Uncertain)
@@ -114,14 +114,14 @@
 	assert.Assert(t, cut.Idle >= pause, "idle for %v", cut.Idle)
 }
 
-// once is a connection that breaks with the second read of a request.
-type once struct {
+// oneRequestConn is a connection that breaks with the second read of a request.
+type oneRequestConn struct {
 	net.Conn
 
 	reads int
 }
 
-func (o *once) Read(b []byte) (int, error) {
+func (o *oneRequestConn) Read(b []byte) (int, error) {
 	n, err := o.Conn.Read(b)
 	if o.reads++; o.reads > 1 && err == nil {
 		_ = o.Close()
@@ -130,7 +130,7 @@
 	return n, err
 }
 
-func TestNamedAnswers(t *testing.T) {
+func TestUnshardedResponses(t *testing.T) {
 	const (
 		head  = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\n"
 		whole = head + "Content-Length: 2\r\n\r\nok"
@@ -157,11 +157,11 @@
 		t.Run(name, func(t *testing.T) {
 			var conns atomic.Int32
 			p := listenTo(t, answerWith(test.answer, &conns))
-			r := namedRequest("r-1")
+			r := unshardedRequest("r-1")
 			r.Deadline = time.Now().Add(300 * time.Millisecond)
 			got := ""
 			switch result := p.Do(context.Background(), r, time.Now()).(type) {
-			case forward.Answered:
+			case forward.Completed:
 				got = "answered"
 			case forward.Refused:
 				got = "refused"
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestLongBodyAnsweredEarly meets a target that answers before it has read a
+// TestEarlyResponse meets a target that answers before it has read a
 // body and never reads the rest.
-func TestLongBodyAnsweredEarly(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	p := listenTo(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		r, err := http.ReadRequest(bufio.NewReader(c))
@@ -188,18 +188,18 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 413 Long\r\nCitrontray-Request: "+id+"\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(time.Second)
 	})
-	r := namedRequest("r-1")
+	r := unshardedRequest("r-1")
 	r.Method, r.Body = "PUT", make([]byte, 8<<20)
 	result := p.Do(context.Background(), r, time.Now())
-	answered, ok := result.(forward.Answered)
+	answered, ok := result.(forward.Completed)
 	assert.Assert(t, ok, "%#v", result)
 	assert.Equal(t, answered.Status, 413)
 }
 
-// TestSecondCopy: a target sends another copy of an answer while the connection's
+// TestDuplicateResponse: a target sends another copy of an answer while the connection's
 // next request runs. That request gets its own answer or an uncertain end, never
 // the copy's; above all it is not said to have not run.
-func TestSecondCopy(t *testing.T) {
+func TestDuplicateResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 	const refusal = "HTTP/1.1 503 Busy\r\nCitrontray-Not-Run: busy\r\nContent-Length: 2\r\n\r\nno"
 	labelled := strings.Replace(refusal, "\r\n", "\r\nCitrontray-Request: ID\r\n", 1)
@@ -238,10 +238,10 @@
 					earlier = id
 				}
 			})
-			p.Do(context.Background(), namedRequest("r-1"), time.Now())
-			result := p.Do(context.Background(), namedRequest("r-2"), time.Now())
+			p.Do(context.Background(), unshardedRequest("r-1"), time.Now())
+			result := p.Do(context.Background(), unshardedRequest("r-2"), time.Now())
 			switch r := result.(type) {
-			case forward.Answered:
+			case forward.Completed:
 				assert.Assert(t, test.own)
 				assert.Equal(t, string(r.Body), "ok")
 			case forward.Uncertain:
--- a/internal/host/backoff.go
+++ b/internal/host/backoff.go
@@ -35,7 +35,7 @@
 
 // decline returns what to do in place of using a slot of a target that leaves, or
 // wants no requests of this host now; nil where the slot may be used.
-func (j *job) decline(m dispatch.Placed, owner place.Target) step {
+func (j *job) decline(m dispatch.Assigned, owner place.Target) step {
 	now, v := time.Now(), j.host.viewer.view()
 	row := v.targets[m.Target]
 	if owner != "" {
@@ -56,7 +56,7 @@
 func (j *job) heedSignal(t ticket, result forward.Result) {
 	var signal target.Signal
 	switch r := result.(type) {
-	case forward.Answered:
+	case forward.Completed:
 		signal = r.Signal
 	case forward.Refused:
 		signal = r.Signal
--- a/internal/host/codec_test.go
+++ b/internal/host/codec_test.go
@@ -13,7 +13,7 @@
 // FuzzDatagram: no datagram between hosts makes a decoder panic. Those of tickets
 // and presences have fuzz targets where they are decoded.
 func FuzzDatagram(f *testing.F) {
-	report := loadReport{service: "s", points: map[key.Point]int{5: 2}, lanes: []dispatch.Opinion{{Target: "t", Mean: time.Second, Slow: 1, Used: true, Requests: 9}}}
+	report := loadReport{service: "s", points: map[key.Point]int{5: 2}, lanes: []dispatch.TargetStats{{Target: "t", Mean: time.Second, Slowdown: 1, Used: true, Samples: 9}}}
 	body, err := report.encode()
 	assert.NilError(f, err)
 	f.Add(body)
--- a/internal/host/desk.go
+++ b/internal/host/desk.go
@@ -54,7 +54,7 @@
 	// learned are the addresses that hosts last wrote from: one that started
 	// while the store was away is in no list.
 	learned map[place.Host]netip.AddrPort
-	reach   *dispatch.Reach
+	reach   *dispatch.Reachability
 	// backoffs are what targets have asked of this host.
 	backoffs *dispatch.Backoffs
 }
@@ -69,7 +69,7 @@
 		waits:  make(map[dispatch.TicketID]chan verdict),
 
 		learned: make(map[place.Host]netip.AddrPort),
-		reach:   dispatch.NewReach(),
+		reach:   dispatch.NewReachability(),
 
 		backoffs: dispatch.NewBackoffs(),
 	}
@@ -129,7 +129,7 @@
 // plan sets when the next look is due. The caller holds mu.
 func (d *desk) plan(now time.Time) {
 	wakes := now.Add(deskRest)
-	for _, next := range []time.Time{d.client.Next(), d.home.Next(now)} {
+	for _, next := range []time.Time{d.client.NextTick(), d.home.NextTick(now)} {
 		if !next.IsZero() && next.Before(wakes) {
 			wakes = next
 		}
@@ -172,15 +172,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.learned[from.Host] = source
-	d.reach.Hear(now, from.Zone)
+	d.reach.RecordMessage(now, from.Zone)
 	d.handle(now, from, m)
 }
 
 // handle takes one message. The caller holds mu.
 func (d *desk) handle(now time.Time, from dispatch.Peer, m dispatch.Message) {
 	switch m.(type) {
-	case dispatch.Placed, dispatch.Queued, dispatch.Refused, dispatch.Pong, dispatch.Leave:
-		d.client.Hear(now, from.Host, m)
+	case dispatch.Assigned, dispatch.Queued, dispatch.Refused, dispatch.Pong, dispatch.Leave:
+		d.client.Receive(now, from.Host, m)
 		d.flush(now, nil)
 	default:
 		d.flush(now, d.home.Handle(now, from, m))
@@ -189,13 +189,13 @@
 
 // flush sends what the home and the client want sent; what is for this host
 // itself is handled at once. The caller holds mu.
-func (d *desk) flush(now time.Time, letters []dispatch.Letter) {
+func (d *desk) flush(now time.Time, letters []dispatch.PeerMessage) {
 	defer d.plan(now)
 	for {
 		for _, l := range letters {
 			if l.To.Host == d.self.Host {
-				if l.To.Life == d.self.Life {
-					d.client.Hear(now, d.self.Host, l.Message)
+				if l.To.Incarnation == d.self.Incarnation {
+					d.client.Receive(now, d.self.Host, l.Message)
 				}
 				continue
 			}
@@ -206,7 +206,7 @@
 		deliveries, verdicts := d.client.Flush()
 		for _, v := range verdicts {
 			if ch := d.waits[v.ID]; ch != nil {
-				ch <- verdict{v.Message, v.Home, v.Alone} // it has room for the one verdict
+				ch <- verdict{v.Message, v.Home, v.Isolated} // it has room for the one verdict
 				delete(d.waits, v.ID)
 			}
 		}
@@ -226,11 +226,11 @@
 // logDenials writes a line for each refusal of the homes here; the asking host's
 // line of the request names this host and the ticket.
 func (d *desk) logDenials() {
-	for _, n := range d.home.Denials() {
+	for _, n := range d.home.Refusals() {
 		d.log.Info("Ticket refused.", slog.String("asker", string(n.Host)), slog.Uint64("ticket", uint64(n.ID)),
 			slog.String("service", string(n.Pool.Service)), slog.String("pool", string(n.Pool.Target)+string(n.Pool.Zone)),
-			slog.String("reason", n.Reason.String()), millis("waited", n.Wait), millis("end", n.End), millis("left", n.Left),
-			slog.Int("waiting", n.Waiting), slog.Int("open", n.Open), slog.Float64("pressure", n.Pressure), slog.Bool("cold", n.Cold),
+			slog.String("reason", n.Reason.String()), millis("waited", n.Wait), millis("end", n.Estimate), millis("left", n.Remaining),
+			slog.Int("waiting", n.Waiting), slog.Int("open", n.Available), slog.Float64("pressure", n.Pressure), slog.Bool("cold", n.Cold),
 			millis("retry", n.RetryAfter))
 	}
 }
@@ -280,17 +280,17 @@
 func (d *desk) refresh(now time.Time, v *view) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.backoffs.Keep(now, func(name place.Target) bool { _, ok := v.targets[name]; return ok })
+	d.backoffs.Prune(now, func(name place.Target) bool { _, ok := v.targets[name]; return ok })
 	d.flush(now, d.home.Refresh(now))
 }
 
 // ask starts an ask. The channel gets a Placed or a Refused, or nothing after
 // cancel.
-func (d *desk) ask(now time.Time, a dispatch.Ask) (dispatch.TicketID, <-chan verdict) {
+func (d *desk) ask(now time.Time, a dispatch.Acquire) (dispatch.TicketID, <-chan verdict) {
 	ch := make(chan verdict, 1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id := d.client.Ask(now, a)
+	id := d.client.Acquire(now, a)
 	d.waits[id] = ch
 	d.flush(now, nil)
 	return id, ch
@@ -310,21 +310,21 @@
 }
 
 // done gives a ticket back.
-func (d *desk) done(now time.Time, id dispatch.TicketID, end dispatch.End, took time.Duration) {
+func (d *desk) done(now time.Time, id dispatch.TicketID, end dispatch.Result, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if end == dispatch.EndServed {
-		d.home.Learn(d.client.Class(id), took)
+	if end == dispatch.ResultServed {
+		d.home.Observe(d.client.Class(id), took)
 	}
 	d.client.Done(now, id, end, took)
 	d.flush(now, nil)
 }
 
 // tried notes how an attempt at a target of a zone ended.
-func (d *desk) tried(zone place.Zone, end dispatch.End) {
+func (d *desk) tried(zone place.Zone, end dispatch.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reach.Try(zone, end)
+	d.reach.RecordAttempt(zone, end)
 }
 
 // heed takes what a target asks of this host in an answer, and reports whether the
@@ -332,7 +332,7 @@
 func (d *desk) heed(now time.Time, pool dispatch.PoolID, row place.TargetRow, s target.Signal) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	tell := d.backoffs.Note(now, row.Target, row.Incarnation, s)
+	tell := d.backoffs.Record(now, row.Target, row.Incarnation, s)
 	if tell {
 		d.client.Drain(pool, row.Target)
 		d.flush(now, nil)
@@ -345,7 +345,7 @@
 func (d *desk) backoff(now time.Time, row place.TargetRow) (leaving time.Time, pause time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.backoffs.Of(now, row.Target, row.Incarnation)
+	return d.backoffs.State(now, row.Target, row.Incarnation)
 }
 
 // excluded returns the targets among rows that want no new request of this host.
@@ -360,10 +360,10 @@
 func (d *desk) cutOff(now time.Time, v *view) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.reach.Suspect() {
+	if !d.reach.Suspected() {
 		return false
 	}
-	zones := make(map[place.Zone]dispatch.Zone)
+	zones := make(map[place.Zone]dispatch.ZoneState)
 	for _, t := range v.targets {
 		z := zones[t.Zone]
 		z.Targets++
@@ -377,7 +377,7 @@
 		}
 		zones[m.Zone] = z
 	}
-	return d.reach.Lost(now, d.self.Zone, zones)
+	return d.reach.Partitioned(now, d.self.Zone, zones)
 }
 
 // leave tells the hosts that this one stops.
@@ -389,7 +389,7 @@
 			d.send(h.Name, dispatch.Leave{})
 		}
 	}
-	d.client.Hear(time.Now(), d.self.Host, dispatch.Leave{})
+	d.client.Receive(time.Now(), d.self.Host, dispatch.Leave{})
 }
 
 // started tells that a host has another life.
@@ -400,10 +400,10 @@
 }
 
 // opinions returns what the homes here know of their targets.
-func (d *desk) opinions(now time.Time) []dispatch.Opinion {
+func (d *desk) opinions(now time.Time) []dispatch.TargetStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.home.Opinions(now)
+	return d.home.TargetStats(now)
 }
 
 // pools returns the state of the pools held here.
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -39,7 +39,7 @@
 	store   *standin.Sessions
 	orders  *standin.RangedOrders
 	runs    *standin.RunLedger
-	names   *target.Names
+	names   *target.HeaderNames
 	targets map[place.Target]*standin.Ranged
 	hosts   []*running
 	client  *http.Client
@@ -79,15 +79,15 @@
 func testConfig(version traffic.Version) *traffic.Config {
 	route := func(name, prefix string, service key.Service, idempotent bool) traffic.Route {
 		return traffic.Route{
-			Name: traffic.RouteName(name), Host: "a.example", Prefix: prefix, Parts: []traffic.Part{{Service: service, Weight: 1}},
-			Idempotent: idempotent, Timeout: 2 * time.Second, Aim: 500 * time.Millisecond, Attempts: 2,
+			Name: traffic.RouteName(name), Host: "a.example", Prefix: prefix, Destinations: []traffic.Destination{{Service: service, Weight: 1}},
+			Idempotent: idempotent, Timeout: 2 * time.Second, LatencyObjective: 500 * time.Millisecond, MaxAttempts: 2,
 		}
 	}
 	return &traffic.Config{
 		Version: version,
 		Services: []traffic.Service{
-			{Name: "span", Keys: traffic.Ranged, Connections: 100},
-			{Name: "desk", Connections: 100},
+			{Name: "span", Keys: traffic.Ranged, MaxConnections: 100},
+			{Name: "desk", MaxConnections: 100},
 		},
 		Routes: []traffic.Route{
 			route("look-up", "/keys/", "span", true),
@@ -101,7 +101,7 @@
 	t.Helper()
 	d := &deployment{
 		t: t, store: standin.NewSessions(), orders: standin.NewRangedOrders(), runs: standin.NewRunLedger(),
-		names: target.OwnNames(), targets: make(map[place.Target]*standin.Ranged),
+		names: target.DefaultHeaderNames(), targets: make(map[place.Target]*standin.Ranged),
 		configs: make(map[string]*traffic.Config),
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
--- a/internal/host/front.go
+++ b/internal/host/front.go
@@ -58,7 +58,7 @@
 		return nil, outcome.NotRunFailure{Reason: outcome.BadHeader}
 	}
 	limits := v.routes.Config().Limits
-	if limits.HeaderBytes > 0 && headerBytes(r) > limits.HeaderBytes {
+	if limits.MaxHeaderBytes > 0 && headerBytes(r) > limits.MaxHeaderBytes {
 		return nil, outcome.NotRunFailure{Reason: outcome.HeaderTooBig}
 	}
 	part := h.splitter.Next(route)
@@ -77,18 +77,18 @@
 		h.meter.count(service.Name, j.point)
 	}
 	h.retries.earn(now, service.Name)
-	body, result := h.readBody(r, limits.BodyBytes)
+	body, result := h.readBody(r, limits.MaxBodyBytes)
 	if result != nil {
 		return nil, result
 	}
-	header := forward.EndToEnd(r.Header)
+	header := forward.StripHopByHop(r.Header)
 	for _, name := range []string{h.names.Request, h.names.Deadline, h.names.Expect} {
 		header.Del(name)
 	}
 	j.holding = int64(len(body))
 	j.request = forward.Request{
 		ID: id, Method: r.Method, URI: r.RequestURI, Header: header, Body: body,
-		Deadline: j.deadline, MaxBody: maxAnswer, Names: h.names, Host: r.Host, Take: j.take,
+		Deadline: j.deadline, MaxBody: maxAnswer, HeaderNames: h.names, Host: r.Host, Reserve: j.take,
 	}
 	return j, nil
 }
@@ -101,7 +101,7 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	aim := j.route.Aim
+	aim := j.route.LatencyObjective
 	if left > 0 {
 		aim -= max(usual-left, 0)
 		timeout = min(timeout, left)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -40,9 +40,9 @@
 type Environment struct {
 	Site   site.Site
 	Store  platform.SessionStore
-	Orders target.Orders
+	Orders target.OrderDialer
 	// Names are the headers that clients and targets use.
-	Names *target.Names
+	Names *target.HeaderNames
 	// Dial opens connections to targets.
 	Dial forward.Dial
 	// DecodeConfig and DecodeTarget read what others wrote into the store.
@@ -58,7 +58,7 @@
 type Host struct {
 	env   Environment
 	site  site.Site
-	names *target.Names
+	names *target.HeaderNames
 	log   *slog.Logger
 	life  place.Incarnation
 
@@ -139,7 +139,7 @@
 	if err != nil {
 		return fmt.Errorf("host: ticket address: %w", err)
 	}
-	self := dispatch.Peer{Host: h.site.Host, Life: h.life, Zone: h.site.Zone}
+	self := dispatch.Peer{Host: h.site.Host, Incarnation: h.life, Zone: h.site.Zone}
 	h.desk = newDesk(self, conn, h.log, h)
 	h.desk.guard = h.guard
 	h.desk.address = h.ticketAddress
@@ -292,7 +292,7 @@
 			}
 			h.retries.setHosts(now, len(v.members.Hosts))
 			if v.routes != nil {
-				h.splitter.Keep(v.routes.Config())
+				h.splitter.Prune(v.routes.Config())
 			}
 			if v.lists != lists {
 				lists = v.lists
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -258,7 +258,7 @@
 	for _, r := range d.targets {
 		r.SetFaults(standin.RangedFaults{Work: 10 * time.Millisecond, Refuse: 0.5})
 	}
-	aim := testConfig(1).Routes[0].Aim
+	aim := testConfig(1).Routes[0].LatencyObjective
 	back, inAim := 0, 0
 	for i := range 250 {
 		start, point := time.Now(), key.Point(i*997%key.Points)
--- a/internal/host/meter.go
+++ b/internal/host/meter.go
@@ -69,7 +69,7 @@
 type loadReport struct {
 	service key.Service
 	points  map[key.Point]int
-	lanes   []dispatch.Opinion
+	lanes   []dispatch.TargetStats
 }
 
 type wireReport struct {
@@ -98,8 +98,8 @@
 	}
 	for _, o := range r.lanes {
 		w.Lanes = append(w.Lanes, wireLane{
-			Target: string(o.Target), Mean: o.Mean.Microseconds(), Slow: o.Slow, Down: o.Down, Used: o.Used,
-			Requests: o.Requests, Leaving: o.Leaving,
+			Target: string(o.Target), Mean: o.Mean.Microseconds(), Slow: o.Slowdown, Down: o.Down, Used: o.Used,
+			Requests: o.Samples, Leaving: o.Leaving,
 		})
 	}
 	return cbor.Marshal(w)
@@ -115,9 +115,9 @@
 		r.points[key.Point(w.Points[i])] += int(w.Points[i+1])
 	}
 	for _, l := range w.Lanes {
-		r.lanes = append(r.lanes, dispatch.Opinion{
-			Target: place.Target(l.Target), Mean: time.Duration(l.Mean) * time.Microsecond, Slow: l.Slow, Down: l.Down, Used: l.Used,
-			Requests: l.Requests, Leaving: l.Leaving,
+		r.lanes = append(r.lanes, dispatch.TargetStats{
+			Target: place.Target(l.Target), Mean: time.Duration(l.Mean) * time.Microsecond, Slowdown: l.Slow, Down: l.Down, Used: l.Used,
+			Samples: l.Requests, Leaving: l.Leaving,
 		})
 	}
 	return r, nil
--- a/internal/host/metrics.go
+++ b/internal/host/metrics.go
@@ -57,7 +57,7 @@
 }
 
 // attempted counts a try at a target by how it ended, and its time.
-func (m *metrics) attempted(service key.Service, end dispatch.End, took, waited time.Duration) {
+func (m *metrics) attempted(service key.Service, end dispatch.Result, took, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	kept(m.counters, metricID{"attempts", string(service), end.String(), ""}, func() tally.Counter {
--- a/internal/host/orders.go
+++ b/internal/host/orders.go
@@ -23,7 +23,7 @@
 // courier carries the orders of one lead to the targets. A connection belongs
 // to one number of the lead's and is opened for that number's first order only.
 type courier struct {
-	orders target.Orders
+	orders target.OrderDialer
 	log    *slog.Logger
 
 	mu    sync.Mutex
@@ -36,7 +36,7 @@
 	number uint64
 }
 
-func newCourier(orders target.Orders, log *slog.Logger) *courier {
+func newCourier(orders target.OrderDialer, log *slog.Logger) *courier {
 	return &courier{orders: orders, log: log, conns: make(map[place.Target]*orderConn)}
 }
 
@@ -58,7 +58,7 @@
 			continue
 		}
 		c.log.Info("Grant failed.", slog.String("target", string(e.Target)), slog.String("range", g.Range.String()),
-			slog.Uint64("fence", uint64(g.Fence)), slog.Any("error", results[i]))
+			slog.Uint64("fence", uint64(g.FencingToken)), slog.Any("error", results[i]))
 		leaving = conn.Leaving()
 		c.drop(e.Target, conn)
 		return results, leaving
--- a/internal/host/pools.go
+++ b/internal/host/pools.go
@@ -55,9 +55,9 @@
 	defer p.mu.Unlock()
 	pool := p.byAt[addr]
 	if pool == nil {
-		share := int(connectionShare * float64(service.Connections) / float64(p.hosts))
+		share := int(connectionShare * float64(service.MaxConnections) / float64(p.hosts))
 		pool = &pooled{Pool: forward.New(forward.Config{
-			Addr: addr, Limit: max(share, leastConnections), Dial: p.dial, DialTimeout: dialTimeout,
+			Addr: addr, MaxOpen: max(share, leastConnections), Dial: p.dial, DialTimeout: dialTimeout,
 		})}
 		p.byAt[addr] = pool
 	}
--- a/internal/host/runner.go
+++ b/internal/host/runner.go
@@ -250,11 +250,11 @@
 		}
 		last, ok := r.opinions[o.Target]
 		if !ok || now.Sub(last.at) > opinionAge {
-			last.slow = o.Slow
+			last.slow = o.Slowdown
 		}
 		weight := 1 - math.Exp(-now.Sub(last.at).Seconds()/opinionMemory.Seconds())
-		last.slow += weight * (o.Slow - last.slow)
-		last.time, last.requests, last.down, last.at = took, o.Requests, o.Down, now
+		last.slow += weight * (o.Slowdown - last.slow)
+		last.time, last.requests, last.down, last.at = took, o.Samples, o.Down, now
 		if last.slow > slowSure {
 			last.time = time.Duration(float64(took) * last.slow)
 		}
@@ -358,7 +358,7 @@
 	r.weighed = now
 	if v.routes != nil {
 		if service := v.routes.Service(r.service); service != nil {
-			r.core.SetWarmup(service.Warm)
+			r.core.SetWarmup(service.WarmUp)
 		}
 	}
 	r.meter.Decay(now)
--- a/internal/host/serve.go
+++ b/internal/host/serve.go
@@ -134,7 +134,7 @@
 // end keeps not-run true: a request of which one attempt may have run is not
 // refused after a later one.
 func (j *job) end(r outcome.Result) outcome.Result {
-	if _, ok := r.(outcome.Answer); ok {
+	if _, ok := r.(outcome.Response); ok {
 		return r
 	}
 	if j.failed != nil {
@@ -213,9 +213,9 @@
 	if owner == "" {
 		tried = append(desk.excluded(now, v.services[j.service.Name]), tried...)
 	}
-	id, verdict := desk.ask(now, dispatch.Ask{
+	id, verdict := desk.ask(now, dispatch.Acquire{
 		Pool: pool, Class: j.route.Name, Priority: j.route.Priority,
-		Left: j.deadline.Sub(now), Aim: j.aimAt.Sub(now), Tried: tried, Cold: j.cold,
+		Timeout: j.deadline.Sub(now), SoftTimeout: j.aimAt.Sub(now), Excluded: tried, Cold: j.cold,
 	})
 	timer := time.NewTimer(j.deadline.Sub(now))
 	defer timer.Stop()
@@ -250,7 +250,7 @@
 type ticket struct {
 	id     dispatch.TicketID
 	target place.Target
-	dispatch.Placed
+	dispatch.Assigned
 	waited time.Duration
 	// alone tells that the home is this host for want of another.
 	alone bool
@@ -262,18 +262,18 @@
 	j.queued += waited
 	j.home, j.ticketID = end.home, id
 	switch m := end.Message.(type) {
-	case dispatch.Placed:
+	case dispatch.Assigned:
 		if s := j.decline(m, owner); s != nil {
 			// This host knows more than the home.
 			j.host.log.Info("Slot not used, its target wants no request.", slog.String("request", j.request.ID),
 				slog.String("target", string(m.Target)), slog.String("home", string(end.home)), slog.Uint64("ticket", uint64(id)))
 			return j.unused(id, m), s
 		}
-		return ticket{id: id, target: m.Target, Placed: m, waited: waited, alone: end.alone}, nil
+		return ticket{id: id, target: m.Target, Assigned: m, waited: waited, alone: end.alone}, nil
 	case dispatch.Refused:
 		j.refusal = m.Reason
 		reason := outcome.Overload
-		if m.Reason == dispatch.ReasonNone {
+		if m.Reason == dispatch.ReasonNoTarget {
 			reason = outcome.Unreachable
 		}
 		return ticket{}, finish{outcome.NotRunFailure{Reason: reason, RetryAfter: m.RetryAfter}}
@@ -283,8 +283,8 @@
 
 // unused gives a ticket back that came too late to be used.
 func (j *job) unused(id dispatch.TicketID, m dispatch.Message) ticket {
-	if _, ok := m.(dispatch.Placed); ok {
-		j.host.desk.done(time.Now(), id, dispatch.EndUnused, 0)
+	if _, ok := m.(dispatch.Assigned); ok {
+		j.host.desk.done(time.Now(), id, dispatch.ResultUnused, 0)
 	}
 	return ticket{}
 }
@@ -303,7 +303,7 @@
 func (j *job) send(ctx context.Context, t ticket) step {
 	h := j.host
 	if j.arrivals > 0 && !h.retries.spend(time.Now(), j.service.Name) {
-		h.desk.done(time.Now(), t.id, dispatch.EndUnused, 0)
+		h.desk.done(time.Now(), t.id, dispatch.ResultUnused, 0)
 		return finish{j.givenUp()}
 	}
 	if !j.route.Idempotent {
@@ -318,8 +318,8 @@
 	result := h.pools.get(t.Addr, j.service).Do(ctx, &j.request, start)
 	took := time.Since(start)
 	end := endOf(result)
-	if ctx.Err() != nil && end != dispatch.EndTimeout {
-		end = dispatch.EndUnused // the client has gone
+	if ctx.Err() != nil && end != dispatch.ResultTimeout {
+		end = dispatch.ResultUnused // the client has gone
 	}
 	h.desk.done(time.Now(), t.id, end, took)
 	h.desk.tried(h.viewer.view().targets[t.target].Zone, end)
@@ -331,7 +331,7 @@
 	}
 	j.heedSignal(t, result)
 	h.metrics.attempted(j.service.Name, end, took, t.waited)
-	if end != dispatch.EndServed {
+	if end != dispatch.ResultServed {
 		j.logAttempt(t, end, took, result)
 	}
 	return j.conclude(ctx, t, result)
@@ -347,14 +347,14 @@
 }
 
 // logAttempt writes a line for an attempt that was not served.
-func (j *job) logAttempt(t ticket, end dispatch.End, took time.Duration, result forward.Result) {
+func (j *job) logAttempt(t ticket, end dispatch.Result, took time.Duration, result forward.Result) {
 	attrs := []any{
 		slog.String("request", j.request.ID), slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)),
 		slog.String("end", end.String()), millis("took", took), millis("left", time.Until(j.deadline)), slog.Int("sent", j.arrivals+1),
 		slog.Uint64("ticket", uint64(t.id)), slog.String("home", string(j.home)),
 	}
 	switch r := result.(type) {
-	case forward.Answered:
+	case forward.Completed:
 		attrs = append(attrs, slog.Int("status", r.Status))
 	case forward.Refused:
 		attrs = append(attrs, slog.Int("status", r.Status))
@@ -387,7 +387,7 @@
 		return finish{outcome.UnknownFailure{Reason: outcome.AnswerCut}}
 	}
 	switch r := result.(type) {
-	case forward.Answered:
+	case forward.Completed:
 		return j.answered(t, r)
 	case forward.Refused:
 		return j.refused(t, r)
@@ -421,16 +421,16 @@
 func (j *job) mayRepeat(t ticket) bool {
 	j.attempts++
 	j.tried = append(j.tried, t.target)
-	return j.attempts < j.route.Attempts
+	return j.attempts < j.route.MaxAttempts
 }
 
-func (j *job) answered(t ticket, r forward.Answered) step {
+func (j *job) answered(t ticket, r forward.Completed) step {
 	if r.Status < http.StatusInternalServerError || !j.route.Idempotent {
-		return finish{r.Answer}
+		return finish{r.Response}
 	}
-	j.failed = r.Answer
+	j.failed = r.Response
 	if r.Status == http.StatusGatewayTimeout || !j.mayRepeat(t) {
-		return finish{r.Answer}
+		return finish{r.Response}
 	}
 	return again{}
 }
@@ -455,28 +455,28 @@
 const retryBusy = 25 * time.Millisecond
 
 // endOf tells a home how an attempt ended.
-func endOf(result forward.Result) dispatch.End {
+func endOf(result forward.Result) dispatch.Result {
 	switch r := result.(type) {
-	case forward.Answered:
+	case forward.Completed:
 		if r.Status >= http.StatusInternalServerError {
-			return dispatch.EndFailed
+			return dispatch.ResultFailed
 		}
-		return dispatch.EndServed
+		return dispatch.ResultServed
 	case forward.Refused:
 		if r.Refusal == target.RefusalOwner {
-			return dispatch.EndForeign
+			return dispatch.ResultMisdirected
 		}
-		return dispatch.EndBusy
+		return dispatch.ResultBusy
 	case forward.NotSent:
 		if errors.Is(r.Err, forward.ErrFull) || errors.Is(r.Err, context.Canceled) {
-			return dispatch.EndUnused
+			return dispatch.ResultUnused
 		}
-		return dispatch.EndUnreachable
+		return dispatch.ResultUnreachable
 	case forward.Uncertain:
 		if r.Reason == outcome.AnswerLate {
-			return dispatch.EndTimeout
+			return dispatch.ResultTimeout
 		}
-		return dispatch.EndCut
+		return dispatch.ResultCut
 	}
-	return dispatch.EndUnused
+	return dispatch.ResultUnused
 }
--- a/internal/host/servers.go
+++ b/internal/host/servers.go
@@ -39,8 +39,8 @@
 	return &servers{
 		host: h,
 		front: ingress.New(ingress.Config{
-			Handler: h, Beside: h.mayRunBeside, Idle: h.idleTime,
-			HeaderBytes: maxHeaderBytes, HeaderTimeout: headerTimeout, Panicked: h.panicked, Log: h.log,
+			Handler: h, Concurrent: h.mayRunBeside, IdleTimeout: h.idleTime,
+			MaxHeaderBytes: maxHeaderBytes, HeaderTimeout: headerTimeout, OnPanic: h.panicked, Log: h.log,
 		}),
 		ready: &http.Server{
 			Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: headerTimeout,
@@ -117,7 +117,7 @@
 	grace := h.bounds.Load().Grace
 	h.log.Info("Stopping.", millis("grace", grace))
 	h.stopping.Store(true)
-	s.front.Hurry(stopIdle)
+	s.front.Drain(stopIdle)
 	h.desk.leave(h.viewer.view().members.Hosts)
 	end := start.Add(grace - stopMargin)
 	bound, cancel := context.WithDeadline(ctx, end)
--- a/internal/host/trust_test.go
+++ b/internal/host/trust_test.go
@@ -25,7 +25,7 @@
 		"an idle one was cut":        {ends: []forward.Result{cut(3 * time.Second)}, want: 1500 * time.Millisecond},
 		"the shorter time counts":    {ends: []forward.Result{cut(2 * time.Second), cut(4 * time.Second)}, want: time.Second},
 		"no answer is no reset":      {ends: []forward.Result{forward.Uncertain{Reason: outcome.AnswerLate, Idle: time.Second}}, want: 0},
-		"an answer says nothing":     {ends: []forward.Result{forward.Answered{}}, want: 0},
+		"an answer says nothing":     {ends: []forward.Result{forward.Completed{}}, want: 0},
 		"all are used again in time": {ends: []forward.Result{cut(3 * time.Second)}, after: trustAgain, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	// trailerMost bounds what may follow the last chunk of a body, in bytes.
-	trailerMost = 4 << 10
-	// stallTimeout is how long a client may send nothing of a body.
-	stallTimeout = 10 * time.Second
+	// maxTrailerBytes bounds what may follow the last chunk of a body, in bytes.
+	maxTrailerBytes = 4 << 10
+	// bodyReadTimeout is how long a client may send nothing of a body.
+	bodyReadTimeout = 10 * time.Second
 )
 
 // body is the body of a request that is being read. Once it has ended, the
 // connection's reader goes on behind it.
 type body struct {
 	conn *conn
-	from io.Reader
+	src  io.Reader
 	// chunked bodies are followed by a trailer.
 	chunked bool
-	// expected tells that the client waits for word before it sends the body.
-	expected bool
+	// expectContinue tells that the client waits for word before it sends the body.
+	expectContinue bool
 
 	once sync.Once
 	err  error
-	// ended is closed when the body was read, or is not read any more.
-	ended chan struct{}
+	// done is closed when the body was read, or is not read any more.
+	done chan struct{}
 }
 
 // newBody returns the body of a request, nil where it has none.
 func newBody(c *conn, r *http.Request) *body {
 	b := &body{
-		conn: c, ended: make(chan struct{}),
-		expected: strings.EqualFold(r.Header.Get("Expect"), "100-continue") && r.ProtoAtLeast(1, 1),
+		conn: c, done: make(chan struct{}),
+		expectContinue: strings.EqualFold(r.Header.Get("Expect"), "100-continue") && r.ProtoAtLeast(1, 1),
 	}
 	switch {
 	case len(r.TransferEncoding) > 0:
-		b.chunked, b.from = true, httputil.NewChunkedReader(c.br)
+		b.chunked, b.src = true, httputil.NewChunkedReader(c.br)
 	case r.ContentLength > 0:
-		b.from = &exact{Reader: io.LimitReader(c.br, r.ContentLength), left: r.ContentLength}
+		b.src = &exactReader{Reader: io.LimitReader(c.br, r.ContentLength), left: r.ContentLength}
 	default:
 		return nil
 	}
 	return b
 }
 
-// exact turns an end before all bytes have come into an error.
-type exact struct {
+// exactReader turns an end before all bytes have come into an error.
+type exactReader struct {
 	io.Reader
 
 	left int64
 }
 
 // Read implements io.Reader.
-func (e *exact) Read(p []byte) (int, error) {
+func (e *exactReader) Read(p []byte) (int, error) {
 	n, err := e.Reader.Read(p)
 	e.left -= int64(n)
 	switch {
@@ -77,18 +77,18 @@
 	if b.err != nil {
 		return 0, b.err
 	}
-	if b.expected {
-		b.expected = false
-		if err := b.conn.tell("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+	if b.expectContinue {
+		b.expectContinue = false
+		if err := b.conn.writeInterim("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			b.end(err)
 			return 0, err
 		}
 	}
-	if err := b.conn.SetReadDeadline(time.Now().Add(stallTimeout)); err != nil {
+	if err := b.conn.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil {
 		b.end(err)
 		return 0, err
 	}
-	n, err := b.from.Read(p)
+	n, err := b.src.Read(p)
 	if errors.Is(err, io.EOF) && b.chunked {
 		if failed := skipTrailer(b.conn.br); failed != nil {
 			err = failed
@@ -105,7 +105,7 @@
 	b.err = err
 	b.once.Do(func() {
 		_ = b.conn.SetReadDeadline(time.Time{}) // a closed connection needs none
-		close(b.ended)
+		close(b.done)
 	})
 }
 
@@ -132,7 +132,7 @@
 		if bytes.Equal(line, []byte("\r\n")) {
 			return nil
 		}
-		if read += len(line); read > trailerMost {
+		if read += len(line); read > maxTrailerBytes {
 			return errors.New("ingress: trailer too long")
 		}
 	}
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -13,26 +13,26 @@
 	conn    *conn
 	request *http.Request
 	body    *body
-	// beside tells that it may run beside others, last that the connection ends
+	// concurrent tells that it may run beside others, last that the connection ends
 	// behind it.
-	beside, last bool
+	concurrent, closeAfter bool
 
-	header  http.Header
-	status  int
-	content []byte
+	header   http.Header
+	status   int
+	response []byte
 	// answered is the conn's, under its lock.
 	answered bool
 }
 
 func newExchange(c *conn, r *http.Request) *exchange {
 	x := &exchange{conn: c, request: r, header: make(http.Header)}
-	x.last = r.Close || !r.ProtoAtLeast(1, 1)
+	x.closeAfter = r.Close || !r.ProtoAtLeast(1, 1)
 	r.Body = http.NoBody
 	if x.body = newBody(c, r); x.body != nil {
 		r.Body = x.body
 		return x
 	}
-	x.beside = (r.Method == http.MethodGet || r.Method == http.MethodHead) && c.server.cfg.Beside(r)
+	x.concurrent = (r.Method == http.MethodGet || r.Method == http.MethodHead) && c.server.cfg.Concurrent(r)
 	return x
 }
 
@@ -41,14 +41,14 @@
 	defer x.conn.work.Done()
 	x.handle()
 	if x.body != nil && !x.body.finish() {
-		x.last = true // where the next request begins is not known
+		x.closeAfter = true // where the next request begins is not known
 	}
 	if x.header.Get("Connection") == "close" {
-		x.last = true // the client shall connect to another host
+		x.closeAfter = true // the client shall connect to another host
 	}
 	x.conn.mu.Lock()
 	x.answered = true
-	x.conn.over = x.conn.over || x.last
+	x.conn.closing = x.conn.closing || x.closeAfter
 	x.conn.mu.Unlock()
 	x.conn.flush()
 }
@@ -57,8 +57,8 @@
 func (x *exchange) handle() {
 	defer func() {
 		if cause := recover(); cause != nil {
-			x.conn.server.cfg.Panicked("request", cause)
-			x.header, x.content, x.status = make(http.Header), nil, http.StatusInternalServerError
+			x.conn.server.cfg.OnPanic("request", cause)
+			x.header, x.response, x.status = make(http.Header), nil, http.StatusInternalServerError
 		}
 	}()
 	x.conn.server.cfg.Handler.ServeHTTP(x, x.request)
@@ -77,7 +77,7 @@
 // Write implements http.ResponseWriter; the answer goes out whole.
 func (x *exchange) Write(p []byte) (int, error) {
 	x.WriteHeader(http.StatusOK)
-	x.content = append(x.content, p...)
+	x.response = append(x.response, p...)
 	return len(p), nil
 }
 
@@ -86,21 +86,21 @@
 	x.WriteHeader(http.StatusOK)
 	bodyless := x.status == http.StatusNoContent || x.status == http.StatusNotModified
 	if _, ok := x.header["Content-Length"]; !ok && !bodyless {
-		x.header["Content-Length"] = []string{strconv.Itoa(len(x.content))}
+		x.header["Content-Length"] = []string{strconv.Itoa(len(x.response))}
 	}
-	if x.last {
+	if x.closeAfter {
 		x.header["Connection"] = []string{"close"}
 	}
 	if _, ok := x.header["Date"]; !ok {
 		x.header["Date"] = []string{now.UTC().Format(http.TimeFormat)}
 	}
 	const headGuess = 512
-	out := bytes.NewBuffer(make([]byte, 0, headGuess+len(x.content)))
+	out := bytes.NewBuffer(make([]byte, 0, headGuess+len(x.response)))
 	out.WriteString(statusLine(x.status))
 	_ = x.header.Write(out) // a buffer takes everything
 	out.WriteString("\r\n")
 	if !bodyless && (x.request == nil || x.request.Method != http.MethodHead) {
-		out.Write(x.content)
+		out.Write(x.response)
 	}
 	return out.Bytes()
 }
--- a/internal/ingress/head.go
+++ b/internal/ingress/head.go
@@ -10,16 +10,16 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// refusal is a request that can't be read. Its connection ends behind the answer:
+// requestError is a request that can't be read. Its connection ends behind the answer:
 // where the next request begins is not known.
-type refusal struct {
+type requestError struct {
 	status int
 	text   string
 }
 
-func (r *refusal) Error() string { return "ingress: " + r.text }
+func (r *requestError) Error() string { return "ingress: " + r.text }
 
-func bad(text string) error { return &refusal{http.StatusBadRequest, text} }
+func badRequest(text string) error { return &requestError{http.StatusBadRequest, text} }
 
 // read reads the head of a request into buf, up to and with its empty line, and
 // checks how it is framed: a head that two readers could read in two ways is
@@ -32,7 +32,7 @@
 			part, err := br.ReadSlice('\n')
 			buf = append(buf, part...)
 			if len(buf) > most {
-				return buf, &refusal{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
+				return buf, &requestError{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
 			}
 			if err == nil {
 				break
@@ -44,7 +44,7 @@
 		line, ok := bytes.CutSuffix(buf[start:], []byte("\r\n"))
 		switch {
 		case !ok:
-			return buf, bad("line without CR")
+			return buf, badRequest("line without CR")
 		case first && len(line) == 0 && start == 0:
 			buf = buf[:0] // an empty line before a request (RFC 9112, 2.2)
 			first = false
@@ -53,10 +53,10 @@
 			return buf, h.check()
 		case start == 0:
 			if bytes.ContainsAny(line, "\r\x00") {
-				return buf, bad("control byte in the request line")
+				return buf, badRequest("control byte in the request line")
 			}
 		default:
-			if err := h.add(line); err != nil {
+			if err := h.addLine(line); err != nil {
 				return buf, err
 			}
 		}
@@ -64,26 +64,26 @@
 	}
 }
 
-// linesMost bounds the header lines of a request: each takes far more memory than
+// maxHeaderLines bounds the header lines of a request: each takes far more memory than
 // its bytes once it is parsed.
-const linesMost = 1000
+const maxHeaderLines = 1000
 
 // framing is what the head says of where its request ends.
 type framing struct {
 	lines, hosts, lengths, codings int
 }
 
-// add checks one header line.
-func (h *framing) add(line []byte) error {
+// addLine checks one header line.
+func (h *framing) addLine(line []byte) error {
 	name, value, ok := strings.Cut(string(line), ":")
 	h.lines++
 	switch {
-	case h.lines > linesMost:
-		return &refusal{http.StatusRequestHeaderFieldsTooLarge, "too many header lines"}
+	case h.lines > maxHeaderLines:
+		return &requestError{http.StatusRequestHeaderFieldsTooLarge, "too many header lines"}
 	case !ok || !httpguts.ValidHeaderFieldName(name):
-		return bad("malformed header name")
+		return badRequest("malformed header name")
 	case !httpguts.ValidHeaderFieldValue(strings.Trim(value, " \t")):
-		return bad("malformed header value")
+		return badRequest("malformed header value")
 	}
 	switch http.CanonicalHeaderKey(name) {
 	case "Host":
@@ -92,13 +92,13 @@
 		h.lengths++
 		for _, c := range strings.Trim(value, " \t") {
 			if c < '0' || c > '9' {
-				return bad("malformed length")
+				return badRequest("malformed length")
 			}
 		}
 	case "Transfer-Encoding":
 		h.codings++
 		if !strings.EqualFold(strings.Trim(value, " \t"), "chunked") {
-			return &refusal{http.StatusNotImplemented, "unknown transfer coding"}
+			return &requestError{http.StatusNotImplemented, "unknown transfer coding"}
 		}
 	}
 	return nil
@@ -107,9 +107,9 @@
 func (h *framing) check() error {
 	switch {
 	case h.lengths > 1, h.codings > 1, h.lengths+h.codings > 1:
-		return bad("more than one length")
+		return badRequest("more than one length")
 	case h.hosts > 1:
-		return bad("more than one host")
+		return badRequest("more than one host")
 	}
 	return nil
 }
@@ -120,16 +120,16 @@
 	br.Reset(src)
 	r, err := http.ReadRequest(br)
 	if err != nil {
-		return nil, bad(err.Error())
+		return nil, badRequest(err.Error())
 	}
 	if r.ProtoMajor != 1 {
-		return nil, &refusal{http.StatusHTTPVersionNotSupported, "unknown protocol version"}
+		return nil, &requestError{http.StatusHTTPVersionNotSupported, "unknown protocol version"}
 	}
 	if r.Host == "" && r.ProtoAtLeast(1, 1) {
-		return nil, bad("no host")
+		return nil, badRequest("no host")
 	}
 	if h.codings > 0 && !r.ProtoAtLeast(1, 1) {
-		return nil, bad("chunks before HTTP/1.1")
+		return nil, badRequest("chunks before HTTP/1.1")
 	}
 	return r, nil
 }
--- a/internal/ingress/head_test.go
+++ b/internal/ingress/head_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestEmptyLines: one empty line before a request is passed over, more are not.
-func TestEmptyLines(t *testing.T) {
+// TestLeadingEmptyLines: one empty line before a request is passed over, more are not.
+func TestLeadingEmptyLines(t *testing.T) {
 	for lines, want := range map[int]bool{0: true, 1: true, 2: false} {
 		var h framing
 		br := bufio.NewReader(strings.NewReader(strings.Repeat("\r\n", lines) + get("/")))
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// aheadMost is how many requests of one connection run at once: more wait
+	// maxPipelined is how many requests of one connection run at once: more wait
 	// unread, and a client that leaves meanwhile is noticed later.
-	aheadMost = 16
+	maxPipelined = 16
 	// writeTimeout bounds the writing of one answer to a client that does not
 	// read.
 	writeTimeout = 30 * time.Second
-	// lingerTime is how long a connection that ends is still read: closing it
+	// lingerTimeout is how long a connection that ends is still read: closing it
 	// over unread bytes would reset it, and the last answer might be lost.
-	lingerTime = 500 * time.Millisecond
-	// acceptFirst and acceptMost bound the pause after a failed accept, where the
+	lingerTimeout = 500 * time.Millisecond
+	// minAcceptBackoff and acceptMost bound the pause after a failed accept, where the
 	// process has no descriptor left.
-	acceptFirst = 5 * time.Millisecond
-	acceptMost  = time.Second
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = time.Second
 )
 
 // Config is what a Server needs.
 type Config struct {
 	Handler http.Handler
-	// Beside reports whether a request may run beside others of its connection.
-	Beside func(*http.Request) bool
-	// Idle returns how long a connection without a request is kept now.
-	Idle func() time.Duration
-	// HeaderBytes bounds the head of a request, HeaderTimeout the time from its
+	// Concurrent reports whether a request may run beside others of its connection.
+	Concurrent func(*http.Request) bool
+	// IdleTimeout returns how long a connection without a request is kept now.
+	IdleTimeout func() time.Duration
+	// MaxHeaderBytes bounds the head of a request, HeaderTimeout the time from its
 	// first byte to its last.
-	HeaderBytes   int
-	HeaderTimeout time.Duration
-	// Panicked is told where a handler panicked.
-	Panicked func(part string, cause any)
-	Log      *slog.Logger
+	MaxHeaderBytes int
+	HeaderTimeout  time.Duration
+	// OnPanic is told where a handler panicked.
+	OnPanic func(part string, cause any)
+	Log     *slog.Logger
 }
 
 // Server serves the connections of one listener.
@@ -54,11 +54,11 @@
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[*conn]struct{}
-	// hurried is how long idle connections are kept in a planned stop; zero
+	// drainIdle is how long idle connections are kept in a planned stop; zero
 	// before it.
-	hurried time.Duration
-	closed  bool
-	work    sync.WaitGroup
+	drainIdle time.Duration
+	closed    bool
+	work      sync.WaitGroup
 }
 
 // New returns a server that serves nothing yet.
@@ -78,19 +78,19 @@
 		c, err := l.Accept()
 		if err == nil {
 			pause = 0
-			s.open(c)
+			s.startConn(c)
 			continue
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		pause = min(max(2*pause, acceptFirst), acceptMost)
+		pause = min(max(2*pause, minAcceptBackoff), maxAcceptBackoff)
 		s.cfg.Log.Warn("Connection not accepted.", slog.Any("error", err), slog.Float64("pause", float64(pause.Microseconds())/1000))
 		time.Sleep(pause)
 	}
 }
 
-func (s *Server) open(c net.Conn) {
+func (s *Server) startConn(c net.Conn) {
 	k := newConn(s, c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,47 +103,47 @@
 	go k.run()
 }
 
-// forget is told by a connection that it has ended.
-func (s *Server) forget(c *conn) {
+// removeConn is told by a connection that it has ended.
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	s.work.Done()
 }
 
-// idle returns how long a connection without a request is kept now.
-func (s *Server) idle() time.Duration {
+// idleTimeout returns how long a connection without a request is kept now.
+func (s *Server) idleTimeout() time.Duration {
 	s.mu.Lock()
-	hurried := s.hurried
+	hurried := s.drainIdle
 	s.mu.Unlock()
 	if hurried > 0 {
 		return hurried
 	}
-	return s.cfg.Idle()
+	return s.cfg.IdleTimeout()
 }
 
-// ending reports whether a planned stop has begun: each connection ends behind
+// draining reports whether a planned stop has begun: each connection ends behind
 // the last request that was taken from it.
-func (s *Server) ending() bool {
+func (s *Server) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hurried > 0
+	return s.drainIdle > 0
 }
 
-// Hurry begins a planned stop. New connections are still served; those without a
+// Drain begins a planned stop. New connections are still served; those without a
 // request are kept for idle, so that a request on its way is still taken.
-func (s *Server) Hurry(idle time.Duration) {
+func (s *Server) Drain(idle time.Duration) {
 	s.mu.Lock()
-	s.hurried = idle
-	open := s.list()
+	s.drainIdle = idle
+	open := s.openConns()
 	s.mu.Unlock()
 	for _, c := range open {
-		c.rest(idle)
+		c.startIdle(idle)
 	}
 }
 
-// list returns the open connections. The caller holds mu.
-func (s *Server) list() []*conn {
+// openConns returns the open connections. The caller holds mu.
+func (s *Server) openConns() []*conn {
 	out := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
 		out = append(out, c)
@@ -178,7 +178,7 @@
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
-	listener, open := s.listener, s.list()
+	listener, open := s.listener, s.openConns()
 	s.mu.Unlock()
 	var err error
 	if listener != nil {
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -29,10 +29,10 @@
 	served  chan error
 	entered chan string // the paths whose handler has begun, but streamed
 
-	mu    sync.Mutex
-	gates map[string]chan struct{}
-	gone  atomic.Int32
-	taken atomic.Int32
+	mu       sync.Mutex
+	gates    map[string]chan struct{}
+	canceled atomic.Int32
+	handled  atomic.Int32
 }
 
 func serve(t *testing.T) *testServer {
@@ -45,9 +45,9 @@
 	t.Helper()
 	s := &testServer{t: t, served: make(chan error, 1), entered: make(chan string, 1024), gates: make(map[string]chan struct{})}
 	s.Server = New(Config{
-		Handler: s, Beside: func(r *http.Request) bool { return !strings.HasPrefix(r.URL.Path, "/alone") },
-		Idle: func() time.Duration { return idle }, HeaderBytes: 16 << 10, HeaderTimeout: head, Log: journal.Nop(),
-		Panicked: func(string, any) {},
+		Handler: s, Concurrent: func(r *http.Request) bool { return !strings.HasPrefix(r.URL.Path, "/alone") },
+		IdleTimeout: func() time.Duration { return idle }, MaxHeaderBytes: 16 << 10, HeaderTimeout: head, Log: journal.Nop(),
+		OnPanic: func(string, any) {},
 	})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -71,7 +71,7 @@
 }
 
 func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.taken.Add(1)
+	s.handled.Add(1)
 	if r.URL.Path == streamed {
 		time.Sleep(time.Millisecond)
 		return
@@ -91,7 +91,7 @@
 		select {
 		case <-s.gate(r.URL.Path):
 		case <-r.Context().Done():
-			s.gone.Add(1)
+			s.canceled.Add(1)
 			return
 		}
 	case strings.HasPrefix(r.URL.Path, "/elsewhere"):
@@ -131,8 +131,8 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// want reads an answer, and reports whether the connection ends behind it.
-func (c *client) want(status int, body string) (last bool) {
+// expectResponse reads an answer, and reports whether the connection ends behind it.
+func (c *client) expectResponse(status int, body string) (last bool) {
 	c.t.Helper()
 	r, err := http.ReadResponse(c.br, nil)
 	assert.NilError(c.t, err)
@@ -146,14 +146,14 @@
 	return r.Close
 }
 
-// ends checks that the server closes the connection without another byte.
-func (c *client) ends() {
+// expectClosed checks that the server closes the connection without another byte.
+func (c *client) expectClosed() {
 	c.t.Helper()
 	_, err := c.br.ReadByte()
 	assert.Assert(c.t, errors.Is(err, io.EOF), "%v", err)
 }
 
-func (s *testServer) begins(paths ...string) {
+func (s *testServer) expectStarted(paths ...string) {
 	s.t.Helper()
 	wanted := make(map[string]bool)
 	for _, p := range paths {
@@ -169,7 +169,7 @@
 	}
 }
 
-func (s *testServer) quiet(d time.Duration) {
+func (s *testServer) expectNoneStarted(d time.Duration) {
 	s.t.Helper()
 	select {
 	case p := <-s.entered:
@@ -178,63 +178,63 @@
 	}
 }
 
-const moment = 50 * time.Millisecond
+const shortWait = 50 * time.Millisecond
 
-// TestOrder: requests sent ahead run side by side where they may; answers come in
+// TestPipelining: requests sent ahead run side by side where they may; answers come in
 // the order of the requests, and one that waits holds no other request's work up.
-func TestOrder(t *testing.T) {
+func TestPipelining(t *testing.T) {
 	tests := map[string]func(t *testing.T, s *testServer, c *client){
 		"side by side, in order": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + get("/2") + get("/wait/3"))
-			s.begins("/wait/1", "/2", "/wait/3")
+			s.expectStarted("/wait/1", "/2", "/wait/3")
 			close(s.gate("/wait/3"))
-			time.Sleep(moment)
+			time.Sleep(shortWait)
 			close(s.gate("/wait/1"))
-			c.want(http.StatusOK, "GET /wait/1 ")
-			c.want(http.StatusOK, "GET /2 ")
-			c.want(http.StatusOK, "GET /wait/3 ")
+			c.expectResponse(http.StatusOK, "GET /wait/1 ")
+			c.expectResponse(http.StatusOK, "GET /2 ")
+			c.expectResponse(http.StatusOK, "GET /wait/3 ")
 		},
 		"a first answer does not wait for later ones": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/1") + get("/wait/2"))
-			c.want(http.StatusOK, "GET /1 ")
+			c.expectResponse(http.StatusOK, "GET /1 ")
 			close(s.gate("/wait/2"))
-			c.want(http.StatusOK, "GET /wait/2 ")
+			c.expectResponse(http.StatusOK, "GET /wait/2 ")
 		},
 		"one that may not run beside others waits": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + get("/alone/2"))
-			s.begins("/wait/1")
-			s.quiet(moment)
+			s.expectStarted("/wait/1")
+			s.expectNoneStarted(shortWait)
 			close(s.gate("/wait/1"))
-			c.want(http.StatusOK, "GET /wait/1 ")
-			c.want(http.StatusOK, "GET /alone/2 ")
+			c.expectResponse(http.StatusOK, "GET /wait/1 ")
+			c.expectResponse(http.StatusOK, "GET /alone/2 ")
 		},
 		"nothing is begun behind one that may not": func(t *testing.T, s *testServer, c *client) {
 			c.send(post("/wait/1", "x") + get("/2"))
-			s.begins("/wait/1")
-			s.quiet(moment)
+			s.expectStarted("/wait/1")
+			s.expectNoneStarted(shortWait)
 			close(s.gate("/wait/1"))
-			c.want(http.StatusOK, "POST /wait/1 x")
-			c.want(http.StatusOK, "GET /2 ")
+			c.expectResponse(http.StatusOK, "POST /wait/1 x")
+			c.expectResponse(http.StatusOK, "GET /2 ")
 		},
 		"a bound of them runs at once": func(t *testing.T, s *testServer, c *client) {
 			var ahead strings.Builder
-			paths := make([]string, 0, aheadMost+4)
-			for i := range aheadMost + 4 {
+			paths := make([]string, 0, maxPipelined+4)
+			for i := range maxPipelined + 4 {
 				paths = append(paths, fmt.Sprintf("/wait/%d", i))
 				ahead.WriteString(get(paths[i]))
 			}
 			c.send(ahead.String())
-			s.begins(paths[:aheadMost]...)
-			s.quiet(moment)
+			s.expectStarted(paths[:maxPipelined]...)
+			s.expectNoneStarted(shortWait)
 			close(s.gate("/wait/0"))
-			c.want(http.StatusOK, "GET /wait/0 ")
-			s.begins(paths[aheadMost])
+			c.expectResponse(http.StatusOK, "GET /wait/0 ")
+			s.expectStarted(paths[maxPipelined])
 		},
 		"bodies of both kinds": func(t *testing.T, s *testServer, c *client) {
 			c.send("POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: x\r\n\r\n" + post("/2", "def") + get("/3"))
-			c.want(http.StatusOK, "POST /1 abc")
-			c.want(http.StatusOK, "POST /2 def")
-			c.want(http.StatusOK, "GET /3 ")
+			c.expectResponse(http.StatusOK, "POST /1 abc")
+			c.expectResponse(http.StatusOK, "POST /2 def")
+			c.expectResponse(http.StatusOK, "GET /3 ")
 		},
 		"a body that waits for word": func(t *testing.T, s *testServer, c *client) {
 			c.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
@@ -244,29 +244,29 @@
 			_, err = c.br.ReadString('\n')
 			assert.NilError(t, err)
 			c.send("ok")
-			c.want(http.StatusOK, "POST /1 ok")
+			c.expectResponse(http.StatusOK, "POST /1 ok")
 		},
 		"a handler that panics ends its request alone": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + get("/panic") + get("/3"))
-			s.begins("/wait/1", "/panic", "/3")
+			s.expectStarted("/wait/1", "/panic", "/3")
 			close(s.gate("/wait/1"))
-			c.want(http.StatusOK, "GET /wait/1 ")
-			c.want(http.StatusInternalServerError, "")
-			c.want(http.StatusOK, "GET /3 ")
+			c.expectResponse(http.StatusOK, "GET /wait/1 ")
+			c.expectResponse(http.StatusInternalServerError, "")
+			c.expectResponse(http.StatusOK, "GET /3 ")
 		},
 		"the client asks for the end": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + "GET /2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n" + get("/3"))
-			s.begins("/wait/1", "/2")
-			s.quiet(moment)
+			s.expectStarted("/wait/1", "/2")
+			s.expectNoneStarted(shortWait)
 			close(s.gate("/wait/1"))
-			assert.Assert(t, !c.want(http.StatusOK, "GET /wait/1 "))
-			assert.Assert(t, c.want(http.StatusOK, "GET /2 "))
-			c.ends()
+			assert.Assert(t, !c.expectResponse(http.StatusOK, "GET /wait/1 "))
+			assert.Assert(t, c.expectResponse(http.StatusOK, "GET /2 "))
+			c.expectClosed()
 		},
 		"a body left unread ends the connection": func(t *testing.T, s *testServer, c *client) {
 			c.send("POST /unread HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\nabc")
-			assert.Assert(t, c.want(http.StatusRequestEntityTooLarge, ""))
-			c.ends()
+			assert.Assert(t, c.expectResponse(http.StatusRequestEntityTooLarge, ""))
+			c.expectClosed()
 		},
 	}
 	for name, test := range tests {
@@ -277,29 +277,29 @@
 	}
 }
 
-// TestClientLeaves: what runs for a client that has gone ends at once, however
+// TestClientDisconnect: what runs for a client that has gone ends at once, however
 // many requests it has sent ahead.
-func TestClientLeaves(t *testing.T) {
-	for name, ahead := range map[string]int{"one": 1, "two": 2, "many": aheadMost} {
+func TestClientDisconnect(t *testing.T) {
+	for name, ahead := range map[string]int{"one": 1, "two": 2, "many": maxPipelined} {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t)
 			c := s.dial()
 			for i := range ahead {
 				c.send(get(fmt.Sprintf("/wait/%d", i)))
-				s.begins(fmt.Sprintf("/wait/%d", i))
+				s.expectStarted(fmt.Sprintf("/wait/%d", i))
 			}
 			assert.NilError(t, c.Close())
 			const bound = 500 * time.Millisecond // as long as work may go on for nobody
-			for end := time.Now().Add(bound); s.gone.Load() < int32(ahead); time.Sleep(time.Millisecond) {
-				assert.Assert(t, time.Now().Before(end), "%d of %d ended", s.gone.Load(), ahead)
+			for end := time.Now().Add(bound); s.canceled.Load() < int32(ahead); time.Sleep(time.Millisecond) {
+				assert.Assert(t, time.Now().Before(end), "%d of %d ended", s.canceled.Load(), ahead)
 			}
 		})
 	}
 }
 
-// TestUnreadable: a head that can't be read, or could be read in two ways, ends
+// TestMalformedHead: a head that can't be read, or could be read in two ways, ends
 // its connection behind one refusal; nothing of it or behind it is handled.
-func TestUnreadable(t *testing.T) {
+func TestMalformedHead(t *testing.T) {
 	tests := map[string]struct {
 		head   string
 		status int
@@ -324,51 +324,51 @@
 		"no request line":     {"nonsense\r\n\r\n", http.StatusBadRequest},
 		"another protocol":    {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", http.StatusHTTPVersionNotSupported},
 		"long head":           {"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 20<<10) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
-		"many lines":          {"GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: y\r\n", linesMost) + "\r\n", http.StatusRequestHeaderFieldsTooLarge},
+		"many lines":          {"GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: y\r\n", maxHeaderLines) + "\r\n", http.StatusRequestHeaderFieldsTooLarge},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t)
 			c := s.dial()
 			c.send(get("/wait/1") + test.head)
-			s.begins("/wait/1")
+			s.expectStarted("/wait/1")
 			close(s.gate("/wait/1"))
-			c.want(http.StatusOK, "GET /wait/1 ")
-			assert.Assert(t, c.want(test.status, ""))
-			c.ends()
-			assert.Equal(t, s.taken.Load(), int32(1))
+			c.expectResponse(http.StatusOK, "GET /wait/1 ")
+			assert.Assert(t, c.expectResponse(test.status, ""))
+			c.expectClosed()
+			assert.Equal(t, s.handled.Load(), int32(1))
 		})
 	}
 }
 
 // TestSlowHead: a head that does not come to its end in time is refused.
 func TestSlowHead(t *testing.T) {
-	c := serveFor(t, time.Minute, moment).dial()
+	c := serveFor(t, time.Minute, shortWait).dial()
 	c.send("GET / HT")
-	c.want(http.StatusRequestTimeout, "")
-	c.ends()
+	c.expectResponse(http.StatusRequestTimeout, "")
+	c.expectClosed()
 }
 
 // TestIdle: a connection is closed when it was idle for its time, but not while a
 // request waits on it that has not been read yet.
 func TestIdle(t *testing.T) {
 	t.Run("nothing waits", func(t *testing.T) {
-		serveFor(t, moment, time.Second).dial().ends()
+		serveFor(t, shortWait, time.Second).dial().expectClosed()
 	})
 	t.Run("after an answer", func(t *testing.T) {
-		s := serveFor(t, moment, time.Second)
+		s := serveFor(t, shortWait, time.Second)
 		c := s.dial()
 		c.send(get("/1"))
-		c.want(http.StatusOK, "GET /1 ")
-		c.ends()
+		c.expectResponse(http.StatusOK, "GET /1 ")
+		c.expectClosed()
 	})
 	t.Run("while one runs", func(t *testing.T) {
-		s := serveFor(t, moment, time.Second)
+		s := serveFor(t, shortWait, time.Second)
 		c := s.dial()
 		c.send(get("/wait/1"))
-		time.Sleep(3 * moment)
+		time.Sleep(3 * shortWait)
 		close(s.gate("/wait/1"))
-		c.want(http.StatusOK, "GET /wait/1 ")
+		c.expectResponse(http.StatusOK, "GET /wait/1 ")
 	})
 	t.Run("a request waits", func(t *testing.T) {
 		s := serve(t)
@@ -383,18 +383,18 @@
 		for _, sent := range []string{"", "G", "ET / HTTP/1.1\r\n\r\n"} {
 			_, err = io.WriteString(client, sent)
 			assert.NilError(t, err)
-			time.Sleep(moment)
-			k.over = false
-			ended, err := k.expire()
+			time.Sleep(shortWait)
+			k.closing = false
+			ended, err := k.handleTimeout()
 			assert.Equal(t, ended, sent == "")
 			assert.Equal(t, errors.Is(err, errIdle), sent == "")
 		}
 	})
 }
 
-// TestStop: in a planned stop all that was taken is answered, whenever it came;
+// TestDrain: in a planned stop all that was taken is answered, whenever it came;
 // each connection ends behind the last of it, and says so.
-func TestStop(t *testing.T) {
+func TestDrain(t *testing.T) {
 	s := serve(t)
 	const clients, rounds = 20, 400
 	var asked, answered, cut atomic.Int64
@@ -412,27 +412,27 @@
 			}
 		}()
 	}
-	time.Sleep(2 * moment)
-	s.Hurry(moment)
+	time.Sleep(2 * shortWait)
+	s.Drain(shortWait)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	time.Sleep(moment)
+	time.Sleep(shortWait)
 	assert.NilError(t, s.Shutdown(ctx))
 	work.Wait()
-	t.Logf("%d sent, %d answered, %d taken", asked.Load(), answered.Load(), s.taken.Load())
+	t.Logf("%d sent, %d answered, %d taken", asked.Load(), answered.Load(), s.handled.Load())
 	assert.Equal(t, cut.Load(), int64(0))
-	assert.Equal(t, answered.Load(), int64(s.taken.Load()))
+	assert.Equal(t, answered.Load(), int64(s.handled.Load()))
 	assert.Assert(t, answered.Load() > 0)
 }
 
-// TestElsewhere: a handler that sends a client elsewhere ends the connection behind
+// TestHandlerClosesConnection: a handler that sends a client elsewhere ends the connection behind
 // its answer, and what the client has sent behind the request is not run.
-func TestElsewhere(t *testing.T) {
+func TestHandlerClosesConnection(t *testing.T) {
 	c := serve(t).dial()
 	c.send(get("/first") + get("/elsewhere") + post("/alone/behind", "x"))
-	assert.Assert(t, !c.want(http.StatusOK, "GET /first "))
-	assert.Assert(t, c.want(http.StatusOK, "GET /elsewhere "))
-	c.ends()
+	assert.Assert(t, !c.expectResponse(http.StatusOK, "GET /first "))
+	assert.Assert(t, c.expectResponse(http.StatusOK, "GET /elsewhere "))
+	c.expectClosed()
 }
 
 // streamed is the path of the requests of streams.
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -64,8 +64,8 @@
 // Result is the end of a request: an Answer, a Failure of either kind.
 type Result interface{ result() }
 
-// Answer is the whole answer of a target.
-type Answer struct {
+// Response is the whole answer of a target.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -81,7 +81,7 @@
 // UnknownFailure tells that the request may have run.
 type UnknownFailure struct{ Reason Reason }
 
-func (Answer) result()         {}
+func (Response) result()       {}
 func (NotRunFailure) result()  {}
 func (UnknownFailure) result() {}
 
@@ -110,7 +110,7 @@
 // Status returns the HTTP status of a failure.
 func Status(r Result) int {
 	switch r := r.(type) {
-	case Answer:
+	case Response:
 		return r.Status
 	case NotRunFailure:
 		if status, ok := notRunStatus[r.Reason]; ok {
@@ -129,7 +129,7 @@
 // Of returns the outcome of a result.
 func Of(r Result) Outcome {
 	switch r.(type) {
-	case Answer:
+	case Response:
 		return Done
 	case NotRunFailure:
 		return NotRun
--- a/internal/outcome/write.go
+++ b/internal/outcome/write.go
@@ -28,7 +28,7 @@
 // write writes a result with a retry hint in seconds, "0" for none.
 func write(w http.ResponseWriter, r Result, retry string) {
 	h := w.Header()
-	if a, ok := r.(Answer); ok {
+	if a, ok := r.(Response); ok {
 		writeAnswer(w, a)
 		return
 	}
@@ -49,7 +49,7 @@
 	_, _ = w.Write(body)
 }
 
-func writeAnswer(w http.ResponseWriter, a Answer) {
+func writeAnswer(w http.ResponseWriter, a Response) {
 	h := w.Header()
 	for name, values := range a.Header {
 		h[name] = values
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -112,7 +112,7 @@
 	Range key.Range
 	From  place.Target
 	To    place.Target
-	Fence target.Fence
+	Fence target.FencingToken
 	// Age is the age of what the decision rests on.
 	Age time.Duration
 }
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -530,7 +530,7 @@
 			for i := range results {
 				results[i] = target.ErrNotSent
 			}
-			results[0] = target.ErrTwice
+			results[0] = target.ErrDuplicateResponse
 			d.Granted(d.now, g, results)
 			granted = true
 		}
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -39,7 +39,9 @@
 const fencesPerTerm = 1 << 20
 
 // fence returns the fence of that number in a term.
-func (t Term) fence(n uint64) target.Fence { return target.Fence(uint64(t)*fencesPerTerm + n) }
+func (t Term) fence(n uint64) target.FencingToken {
+	return target.FencingToken(uint64(t)*fencesPerTerm + n)
+}
 
 // Doc is what the store holds of a service: who may own what.
 type Doc struct {
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -147,7 +147,7 @@
 	r.state, r.releaseID = releasing, c.lastRelease
 	c.emit(SendRelease{
 		ID: r.releaseID, Target: r.Target, Addr: r.Addr,
-		Release: target.Release{Range: r.Range, Fence: r.fence},
+		Release: target.Release{Range: r.Range, FencingToken: r.fence},
 	})
 }
 
@@ -211,7 +211,7 @@
 			r.fence = c.term.fence(c.lastFence)
 		}
 		r.grantConn = l.conn
-		e.Grants = append(e.Grants, target.Grant{Range: r.Range, Fence: r.fence, Hold: c.cfg.GrantDuration, Handover: r.Handover})
+		e.Grants = append(e.Grants, target.Grant{Range: r.Range, FencingToken: r.fence, Duration: c.cfg.GrantDuration, Handover: r.Handover})
 	}
 	l.inFlight, l.sentAt = true, now
 	if now.Sub(l.allSentAt) >= c.cfg.RenewInterval {
@@ -250,7 +250,7 @@
 			failed = true
 		case errors.Is(err, target.ErrNotSent), errors.Is(err, target.ErrRejected):
 			failed = true
-		case errors.Is(err, target.ErrTwice):
+		case errors.Is(err, target.ErrDuplicateResponse):
 			failed, doubtful = true, true
 			c.invalidateAcks(now, e)
 		default:
@@ -289,7 +289,7 @@
 		if r.Range.First > g.Range.Last {
 			return
 		}
-		if r.Target == e.Target && r.grantConn == e.Conn && r.fence == g.Fence && g.Range.Covers(r.Range) {
+		if r.Target == e.Target && r.grantConn == e.Conn && r.fence == g.FencingToken && g.Range.Covers(r.Range) {
 			f(r)
 		}
 	}
@@ -300,7 +300,7 @@
 		if r.acked == 0 && r.state == held {
 			c.note(now, "Range granted.", r, r.Target)
 		}
-		r.acked = max(r.acked, g.Fence)
+		r.acked = max(r.acked, g.FencingToken)
 		if r.acked > r.unacked {
 			// All that was sent before is refused from now on.
 			r.expiresBy = now.Add(c.cfg.maxGrantDuration())
@@ -318,7 +318,7 @@
 
 func (c *Core) grantUnanswered(now time.Time, e SendGrants, g target.Grant) {
 	c.eachMatching(e, g, func(r *row) {
-		r.unacked = max(r.unacked, g.Fence)
+		r.unacked = max(r.unacked, g.FencingToken)
 		r.expiresBy = later(r.expiresBy, now.Add(c.cfg.maxGrantDuration()))
 	})
 }
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -36,12 +36,12 @@
 	since time.Time
 	// grantConn and fence are those of the newest grant.
 	grantConn uint64
-	fence     target.Fence
+	fence     target.FencingToken
 	// acked is the highest fence that the owner answered in this term, lost
 	// the highest of those without an answer: such a grant may take effect
 	// late, unless the owner has seen a higher fence.
-	acked   target.Fence
-	unacked target.Fence
+	acked   target.FencingToken
+	unacked target.FencingToken
 	// expiresBy is when the owner holds the range no more, if no further grant is
 	// sent.
 	expiresBy time.Time
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -41,7 +41,7 @@
 }
 
 type simFence struct {
-	fence  target.Fence
+	fence  target.FencingToken
 	holder *simTarget
 }
 
@@ -93,7 +93,7 @@
 	cut         bool
 	appliesLate bool // carries orders out late and does not answer them
 	clockRate   float64
-	seen        map[key.Point]target.Fence
+	seen        map[key.Point]target.FencingToken
 	until       map[key.Point]time.Time
 }
 
@@ -194,7 +194,7 @@
 // boot starts a life of a target; it knows nothing of before.
 func (t *simTarget) boot() {
 	t.up = true
-	t.seen, t.until = make(map[key.Point]target.Fence), make(map[key.Point]time.Time)
+	t.seen, t.until = make(map[key.Point]target.FencingToken), make(map[key.Point]time.Time)
 	t.row.Incarnation = place.Incarnation(t.w.now.UnixMilli()) + t.row.Incarnation%7
 	t.writeEntry(t.row)
 }
@@ -223,21 +223,21 @@
 // grant applies an order that arrived at a time.
 func (t *simTarget) grant(g target.Grant, arrived time.Time) error {
 	fenced := false
-	t.eachPoint(g.Range, func(p key.Point) { fenced = fenced || t.seen[p] > g.Fence })
+	t.eachPoint(g.Range, func(p key.Point) { fenced = fenced || t.seen[p] > g.FencingToken })
 	if fenced {
 		return target.ErrFenced
 	}
-	end := arrived.Add(time.Duration(float64(g.Hold) / t.clockRate))
+	end := arrived.Add(time.Duration(float64(g.Duration) / t.clockRate))
 	t.eachPoint(g.Range, func(p key.Point) {
-		if last := t.w.highest[p]; end.After(t.w.now) && last.fence >= g.Fence && last.holder != t && t.w.violation == "" {
-			t.w.violation = fmt.Sprintf("%s takes %d at fence %d, %s had it at %d", t.row.Target, p, g.Fence, last.holder.row.Target, last.fence)
+		if last := t.w.highest[p]; end.After(t.w.now) && last.fence >= g.FencingToken && last.holder != t && t.w.violation == "" {
+			t.w.violation = fmt.Sprintf("%s takes %d at fence %d, %s had it at %d", t.row.Target, p, g.FencingToken, last.holder.row.Target, last.fence)
 		}
-		if t.w.highest[p].fence < g.Fence {
-			t.w.highest[p] = simFence{g.Fence, t}
+		if t.w.highest[p].fence < g.FencingToken {
+			t.w.highest[p] = simFence{g.FencingToken, t}
 		}
 	})
 	t.eachPoint(g.Range, func(p key.Point) {
-		t.seen[p] = g.Fence
+		t.seen[p] = g.FencingToken
 		t.until[p] = end
 	})
 	t.w.checkOwners()
@@ -246,7 +246,7 @@
 
 func (t *simTarget) release(r target.Release) {
 	t.eachPoint(r.Range, func(p key.Point) {
-		t.seen[p] = max(t.seen[p], r.Fence)
+		t.seen[p] = max(t.seen[p], r.FencingToken)
 		t.until[p] = time.Time{}
 	})
 }
--- a/internal/route/plain.go
+++ b/internal/route/request.go
@@ -12,66 +12,66 @@
 
 // Bounds of what a caller sends, in bytes.
 const (
-	maxCredential = 512
-	maxPath       = 2048
-	maxKey        = 256
+	maxCredentialBytes = 512
+	maxPathBytes       = 2048
+	maxKeyBytes        = 256
 )
 
-// ownPath starts the paths on which targets take orders of ownership; no
+// reservedPrefix starts the paths on which targets take orders of ownership; no
 // caller may reach them through a route such as /{any}/{key}.
-const ownPath = "/citrontray"
+const reservedPrefix = "/citrontray"
 
-// bearer starts the value of the Authorization header.
-const bearer = "Bearer "
+// bearerPrefix starts the value of the Authorization header.
+const bearerPrefix = "Bearer "
 
 // caller returns the caller whose credential the request carries, or nil.
 // The credential is compared by its hash alone, so the time that the lookup
 // takes tells nothing of it.
 func (t *Table) caller(h http.Header) *Caller {
 	values := h["Authorization"]
-	if len(values) != 1 || !strings.HasPrefix(values[0], bearer) {
+	if len(values) != 1 || !strings.HasPrefix(values[0], bearerPrefix) {
 		return nil
 	}
-	credential := values[0][len(bearer):]
-	if credential == "" || len(credential) > maxCredential {
+	credential := values[0][len(bearerPrefix):]
+	if credential == "" || len(credential) > maxCredentialBytes {
 		return nil
 	}
 	return t.callers[sha256.Sum256([]byte(credential))]
 }
 
-// plainPath returns the path as it was sent, if it is in its plain form: no
+// canonicalPath returns the path as it was sent, if it is in its plain form: no
 // empty, "." or ".." part, no encoded slash, no backslash, nothing encoded
 // that need not be. "/a/%2e%2e/b" and "/a//b" are not plain.
-func plainPath(r *http.Request) (string, bool) {
+func canonicalPath(r *http.Request) (string, bool) {
 	path := r.URL.EscapedPath()
-	if len(path) < 2 || len(path) > maxPath || path[0] != '/' || r.URL.Opaque != "" || r.URL.Host != "" {
+	if len(path) < 2 || len(path) > maxPathBytes || path[0] != '/' || r.URL.Opaque != "" || r.URL.Host != "" {
 		return "", false
 	}
-	if len(path) >= len(ownPath) && strings.EqualFold(path[:len(ownPath)], ownPath) {
+	if len(path) >= len(reservedPrefix) && strings.EqualFold(path[:len(reservedPrefix)], reservedPrefix) {
 		return "", false
 	}
 	for text := range strings.SplitSeq(path[1:], "/") {
-		if !plainPart(text) {
+		if !canonicalSegment(text) {
 			return "", false
 		}
 	}
 	return path, true
 }
 
-func plainPart(text string) bool {
+func canonicalSegment(text string) bool {
 	if text == "" || text == "." || text == ".." {
 		return false
 	}
 	for i := 0; i < len(text); i++ {
 		b := text[i]
 		if b != '%' {
-			if !plainByte(b) {
+			if !pathByte(b) {
 				return false
 			}
 			continue
 		}
-		decoded, ok := decodeByte(text[i:])
-		if !ok || plainByte(decoded) || barredByte(decoded) {
+		decoded, ok := decodeEscape(text[i:])
+		if !ok || pathByte(decoded) || forbiddenByte(decoded) {
 			return false
 		}
 		i += 2
@@ -79,8 +79,8 @@
 	return true
 }
 
-// plainByte reports whether a byte stands in a path as itself.
-func plainByte(b byte) bool {
+// pathByte reports whether a byte stands in a path as itself.
+func pathByte(b byte) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
 		return true
@@ -88,13 +88,13 @@
 	return strings.IndexByte("-._~!$&'()*+,=:@", b) >= 0
 }
 
-// barredByte reports whether a byte must not stand in a path even encoded.
-func barredByte(b byte) bool {
+// forbiddenByte reports whether a byte must not stand in a path even encoded.
+func forbiddenByte(b byte) bool {
 	return b < ' ' || b == 0x7f || b == '/' || b == '\\' || b == '%' || b == ';'
 }
 
-// decodeByte reads %XX with capital hexadecimal digits, the one plain form.
-func decodeByte(text string) (byte, bool) {
+// decodeEscape reads %XX with capital hexadecimal digits, the one plain form.
+func decodeEscape(text string) (byte, bool) {
 	if len(text) < 3 {
 		return 0, false
 	}
@@ -115,7 +115,7 @@
 
 // key returns the request's key. It must be there once, be valid UTF-8
 // without control characters, and be below the route's key prefix.
-func (c *compiled) key(r *http.Request, inPath string) (string, bool) {
+func (c *compiledRoute) key(r *http.Request, inPath string) (string, bool) {
 	var k string
 	var ok bool
 	switch c.route.KeySource {
@@ -153,7 +153,7 @@
 }
 
 func validKey(k string) bool {
-	if k == "" || len(k) > maxKey || !utf8.ValidString(k) {
+	if k == "" || len(k) > maxKeyBytes || !utf8.ValidString(k) {
 		return false
 	}
 	for _, c := range k {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -27,19 +27,19 @@
 type Caller struct {
 	settings.CallerRow
 	Limits []settings.Limit
-	routes []*compiled
+	routes []*compiledRoute
 }
 
-// compiled is a route with its path split into parts.
-type compiled struct {
-	route   *settings.Route
-	service *settings.Service
-	parts   []part
+// compiledRoute is a route with its path split into parts.
+type compiledRoute struct {
+	route    *settings.Route
+	service  *settings.Service
+	segments []segment
 }
 
-// part is one part of a path pattern: a literal, or the place of the key or of
+// segment is one part of a path pattern: a literal, or the place of the key or of
 // any other value.
-type part struct {
+type segment struct {
 	literal string
 	isKey   bool
 	isAny   bool
@@ -76,11 +76,11 @@
 	if at < 0 {
 		return
 	}
-	parts, ok := splitPattern(r.Path)
+	parts, ok := parsePattern(r.Path)
 	if !ok {
 		return
 	}
-	c := &compiled{route: r, service: &s.Services[at], parts: parts}
+	c := &compiledRoute{route: r, service: &s.Services[at], segments: parts}
 	for _, name := range r.Callers {
 		if caller := byName[name]; caller != nil {
 			caller.routes = append(caller.routes, c)
@@ -88,20 +88,20 @@
 	}
 }
 
-// splitPattern reads a pattern such as /balance/{key}.
-func splitPattern(pattern string) ([]part, bool) {
+// parsePattern reads a pattern such as /balance/{key}.
+func parsePattern(pattern string) ([]segment, bool) {
 	if !strings.HasPrefix(pattern, "/") {
 		return nil, false
 	}
-	var parts []part
+	var parts []segment
 	for text := range strings.SplitSeq(pattern[1:], "/") {
 		switch {
 		case text == "{key}":
-			parts = append(parts, part{isKey: true})
+			parts = append(parts, segment{isKey: true})
 		case strings.HasPrefix(text, "{") && strings.HasSuffix(text, "}"):
-			parts = append(parts, part{isAny: true})
+			parts = append(parts, segment{isAny: true})
 		default:
-			parts = append(parts, part{literal: text})
+			parts = append(parts, segment{literal: text})
 		}
 	}
 	return parts, true
@@ -114,7 +114,7 @@
 	if caller == nil {
 		return Match{}, outcome.Credential
 	}
-	path, ok := plainPath(r)
+	path, ok := canonicalPath(r)
 	if !ok {
 		return Match{Caller: caller}, outcome.BadPath
 	}
@@ -130,12 +130,12 @@
 			continue
 		}
 		if !slices.Contains(candidate.route.Methods, r.Method) {
-			reason = worse(reason, outcome.Method)
+			reason = closerMatch(reason, outcome.Method)
 			continue
 		}
 		k, ok := candidate.key(r, inPath)
 		if !ok {
-			reason = worse(reason, outcome.BadKey)
+			reason = closerMatch(reason, outcome.BadKey)
 			continue
 		}
 		m.Route, m.Service, m.Key = candidate.route, candidate.service, k
@@ -144,8 +144,8 @@
 	return m, reason
 }
 
-// worse keeps the reason that got furthest.
-func worse(a, b outcome.Reason) outcome.Reason {
+// closerMatch keeps the reason that got furthest.
+func closerMatch(a, b outcome.Reason) outcome.Reason {
 	if a == outcome.BadKey || b == outcome.NoRoute {
 		return a
 	}
@@ -154,15 +154,15 @@
 
 // matchPath compares a plain path with the pattern; it returns the key part
 // as it stands in the path.
-func (c *compiled) matchPath(path string) (string, bool) {
+func (c *compiledRoute) matchPath(path string) (string, bool) {
 	rest := path[1:]
 	inPath := ""
-	for i := range c.parts {
+	for i := range c.segments {
 		text, after, more := strings.Cut(rest, "/")
-		if more == (i == len(c.parts)-1) {
+		if more == (i == len(c.segments)-1) {
 			return "", false
 		}
-		p := &c.parts[i]
+		p := &c.segments[i]
 		switch {
 		case p.isKey:
 			inPath = text
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,8 +15,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// fixture has two partners that share a service, each with its key prefix.
-func fixture() *route.Table {
+// newTable has two partners that share a service, each with its key prefix.
+func newTable() *route.Table {
 	partner := func(name settings.Caller, prefix string) settings.Route {
 		return settings.Route{
 			Name: string(name), Service: "register", Callers: []settings.Caller{name}, Methods: []string{"GET"},
@@ -93,7 +93,7 @@
 		"key too long":             {"GET", "/span/north-" + strings.Repeat("x", 300), "n", nil, "", outcome.BadKey},
 		"path too long":            {"GET", "/span/north-" + strings.Repeat("x", 3000), "n", nil, "", outcome.BadPath},
 	}
-	table := fixture()
+	table := newTable()
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			m, reason := table.Find(request(t, test.method, test.target, test.credential, test.header...))
@@ -109,7 +109,7 @@
 	for _, target := range []string{"/span/north-1", "/span/north-1%2F..%2Fsouth-1", "/search?span=south-1", "/span/../x", "/%", "*"} {
 		f.Add(target, "Span: north-1\r\n")
 	}
-	table := fixture()
+	table := newTable()
 	f.Fuzz(func(t *testing.T, target, header string) {
 		m, reason := table.Find(request(t, "GET", target, "n", header))
 		if reason != "" {
--- a/internal/standin/ranged.go
+++ b/internal/standin/ranged.go
@@ -47,7 +47,7 @@
 	SlowClock float64
 
 	server *http.Server
-	names  *target.Names
+	names  *target.HeaderNames
 	runs   *RunLedger
 
 	mu     sync.Mutex
@@ -55,7 +55,7 @@
 	held   []heldRange
 	// seen is the highest fence of each point that a grant has brought; it
 	// stays when the grant has ended.
-	seen    map[key.Point]target.Fence
+	seen    map[key.Point]target.FencingToken
 	running int
 	arrived int
 	counter int
@@ -64,7 +64,7 @@
 type heldRange struct {
 	key.Range
 
-	fence target.Fence
+	fence target.FencingToken
 	end   time.Time
 }
 
@@ -92,14 +92,14 @@
 }
 
 // NewRanged returns a target that somebody else serves at addr.
-func NewRanged(name place.Target, addr netip.AddrPort, slots int, names *target.Names, runs *RunLedger) *Ranged {
+func NewRanged(name place.Target, addr netip.AddrPort, slots int, names *target.HeaderNames, runs *RunLedger) *Ranged {
 	return &Ranged{
 		Name: name, Addr: addr, Slots: slots, names: names, runs: runs, faults: RangedFaults{Work: 10 * time.Millisecond},
 	}
 }
 
 // StartRanged starts a target on a free loopback port.
-func StartRanged(name place.Target, slots int, names *target.Names, runs *RunLedger) (*Ranged, error) {
+func StartRanged(name place.Target, slots int, names *target.HeaderNames, runs *RunLedger) (*Ranged, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
@@ -296,18 +296,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := g.Range.First; p <= g.Range.Last; p++ {
-		if r.seen[p] > g.Fence {
+		if r.seen[p] > g.FencingToken {
 			return target.ErrFenced
 		}
 	}
 	if r.seen == nil {
-		r.seen = make(map[key.Point]target.Fence)
+		r.seen = make(map[key.Point]target.FencingToken)
 	}
 	for p := g.Range.First; p <= g.Range.Last; p++ {
-		r.seen[p] = g.Fence
+		r.seen[p] = g.FencingToken
 	}
 	r.drop(g.Range)
-	r.held = append(r.held, heldRange{g.Range, g.Fence, time.Now().Add(time.Duration(float64(g.Hold) * (1 + r.SlowClock)))})
+	r.held = append(r.held, heldRange{g.Range, g.FencingToken, time.Now().Add(time.Duration(float64(g.Duration) * (1 + r.SlowClock)))})
 	return nil
 }
 
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -203,7 +203,7 @@
 // record tells the ledger what the target holds. The caller holds mu.
 func (t *Target) record(now time.Time, l *life) {
 	held := make(map[key.Shard]bool)
-	for _, h := range l.holdings.Each(l.stamp(now)) {
+	for _, h := range l.holdings.List(l.stamp(now)) {
 		held[h.Shard] = true
 		t.ledger.hold(now, t.config.Service, t.config.Name, h.ShardEpoch, l.started.Add(time.Duration(h.End)))
 	}
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -14,13 +14,13 @@
 	"citrontray.example/citrontray/internal/grant"
 )
 
-// controlConnections is how many connections for orders one target sees of
+// maxControlConnections is how many connections for orders one target sees of
 // one process; two let an order pass one that hangs.
-const controlConnections = 2
+const maxControlConnections = 2
 
-// controlIdle is how long an unused connection is kept; renewals come much
+// controlIdleTimeout is how long an unused connection is kept; renewals come much
 // more often.
-const controlIdle = 30 * time.Second
+const controlIdleTimeout = 30 * time.Second
 
 // HTTPControl carries orders over HTTP. It implements Control.
 type HTTPControl struct {
@@ -32,9 +32,9 @@
 	return &HTTPControl{client: &http.Client{
 		Timeout: timeout,
 		Transport: &http.Transport{
-			MaxConnsPerHost:     controlConnections,
-			MaxIdleConnsPerHost: controlConnections,
-			IdleConnTimeout:     controlIdle,
+			MaxConnsPerHost:     maxControlConnections,
+			MaxIdleConnsPerHost: maxControlConnections,
+			IdleConnTimeout:     controlIdleTimeout,
 			DisableCompression:  true,
 		},
 	}}
--- a/internal/target/holdings.go
+++ b/internal/target/holdings.go
@@ -75,10 +75,10 @@
 	h.expire(now)
 	accepted := h.accepts(order)
 	full := order.Inventory || len(order.Release) > 0
-	if accepted && h.addressed(order) {
+	if accepted && h.sameIncarnation(order) {
 		h.term = max(h.term, order.Term)
 		h.release(order.Release)
-		full = !h.lengthen(now, order) || full
+		full = !h.extend(now, order) || full
 	}
 	return h.answer(now, accepted, full)
 }
@@ -91,8 +91,8 @@
 	return !h.checksTerms || order.Term >= h.term
 }
 
-// addressed reports whether the order is meant for this life of the target.
-func (h *Holdings) addressed(order grant.Order) bool {
+// sameIncarnation reports whether the order is meant for this life of the target.
+func (h *Holdings) sameIncarnation(order grant.Order) bool {
 	return order.Incarnation == 0 || order.Incarnation == h.incarnation
 }
 
@@ -110,9 +110,9 @@
 	}
 }
 
-// lengthen makes and lengthens grants. It reports false where the order
+// extend makes and lengthens grants. It reports false where the order
 // relied on a digest of other holdings.
-func (h *Holdings) lengthen(now grant.Stamp, order grant.Order) bool {
+func (h *Holdings) extend(now grant.Stamp, order grant.Order) bool {
 	if order.Incarnation == 0 {
 		return true
 	}
@@ -187,8 +187,8 @@
 	}
 }
 
-// Each returns what the target holds at now, sorted by shard.
-func (h *Holdings) Each(now grant.Stamp) []Holding {
+// List returns what the target holds at now, sorted by shard.
+func (h *Holdings) List(now grant.Stamp) []Holding {
 	out := make([]Holding, 0, len(h.rows))
 	for shard, row := range h.rows {
 		if row.end <= now {
--- a/internal/target/holdings_test.go
+++ b/internal/target/holdings_test.go
@@ -27,7 +27,7 @@
 	return grant.Item{Shard: 1, Epoch: epoch, Kind: grant.Grant}
 }
 
-func TestHoldingsJudgesOrders(t *testing.T) {
+func TestHoldingsApply(t *testing.T) {
 	tests := map[string]struct {
 		checksTerms bool
 		orders      []grant.Order
@@ -91,7 +91,7 @@
 	assert.Assert(t, h.Owns(120, 1, 3))
 }
 
-func TestOrderAndAnswerSurviveTheWire(t *testing.T) {
+func TestOrderAndAnswerRoundTrip(t *testing.T) {
 	sent := order(4, 99, granted(3))
 	sent.Release = []grant.ShardEpoch{{Shard: 9, Epoch: 2}}
 	body, err := target.EncodeOrder(sent)
--- a/internal/target/order.go
+++ b/internal/target/order.go
@@ -11,9 +11,9 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Fence orders the owners of a point: a target refuses an order on points for
+// FencingToken orders the owners of a point: a target refuses an order on points for
 // which it has seen a higher one.
-type Fence uint64
+type FencingToken uint64
 
 // Handover is what a target hands on with the points that it released; the
 // next owner that gets it starts warm.
@@ -22,17 +22,17 @@
 // Grant lets a target own a range for Hold, counted by the target from the
 // arrival of the order. The same order again renews it.
 type Grant struct {
-	Range    key.Range
-	Fence    Fence
-	Hold     time.Duration
-	Handover Handover
+	Range        key.Range
+	FencingToken FencingToken
+	Duration     time.Duration
+	Handover     Handover
 }
 
 // Release takes a range, or a part of one, back at once. It is answered when
 // the work that was running there has ended.
 type Release struct {
-	Range key.Range
-	Fence Fence
+	Range        key.Range
+	FencingToken FencingToken
 }
 
 var (
@@ -48,13 +48,13 @@
 	// ErrUnanswered is returned where the order may have taken effect, or may
 	// take effect later.
 	ErrUnanswered = errors.New("target: order not answered")
-	// ErrTwice tells that an answer came more than once. Answers do not say which order they
+	// ErrDuplicateResponse tells that an answer came more than once. Answers do not say which order they
 	// are to, so all orders on the connection count as unanswered.
-	ErrTwice = fmt.Errorf("%w: answers came twice", ErrUnanswered)
+	ErrDuplicateResponse = fmt.Errorf("%w: answers came twice", ErrUnanswered)
 )
 
-// Orders opens connections for orders to targets that own ranges.
-type Orders interface {
+// OrderDialer opens connections for orders to targets that own ranges.
+type OrderDialer interface {
 	Dial(ctx context.Context, addr netip.AddrPort, to place.Target) (OrderConn, error)
 }
 
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -39,10 +39,10 @@
 	RefusalDraining Refusal = "draining"
 )
 
-// Names are the header names that are spoken with targets whose requests name
+// HeaderNames are the header names that are spoken with targets whose requests name
 // a key or nothing in place of a shard, and with their clients. An empty name
 // stands for a header that the protocol does not have.
-type Names struct {
+type HeaderNames struct {
 	// Request is the id of a request; the answer carries it back.
 	Request string
 	// Deadline is the time left, in milliseconds.
@@ -72,9 +72,9 @@
 	Pause time.Duration
 }
 
-// OwnNames are the names of the product's own protocol.
-func OwnNames() *Names {
-	return &Names{
+// DefaultHeaderNames are the names of the product's own protocol.
+func DefaultHeaderNames() *HeaderNames {
+	return &HeaderNames{
 		Request:  HeaderRequest,
 		Deadline: HeaderDeadline,
 		Key:      "Citrontray-Key",
--- a/internal/traffic/split.go
+++ b/internal/traffic/split.go
@@ -13,36 +13,36 @@
 // are exact however many hosts deal independently.
 type Splitter struct {
 	mu     sync.Mutex
-	routes map[RouteName]*dealt
+	routes map[RouteName]*splitState
 }
 
-// dealt is what a splitter remembers of one route.
-type dealt struct {
-	parts   []Part
-	credits []float64
+// splitState is what a splitter remembers of one route.
+type splitState struct {
+	destinations []Destination
+	current      []float64
 }
 
 // NewSplitter returns a splitter that has dealt nothing.
 func NewSplitter() *Splitter {
-	return &Splitter{routes: make(map[RouteName]*dealt)}
+	return &Splitter{routes: make(map[RouteName]*splitState)}
 }
 
 // Next returns the part that the route's next request goes to.
-func (s *Splitter) Next(r *Route) Part {
-	if len(r.Parts) == 1 {
-		return r.Parts[0]
+func (s *Splitter) Next(r *Route) Destination {
+	if len(r.Destinations) == 1 {
+		return r.Destinations[0]
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := s.routes[r.Name]
-	if d == nil || !sameParts(d.parts, r.Parts) {
-		d = startDealing(r.Parts)
+	if d == nil || !sameDestinations(d.destinations, r.Destinations) {
+		d = newSplitState(r.Destinations)
 		s.routes[r.Name] = d
 	}
 	return d.next()
 }
 
-func sameParts(a, b []Part) bool {
+func sameDestinations(a, b []Destination) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -54,41 +54,41 @@
 	return true
 }
 
-// startDealing starts at a random phase, so that hosts that start together do
+// newSplitState starts at a random phase, so that hosts that start together do
 // not all send their first requests to the heaviest part.
-func startDealing(parts []Part) *dealt {
-	d := &dealt{parts: parts, credits: make([]float64, len(parts))}
+func newSplitState(parts []Destination) *splitState {
+	d := &splitState{destinations: parts, current: make([]float64, len(parts))}
 	for i, p := range parts {
-		d.credits[i] = (rand.Float64() - 0.5) * p.Weight
+		d.current[i] = (rand.Float64() - 0.5) * p.Weight
 	}
 	return d
 }
 
-func (d *dealt) next() Part {
+func (d *splitState) next() Destination {
 	var total float64
 	best := -1
-	for i, p := range d.parts {
+	for i, p := range d.destinations {
 		if p.Weight <= 0 {
 			continue // gets nothing, also where all others are in debt
 		}
-		d.credits[i] += p.Weight
+		d.current[i] += p.Weight
 		total += p.Weight
-		if best < 0 || d.credits[i] > d.credits[best] {
+		if best < 0 || d.current[i] > d.current[best] {
 			best = i
 		}
 	}
 	if best < 0 {
-		return d.parts[0]
+		return d.destinations[0]
 	}
-	d.credits[best] -= total
-	return d.parts[best]
+	d.current[best] -= total
+	return d.destinations[best]
 }
 
-// Keep forgets the routes that the configuration no longer has.
-func (s *Splitter) Keep(c *Config) {
+// Prune forgets the routes that the configuration no longer has.
+func (s *Splitter) Prune(c *Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept := make(map[RouteName]*dealt, len(s.routes))
+	kept := make(map[RouteName]*splitState, len(s.routes))
 	for i := range c.Routes {
 		if d, ok := s.routes[c.Routes[i].Name]; ok {
 			kept[c.Routes[i].Name] = d
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -33,17 +33,17 @@
 type Service struct {
 	Name key.Service
 	Keys KeySpace
-	// Connections is how many connections one target takes of all callers.
-	Connections int
-	// Warm is how long keys stay slow at an owner that took them without a
+	// MaxConnections is how many connections one target takes of all callers.
+	MaxConnections int
+	// WarmUp is how long keys stay slow at an owner that took them without a
 	// handover.
-	Warm time.Duration
-	// Health is the path of the targets' health page.
-	Health string
+	WarmUp time.Duration
+	// HealthPath is the path of the targets' health page.
+	HealthPath string
 }
 
-// Part is one service of a split route, with its share of the requests.
-type Part struct {
+// Destination is one service of a split route, with its share of the requests.
+type Destination struct {
 	Service key.Service
 	Weight  float64
 }
@@ -60,22 +60,22 @@
 	// Host is compared with the request's host name without its port.
 	Host string
 	// Prefix begins and ends with a slash.
-	Prefix     string
-	Parts      []Part
-	Idempotent bool
+	Prefix       string
+	Destinations []Destination
+	Idempotent   bool
 	// Timeout bounds a request from its arrival to its answer.
 	Timeout time.Duration
-	// Aim is the latency within which an answer is worth most.
-	Aim time.Duration
-	// Attempts is how many targets one request may be sent to.
-	Attempts int
-	Priority Priority
+	// LatencyObjective is the latency within which an answer is worth most.
+	LatencyObjective time.Duration
+	// MaxAttempts is how many targets one request may be sent to.
+	MaxAttempts int
+	Priority    Priority
 }
 
 // Limits bound what a client may send and how long it may take.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
