--- a/internal/host/campaign.go
+++ b/internal/host/campaign.go
@@ -15,95 +15,95 @@
 )
 
 const (
-	// campaignStep is the head start of each host over the next one in the
+	// candidateDelay is the head start of each host over the next one in the
 	// order of candidates.
-	campaignStep = 200 * time.Millisecond
-	// restoredStep is that of the last lead where the store has come back from an older
+	candidateDelay = 200 * time.Millisecond
+	// restoredDelay is that of the last lead where the store has come back from an older
 	// copy: another one lets all keys wait.
-	restoredStep = 2 * time.Second
-	// incumbentStep is the head start of a lead that lost its entry.
-	incumbentStep = 700 * time.Millisecond
-	// victoryLag is how long the list of members may lack a new lead.
-	victoryLag = 2 * time.Second
-	// campaignAgain is about how long a host waits after a campaign that the
+	restoredDelay = 2 * time.Second
+	// incumbentDelay is the head start of a lead that lost its entry.
+	incumbentDelay = 700 * time.Millisecond
+	// leaderListLag is how long the list of members may lack a new lead.
+	leaderListLag = 2 * time.Second
+	// campaignBackoff is about how long a host waits after a campaign that the
 	// store did not answer: each call is billed, and all candidates try.
-	campaignAgain = 900 * time.Millisecond
+	campaignBackoff = 900 * time.Millisecond
 	// campaignTimeout bounds the calls of one campaign.
 	campaignTimeout = 1200 * time.Millisecond
 )
 
 // campaignIfDue tries to become the lead where there is none.
-func (r *runner) campaignIfDue(ctx context.Context, now time.Time, v *view) {
-	if r.campaigning || r.host.stopping.Load() || now.Before(r.pausedUntil) || !r.due(now, v) {
+func (r *controller) campaignIfDue(ctx context.Context, now time.Time, v *view) {
+	if r.campaigning || r.host.stopping.Load() || now.Before(r.pausedUntil) || !r.campaignDue(now, v) {
 		return
 	}
-	r.campaigning, r.lookedAt = true, now
-	c := &campaign{runner: r, lease: r.newLease(), members: v.members, first: r.host.site.First && v.tables[r.service] == nil}
+	r.campaigning, r.campaignedAt = true, now
+	c := &campaign{controller: r, lease: r.newLease(), members: v.members, noLeaderKnown: r.host.site.FirstStart && v.tables[r.service] == nil}
 	if r.core.Leading() {
 		doc := r.core.Doc(now)
-		c.led, c.first = &doc, false
+		c.localDoc, c.noLeaderKnown = &doc, false
 	}
-	r.work.Add(1)
+	r.tasks.Add(1)
 	go c.run(ctx)
 }
 
-// due reports whether this host should campaign now.
-func (r *runner) due(now time.Time, v *view) bool {
+// campaignDue reports whether this host should campaign now.
+func (r *controller) campaignDue(now time.Time, v *view) bool {
 	if r.core.TermLost() {
-		return now.Sub(r.lookedAt) > campaignStep
+		return now.Sub(r.campaignedAt) > candidateDelay
 	}
 	lead, ok := v.members.Leader(r.service)
 	ok = ok && !lead.Restored()
 	if r.core.Leading() {
 		// Its entry went with its session. Right after a victory, the list of
 		// members does not have it yet.
-		return !ok && now.Sub(r.wonAt) > victoryLag && now.Sub(r.vacantSince) > campaignStep
+		return !ok && now.Sub(r.wonAt) > leaderListLag && now.Sub(r.vacantSince) > candidateDelay
 	}
 	place := slices.Index(v.candidates(r.service), r.host.site.Host)
 	if ok && !v.members.Ended(lead) {
 		// An entry of this host's own, of a term that it gave up, needs no
 		// waiting for. Of another's, the store knows sooner than the list that
 		// it is gone.
-		mine := lead.Host == r.host.site.Host && now.Sub(r.lookedAt) > campaignStep
+		mine := lead.Host == r.host.site.Host && now.Sub(r.campaignedAt) > candidateDelay
 		// A process that has just started may be one of many: the list may have a
 		// lead that ended with the others.
-		since := r.started
-		if r.heard.After(since) {
-			since = r.heard
+		since := r.startedAt
+		if r.leaderHeardAt.After(since) {
+			since = r.leaderHeardAt
 		}
-		quiet := now.Sub(since) > silence+time.Duration(place)*campaignStep
-		return mine || quiet && place >= 0 && place < candidates && now.Sub(r.lookedAt) > campaignStep
+		quiet := now.Sub(since) > leaderSilence+time.Duration(place)*candidateDelay
+		return mine || quiet && place >= 0 && place < candidateCount && now.Sub(r.campaignedAt) > candidateDelay
 	}
 	if r.vacantSince.IsZero() || place < 0 {
 		return false
 	}
-	wait := time.Duration(place) * campaignStep
-	if r.restored(v) {
+	wait := time.Duration(place) * candidateDelay
+	if r.storeRestored(v) {
 		// The last lead knows who holds what; another one has to wait.
-		if now.Sub(r.heard) < silence {
+		if now.Sub(r.leaderHeardAt) < leaderSilence {
 			return false
 		}
-		wait += restoredStep
+		wait += restoredDelay
 	}
-	if r.incumbent(now, v, place) {
-		wait += incumbentStep
+	if r.incumbentAlive(now, v, place) {
+		wait += incumbentDelay
 	}
 	return now.Sub(r.vacantSince) >= wait
 }
 
-// restored reports whether the store is of a later era than the lead's last table.
-func (r *runner) restored(v *view) bool {
+// storeRestored reports whether the store is of a later era than the lead's last table.
+func (r *controller) storeRestored(v *view) bool {
 	table := v.tables[r.service]
 	_, era := r.host.store.eras()
 	return table != nil && table.Version.Term.Era() < max(era, v.era)
 }
 
-// incumbent reports whether the last lead probably runs and only lost its entry
+// incumbentAlive reports whether the last lead probably runs and only lost its entry
 // with the store's outage. It goes first then: a change of lead asks every owner
 // anew. Candidates hear a lead that runs; all others go by the list.
-func (r *runner) incumbent(now time.Time, v *view, place int) bool {
+func (r *controller) incumbentAlive(now time.Time, v *view, place int) bool {
 	table := v.tables[r.service]
-	if table == nil || place < candidates && now.Sub(r.heard) > silence {
+	if table == nil || place < candidateCount && now.Sub(r.leaderHeardAt) > leaderSilence {
 		return false
 	}
 	h, there := v.members.Host(table.Leader)
@@ -112,57 +112,57 @@
 
 // campaign is one try to become the lead.
 type campaign struct {
-	*runner
+	*controller
 
 	lease   *lease
 	members member.List
-	// led is the document by what this host knows as the lead, nil where it does not
+	// localDoc is the document by what this host knows as the lead, nil where it does not
 	// lead.
-	led *owner.Doc
-	// first tells that this host knows of no lead before.
-	first bool
+	localDoc *owner.Doc
+	// noLeaderKnown tells that this host knows of no lead before.
+	noLeaderKnown bool
 }
 
 // run carries the campaign out and posts its outcome.
 func (c *campaign) run(ctx context.Context) {
-	defer c.work.Done()
+	defer c.tasks.Done()
 	ctx, cancel := context.WithTimeout(ctx, campaignTimeout)
 	defer cancel()
 	won, err := c.campaign(ctx)
 	c.post(func(now time.Time) bool {
 		c.campaigning = false
-		if errors.Is(err, errLed) {
+		if errors.Is(err, errLeaderExists) {
 			return false
 		}
 		if err != nil {
 			c.log.Info("Campaign for the lead failed.", slog.Any("error", err))
-			c.pausedUntil = now.Add(rand.N(campaignStep))
-			if !errors.Is(err, errLost) && !errors.Is(err, platform.ErrRestored) {
-				c.pausedUntil = now.Add(campaignAgain/2 + rand.N(campaignAgain))
+			c.pausedUntil = now.Add(rand.N(candidateDelay))
+			if !errors.Is(err, errWriteConflict) && !errors.Is(err, platform.ErrRestored) {
+				c.pausedUntil = now.Add(campaignBackoff/2 + rand.N(campaignBackoff))
 			}
 			return false
 		}
 		c.leadRevision = won.revision
 		c.vacantSince, c.wonAt = time.Time{}, now
-		c.before = won.before
+		c.predecessor = won.predecessor
 		c.log.Info("Leading.", slog.Uint64("term", uint64(won.doc.Term)), slog.Uint64("revision", uint64(won.revision)),
-			slog.String("before", string(won.before.host)), slog.Bool("ended", won.before.ended),
-			slog.Bool("stragglers", won.before.stragglers))
-		c.runner.lease.drop()
-		c.runner.lease = c.lease
-		c.work.Add(1)
+			slog.String("before", string(won.predecessor.host)), slog.Bool("ended", won.predecessor.ended),
+			slog.Bool("stragglers", won.predecessor.stragglers))
+		c.controller.lease.abandon()
+		c.controller.lease = c.lease
+		c.tasks.Add(1)
 		go c.lease.run()
-		c.core.BeginTerm(now, won.doc, won.revision, c.lease.current().end, won.before.prior())
-		c.known = 0
+		c.core.BeginTerm(now, won.doc, won.revision, c.lease.current().end, won.predecessor.prior())
+		c.knownFleet = 0
 		return true
 	})
 }
 
 // lease is the session that the entry of a lead goes with.
 type lease struct {
-	keeper
+	sessionKeeper
 
-	work   *sync.WaitGroup
+	tasks  *sync.WaitGroup
 	ctx    context.Context
 	cancel context.CancelFunc
 }
@@ -172,16 +172,16 @@
 	// renewals, short enough that a lead that is lost is replaced before the
 	// grants that it gave run out.
 	leaseTTL = 1800 * time.Millisecond
-	// leaseKeep is the time between two renewals of it, leaseAgain the pause
+	// leaseRenewInterval is the time between two renewals of it, leaseAgain the pause
 	// after one that failed.
-	leaseKeep  = 550 * time.Millisecond
-	leaseAgain = 300 * time.Millisecond
+	leaseRenewInterval   = 550 * time.Millisecond
+	leaseRenewRetryDelay = 300 * time.Millisecond
 )
 
-func (r *runner) newLease() *lease {
-	l := &lease{work: &r.work, keeper: keeper{
+func (r *controller) newLease() *lease {
+	l := &lease{tasks: &r.tasks, sessionKeeper: sessionKeeper{
 		store: r.host.env.Store, log: r.log.With(slog.String("entry", "lead")),
-		ttl: max(leaseTTL, r.host.site.Bounds.SessionMin), every: leaseKeep, again: leaseAgain, due: make(chan struct{}, 1),
+		ttl: max(leaseTTL, r.host.site.Bounds.MinSessionTTL), interval: leaseRenewInterval, retryDelay: leaseRenewRetryDelay, urgent: make(chan struct{}, 1),
 	}}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
@@ -189,28 +189,28 @@
 
 // run renews the lease until it has ended or is dropped.
 func (l *lease) run() {
-	defer l.work.Done()
-	l.keeper.run(l.ctx)
+	defer l.tasks.Done()
+	l.sessionKeeper.run(l.ctx)
 }
 
-// drop ends the renewing; the session lapses.
-func (l *lease) drop() { l.cancel() }
+// abandon ends the renewing; the session lapses.
+func (l *lease) abandon() { l.cancel() }
 
-// victory is a campaign that was won.
-type victory struct {
-	doc      owner.Doc
-	revision platform.Revision
-	before   predecessor
+// electionWin is a campaign that was won.
+type electionWin struct {
+	doc         owner.Doc
+	revision    platform.Revision
+	predecessor predecessor
 }
 
-// errLed is returned where the store names a lead.
-var errLed = errors.New("host: another host leads")
+// errLeaderExists is returned where the store names a lead.
+var errLeaderExists = errors.New("host: another host leads")
 
-func (c *campaign) campaign(ctx context.Context) (victory, error) {
+func (c *campaign) campaign(ctx context.Context) (electionWin, error) {
 	store := c.host.env.Store
-	held, err := c.vacant(ctx)
+	held, err := c.replaceableEntry(ctx)
 	if err != nil {
-		return victory{}, err
+		return electionWin{}, err
 	}
 	old, err := store.Get(ctx, rangesPath(c.service))
 	doc := owner.EmptyDoc(c.service)
@@ -218,31 +218,31 @@
 	case errors.Is(err, platform.ErrNotFound):
 		old.Revision = 0
 	case err != nil:
-		return victory{}, err
+		return electionWin{}, err
 	default:
 		if doc, err = owner.DecodeDoc(old.Value); err != nil {
-			return victory{}, err
+			return electionWin{}, err
 		}
 	}
 	if err := c.lease.open(ctx); err != nil {
-		return victory{}, err
+		return electionWin{}, err
 	}
 	session := c.lease.current().id
-	won := victory{before: c.predecessorOf(&doc, old.Revision, session.Era)}
+	won := electionWin{predecessor: c.predecessorOf(&doc, old.Revision, session.Era)}
 	doc.Term = doc.Term.Next(session.Era)
-	if won.before.forgotten && c.led != nil {
+	if won.predecessor.restored && c.localDoc != nil {
 		// What this host knows is newer than what the store has come back with.
-		doc.Rows, doc.Term = c.led.Rows, max(doc.Term, c.led.Term.Next(session.Era))
+		doc.Rows, doc.Term = c.localDoc.Rows, max(doc.Term, c.localDoc.Term.Next(session.Era))
 	}
-	doc.PriorMayRenew, doc.AfterRestore = won.before.prior() != owner.PriorEnded, won.before.forgotten
-	doc.Leader, doc.LeaderIncarnation, doc.WriteID = c.host.site.Host, c.host.life, rand.Uint64()
+	doc.PriorMayRenew, doc.AfterRestore = won.predecessor.prior() != owner.PriorEnded, won.predecessor.restored
+	doc.Leader, doc.LeaderIncarnation, doc.WriteID = c.host.site.Host, c.host.incarnation, rand.Uint64()
 	value, err := doc.Encode()
 	if err != nil {
-		return victory{}, err
+		return electionWin{}, err
 	}
-	entry, err := member.EncodeLeader(member.Leader{Host: c.host.site.Host, Incarnation: c.host.life, Era: session.Era})
+	entry, err := member.EncodeLeader(member.Leader{Host: c.host.site.Host, Incarnation: c.host.incarnation, Era: session.Era})
 	if err != nil {
-		return victory{}, err
+		return electionWin{}, err
 	}
 	leadPath := member.LeaderPath(c.service)
 	txn := platform.Txn{
@@ -253,16 +253,16 @@
 		},
 	}
 	won.doc = doc
-	won.revision, err = commitSurely(ctx, c.log, store, txn, rangesPath(c.service), doc.WriteID)
+	won.revision, err = commitUntilKnown(ctx, c.log, store, txn, rangesPath(c.service), doc.WriteID)
 	if err == nil && won.revision.Era() != session.Era {
 		err = platform.ErrRestored // what was won is of a copy that is gone
 	}
 	return won, err
 }
 
-// vacant returns the revision of the entry that a new lead replaces, zero where there
+// replaceableEntry returns the revision of the entry that a new lead replaces, zero where there
 // is none, or errLed where another host leads.
-func (c *campaign) vacant(ctx context.Context) (platform.Revision, error) {
+func (c *campaign) replaceableEntry(ctx context.Context) (platform.Revision, error) {
 	replaceable := func(l member.Leader) bool {
 		return l.Host == c.host.site.Host || c.members.Ended(l) || l.Restored()
 	}
@@ -272,7 +272,7 @@
 	if listed && current && replaceable(lead) {
 		return lead.Revision, nil // the entry of a life that has ended
 	}
-	if !listed && c.led == nil && !c.runner.restored(c.host.viewer.view()) {
+	if !listed && c.localDoc == nil && !c.controller.storeRestored(c.host.views.view()) {
 		return 0, nil
 	}
 	entry, err := c.host.env.Store.Get(ctx, member.LeaderPath(c.service))
@@ -286,7 +286,7 @@
 		return 0, err
 	}
 	if !replaceable(lead) {
-		return 0, errLed
+		return 0, errLeaderExists
 	}
 	return lead.Revision, nil
 }
@@ -296,18 +296,18 @@
 func (c *campaign) predecessorOf(doc *owner.Doc, revision platform.Revision, era platform.Era) predecessor {
 	first, _ := c.host.store.eras()
 	return predecessor{
-		host: doc.Leader, life: doc.LeaderIncarnation, revision: revision, stragglers: doc.PriorMayRenew,
-		ended:     doc.Leader == "" || doc.Leader == c.host.site.Host || c.members.Replaced(doc.Leader, doc.LeaderIncarnation, revision),
-		forgotten: doc.HistoryLost(era, c.first && first == era),
+		host: doc.Leader, incarnation: doc.LeaderIncarnation, revision: revision, stragglers: doc.PriorMayRenew,
+		ended:    doc.Leader == "" || doc.Leader == c.host.site.Host || c.members.Replaced(doc.Leader, doc.LeaderIncarnation, revision),
+		restored: doc.HistoryLost(era, c.noLeaderKnown && first == era),
 	}
 }
 
-// errLost is returned where another host's write came first.
-var errLost = errors.New("host: another write came first")
+// errWriteConflict is returned where another host's write came first.
+var errWriteConflict = errors.New("host: another write came first")
 
-// commitSurely repeats a transaction until it is certain whether it has been
+// commitUntilKnown repeats a transaction until it is certain whether it has been
 // carried out. The document at path tells by its write id.
-func commitSurely(ctx context.Context, log *slog.Logger, store platform.SessionStore, txn platform.Txn, path platform.Path, write uint64) (platform.Revision, error) {
+func commitUntilKnown(ctx context.Context, log *slog.Logger, store platform.SessionStore, txn platform.Txn, path platform.Path, write uint64) (platform.Revision, error) {
 	const firstPause, mostPause = 100 * time.Millisecond, 500 * time.Millisecond
 	unknown := false
 	for pause := firstPause; ; pause = min(2*pause, mostPause) {
@@ -325,7 +325,7 @@
 					return e.Revision, nil
 				}
 			}
-			return 0, errLost
+			return 0, errWriteConflict
 		case errors.Is(err, platform.ErrUnknown):
 			if !unknown {
 				log.Warn("Write not answered, asking until its outcome is known.", slog.Uint64("write", write), slog.Any("error", err))
@@ -336,10 +336,10 @@
 		}
 		sleep(ctx, pause)
 		if ctx.Err() != nil {
-			return 0, errUnsure
+			return 0, errOutcomeUnknown
 		}
 	}
 }
 
-// errUnsure is returned where a write may have taken effect, or may yet.
-var errUnsure = errors.New("host: outcome of the write is not known")
+// errOutcomeUnknown is returned where a write may have taken effect, or may yet.
+var errOutcomeUnknown = errors.New("host: outcome of the write is not known")
--- a/internal/host/codec_test.go
+++ b/internal/host/codec_test.go
@@ -13,11 +13,11 @@
 // FuzzDatagram: no datagram between hosts makes a decoder panic. Those of tickets
 // and presences have fuzz targets where they are decoded.
 func FuzzDatagram(f *testing.F) {
-	report := loadReport{service: "s", points: map[key.Point]int{5: 2}, lanes: []dispatch.TargetStats{{Target: "t", Mean: time.Second, Slowdown: 1, Used: true, Samples: 9}}}
+	report := loadReport{service: "s", points: map[key.Point]int{5: 2}, targets: []dispatch.TargetStats{{Target: "t", Mean: time.Second, Slowdown: 1, Used: true, Samples: 9}}}
 	body, err := report.encode()
 	assert.NilError(f, err)
 	f.Add(body)
-	n := notice{kind: noticeLeads, service: "s", host: "h", life: 3, term: 4}
+	n := notice{kind: noticeLeading, service: "s", host: "h", incarnation: 3, term: 4}
 	body, err = n.encode()
 	assert.NilError(f, err)
 	f.Add(body)
--- a/internal/host/runner_test.go
+++ b/internal/host/controller_test.go
@@ -15,9 +15,9 @@
 	"citrontray.example/citrontray/internal/site"
 )
 
-// TestIncumbent: candidates wait for a lead that lost its entry only while they
+// TestIncumbentAlive: candidates wait for a lead that lost its entry only while they
 // hear it. A power cut leaves entries of hosts that are gone.
-func TestIncumbent(t *testing.T) {
+func TestIncumbentAlive(t *testing.T) {
 	tests := map[string]struct {
 		life  place.Incarnation // of the lead's host in the list
 		heard time.Duration     // ago
@@ -28,18 +28,18 @@
 		"lead went silent":          {1, 2 * time.Second, 0, false},
 		"lead never heard":          {1, time.Hour, 2, false},
 		"lead started again":        {2, 100 * time.Millisecond, 0, false},
-		"others don't hear leads":   {1, time.Hour, candidates, true},
-		"others see it start again": {2, time.Hour, candidates, false},
+		"others don't hear leads":   {1, time.Hour, candidateCount, true},
+		"others see it start again": {2, time.Hour, candidateCount, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			r := &runner{service: "s", heard: now.Add(-test.heard)}
+			r := &controller{service: "s", leaderHeardAt: now.Add(-test.heard)}
 			v := &view{
 				members: member.List{Hosts: []member.Host{{Name: "lead", Incarnation: test.life}}},
 				tables:  map[key.Service]*owner.Table{"s": {Leader: "lead", LeaderIncarnation: 1}},
 			}
-			assert.Equal(t, r.incumbent(now, v, test.place), test.want)
+			assert.Equal(t, r.incumbentAlive(now, v, test.place), test.want)
 		})
 	}
 }
@@ -65,8 +65,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &runner{host: &Host{site: site.Site{Host: "self"}, store: &countedStore{}}}
-			c := &campaign{runner: r, members: members}
+			r := &controller{host: &Host{site: site.Site{Host: "self"}, store: &instrumentedStore{}}}
+			c := &campaign{controller: r, members: members}
 			era := platform.Era(0)
 			if test.doc.Term > 0 {
 				era = 2
@@ -77,52 +77,52 @@
 	}
 }
 
-// TestLeadAfterPowerCut: all hosts lose power, and their lead's session ends before
+// TestLeaderAfterPowerCut: all hosts lose power, and their lead's session ends before
 // they are back. Keys are served again a moment after the hosts: nothing waits for a
 // round of its own.
-func TestLeadAfterPowerCut(t *testing.T) {
+func TestLeaderAfterPowerCut(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3, 3, 1)
-	d.served()
+	d.awaitServed()
 	for _, h := range d.hosts {
-		h.kill()
+		h.shutdown()
 	}
 	d.hosts = nil
 	time.Sleep(leaseTTL)
 	for i := range 3 {
 		d.addHost(i)
 	}
-	configured := func(h *running) bool { return h.viewer.view().routes != nil }
+	configured := func(h *testHost) bool { return h.views.view().routes != nil }
 	d.eventually("a host has the configuration", 15*time.Second, func() bool { return slices.ContainsFunc(d.hosts, configured) })
-	leads := func(h *running) bool { return h.leadsAny() }
+	leads := func(h *testHost) bool { return h.leadsAnyService() }
 	d.eventually("a host leads", 900*time.Millisecond, func() bool { return slices.ContainsFunc(d.hosts, leads) })
 }
 
-// TestStarterLooks: a host that has started a while ago and never heard the lead
+// TestCampaignWithoutHeardLeader: a host that has started a while ago and never heard the lead
 // that the list names looks into the store, as it would after it fell silent.
-func TestStarterLooks(t *testing.T) {
+func TestCampaignWithoutHeardLeader(t *testing.T) {
 	tests := map[string]struct {
 		started, heard time.Duration // ago
 		want           bool
 	}{
 		"just started":            {100 * time.Millisecond, time.Hour, false},
-		"started, never heard":    {silence + campaignStep, time.Hour, true},
+		"started, never heard":    {leaderSilence + candidateDelay, time.Hour, true},
 		"started, heard a moment": {time.Hour, 100 * time.Millisecond, false},
-		"silent":                  {time.Hour, silence + campaignStep, true},
+		"silent":                  {time.Hour, leaderSilence + candidateDelay, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			r := &runner{
+			r := &controller{
 				host: &Host{site: site.Site{Host: "self"}}, service: "s", core: owner.New(owner.Config{}),
-				started: now.Add(-test.started), heard: now.Add(-test.heard),
+				startedAt: now.Add(-test.started), leaderHeardAt: now.Add(-test.heard),
 			}
-			v := &view{ranks: newRanks(), members: member.List{
+			v := &view{rankCache: newRankCache(), members: member.List{
 				Hosts:   []member.Host{{Name: "lead", Incarnation: 1}, {Name: "self", Incarnation: 1}},
 				Leaders: []member.Leader{{Service: "s", Host: "lead", Incarnation: 1, Revision: 9}},
 			}}
-			v.ranks.leads["s"] = []place.Host{"self", "lead"}
-			assert.Equal(t, r.due(now, v), test.want)
+			v.rankCache.leaders["s"] = []place.Host{"self", "lead"}
+			assert.Equal(t, r.campaignDue(now, v), test.want)
 		})
 	}
 }
--- a/internal/host/reading.go
+++ b/internal/host/digest.go
@@ -10,16 +10,16 @@
 	"citrontray.example/citrontray/internal/spread"
 )
 
-// wireReading is a reading in a datagram.
-type wireReading struct {
+// wireDigest is a reading in a datagram.
+type wireDigest struct {
 	_        struct{} `cbor:",toarray"`
 	Versions map[string]uint64
 }
 
-// tellReading tells the watchers of all zones what this one has read. One that
+// broadcastDigest tells the watchers of all zones what this one has read. One that
 // does not hear it reads the store itself.
-func (h *Host) tellReading(r reading) {
-	w := wireReading{Versions: make(map[string]uint64, len(r.versions))}
+func (h *Host) broadcastDigest(r digest) {
+	w := wireDigest{Versions: make(map[string]uint64, len(r.versions))}
 	for name, version := range r.versions {
 		w.Versions[string(name)] = version
 	}
@@ -28,7 +28,7 @@
 		h.log.Error("Reading not written.", slog.Any("error", err))
 		return
 	}
-	members := h.viewer.view().members
+	members := h.views.view().members
 	rows := members.HostRows()
 	told := make(map[place.Zone]bool)
 	for _, row := range rows {
@@ -38,22 +38,22 @@
 		told[row.Zone] = true
 		for _, watcher := range spread.Watchers(row.Zone, rows) {
 			if m, ok := members.Host(watcher.Host); ok && m.Name != h.site.Host {
-				h.desk.write(m.TicketAddr, datagramReading, body)
+				h.dispatcher.write(m.TicketAddr, datagramDigest, body)
 			}
 		}
 	}
 }
 
-// heardReading takes what another watcher has read.
-func (h *Host) heardReading(body []byte) {
-	var w wireReading
+// handleDigest takes what another watcher has read.
+func (h *Host) handleDigest(body []byte) {
+	var w wireDigest
 	if err := cbor.Unmarshal(body, &w); err != nil {
 		h.log.Warn("Reading not readable, dropped.", slog.Any("error", err))
 		return
 	}
-	r := reading{at: time.Now(), versions: make(map[spread.Name]uint64, len(w.Versions))}
+	r := digest{receivedAt: time.Now(), versions: make(map[spread.Name]uint64, len(w.Versions))}
 	for name, version := range w.Versions {
 		r.versions[spread.Name(name)] = version
 	}
-	h.watcher.hear(r)
+	h.watcher.receive(r)
 }
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -41,15 +41,15 @@
 	runs    *standin.RunLedger
 	names   *target.HeaderNames
 	targets map[place.Target]*standin.Ranged
-	hosts   []*running
+	hosts   []*testHost
 	client  *http.Client
 
 	mu      sync.Mutex
 	configs map[string]*traffic.Config
 }
 
-// running is a host that runs.
-type running struct {
+// testHost is a host that runs.
+type testHost struct {
 	*Host
 
 	cancel context.CancelFunc
@@ -105,7 +105,7 @@
 		configs: make(map[string]*traffic.Config),
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
-	d.accept(testConfig(1))
+	d.putConfig(testConfig(1))
 	for i := range ranged {
 		d.addTarget(place.Target(fmt.Sprintf("span-%d", i)), "span")
 	}
@@ -121,7 +121,7 @@
 
 func (d *deployment) close() {
 	for _, h := range d.hosts {
-		h.kill()
+		h.shutdown()
 	}
 	for _, r := range d.targets {
 		r.Close()
@@ -129,8 +129,8 @@
 	d.client.CloseIdleConnections()
 }
 
-// accept puts a configuration into the store.
-func (d *deployment) accept(c *traffic.Config) {
+// putConfig puts a configuration into the store.
+func (d *deployment) putConfig(c *traffic.Config) {
 	text := strconv.FormatUint(uint64(c.Version), 10)
 	d.mu.Lock()
 	d.configs[text] = c
@@ -138,11 +138,11 @@
 	d.store.Set(platform.PathConfig, []byte(text))
 }
 
-// panicking is a configuration that makes its decoder panic.
-const panicking = "panic"
+// panickingConfig is a configuration that makes its decoder panic.
+const panickingConfig = "panic"
 
 func (d *deployment) decodeConfig(body []byte) (*traffic.Config, error) {
-	if string(body) == panicking {
+	if string(body) == panickingConfig {
 		panic("told to")
 	}
 	d.mu.Lock()
@@ -167,11 +167,11 @@
 	r.Keyless = service == "desk"
 	d.targets[name] = r
 	d.orders.Add(r)
-	d.list(r, service, place.Live)
+	d.listTarget(r, service, place.Live)
 	return r
 }
 
-func (d *deployment) list(r *standin.Ranged, service string, state place.Liveness) {
+func (d *deployment) listTarget(r *standin.Ranged, service string, state place.Liveness) {
 	d.t.Helper()
 	body, err := json.Marshal(place.TargetRow{
 		Target: r.Name, Service: service, Zone: "z", State: state, Addr: r.Addr, Incarnation: 1, Slots: r.Slots,
@@ -187,15 +187,15 @@
 	return addr
 }
 
-func (d *deployment) addHost(i int) *running {
+func (d *deployment) addHost(i int) *testHost {
 	d.t.Helper()
 	s := site.Site{
 		Host: place.Host(fmt.Sprintf("host-%d", i)), Zone: "z",
 		Front: freeAddr(d.t), Ready: freeAddr(d.t),
 		Peer: freeAddr(d.t), Ticket: freeAddr(d.t),
-		Processor: 1, MemoryBytes: 256 << 20,
+		CPUShare: 1, MemoryBytes: 256 << 20,
 		Bounds: site.Bounds{
-			Drain: 2 * time.Second, Grace: 4 * time.Second, Apply: 2 * time.Second, HoldMax: 10 * time.Second,
+			Drain: 2 * time.Second, Grace: 4 * time.Second, ConfigApply: 2 * time.Second, MaxGrantDuration: 10 * time.Second,
 			Retry: site.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 60},
 		},
 	}
@@ -217,7 +217,7 @@
 	})
 	assert.NilError(d.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Host: h, cancel: cancel, done: make(chan struct{}), logs: logs}
+	r := &testHost{Host: h, cancel: cancel, done: make(chan struct{}), logs: logs}
 	go func() {
 		defer close(r.done)
 		if err := h.Run(ctx); err != nil {
@@ -228,16 +228,16 @@
 	return r
 }
 
-// kill stops a host and waits for its end.
-func (r *running) kill() {
+// shutdown stops a host and waits for its end.
+func (r *testHost) shutdown() {
 	r.cancel()
 	<-r.done
 }
 
 var requestIDs atomic.Int64
 
-// answer is what a client got.
-type answer struct {
+// testResponse is what a client got.
+type testResponse struct {
 	id     string
 	status int
 	retry  string
@@ -247,11 +247,11 @@
 }
 
 // send sends one request to a host.
-func (d *deployment) send(h *running, method, path string, point key.Point) answer {
+func (d *deployment) send(h *testHost, method, path string, point key.Point) testResponse {
 	id := "r" + strconv.FormatInt(requestIDs.Add(1), 10)
 	r, err := http.NewRequestWithContext(context.Background(), method, "http://"+h.site.Front.String()+path, http.NoBody)
 	if err != nil {
-		return answer{id: id, err: err}
+		return testResponse{id: id, err: err}
 	}
 	r.Host = "a.example"
 	r.Header.Set(d.names.Request, id)
@@ -260,11 +260,11 @@
 	start := time.Now()
 	response, err := d.client.Do(r)
 	if err != nil {
-		return answer{id: id, err: err, took: time.Since(start)}
+		return testResponse{id: id, err: err, took: time.Since(start)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{
+	return testResponse{
 		id: id, status: response.StatusCode, retry: response.Header.Get("Retry-After"), body: string(body), err: err,
 		took: time.Since(start),
 	}
@@ -291,8 +291,8 @@
 	d.t.Fatalf("not within %v: %s", within, what)
 }
 
-// served waits until all keys and the keyless service are served everywhere.
-func (d *deployment) served() {
+// awaitServed waits until all keys and the keyless service are served everywhere.
+func (d *deployment) awaitServed() {
 	d.t.Helper()
 	d.eventually("all keys are served", 15*time.Second, func() bool {
 		for _, h := range d.hosts {
@@ -309,9 +309,9 @@
 	})
 }
 
-// wants sends a request and fails with all that the host logged of it, unless
+// expectStatus sends a request and fails with all that the host logged of it, unless
 // it ends with the status.
-func (d *deployment) wants(h *running, method, path string, point key.Point, status int) {
+func (d *deployment) expectStatus(h *testHost, method, path string, point key.Point, status int) {
 	d.t.Helper()
 	a := d.send(h, method, path, point)
 	if a.err == nil && a.status == status {
--- a/internal/host/front.go
+++ b/internal/host/handler.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// retryStarting is the hint of a host that has no configuration yet.
-	retryStarting = 200 * time.Millisecond
-	// maxAnswer bounds the body of an answer, which is held whole.
-	maxAnswer = 16 << 20
-	// maxHeld bounds the bodies of requests and answers held at once, as a share of
+	// startingRetryAfter is the hint of a host that has no configuration yet.
+	startingRetryAfter = 200 * time.Millisecond
+	// maxAnswerBytes bounds the body of an answer, which is held whole.
+	maxAnswerBytes = 16 << 20
+	// maxBodyMemoryShare bounds the bodies of requests and answers held at once, as a share of
 	// the memory.
-	maxHeld = 0.25
+	maxBodyMemoryShare = 0.25
 )
 
 // ServeHTTP answers one request of a client.
@@ -30,14 +30,14 @@
 	id := r.Header.Get(h.names.Request)
 	j, result := h.newJob(w, r, id, start)
 	if result == nil {
-		defer func() { h.held.Release(j.holding) }()
+		defer func() { h.bodyMemory.Release(j.reservedBytes) }()
 		result = j.run(r.Context())
 	}
-	h.ended(j, id, start, result)
+	h.recordEnd(j, id, start, result)
 	if id != "" {
 		w.Header()[http.CanonicalHeaderKey(h.names.Request)] = []string{id}
 	}
-	if h.cutOff(time.Now()) {
+	if h.checkIsolated(time.Now()) {
 		w.Header()["Connection"] = []string{"close"}
 	}
 	outcome.WriteFractional(w, result)
@@ -46,9 +46,9 @@
 // newJob checks a request and reads its body. The result is set where the
 // request ends here.
 func (h *Host) newJob(w http.ResponseWriter, r *http.Request, id string, now time.Time) (*job, outcome.Result) {
-	v := h.viewer.view()
+	v := h.views.view()
 	if v.routes == nil {
-		return nil, outcome.NotRunFailure{Reason: outcome.Starting, RetryAfter: retryStarting}
+		return nil, outcome.NotRunFailure{Reason: outcome.Starting, RetryAfter: startingRetryAfter}
 	}
 	route := v.routes.Find(r.Host, pathOf(r))
 	if route == nil {
@@ -64,19 +64,19 @@
 	part := h.splitter.Next(route)
 	service := v.routes.Service(part.Service)
 	if service == nil {
-		return nil, outcome.NotRunFailure{Reason: outcome.Unreachable, RetryAfter: retryUnowned}
+		return nil, outcome.NotRunFailure{Reason: outcome.Unreachable, RetryAfter: defaultRetryAfter}
 	}
 	j := &job{host: h, route: route, service: service, arrived: now, config: v.routes.Config().Version}
-	j.setTimes(now, h.timeLeft(r), h.patience.of(route.Name, h.timeLeft(r)))
+	j.setDeadlines(now, h.timeLeft(r), h.clientTimeouts.observe(route.Name, h.timeLeft(r)))
 	if service.Keys == traffic.Ranged {
 		point, err := strconv.ParseUint(r.Header.Get(h.names.Key), 10, 32)
 		if err != nil || point >= key.Points {
 			return nil, outcome.NotRunFailure{Reason: outcome.BadKey}
 		}
 		j.point = key.Point(point)
-		h.meter.count(service.Name, j.point)
+		h.keyCounter.count(service.Name, j.point)
 	}
-	h.retries.earn(now, service.Name)
+	h.retryBudget.countRequest(now, service.Name)
 	body, result := h.readBody(r, limits.MaxBodyBytes)
 	if result != nil {
 		return nil, result
@@ -85,18 +85,18 @@
 	for _, name := range []string{h.names.Request, h.names.Deadline, h.names.Expect} {
 		header.Del(name)
 	}
-	j.holding = int64(len(body))
+	j.reservedBytes = int64(len(body))
 	j.request = forward.Request{
 		ID: id, Method: r.Method, URI: r.RequestURI, Header: header, Body: body,
-		Deadline: j.deadline, MaxBody: maxAnswer, HeaderNames: h.names, Host: r.Host, Reserve: j.take,
+		Deadline: j.deadline, MaxBody: maxAnswerBytes, HeaderNames: h.names, Host: r.Host, Reserve: j.reserveMemory,
 	}
 	return j, nil
 }
 
-// setTimes sets when the request must and should be answered. A client that
+// setDeadlines sets when the request must and should be answered. A client that
 // gives less time than its kind usually does comes back after a refusal: part
 // of its aim is gone.
-func (j *job) setTimes(now time.Time, left, usual time.Duration) {
+func (j *job) setDeadlines(now time.Time, left, usual time.Duration) {
 	timeout := j.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -106,7 +106,7 @@
 		aim -= max(usual-left, 0)
 		timeout = min(timeout, left)
 	}
-	j.deadline, j.aimAt = now.Add(timeout), now.Add(aim)
+	j.deadline, j.softDeadline = now.Add(timeout), now.Add(aim)
 }
 
 // defaultTimeout holds for routes that name none.
@@ -150,7 +150,7 @@
 		return nil, nil
 	}
 	if bound <= 0 {
-		bound = maxAnswer
+		bound = maxAnswerBytes
 	}
 	if r.ContentLength > bound {
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
@@ -163,41 +163,41 @@
 	case int64(len(body)) > bound:
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
 	}
-	if !h.held.TryAcquire(int64(len(body))) {
-		return nil, outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: retryUnowned}
+	if !h.bodyMemory.TryAcquire(int64(len(body))) {
+		return nil, outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: defaultRetryAfter}
 	}
 	return body, nil
 }
 
-// ended counts and logs the end of a request: one line each, with what decided
+// recordEnd counts and logs the end of a request: one line each, with what decided
 // it.
-func (h *Host) ended(j *job, id string, start time.Time, result outcome.Result) {
+func (h *Host) recordEnd(j *job, id string, start time.Time, result outcome.Result) {
 	took := time.Since(start)
 	attrs := []any{
 		slog.String("request", id), slog.String("outcome", string(outcome.Of(result))),
-		slog.Int("status", outcome.Status(result)), millis("took", took),
+		slog.Int("status", outcome.Status(result)), millisAttr("took", took),
 	}
 	if reason := outcome.ReasonOf(result); reason != "" {
 		attrs = append(attrs, slog.String("reason", string(reason)))
 	}
 	if failure, ok := result.(outcome.NotRunFailure); ok && failure.RetryAfter > 0 {
-		attrs = append(attrs, millis("retry", failure.RetryAfter))
+		attrs = append(attrs, millisAttr("retry", failure.RetryAfter))
 	}
 	service := key.Service("")
 	if j != nil {
 		service = j.service.Name
-		attrs = append(attrs, j.attrs()...)
+		attrs = append(attrs, j.logAttrs()...)
 	}
-	h.metrics.ended(service, result, took)
+	h.metrics.countRequest(service, result, took)
 	h.log.Info("Request ended.", attrs...)
 }
 
-// attrs are what a request's line tells of its way.
-func (j *job) attrs() []any {
+// logAttrs are what a request's line tells of its way.
+func (j *job) logAttrs() []any {
 	attrs := []any{
 		slog.String("route", string(j.route.Name)), slog.String("service", string(j.service.Name)),
 		slog.Uint64("config", uint64(j.config)), slog.Int("sent", j.arrivals), slog.String("target", string(j.last)),
-		millis("queued", j.queued), millis("given", j.deadline.Sub(j.arrived)), slog.String("home", string(j.home)),
+		millisAttr("queued", j.queued), millisAttr("given", j.deadline.Sub(j.arrived)), slog.String("home", string(j.home)),
 		slog.Uint64("ticket", uint64(j.ticketID)),
 	}
 	if j.refusal != 0 {
@@ -205,7 +205,7 @@
 	}
 	if j.service.Keys == traffic.Ranged {
 		attrs = append(attrs, slog.Int("key", int(j.point)), slog.Uint64("term", uint64(j.table.Term)),
-			slog.Uint64("table", j.table.Sequence), millis("age", j.tableAge), millis("parked", j.parked),
+			slog.Uint64("table", j.table.Sequence), millisAttr("age", j.tableAge), millisAttr("parked", j.parked),
 			slog.Bool("cold", j.cold))
 	}
 	return attrs
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -56,30 +56,30 @@
 
 // Host is one process. It is an http.Handler for clients.
 type Host struct {
-	env   Environment
-	site  site.Site
-	names *target.HeaderNames
-	log   *slog.Logger
-	life  place.Incarnation
+	env         Environment
+	site        site.Site
+	names       *target.HeaderNames
+	log         *slog.Logger
+	incarnation place.Incarnation
 
-	store     *countedStore
-	board     *spread.Memory
-	link      *peer.Peer
-	node      *spread.Node
-	viewer    *viewer
-	registrar *registrar
-	watcher   *watcher
-	desk      *desk
-	pools     *pools
-	retries   *retries
-	patience  *patience
-	trust     *trust
-	splitter  *traffic.Splitter
-	meter     *meter
-	held      *semaphore.Weighted
-	metrics   *metrics
-	registry  *metric.Registry
-	admin     *admin.Server
+	store          *instrumentedStore
+	replica        *spread.Memory
+	link           *peer.Peer
+	node           *spread.Node
+	views          *viewBuilder
+	registrar      *registrar
+	watcher        *watcher
+	dispatcher     *dispatcher
+	connPools      *connPools
+	retryBudget    *retryBudget
+	clientTimeouts *clientTimeouts
+	idleLimits     *idleLimits
+	splitter       *traffic.Splitter
+	keyCounter     *keyCounter
+	bodyMemory     *semaphore.Weighted
+	metrics        *metrics
+	registry       *metric.Registry
+	admin          *admin.Server
 
 	// bounds change with the settings file.
 	bounds atomic.Pointer[site.Bounds]
@@ -87,34 +87,34 @@
 	front    net.Listener
 	ready    net.Listener
 	stopping atomic.Bool
-	// cut tells that a cut keeps most targets from this host, by the last look.
-	cut atomic.Bool
+	// isolated tells that a cut keeps most targets from this host, by the last look.
+	isolated atomic.Bool
 
-	mu      sync.Mutex
-	runners map[key.Service]*runner
+	mu          sync.Mutex
+	controllers map[key.Service]*controller
 }
 
 // Open opens the sockets of a host; nothing runs yet.
 func Open(env Environment) (*Host, error) {
 	h := &Host{
 		env: env, site: env.Site, names: env.Names, log: slog.New(env.Journal),
-		life:     place.Incarnation(time.Now().UnixNano()),
-		board:    spread.New(),
-		pools:    newPools(env.Dial),
-		retries:  newRetries(),
-		patience: newPatience(),
-		trust:    newTrust(),
-		splitter: traffic.NewSplitter(),
-		meter:    newMeter(),
-		held:     semaphore.NewWeighted(int64(maxHeld * float64(env.Site.MemoryBytes))),
-		runners:  make(map[key.Service]*runner),
-		registry: metric.New("citrontray_host"),
+		incarnation:    place.Incarnation(time.Now().UnixNano()),
+		replica:        spread.New(),
+		connPools:      newConnPools(env.Dial),
+		retryBudget:    newRetryBudget(),
+		clientTimeouts: newClientTimeouts(),
+		idleLimits:     newIdleLimits(),
+		splitter:       traffic.NewSplitter(),
+		keyCounter:     newKeyCounter(),
+		bodyMemory:     semaphore.NewWeighted(int64(maxBodyMemoryShare * float64(env.Site.MemoryBytes))),
+		controllers:    make(map[key.Service]*controller),
+		registry:       metric.New("citrontray_host"),
 	}
 	h.metrics = newMetrics(h.registry)
-	h.store = &countedStore{SessionStore: env.Store, metrics: h.metrics, log: h.log}
+	h.store = &instrumentedStore{SessionStore: env.Store, metrics: h.metrics, log: h.log}
 	h.env.Store = h.store
 	h.setBounds(env.Site.Bounds)
-	h.viewer = newViewer(h.board, h.log, env.DecodeConfig)
+	h.views = newViewBuilder(h.replica, h.log, env.DecodeConfig)
 	h.registrar = newRegistrar(h)
 	if err := h.openSockets(); err != nil {
 		return nil, err
@@ -122,10 +122,10 @@
 	return h, nil
 }
 
-func (h *Host) member() member.Host {
+func (h *Host) memberEntry() member.Host {
 	return member.Host{
-		Name: h.site.Host, Incarnation: h.life, Zone: h.site.Zone,
-		PeerAddr: h.site.Peer, TicketAddr: h.site.Ticket, CPUShare: h.site.Processor,
+		Name: h.site.Host, Incarnation: h.incarnation, Zone: h.site.Zone,
+		PeerAddr: h.site.Peer, TicketAddr: h.site.Ticket, CPUShare: h.site.CPUShare,
 	}
 }
 
@@ -139,14 +139,14 @@
 	if err != nil {
 		return fmt.Errorf("host: ticket address: %w", err)
 	}
-	self := dispatch.Peer{Host: h.site.Host, Incarnation: h.life, Zone: h.site.Zone}
-	h.desk = newDesk(self, conn, h.log, h)
-	h.desk.guard = h.guard
-	h.desk.address = h.ticketAddress
-	h.desk.others = map[byte]func([]byte){
-		datagramReport: h.heardReport, datagramNotice: h.heardNotice, datagramReading: h.heardReading, datagramPresence: h.heardPresence,
+	self := dispatch.Peer{Host: h.site.Host, Incarnation: h.incarnation, Zone: h.site.Zone}
+	h.dispatcher = newDispatcher(self, conn, h.log, h)
+	h.dispatcher.guard = h.guard
+	h.dispatcher.address = h.ticketAddress
+	h.dispatcher.handlers = map[byte]func([]byte){
+		datagramReport: h.handleReport, datagramNotice: h.handleNotice, datagramDigest: h.handleDigest, datagramPresence: h.handleHeartbeat,
 	}
-	h.desk.catalog = func() dispatch.Catalog { return h.viewer.view() }
+	h.dispatcher.catalog = func() dispatch.Catalog { return h.views.view() }
 	if h.front, err = net.Listen("tcp4", h.site.Front.String()); err != nil {
 		return fmt.Errorf("host: front address: %w", err)
 	}
@@ -158,21 +158,21 @@
 		if err != nil {
 			return err
 		}
-		h.pages()
+		h.addPages()
 	}
 	h.watcher = &watcher{
-		store: h.env.Store, board: h.board, log: h.log, decodeTarget: h.env.DecodeTarget, tell: h.tellReading,
-		stirred: make(chan struct{}, 1), configVersion: h.configVersion,
+		store: h.env.Store, replica: h.replica, log: h.log, decodeTarget: h.env.DecodeTarget, broadcast: h.broadcastDigest,
+		triggered: make(chan struct{}, 1), configVersion: h.configVersion,
 	}
-	h.watcher.patience = patienceOf(&h.site)
+	h.watcher.firstReadDelay = firstReadDelay(&h.site)
 	var seeds []netip.AddrPort
 	for _, seed := range h.site.Seeds {
 		seeds = append(seeds, seed.Peer)
 	}
-	h.node = spread.NewNode(h.board, h.link, spread.Config{
+	h.node = spread.NewNode(h.replica, h.link, spread.Config{
 		Self: h.env.Keys.Self(), Addr: h.site.Peer, Seeds: seeds, Watch: h.watcher.run, Log: h.log,
-		Processor: h.site.Processor, Listed: docMembers,
-		Hosts: func() []place.HostRow { return h.viewer.view().members.HostRows() },
+		Processor: h.site.CPUShare, Listed: docMembers,
+		Hosts: func() []place.HostRow { return h.views.view().members.HostRows() },
 	})
 	return nil
 }
@@ -187,15 +187,15 @@
 	return version, ok
 }
 
-// patienceOf returns how long a host that starts waits for what the seeds have
+// firstReadDelay returns how long a host that starts waits for what the seeds have
 // read from the store. A seed itself does not wait.
-func patienceOf(s *site.Site) time.Duration {
+func firstReadDelay(s *site.Site) time.Duration {
 	if len(s.Seeds) == 0 || slices.ContainsFunc(s.Seeds, func(o site.Seed) bool { return o.Peer == s.Peer }) {
 		return 0
 	}
-	least := seedsAgain
-	if s.First {
-		least = seedsFirst
+	least := restartReadDelay
+	if s.FirstStart {
+		least = firstStartReadDelay
 	}
 	return least + rand.N(least)
 }
@@ -203,16 +203,16 @@
 // setBounds puts bounds in force.
 func (h *Host) setBounds(b site.Bounds) {
 	h.bounds.Store(&b)
-	h.retries.setBudget(b.Retry)
+	h.retryBudget.setBudget(b.Retry)
 }
 
 // Ranked implements dispatch.Homes.
 func (h *Host) Ranked(pool dispatch.PoolID) []place.Host {
-	return h.viewer.view().ranked(pool, h.site.Host)
+	return h.views.view().ranked(pool, h.site.Host)
 }
 
 func (h *Host) ticketAddress(name place.Host) (netip.AddrPort, bool) {
-	list := h.viewer.view().members
+	list := h.views.view().members
 	m, ok := list.Host(name)
 	return m.TicketAddr, ok
 }
@@ -225,7 +225,7 @@
 	defer cancel()
 	group, background := errgroup.WithContext(background)
 	for _, part := range []func(context.Context) error{
-		h.link.Run, h.node.Run, h.registrar.run, h.desk.run, h.desk.loop, h.loopViews, h.loopReports, h.loopSweep, h.loopSite, h.env.Journal.Loop,
+		h.link.Run, h.node.Run, h.registrar.run, h.dispatcher.run, h.dispatcher.loop, h.loopViews, h.loopReports, h.loopConnPools, h.loopSettings, h.env.Journal.Loop,
 	} {
 		group.Go(func() error { return part(background) })
 	}
@@ -234,7 +234,7 @@
 	}
 	leads, stopLeads := context.WithCancel(background)
 	defer stopLeads()
-	group.Go(func() error { return h.runLeads(leads) })
+	group.Go(func() error { return h.runControllers(leads) })
 	s := newServers(h)
 	group.Go(s.runReady)
 	group.Go(s.runFront)
@@ -248,7 +248,7 @@
 		return h.stop(background, s, stopLeads)
 	})
 	err := group.Wait()
-	h.pools.close()
+	h.connPools.close()
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
@@ -270,36 +270,36 @@
 // panicked notes that a part of this process panicked, and goes on without what it
 // was doing.
 func (h *Host) panicked(part string, cause any) {
-	h.metrics.panicked(part)
+	h.metrics.countPanic(part)
 	journal.Panicked(h.log, part, cause)
 }
 
 // loopViews puts newer views in force.
 func (h *Host) loopViews(ctx context.Context) error {
-	published := h.board.Subscribe("")
+	published := h.replica.Subscribe("")
 	lives := make(map[place.Host]place.Incarnation)
 	lists := uint64(0)
-	timer := time.NewTimer(viewExpiry)
+	timer := time.NewTimer(maxExpiryCheckInterval)
 	defer timer.Stop()
 	for {
 		now := time.Now()
 		changed := false
-		h.guard("view", func() { changed = h.viewer.refresh(now) })
+		h.guard("view", func() { changed = h.views.refresh(now) })
 		if changed {
-			v := h.viewer.view()
+			v := h.views.view()
 			if h.admin != nil {
 				h.admin.SetReady(v.usable() && !h.stopping.Load())
 			}
-			h.retries.setHosts(now, len(v.members.Hosts))
+			h.retryBudget.setHosts(now, len(v.members.Hosts))
 			if v.routes != nil {
 				h.splitter.Prune(v.routes.Config())
 			}
-			if v.lists != lists {
-				lists = v.lists
-				h.takeLists(now, v, lives)
+			if v.listVersion != lists {
+				lists = v.listVersion
+				h.applyLists(now, v, lives)
 			}
 		}
-		timer.Reset(h.viewer.rest(time.Now()))
+		timer.Reset(h.views.untilExpiry(time.Now()))
 		select {
 		case <-ctx.Done():
 			return nil
@@ -309,24 +309,24 @@
 	}
 }
 
-// viewExpiry is the longest time between two looks at what may have expired.
-const viewExpiry = 500 * time.Millisecond
+// maxExpiryCheckInterval is the longest time between two looks at what may have expired.
+const maxExpiryCheckInterval = 500 * time.Millisecond
 
-// takeLists puts newer lists of hosts and targets in force; lives are those of the
+// applyLists puts newer lists of hosts and targets in force; lives are those of the
 // hosts so far.
-func (h *Host) takeLists(now time.Time, v *view, lives map[place.Host]place.Incarnation) {
-	h.pools.setHosts(len(v.members.Hosts))
+func (h *Host) applyLists(now time.Time, v *view, lives map[place.Host]place.Incarnation) {
+	h.connPools.setHosts(len(v.members.Hosts))
 	for _, m := range v.members.Hosts {
 		if lives[m.Name] != m.Incarnation {
 			lives[m.Name] = m.Incarnation
-			h.desk.started(m.Name)
+			h.dispatcher.hostRestarted(m.Name)
 		}
 	}
-	h.desk.refresh(now, v)
+	h.dispatcher.refresh(now, v)
 }
 
-// loopSweep closes what is no longer used.
-func (h *Host) loopSweep(ctx context.Context) error {
+// loopConnPools closes what is no longer used.
+func (h *Host) loopConnPools(ctx context.Context) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -334,19 +334,19 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			h.pools.sweep(now)
+			h.connPools.closeUnused(now)
 		}
 	}
 }
 
-// runLeads runs a runner for each ranged service until ctx ends.
-func (h *Host) runLeads(ctx context.Context) error {
+// runControllers runs a runner for each ranged service until ctx ends.
+func (h *Host) runControllers(ctx context.Context) error {
 	var group errgroup.Group
 	for {
-		v := h.viewer.view()
+		v := h.views.view()
 		if v.routes != nil {
 			for _, s := range v.routes.Config().Services {
-				if r := h.addRunner(&s); r != nil {
+				if r := h.addController(&s); r != nil {
 					group.Go(func() error { return r.run(ctx) })
 				}
 			}
@@ -359,17 +359,17 @@
 	}
 }
 
-// addRunner returns the runner of a ranged service that has none yet.
-func (h *Host) addRunner(s *traffic.Service) *runner {
+// addController returns the runner of a ranged service that has none yet.
+func (h *Host) addController(s *traffic.Service) *controller {
 	if s.Keys != traffic.Ranged {
 		return nil
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.runners[s.Name] != nil {
+	if h.controllers[s.Name] != nil {
 		return nil
 	}
-	r := newRunner(h, s.Name)
-	h.runners[s.Name] = r
+	r := newController(h, s.Name)
+	h.controllers[s.Name] = r
 	return r
 }
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -15,11 +15,11 @@
 	"citrontray.example/citrontray/internal/standin"
 )
 
-// TestWholePath serves both kinds of service from three hosts.
-func TestWholePath(t *testing.T) {
+// TestServesBothKinds serves both kinds of service from three hosts.
+func TestServesBothKinds(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3, 3, 2)
-	d.served()
+	d.awaitServed()
 	tests := map[string]struct {
 		path   string
 		point  key.Point
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestRepeatsAreBudgeted lets every target refuse as not its own: what is sent
+// TestRetriesAreBudgeted lets every target refuse as not its own: what is sent
 // again stays within the budget of all hosts.
-func TestRepeatsAreBudgeted(t *testing.T) {
+func TestRetriesAreBudgeted(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 2, 0)
 	d.eventually("a key is served", 15*time.Second, func() bool {
@@ -69,18 +69,18 @@
 	assert.Assert(t, arrived <= allowed, "%d arrivals for %d requests, %d allowed", arrived, requests, allowed)
 }
 
-// TestTargetLeaves: a ranged target that says that it leaves loses its ranges
+// TestListedTargetLeaving: a ranged target that says that it leaves loses its ranges
 // and gets nothing after the time that it may still be used.
-func TestTargetLeaves(t *testing.T) {
+func TestListedTargetLeaving(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 3, 1)
-	d.served()
+	d.awaitServed()
 	gone := d.targets["span-1"]
-	d.list(gone, "span", place.Leaving)
+	d.listTarget(gone, "span", place.Leaving)
 	time.Sleep(2 * time.Second)
 	before := gone.Arrived()
 	for i := range 60 {
-		d.wants(d.hosts[i%2], "GET", "/keys/x", key.Point(i*1000), http.StatusOK)
+		d.expectStatus(d.hosts[i%2], "GET", "/keys/x", key.Point(i*1000), http.StatusOK)
 	}
 	assert.Equal(t, gone.Arrived(), before)
 }
@@ -94,15 +94,15 @@
 		within time.Duration
 	}{
 		// The end of its last grant, and a second.
-		"takes no connection": {standin.RangedFaults{Gone: true}, holdTime + time.Second},
+		"takes no connection": {standin.RangedFaults{Gone: true}, grantDuration + time.Second},
 		// An order without an answer may lengthen a grant once more.
-		"answers nothing": {standin.RangedFaults{Deaf: true}, 2*holdTime + orderTimeout + time.Second},
+		"answers nothing": {standin.RangedFaults{Deaf: true}, 2*grantDuration + orderTimeout + time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t, 2, 3, 1)
-			d.served()
+			d.awaitServed()
 			d.targets["span-1"].SetFaults(test.faults)
 			d.targets["span-1"].Close()
 			slowest := time.Duration(0)
@@ -126,12 +126,12 @@
 	}
 }
 
-// TestUnansweredWorkIsNotRepeated: work that must run at most once is not sent
+// TestNonIdempotentIsNotRetried: work that must run at most once is not sent
 // again after its connection broke, and is not called not-run.
-func TestUnansweredWorkIsNotRepeated(t *testing.T) {
+func TestNonIdempotentIsNotRetried(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 1, 2)
-	d.served()
+	d.awaitServed()
 	for _, r := range d.targets {
 		r.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Cut: 0.5})
 	}
@@ -148,15 +148,15 @@
 	assert.Assert(t, cut > 10)
 }
 
-// TestNewerConfigurationStays: a configuration is in force everywhere soon, and
+// TestOlderConfigIsIgnored: a configuration is in force everywhere soon, and
 // an older one that shows up later changes nothing.
-func TestNewerConfigurationStays(t *testing.T) {
+func TestOlderConfigIsIgnored(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3, 1, 1)
-	d.served()
+	d.awaitServed()
 	next := testConfig(4)
 	next.Routes[1].Prefix = "/new/"
-	d.accept(next)
+	d.putConfig(next)
 	d.eventually("the new route is there", 2*time.Second, func() bool {
 		for _, h := range d.hosts {
 			if d.send(h, "POST", "/new/x", 0).status != http.StatusOK {
@@ -165,20 +165,20 @@
 		}
 		return true
 	})
-	d.accept(testConfig(2))
+	d.putConfig(testConfig(2))
 	time.Sleep(2 * time.Second)
 	for _, h := range d.hosts {
-		d.wants(h, "POST", "/new/x", 0, http.StatusOK)
-		d.wants(h, "POST", "/free/x", 0, http.StatusNotFound)
+		d.expectStatus(h, "POST", "/new/x", 0, http.StatusOK)
+		d.expectStatus(h, "POST", "/free/x", 0, http.StatusNotFound)
 	}
 }
 
-// TestStoreAway: with the store out, requests go on, and a host that starts
+// TestStoreUnavailable: with the store out, requests go on, and a host that starts
 // gets the configuration from its peers.
-func TestStoreAway(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 2, 1)
-	d.served()
+	d.awaitServed()
 	d.store.SetFaults(standin.SessionFaults{Down: true})
 	late := d.addHost(7)
 	d.eventually("a host that starts now serves", 5*time.Second, func() bool {
@@ -186,37 +186,37 @@
 	})
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, h := range d.hosts[:2] {
-			d.wants(h, "GET", "/keys/x", 30000, http.StatusOK)
-			d.wants(h, "POST", "/free/x", 0, http.StatusOK)
+			d.expectStatus(h, "GET", "/keys/x", 30000, http.StatusOK)
+			d.expectStatus(h, "POST", "/free/x", 0, http.StatusOK)
 		}
 	}
 	d.store.SetFaults(standin.SessionFaults{})
-	d.served()
+	d.awaitServed()
 }
 
-// TestLeadStops: a planned stop hands the lead on, and no key is without its
+// TestLeaderStops: a planned stop hands the lead on, and no key is without its
 // owner meanwhile.
-func TestLeadStops(t *testing.T) {
+func TestLeaderStops(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3, 2, 1)
-	d.served()
-	lead := d.lead()
+	d.awaitServed()
+	lead := d.leader()
 	stopped := make(chan struct{})
-	go func() { lead.kill(); close(stopped) }()
+	go func() { lead.shutdown(); close(stopped) }()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		for _, h := range d.hosts {
 			if h != lead {
-				d.wants(h, "GET", "/keys/x", 30000, http.StatusOK)
+				d.expectStatus(h, "GET", "/keys/x", 30000, http.StatusOK)
 			}
 		}
 	}
 	<-stopped
 }
 
-// TestLeadStopsWithoutStore: a lead that is stopped while the store is out
+// TestLeaderStopsWithoutStore: a lead that is stopped while the store is out
 // renews what stands until it can hand on, or for as long as its stop may take;
 // nobody else can.
-func TestLeadStopsWithoutStore(t *testing.T) {
+func TestLeaderStopsWithoutStore(t *testing.T) {
 	t.Parallel()
 	tests := map[string]struct {
 		out  time.Duration
@@ -229,29 +229,29 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t, 3, 2, 1)
-			d.served()
-			lead := d.lead()
+			d.awaitServed()
+			lead := d.leader()
 			d.store.SetFaults(standin.SessionFaults{Down: true})
 			back := time.AfterFunc(test.out, func() { d.store.SetFaults(standin.SessionFaults{}) })
 			defer back.Stop()
-			d.hosts = slices.DeleteFunc(d.hosts, func(h *running) bool { return h == lead })
+			d.hosts = slices.DeleteFunc(d.hosts, func(h *testHost) bool { return h == lead })
 			stopped := make(chan struct{})
-			go func() { lead.kill(); close(stopped) }()
+			go func() { lead.shutdown(); close(stopped) }()
 			for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 				for _, h := range d.hosts {
-					d.wants(h, "GET", "/keys/x", 30000, http.StatusOK)
+					d.expectStatus(h, "GET", "/keys/x", 30000, http.StatusOK)
 				}
 			}
 			<-stopped
 			assert.Assert(t, strings.Contains(lead.logs.String(), test.want), lead.logs.String())
-			d.served()
+			d.awaitServed()
 		})
 	}
 }
 
-// TestSheddingTargets: where targets turn away half of what they have room for, a
+// TestLoadSheddingTargets: where targets turn away half of what they have room for, a
 // caller is told to come back while it can still be answered in its aim.
-func TestSheddingTargets(t *testing.T) {
+func TestLoadSheddingTargets(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1, 2, 0)
 	d.eventually("all keys are served", 15*time.Second, func() bool { return d.send(d.hosts[0], "GET", "/keys/x", 30000).status == http.StatusOK })
@@ -281,8 +281,8 @@
 	assert.Assert(t, inAim > back*9/10, "%d of %d in time", inAim, back)
 }
 
-// lead returns the host that leads the ranged service.
-func (d *deployment) lead() *running {
+// leader returns the host that leads the ranged service.
+func (d *deployment) leader() *testHost {
 	d.t.Helper()
 	for _, h := range d.hosts {
 		if strings.Contains(h.logs.String(), `"msg":"Leading."`) {
--- a/internal/host/trust_test.go
+++ b/internal/host/idlelimit_test.go
@@ -10,7 +10,7 @@
 	"citrontray.example/citrontray/internal/outcome"
 )
 
-func TestTrust(t *testing.T) {
+func TestIdleLimits(t *testing.T) {
 	cut := func(idle time.Duration) forward.Result {
 		return forward.Uncertain{Reason: outcome.AnswerCut, Idle: idle}
 	}
@@ -26,16 +26,16 @@
 		"the shorter time counts":    {ends: []forward.Result{cut(2 * time.Second), cut(4 * time.Second)}, want: time.Second},
 		"no answer is no reset":      {ends: []forward.Result{forward.Uncertain{Reason: outcome.AnswerLate, Idle: time.Second}}, want: 0},
 		"an answer says nothing":     {ends: []forward.Result{forward.Completed{}}, want: 0},
-		"all are used again in time": {ends: []forward.Result{cut(3 * time.Second)}, after: trustAgain, want: 0},
+		"all are used again in time": {ends: []forward.Result{cut(3 * time.Second)}, after: idleLimitTTL, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			trust := newTrust()
+			trust := newIdleLimits()
 			for _, end := range test.ends {
-				trust.learn(now, "s", end)
+				trust.observe(now, "s", end)
 			}
-			assert.Equal(t, trust.of(now.Add(test.after), "s"), test.want)
-			assert.Equal(t, trust.of(now, "other"), time.Duration(0))
+			assert.Equal(t, trust.limit(now.Add(test.after), "s"), test.want)
+			assert.Equal(t, trust.limit(now, "other"), time.Duration(0))
 		})
 	}
 }
--- a/internal/host/serve.go
+++ b/internal/host/job.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// parkShare is the part of its time for which a request waits for its range
+	// maxParkShare is the part of its time for which a request waits for its range
 	// to get an owner: a planned move takes as long as the work that runs, and
 	// what is left must do for its own.
-	parkShare = 0.4
-	// foreignPause is the wait after a target said that it does not own the
+	maxParkShare = 0.4
+	// misdirectedPause is the wait after a target said that it does not own the
 	// key, if no newer table comes before: without one the same target would
 	// most likely say the same.
-	foreignPause = 150 * time.Millisecond
+	misdirectedPause = 150 * time.Millisecond
 	// busyPause is the wait after a target refused for want of room.
 	busyPause = 20 * time.Millisecond
-	// aloneIdle is how long a connection may have been idle where no host near
+	// isolatedMaxIdle is how long a connection may have been idle where no host near
 	// the target answers: what is sent into a cut is lost, while a new connection
 	// that can't be made leaves no doubt.
-	aloneIdle = 100 * time.Millisecond
-	// sendLeast is the time left below which nothing is sent any more: no
+	isolatedMaxIdle = 100 * time.Millisecond
+	// minSendTime is the time left below which nothing is sent any more: no
 	// target answers that fast.
-	sendLeast = 5 * time.Millisecond
-	// retryUnowned is the hint for a client whose key has no owner, where
+	minSendTime = 5 * time.Millisecond
+	// defaultRetryAfter is the hint for a client whose key has no owner, where
 	// nothing better is known.
-	retryUnowned = 300 * time.Millisecond
+	defaultRetryAfter = 300 * time.Millisecond
 )
 
 // job is one request on its way to a target.
@@ -48,19 +48,19 @@
 	request forward.Request
 	point   key.Point
 	// deadline is when the answer must be there; aimAt when it should be.
-	deadline time.Time
-	aimAt    time.Time
-	arrived  time.Time
+	deadline     time.Time
+	softDeadline time.Time
+	arrived      time.Time
 	// attempts counts the targets that may have worked on the request,
 	// arrivals those that it reached at all.
 	attempts int
 	arrivals int
 	tried    []place.Target
-	// failed is a target's own failure of an earlier attempt.
-	failed outcome.Result
+	// serverError is a target's own failure of an earlier attempt.
+	serverError outcome.Result
 	// unsent and foreign count the attempts that reached no target, and those
 	// that a target refused as not its own.
-	unsent, foreign int
+	unsent, misdirected int
 	// uncertain is the reason of an attempt that may have run; after one the
 	// request can no longer end as not-run.
 	uncertain outcome.Reason
@@ -74,8 +74,8 @@
 	refusal  dispatch.Reason
 	// last is the target that the request was last sent to.
 	last place.Target
-	// holding is the memory in bytes that is reserved for bodies.
-	holding int64
+	// reservedBytes is the memory in bytes that is reserved for bodies.
+	reservedBytes int64
 	// config and table are the versions that the last decision went by, and
 	// tableAge the age of that table.
 	config   traffic.Version
@@ -91,27 +91,27 @@
 // finish ends the request; again makes another attempt after a pause, or as
 // soon as there is a newer view.
 type (
-	finish struct{ result outcome.Result }
-	again  struct{ pause time.Duration }
+	finishStep struct{ result outcome.Result }
+	retryStep  struct{ pause time.Duration }
 )
 
-func (finish) step() {}
-func (again) step()  {}
+func (finishStep) step() {}
+func (retryStep) step()  {}
 
 // run takes the request to its end. ctx ends when the client has gone.
 func (j *job) run(ctx context.Context) outcome.Result {
 	for {
 		now := time.Now()
-		if j.deadline.Sub(now) < sendLeast {
-			return j.end(j.late())
+		if j.deadline.Sub(now) < minSendTime {
+			return j.finalResult(j.deadlineExceeded())
 		}
-		v := j.host.viewer.view()
+		v := j.host.views.view()
 		switch s := j.try(ctx, now, v).(type) {
-		case finish:
-			return j.end(s.result)
-		case again:
+		case finishStep:
+			return j.finalResult(s.result)
+		case retryStep:
 			if s.pause > 0 && !j.pause(ctx, v, s.pause) {
-				return j.end(outcome.NotRunFailure{Reason: outcome.CallerGone})
+				return j.finalResult(outcome.NotRunFailure{Reason: outcome.CallerGone})
 			}
 		}
 	}
@@ -131,14 +131,14 @@
 	return true
 }
 
-// end keeps not-run true: a request of which one attempt may have run is not
+// finalResult keeps not-run true: a request of which one attempt may have run is not
 // refused after a later one.
-func (j *job) end(r outcome.Result) outcome.Result {
+func (j *job) finalResult(r outcome.Result) outcome.Result {
 	if _, ok := r.(outcome.Response); ok {
 		return r
 	}
-	if j.failed != nil {
-		return j.failed
+	if j.serverError != nil {
+		return j.serverError
 	}
 	if _, ok := r.(outcome.NotRunFailure); ok && j.uncertain != "" {
 		return outcome.UnknownFailure{Reason: j.uncertain}
@@ -146,34 +146,34 @@
 	return r
 }
 
-// late is the end of a request whose time has run out before it was sent.
-func (j *job) late() outcome.Result {
-	return outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: retryUnowned}
+// deadlineExceeded is the end of a request whose time has run out before it was sent.
+func (j *job) deadlineExceeded() outcome.Result {
+	return outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: defaultRetryAfter}
 }
 
 // try makes one attempt.
 func (j *job) try(ctx context.Context, now time.Time, v *view) step {
-	pool, owner, s := j.aim(now, v)
+	pool, owner, s := j.resolve(now, v)
 	if s != nil {
 		return s
 	}
-	placed, s := j.ticket(ctx, now, v, pool, owner)
+	placed, s := j.acquireTicket(ctx, now, v, pool, owner)
 	if s != nil {
 		return s
 	}
 	return j.send(ctx, placed)
 }
 
-// aim returns the pool to ask, and the owner of the key in a ranged service.
-func (j *job) aim(now time.Time, v *view) (dispatch.PoolID, place.Target, step) {
+// resolve returns the pool to ask, and the owner of the key in a ranged service.
+func (j *job) resolve(now time.Time, v *view) (dispatch.PoolID, place.Target, step) {
 	if j.service.Keys == traffic.Keyless {
 		return v.pool(j.service.Name, j.host.site.Zone), "", nil
 	}
-	span, back := j.span(now, v)
+	span, back := j.lookupSpan(now, v)
 	if span != nil && span.Target != "" {
 		j.parkedAt = time.Time{}
 		j.cold = span.ColdFor > j.tableAge
-		if s := j.refrain(now, v.targets[span.Target]); s != nil {
+		if s := j.checkBackoff(now, v.targets[span.Target]); s != nil {
 			return dispatch.PoolID{}, "", s
 		}
 		return dispatch.PoolID{Service: j.service.Name, Target: span.Target}, span.Target, nil
@@ -182,66 +182,66 @@
 		j.parkedAt = now
 	}
 	j.parked = now.Sub(j.parkedAt)
-	most := time.Duration(parkShare * float64(j.deadline.Sub(j.arrived)))
+	most := time.Duration(maxParkShare * float64(j.deadline.Sub(j.arrived)))
 	if j.parked >= most || j.parked+back > most {
-		return dispatch.PoolID{}, "", finish{outcome.NotRunFailure{
-			Reason: outcome.NoOwner, RetryAfter: max(back, retryUnowned),
+		return dispatch.PoolID{}, "", finishStep{outcome.NotRunFailure{
+			Reason: outcome.NoOwner, RetryAfter: max(back, defaultRetryAfter),
 		}}
 	}
-	return dispatch.PoolID{}, "", again{most - j.parked}
+	return dispatch.PoolID{}, "", retryStep{most - j.parked}
 }
 
-// span returns the part of the table that the key lies in, and the time until
+// lookupSpan returns the part of the table that the key lies in, and the time until
 // it probably has an owner where it has none.
-func (j *job) span(now time.Time, v *view) (*owner.Span, time.Duration) {
+func (j *job) lookupSpan(now time.Time, v *view) (*owner.Span, time.Duration) {
 	table := v.tables[j.service.Name]
 	if table == nil {
-		return nil, retryUnowned
+		return nil, defaultRetryAfter
 	}
 	j.table, j.tableAge = table.Version, now.Sub(v.tableAt[j.service.Name])
 	span := table.Find(j.point)
 	if span == nil {
-		return nil, retryUnowned
+		return nil, defaultRetryAfter
 	}
 	return span, max(span.AvailableIn-now.Sub(v.tableAt[j.service.Name]), 0)
 }
 
-// ticket waits for a slot.
-func (j *job) ticket(ctx context.Context, now time.Time, v *view, pool dispatch.PoolID, owner place.Target) (placed ticket, s step) {
-	desk := j.host.desk
+// acquireTicket waits for a slot.
+func (j *job) acquireTicket(ctx context.Context, now time.Time, v *view, pool dispatch.PoolID, owner place.Target) (placed ticket, s step) {
+	desk := j.host.dispatcher
 	tried := j.tried
 	if owner == "" {
 		tried = append(desk.excluded(now, v.services[j.service.Name]), tried...)
 	}
-	id, verdict := desk.ask(now, dispatch.Acquire{
+	id, verdict := desk.acquire(now, dispatch.Acquire{
 		Pool: pool, Class: j.route.Name, Priority: j.route.Priority,
-		Timeout: j.deadline.Sub(now), SoftTimeout: j.aimAt.Sub(now), Excluded: tried, Cold: j.cold,
+		Timeout: j.deadline.Sub(now), SoftTimeout: j.softDeadline.Sub(now), Excluded: tried, Cold: j.cold,
 	})
 	timer := time.NewTimer(j.deadline.Sub(now))
 	defer timer.Stop()
 	for {
 		select {
 		case end := <-verdict:
-			return j.heed(now, id, end, owner)
+			return j.handleResult(now, id, end, owner)
 		case <-ctx.Done():
 			if desk.cancel(time.Now(), id) {
-				return ticket{}, finish{outcome.NotRunFailure{Reason: outcome.CallerGone}}
+				return ticket{}, finishStep{outcome.NotRunFailure{Reason: outcome.CallerGone}}
 			}
-			return j.unused(id, (<-verdict).Message), finish{outcome.NotRunFailure{Reason: outcome.CallerGone}}
+			return j.returnTicket(id, (<-verdict).Message), finishStep{outcome.NotRunFailure{Reason: outcome.CallerGone}}
 		case <-timer.C:
 			if desk.cancel(time.Now(), id) {
-				return ticket{}, finish{j.late()}
+				return ticket{}, finishStep{j.deadlineExceeded()}
 			}
-			return j.unused(id, (<-verdict).Message), finish{j.late()}
+			return j.returnTicket(id, (<-verdict).Message), finishStep{j.deadlineExceeded()}
 		case <-v.replaced:
-			v = j.host.viewer.view()
-			if owner == "" || j.owns(v, owner) {
+			v = j.host.views.view()
+			if owner == "" || j.ownedBy(v, owner) {
 				continue
 			}
 			if desk.cancel(time.Now(), id) {
-				return ticket{}, again{}
+				return ticket{}, retryStep{}
 			}
-			return j.unused(id, (<-verdict).Message), again{}
+			return j.returnTicket(id, (<-verdict).Message), retryStep{}
 		}
 	}
 }
@@ -252,45 +252,45 @@
 	target place.Target
 	dispatch.Assigned
 	waited time.Duration
-	// alone tells that the home is this host for want of another.
-	alone bool
+	// isolated tells that the home is this host for want of another.
+	isolated bool
 }
 
-// heed follows a home's verdict.
-func (j *job) heed(asked time.Time, id dispatch.TicketID, end verdict, owner place.Target) (ticket, step) {
+// handleResult follows a home's verdict.
+func (j *job) handleResult(asked time.Time, id dispatch.TicketID, end ticketReply, owner place.Target) (ticket, step) {
 	waited := time.Since(asked)
 	j.queued += waited
 	j.home, j.ticketID = end.home, id
 	switch m := end.Message.(type) {
 	case dispatch.Assigned:
-		if s := j.decline(m, owner); s != nil {
+		if s := j.checkSlot(m, owner); s != nil {
 			// This host knows more than the home.
 			j.host.log.Info("Slot not used, its target wants no request.", slog.String("request", j.request.ID),
 				slog.String("target", string(m.Target)), slog.String("home", string(end.home)), slog.Uint64("ticket", uint64(id)))
-			return j.unused(id, m), s
+			return j.returnTicket(id, m), s
 		}
-		return ticket{id: id, target: m.Target, Assigned: m, waited: waited, alone: end.alone}, nil
+		return ticket{id: id, target: m.Target, Assigned: m, waited: waited, isolated: end.isolated}, nil
 	case dispatch.Refused:
 		j.refusal = m.Reason
 		reason := outcome.Overload
 		if m.Reason == dispatch.ReasonNoTarget {
 			reason = outcome.Unreachable
 		}
-		return ticket{}, finish{outcome.NotRunFailure{Reason: reason, RetryAfter: m.RetryAfter}}
+		return ticket{}, finishStep{outcome.NotRunFailure{Reason: reason, RetryAfter: m.RetryAfter}}
 	}
-	return ticket{}, finish{outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: retryUnowned}}
+	return ticket{}, finishStep{outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: defaultRetryAfter}}
 }
 
-// unused gives a ticket back that came too late to be used.
-func (j *job) unused(id dispatch.TicketID, m dispatch.Message) ticket {
+// returnTicket gives a ticket back that came too late to be used.
+func (j *job) returnTicket(id dispatch.TicketID, m dispatch.Message) ticket {
 	if _, ok := m.(dispatch.Assigned); ok {
-		j.host.desk.done(time.Now(), id, dispatch.ResultUnused, 0)
+		j.host.dispatcher.release(time.Now(), id, dispatch.ResultUnused, 0)
 	}
 	return ticket{}
 }
 
-// owns reports whether a view gives the job's key to the target.
-func (j *job) owns(v *view, name place.Target) bool {
+// ownedBy reports whether a view gives the job's key to the target.
+func (j *job) ownedBy(v *view, name place.Target) bool {
 	table := v.tables[j.service.Name]
 	if table == nil {
 		return false
@@ -302,47 +302,47 @@
 // send uses a ticket.
 func (j *job) send(ctx context.Context, t ticket) step {
 	h := j.host
-	if j.arrivals > 0 && !h.retries.spend(time.Now(), j.service.Name) {
-		h.desk.done(time.Now(), t.id, dispatch.ResultUnused, 0)
-		return finish{j.givenUp()}
+	if j.arrivals > 0 && !h.retryBudget.withdraw(time.Now(), j.service.Name) {
+		h.dispatcher.release(time.Now(), t.id, dispatch.ResultUnused, 0)
+		return finishStep{j.retryDenied()}
 	}
 	if !j.route.Idempotent {
 		// A client that has gone does not stop work that must not be cut.
 		ctx = context.WithoutCancel(ctx)
 	}
 	start := time.Now()
-	j.request.Expect, j.request.MaxIdle = t.target, h.trust.of(start, j.service.Name)
-	if t.alone {
-		j.request.MaxIdle = aloneIdle
+	j.request.Expect, j.request.MaxIdle = t.target, h.idleLimits.limit(start, j.service.Name)
+	if t.isolated {
+		j.request.MaxIdle = isolatedMaxIdle
 	}
-	result := h.pools.get(t.Addr, j.service).Do(ctx, &j.request, start)
+	result := h.connPools.get(t.Addr, j.service).Do(ctx, &j.request, start)
 	took := time.Since(start)
 	end := endOf(result)
 	if ctx.Err() != nil && end != dispatch.ResultTimeout {
 		end = dispatch.ResultUnused // the client has gone
 	}
-	h.desk.done(time.Now(), t.id, end, took)
-	h.desk.tried(h.viewer.view().targets[t.target].Zone, end)
+	h.dispatcher.release(time.Now(), t.id, end, took)
+	h.dispatcher.recordAttempt(h.views.view().targets[t.target].Zone, end)
 	j.last = t.target
-	if now := time.Now(); h.trust.learn(now, j.service.Name, result) {
+	if now := time.Now(); h.idleLimits.observe(now, j.service.Name, result) {
 		h.log.Info("Target forgets idle connections, shorter ones are used.", slog.String("request", j.request.ID),
 			slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)),
-			millis("idle", h.trust.of(now, j.service.Name)))
+			millisAttr("idle", h.idleLimits.limit(now, j.service.Name)))
 	}
-	j.heedSignal(t, result)
-	h.metrics.attempted(j.service.Name, end, took, t.waited)
+	j.applySignal(t, result)
+	h.metrics.countAttempt(j.service.Name, end, took, t.waited)
 	if end != dispatch.ResultServed {
 		j.logAttempt(t, end, took, result)
 	}
-	return j.conclude(ctx, t, result)
+	return j.handleAttempt(ctx, t, result)
 }
 
-// take reserves memory for an answer until the request has ended.
-func (j *job) take(bytes int64) bool {
-	if !j.host.held.TryAcquire(bytes) {
+// reserveMemory reserves memory for an answer until the request has ended.
+func (j *job) reserveMemory(bytes int64) bool {
+	if !j.host.bodyMemory.TryAcquire(bytes) {
 		return false
 	}
-	j.holding += bytes
+	j.reservedBytes += bytes
 	return true
 }
 
@@ -350,7 +350,7 @@
 func (j *job) logAttempt(t ticket, end dispatch.Result, took time.Duration, result forward.Result) {
 	attrs := []any{
 		slog.String("request", j.request.ID), slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)),
-		slog.String("end", end.String()), millis("took", took), millis("left", time.Until(j.deadline)), slog.Int("sent", j.arrivals+1),
+		slog.String("end", end.String()), millisAttr("took", took), millisAttr("left", time.Until(j.deadline)), slog.Int("sent", j.arrivals+1),
 		slog.Uint64("ticket", uint64(t.id)), slog.String("home", string(j.home)),
 	}
 	switch r := result.(type) {
@@ -366,93 +366,93 @@
 	j.host.log.Info("Attempt not served.", attrs...)
 }
 
-// givenUp is the end of a request that may not be sent once more.
-func (j *job) givenUp() outcome.Result {
-	return outcome.NotRunFailure{Reason: outcome.Refused, RetryAfter: retryBusy}
+// retryDenied is the end of a request that may not be sent once more.
+func (j *job) retryDenied() outcome.Result {
+	return outcome.NotRunFailure{Reason: outcome.Refused, RetryAfter: busyRetryAfter}
 }
 
 const (
 	// maxUnsent bounds the attempts that reach no target, maxForeign those
 	// that are refused as not the target's own.
-	maxUnsent  = 4
-	maxForeign = 3
+	maxUnsent      = 4
+	maxMisdirected = 3
 )
 
-// conclude decides what follows from an attempt.
-func (j *job) conclude(ctx context.Context, t ticket, result forward.Result) step {
+// handleAttempt decides what follows from an attempt.
+func (j *job) handleAttempt(ctx context.Context, t ticket, result forward.Result) step {
 	if _, unsent := result.(forward.NotSent); !unsent {
 		j.arrivals++
 	}
 	if ctx.Err() != nil {
-		return finish{outcome.UnknownFailure{Reason: outcome.AnswerCut}}
+		return finishStep{outcome.UnknownFailure{Reason: outcome.AnswerCut}}
 	}
 	switch r := result.(type) {
 	case forward.Completed:
-		return j.answered(t, r)
+		return j.handleResponse(t, r)
 	case forward.Refused:
-		return j.refused(t, r)
+		return j.handleRefusal(t, r)
 	case forward.NotSent:
 		j.unsent++
 		j.tried = append(j.tried, t.target)
 		if j.unsent >= maxUnsent {
-			return finish{outcome.NotRunFailure{Reason: outcome.Unreachable, RetryAfter: retryUnowned}}
+			return finishStep{outcome.NotRunFailure{Reason: outcome.Unreachable, RetryAfter: defaultRetryAfter}}
 		}
-		return again{j.wait(busyPause)}
+		return retryStep{j.retryPause(busyPause)}
 	case forward.Uncertain:
 		j.uncertain = r.Reason
-		if !j.route.Idempotent || r.Reason == outcome.AnswerLate || !j.mayRepeat(t) {
-			return finish{outcome.UnknownFailure{Reason: r.Reason}}
+		if !j.route.Idempotent || r.Reason == outcome.AnswerLate || !j.mayRetry(t) {
+			return finishStep{outcome.UnknownFailure{Reason: r.Reason}}
 		}
-		return again{}
+		return retryStep{}
 	}
-	return finish{outcome.UnknownFailure{Reason: outcome.AnswerBad}}
+	return finishStep{outcome.UnknownFailure{Reason: outcome.AnswerBad}}
 }
 
-// wait returns the pause before another attempt; a keyless service has other
+// retryPause returns the pause before another attempt; a keyless service has other
 // targets, which need none.
-func (j *job) wait(pause time.Duration) time.Duration {
+func (j *job) retryPause(pause time.Duration) time.Duration {
 	if j.service.Keys == traffic.Keyless {
 		return 0
 	}
 	return pause
 }
 
-// mayRepeat counts an attempt and reports whether another one is allowed.
-func (j *job) mayRepeat(t ticket) bool {
+// mayRetry counts an attempt and reports whether another one is allowed.
+func (j *job) mayRetry(t ticket) bool {
 	j.attempts++
 	j.tried = append(j.tried, t.target)
 	return j.attempts < j.route.MaxAttempts
 }
 
-func (j *job) answered(t ticket, r forward.Completed) step {
+func (j *job) handleResponse(t ticket, r forward.Completed) step {
 	if r.Status < http.StatusInternalServerError || !j.route.Idempotent {
-		return finish{r.Response}
+		return finishStep{r.Response}
 	}
-	j.failed = r.Response
-	if r.Status == http.StatusGatewayTimeout || !j.mayRepeat(t) {
-		return finish{r.Response}
+	j.serverError = r.Response
+	if r.Status == http.StatusGatewayTimeout || !j.mayRetry(t) {
+		return finishStep{r.Response}
 	}
-	return again{}
+	return retryStep{}
 }
 
-func (j *job) refused(t ticket, r forward.Refused) step {
+func (j *job) handleRefusal(t ticket, r forward.Refused) step {
 	if r.Refusal == target.RefusalOwner {
-		j.foreign++
-		if j.foreign >= maxForeign {
-			return finish{outcome.NotRunFailure{Reason: outcome.NoOwner, RetryAfter: retryUnowned}}
+		j.misdirected++
+		if j.misdirected >= maxMisdirected {
+			return finishStep{outcome.NotRunFailure{Reason: outcome.NoOwner, RetryAfter: defaultRetryAfter}}
 		}
 		j.tried = append(j.tried, t.target)
-		return again{j.wait(foreignPause)}
+		return retryStep{j.retryPause(misdirectedPause)}
 	}
-	if !j.mayRepeat(t) {
-		return finish{outcome.NotRunFailure{Reason: outcome.Refused, RetryAfter: retryBusy}}
+	if !j.mayRetry(t) {
+		return finishStep{outcome.NotRunFailure{Reason: outcome.Refused, RetryAfter: busyRetryAfter}}
 	}
-	return again{j.wait(busyPause)}
+	return retryStep{j.retryPause(busyPause)}
 }
 
-// retryBusy is the hint after a target refused although its home counted a free
+// busyRetryAfter is the hint after a target refused although its home counted a free
 // slot there: about one refusal in flight, as the next request may be taken.
-const retryBusy = 25 * time.Millisecond
+const busyRetryAfter = 25 * time.Millisecond
 
 // endOf tells a home how an attempt ended.
 func endOf(result forward.Result) dispatch.Result {
--- a/internal/host/meter.go
+++ b/internal/host/loadreport.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// reportInterval is the time between two load reports to a lead: it plans
+	// minReportInterval is the time between two load reports to a lead: it plans
 	// about as often.
-	reportInterval = 200 * time.Millisecond
-	// reportPace is the time that a lead has for the reports of one host: of
+	minReportInterval = 200 * time.Millisecond
+	// reportIntervalPerHost is the time that a lead has for the reports of one host: of
 	// hundreds each reports less often, and all together say as much.
-	reportPace = 2 * time.Millisecond
-	// reportMost bounds the time between two reports.
-	reportMost = time.Second
+	reportIntervalPerHost = 2 * time.Millisecond
+	// maxReportInterval bounds the time between two reports.
+	maxReportInterval = time.Second
 )
 
-// reportEvery returns the time between two reports of one of so many hosts.
-func reportEvery(hosts int) time.Duration {
-	return min(max(reportInterval, time.Duration(hosts)*reportPace), reportMost)
+// reportIntervalFor returns the time between two reports of one of so many hosts.
+func reportIntervalFor(hosts int) time.Duration {
+	return min(max(minReportInterval, time.Duration(hosts)*reportIntervalPerHost), maxReportInterval)
 }
 
-// reportPoints is how many points one datagram carries.
-const reportPoints = 150
+// maxReportPoints is how many points one datagram carries.
+const maxReportPoints = 150
 
-// reportLanes is how many targets one datagram carries.
-const reportLanes = 20
+// maxReportTargets is how many targets one datagram carries.
+const maxReportTargets = 20
 
-// meter counts the requests of ranged services by key. Safe for concurrent
+// keyCounter counts the requests of ranged services by key. Safe for concurrent
 // use.
-type meter struct {
+type keyCounter struct {
 	mu     sync.Mutex
 	counts map[key.Service]map[key.Point]int
 }
 
-func newMeter() *meter { return &meter{counts: make(map[key.Service]map[key.Point]int)} }
+func newKeyCounter() *keyCounter { return &keyCounter{counts: make(map[key.Service]map[key.Point]int)} }
 
-func (m *meter) count(service key.Service, p key.Point) {
+func (m *keyCounter) count(service key.Service, p key.Point) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	points := m.counts[service]
@@ -56,8 +56,8 @@
 	points[p]++
 }
 
-// take returns the counts since the last call.
-func (m *meter) take() map[key.Service]map[key.Point]int {
+// takeAll returns the counts since the last call.
+func (m *keyCounter) takeAll() map[key.Service]map[key.Point]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.counts
@@ -69,26 +69,26 @@
 type loadReport struct {
 	service key.Service
 	points  map[key.Point]int
-	lanes   []dispatch.TargetStats
+	targets []dispatch.TargetStats
 }
 
 type wireReport struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
 	Points  []uint32 // point and count by turns
-	Lanes   []wireLane
+	Targets []wireTargetStats
 }
 
-type wireLane struct {
-	_      struct{} `cbor:",toarray"`
-	Target string
-	Mean   int64 // microseconds
-	Slow   float64
-	Down   bool
-	Used   bool
-	// Requests is how many Mean rests on.
-	Requests float64
-	Leaving  bool
+type wireTargetStats struct {
+	_        struct{} `cbor:",toarray"`
+	Target   string
+	Mean     int64 // microseconds
+	Slowdown float64
+	Down     bool
+	Used     bool
+	// Samples is how many Mean rests on.
+	Samples float64
+	Leaving bool
 }
 
 func (r *loadReport) encode() ([]byte, error) {
@@ -96,10 +96,10 @@
 	for p, n := range r.points {
 		w.Points = append(w.Points, uint32(p), uint32(n))
 	}
-	for _, o := range r.lanes {
-		w.Lanes = append(w.Lanes, wireLane{
-			Target: string(o.Target), Mean: o.Mean.Microseconds(), Slow: o.Slowdown, Down: o.Down, Used: o.Used,
-			Requests: o.Samples, Leaving: o.Leaving,
+	for _, o := range r.targets {
+		w.Targets = append(w.Targets, wireTargetStats{
+			Target: string(o.Target), Mean: o.Mean.Microseconds(), Slowdown: o.Slowdown, Down: o.Down, Used: o.Used,
+			Samples: o.Samples, Leaving: o.Leaving,
 		})
 	}
 	return cbor.Marshal(w)
@@ -114,22 +114,22 @@
 	for i := 0; i+1 < len(w.Points); i += 2 {
 		r.points[key.Point(w.Points[i])] += int(w.Points[i+1])
 	}
-	for _, l := range w.Lanes {
-		r.lanes = append(r.lanes, dispatch.TargetStats{
-			Target: place.Target(l.Target), Mean: time.Duration(l.Mean) * time.Microsecond, Slowdown: l.Slow, Down: l.Down, Used: l.Used,
-			Samples: l.Requests, Leaving: l.Leaving,
+	for _, l := range w.Targets {
+		r.targets = append(r.targets, dispatch.TargetStats{
+			Target: place.Target(l.Target), Mean: time.Duration(l.Mean) * time.Microsecond, Slowdown: l.Slowdown, Down: l.Down, Used: l.Used,
+			Samples: l.Samples, Leaving: l.Leaving,
 		})
 	}
 	return r, nil
 }
 
-// parts cuts a report into ones that fit a datagram.
-func (r *loadReport) parts() []loadReport {
+// split cuts a report into ones that fit a datagram.
+func (r *loadReport) split() []loadReport {
 	var out []loadReport
 	points := make(map[key.Point]int)
 	for p, n := range r.points {
 		points[p] = n
-		if len(points) == reportPoints {
+		if len(points) == maxReportPoints {
 			out = append(out, loadReport{service: r.service, points: points})
 			points = make(map[key.Point]int)
 		}
@@ -137,9 +137,9 @@
 	if len(points) > 0 {
 		out = append(out, loadReport{service: r.service, points: points})
 	}
-	for lanes := r.lanes; len(lanes) > 0; {
-		n := min(len(lanes), reportLanes)
-		out = append(out, loadReport{service: r.service, lanes: lanes[:n]})
+	for lanes := r.targets; len(lanes) > 0; {
+		n := min(len(lanes), maxReportTargets)
+		out = append(out, loadReport{service: r.service, targets: lanes[:n]})
 		lanes = lanes[n:]
 	}
 	return out
@@ -148,16 +148,16 @@
 // loopReports sends load reports to the leads until ctx ends.
 func (h *Host) loopReports(ctx context.Context) error {
 	// Hosts start together: their reports must not come together.
-	sleep(ctx, rand.N(reportMost))
+	sleep(ctx, rand.N(maxReportInterval))
 	for ctx.Err() == nil {
 		h.reportLoad(time.Now())
-		sleep(ctx, reportEvery(len(h.viewer.view().members.Hosts)))
+		sleep(ctx, reportIntervalFor(len(h.views.view().members.Hosts)))
 	}
 	return nil
 }
 
 func (h *Host) reportLoad(now time.Time) {
-	v := h.viewer.view()
+	v := h.views.view()
 	reports := make(map[key.Service]*loadReport)
 	get := func(service key.Service) *loadReport {
 		if reports[service] == nil {
@@ -165,13 +165,13 @@
 		}
 		return reports[service]
 	}
-	for service, points := range h.meter.take() {
+	for service, points := range h.keyCounter.takeAll() {
 		get(service).points = points
 	}
-	for _, o := range h.desk.opinions(now) {
+	for _, o := range h.dispatcher.targetStats(now) {
 		if o.Pool.Target != "" {
 			r := get(o.Pool.Service)
-			r.lanes = append(r.lanes, o)
+			r.targets = append(r.targets, o)
 		}
 	}
 	for service, r := range reports {
@@ -185,38 +185,38 @@
 
 func (h *Host) sendReport(v *view, lead place.Host, r *loadReport) {
 	if lead == h.site.Host {
-		h.takeReport(*r)
+		h.deliverReport(*r)
 		return
 	}
 	to, ok := v.members.Host(lead)
 	if !ok {
 		return
 	}
-	for _, part := range r.parts() {
+	for _, part := range r.split() {
 		body, err := part.encode()
 		if err != nil {
 			h.log.Error("Load report not written.", slog.Any("error", err))
 			return
 		}
-		h.desk.write(to.TicketAddr, datagramReport, body)
+		h.dispatcher.write(to.TicketAddr, datagramReport, body)
 	}
 }
 
-// heardReport takes a load report of another host.
-func (h *Host) heardReport(body []byte) {
+// handleReport takes a load report of another host.
+func (h *Host) handleReport(body []byte) {
 	r, err := decodeReport(body)
 	if err != nil {
 		h.log.Warn("Load report not readable, dropped.", slog.Any("error", err))
 		return
 	}
-	h.takeReport(r)
+	h.deliverReport(r)
 }
 
-func (h *Host) takeReport(r loadReport) {
+func (h *Host) deliverReport(r loadReport) {
 	h.mu.Lock()
-	runner := h.runners[r.service]
+	runner := h.controllers[r.service]
 	h.mu.Unlock()
 	if runner != nil {
-		runner.report(r)
+		runner.receiveReport(r)
 	}
 }
--- a/internal/host/main.go
+++ b/internal/host/main.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// lastLines is how long the end of the process waits for its log to be read.
-const lastLines = 200 * time.Millisecond
+// logFlushTimeout is how long the end of the process waits for its log to be read.
+const logFlushTimeout = 200 * time.Millisecond
 
 // Main runs a host until SIGTERM or SIGINT and returns its exit code: 0 after
 // a planned stop, 1 after a failure, 2 where its sockets can't be had.
 func Main(env Environment) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	defer env.Journal.Close(lastLines)
+	defer env.Journal.Close(logFlushTimeout)
 	log := slog.New(env.Journal)
 	h, err := Open(env)
 	if err != nil {
@@ -25,7 +25,7 @@
 		return usage
 	}
 	log.Info("Started.", slog.String("host", string(h.site.Host)), slog.String("zone", string(h.site.Zone)),
-		slog.Uint64("life", uint64(h.life)), slog.String("front", h.site.Front.String()))
+		slog.Uint64("life", uint64(h.incarnation)), slog.String("front", h.site.Front.String()))
 	if err := h.Run(ctx); err != nil {
 		log.Error("Failed.", slog.Any("error", err))
 		return 1
--- a/internal/host/notice.go
+++ b/internal/host/notice.go
@@ -15,19 +15,19 @@
 // notice is what leads and candidates of a service tell each other, in a
 // datagram of its own. Nothing rests on its arrival.
 type notice struct {
-	kind    noticeKind
-	service key.Service
-	host    place.Host
-	life    place.Incarnation
-	term    owner.Term
+	kind        noticeKind
+	service     key.Service
+	host        place.Host
+	incarnation place.Incarnation
+	term        owner.Term
 }
 
 type noticeKind uint8
 
 const (
-	// noticeLeads: the sender leads. Candidates that hear it leave the store
+	// noticeLeading: the sender leads. Candidates that hear it leave the store
 	// alone.
-	noticeLeads noticeKind = iota + 1
+	noticeLeading noticeKind = iota + 1
 	// noticeStop: the sender leads a later term; who led before shall stop.
 	noticeStop
 	// noticeStopped: the sender does not lead and has no order on its way.
@@ -45,7 +45,7 @@
 
 func (n *notice) encode() ([]byte, error) {
 	return cbor.Marshal(wireNotice{
-		Kind: uint8(n.kind), Service: string(n.service), Host: string(n.host), Life: uint64(n.life), Term: uint64(n.term),
+		Kind: uint8(n.kind), Service: string(n.service), Host: string(n.host), Life: uint64(n.incarnation), Term: uint64(n.term),
 	})
 }
 
@@ -56,80 +56,80 @@
 	}
 	return notice{
 		kind: noticeKind(w.Kind), service: key.Service(w.Service), host: place.Host(w.Host),
-		life: place.Incarnation(w.Life), term: owner.Term(w.Term),
+		incarnation: place.Incarnation(w.Life), term: owner.Term(w.Term),
 	}, nil
 }
 
-// heardNotice takes a notice of another host.
-func (h *Host) heardNotice(body []byte) {
+// handleNotice takes a notice of another host.
+func (h *Host) handleNotice(body []byte) {
 	n, err := decodeNotice(body)
 	if err != nil {
 		h.log.Warn("Notice not readable, dropped.", slog.Any("error", err))
 		return
 	}
 	h.mu.Lock()
-	runner := h.runners[n.service]
+	runner := h.controllers[n.service]
 	h.mu.Unlock()
 	if runner != nil {
-		runner.offer(func(now time.Time) { runner.heed(now, n) })
+		runner.tryPost(func(now time.Time) { runner.handleNotice(now, n) })
 	}
 }
 
-// tell sends a notice to a host.
-func (r *runner) tell(to place.Host, kind noticeKind) {
+// sendNotice sends a notice to a host.
+func (r *controller) sendNotice(to place.Host, kind noticeKind) {
 	addr, ok := r.host.ticketAddress(to)
 	if !ok {
 		return
 	}
-	n := notice{kind: kind, service: r.service, host: r.host.site.Host, life: r.host.life, term: r.core.Term()}
+	n := notice{kind: kind, service: r.service, host: r.host.site.Host, incarnation: r.host.incarnation, term: r.core.Term()}
 	body, err := n.encode()
 	if err != nil {
 		r.log.Error("Notice not written.", slog.Any("error", err))
 		return
 	}
-	r.host.desk.write(addr, datagramNotice, body)
+	r.host.dispatcher.write(addr, datagramNotice, body)
 }
 
-// heed takes a notice.
-func (r *runner) heed(now time.Time, n notice) {
+// handleNotice takes a notice.
+func (r *controller) handleNotice(now time.Time, n notice) {
 	switch n.kind {
-	case noticeLeads:
+	case noticeLeading:
 		if !r.core.Leading() || n.term > r.core.Term() {
-			r.heard = now
+			r.leaderHeardAt = now
 		}
 	case noticeStop:
 		if r.core.Leading() && n.term > r.core.Term() {
 			r.log.Warn("Another host leads a later term, giving way.", slog.String("lead", string(n.host)), slog.Uint64("term", uint64(n.term)))
 			r.core.StepDown()
 		}
-		if !r.core.Leading() && r.sending.Load() == 0 {
-			r.tell(n.host, noticeStopped)
+		if !r.core.Leading() && r.inFlight.Load() == 0 {
+			r.sendNotice(n.host, noticeStopped)
 		}
 	case noticeStopped:
-		if r.core.Leading() && n.host == r.before.host && n.life == r.before.life && !r.before.ended {
+		if r.core.Leading() && n.host == r.predecessor.host && n.incarnation == r.predecessor.incarnation && !r.predecessor.ended {
 			r.log.Info("Lead before has stopped.", slog.String("host", string(n.host)), slog.Uint64("term", uint64(r.core.Term())))
-			r.beforeEnded(now)
+			r.predecessorEnded(now)
 		}
 	}
 }
 
 // predecessor is the lead before this one.
 type predecessor struct {
-	host  place.Host
-	life  place.Incarnation
-	ended bool
+	host        place.Host
+	incarnation place.Incarnation
+	ended       bool
 	// revision is that of the document that it wrote last.
 	revision platform.Revision
 	// stragglers tells that leads before it may not have ended.
 	stragglers bool
-	// forgotten tells that the store has forgotten leads after it.
-	forgotten bool
+	// restored tells that the store has forgotten leads after it.
+	restored bool
 }
 
 // prior returns what is known of all leads before.
 func (p *predecessor) prior() owner.Prior {
 	switch {
-	case p.forgotten:
+	case p.restored:
 		return owner.PriorLost
 	case p.ended && !p.stragglers:
 		return owner.PriorEnded
@@ -137,10 +137,10 @@
 	return owner.PriorUnknown
 }
 
-// beforeEnded notes that the lead before sends nothing any more.
-func (r *runner) beforeEnded(now time.Time) {
-	r.before.ended = true
-	if r.before.prior() == owner.PriorEnded {
+// predecessorEnded notes that the lead before sends nothing any more.
+func (r *controller) predecessorEnded(now time.Time) {
+	r.predecessor.ended = true
+	if r.predecessor.prior() == owner.PriorEnded {
 		r.core.PriorEnded(now)
 	}
 }
@@ -148,35 +148,35 @@
 const (
 	// noticeInterval is the time between two notices of a lead.
 	noticeInterval = 200 * time.Millisecond
-	// silence is how long candidates hear no lead until they look into the
+	// leaderSilence is how long candidates hear no lead until they look into the
 	// store.
-	silence = 700 * time.Millisecond
-	// candidates is how many hosts, by their rank, hear the lead.
-	candidates = 3
+	leaderSilence = 700 * time.Millisecond
+	// candidateCount is how many hosts, by their rank, hear the lead.
+	candidateCount = 3
 )
 
-// announce tells the candidates that this host leads, and asks the lead before
+// announceLeadership tells the candidates that this host leads, and asks the lead before
 // to stop.
-func (r *runner) announce(now time.Time, v *view) {
-	if now.Sub(r.announced) < noticeInterval {
+func (r *controller) announceLeadership(now time.Time, v *view) {
+	if now.Sub(r.announcedAt) < noticeInterval {
 		return
 	}
-	r.announced = now
+	r.announcedAt = now
 	for i, name := range v.candidates(r.service) {
-		if i >= candidates {
+		if i >= candidateCount {
 			break
 		}
 		if name != r.host.site.Host {
-			r.tell(name, noticeLeads)
+			r.sendNotice(name, noticeLeading)
 		}
 	}
-	if r.before.ended {
+	if r.predecessor.ended {
 		return
 	}
-	if v.members.Replaced(r.before.host, r.before.life, r.before.revision) {
-		r.log.Info("Lead before has started again.", slog.String("host", string(r.before.host)))
-		r.beforeEnded(now)
+	if v.members.Replaced(r.predecessor.host, r.predecessor.incarnation, r.predecessor.revision) {
+		r.log.Info("Lead before has started again.", slog.String("host", string(r.predecessor.host)))
+		r.predecessorEnded(now)
 		return
 	}
-	r.tell(r.before.host, noticeStop)
+	r.sendNotice(r.predecessor.host, noticeStop)
 }
--- a/internal/host/orders.go
+++ b/internal/host/orderclient.go
@@ -20,9 +20,9 @@
 	releaseTimeout = 1500 * time.Millisecond
 )
 
-// courier carries the orders of one lead to the targets. A connection belongs
+// orderClient carries the orders of one lead to the targets. A connection belongs
 // to one number of the lead's and is opened for that number's first order only.
-type courier struct {
+type orderClient struct {
 	orders target.OrderDialer
 	log    *slog.Logger
 
@@ -36,13 +36,13 @@
 	number uint64
 }
 
-func newCourier(orders target.OrderDialer, log *slog.Logger) *courier {
-	return &courier{orders: orders, log: log, conns: make(map[place.Target]*orderConn)}
+func newOrderClient(orders target.OrderDialer, log *slog.Logger) *orderClient {
+	return &orderClient{orders: orders, log: log, conns: make(map[place.Target]*orderConn)}
 }
 
-// grants sends the grants one after the other and returns the result of each, and
+// sendGrants sends the grants one after the other and returns the result of each, and
 // whether the target has said that it leaves.
-func (c *courier) grants(ctx context.Context, e owner.SendGrants) (results []error, leaving bool) {
+func (c *orderClient) sendGrants(ctx context.Context, e owner.SendGrants) (results []error, leaving bool) {
 	results = make([]error, len(e.Grants))
 	for i := range results {
 		results[i] = target.ErrNotSent
@@ -53,27 +53,27 @@
 		return results, false
 	}
 	for i, g := range e.Grants {
-		results[i] = c.grant(ctx, conn, g)
+		results[i] = c.sendGrant(ctx, conn, g)
 		if results[i] == nil {
 			continue
 		}
 		c.log.Info("Grant failed.", slog.String("target", string(e.Target)), slog.String("range", g.Range.String()),
 			slog.Uint64("fence", uint64(g.FencingToken)), slog.Any("error", results[i]))
 		leaving = conn.Leaving()
-		c.drop(e.Target, conn)
+		c.discard(e.Target, conn)
 		return results, leaving
 	}
 	return results, conn.Leaving()
 }
 
-func (c *courier) grant(ctx context.Context, conn *orderConn, g target.Grant) error {
+func (c *orderClient) sendGrant(ctx context.Context, conn *orderConn, g target.Grant) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return conn.Grant(ctx, g)
 }
 
 // conn returns the connection of the effect's number.
-func (c *courier) conn(ctx context.Context, e owner.SendGrants) (*orderConn, error) {
+func (c *orderClient) conn(ctx context.Context, e owner.SendGrants) (*orderConn, error) {
 	c.mu.Lock()
 	known := c.conns[e.Target]
 	c.mu.Unlock()
@@ -99,8 +99,8 @@
 	return conn, err
 }
 
-// drop closes a connection; its number is not used again.
-func (c *courier) drop(name place.Target, conn *orderConn) {
+// discard closes a connection; its number is not used again.
+func (c *orderClient) discard(name place.Target, conn *orderConn) {
 	_ = conn.Close() // it is reset in any case
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 }
 
 // release takes a range back over a connection of its own.
-func (c *courier) release(ctx context.Context, e owner.SendRelease) (target.Handover, error) {
+func (c *orderClient) release(ctx context.Context, e owner.SendRelease) (target.Handover, error) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	conn, err := c.orders.Dial(ctx, e.Addr, e.Target)
@@ -122,7 +122,7 @@
 }
 
 // close closes all connections.
-func (c *courier) close() {
+func (c *orderClient) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
--- a/internal/host/path_bench_test.go
+++ b/internal/host/path_bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkPath sends requests from 16 clients through three hosts.
 func BenchmarkPath(b *testing.B) {
 	d := deploy(b, 3, 6, 6)
-	d.served()
+	d.awaitServed()
 	for _, r := range d.targets {
 		r.SetFaults(standin.RangedFaults{Work: 2 * time.Millisecond})
 	}
@@ -39,7 +39,7 @@
 // BenchmarkRest lets three hosts be without a request for a second.
 func BenchmarkRest(b *testing.B) {
 	d := deploy(b, 3, 6, 6)
-	d.served()
+	d.awaitServed()
 	b.ResetTimer()
 	for range b.N {
 		time.Sleep(time.Second)
--- a/internal/host/pools.go
+++ b/internal/host/pools.go
@@ -13,75 +13,75 @@
 	// dialTimeout bounds a new connection to a target. A lost packet costs a
 	// second in any case; a machine that is there answers in milliseconds.
 	dialTimeout = 300 * time.Millisecond
-	// poolUnused is how long the connections to an unused address are kept.
-	poolUnused = 15 * time.Second
+	// poolIdleTimeout is how long the connections to an unused address are kept.
+	poolIdleTimeout = 15 * time.Second
 	// connectionShare is the part of a target's connections that requests
 	// use; orders and probes need some as well.
 	connectionShare = 0.7
-	// leastConnections is what a host may always open: one request and one
+	// minConnections is what a host may always open: one request and one
 	// more while the last one's connection is still being closed.
-	leastConnections = 3
+	minConnections = 3
 )
 
-// pools holds the connections to all targets. Safe for concurrent use.
-type pools struct {
+// connPools holds the connections to all targets. Safe for concurrent use.
+type connPools struct {
 	dial forward.Dial
 
-	mu    sync.Mutex
-	hosts int
-	byAt  map[netip.AddrPort]*pooled
+	mu     sync.Mutex
+	hosts  int
+	byAddr map[netip.AddrPort]*connPool
 }
 
-type pooled struct {
+type connPool struct {
 	*forward.Pool
 
-	used time.Time
+	usedAt time.Time
 }
 
-func newPools(dial forward.Dial) *pools {
-	return &pools{dial: dial, hosts: 1, byAt: make(map[netip.AddrPort]*pooled)}
+func newConnPools(dial forward.Dial) *connPools {
+	return &connPools{dial: dial, hosts: 1, byAddr: make(map[netip.AddrPort]*connPool)}
 }
 
 // setHosts tells how many hosts share the connections of each target.
-func (p *pools) setHosts(n int) {
+func (p *connPools) setHosts(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = max(n, 1)
 }
 
 // get returns the pool of a target's address.
-func (p *pools) get(addr netip.AddrPort, service *traffic.Service) *forward.Pool {
+func (p *connPools) get(addr netip.AddrPort, service *traffic.Service) *forward.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pool := p.byAt[addr]
+	pool := p.byAddr[addr]
 	if pool == nil {
 		share := int(connectionShare * float64(service.MaxConnections) / float64(p.hosts))
-		pool = &pooled{Pool: forward.New(forward.Config{
-			Addr: addr, MaxOpen: max(share, leastConnections), Dial: p.dial, DialTimeout: dialTimeout,
+		pool = &connPool{Pool: forward.New(forward.Config{
+			Addr: addr, MaxOpen: max(share, minConnections), Dial: p.dial, DialTimeout: dialTimeout,
 		})}
-		p.byAt[addr] = pool
+		p.byAddr[addr] = pool
 	}
-	pool.used = time.Now()
+	pool.usedAt = time.Now()
 	return pool.Pool
 }
 
-// sweep closes the connections to addresses that were not used for a while.
-func (p *pools) sweep(now time.Time) {
+// closeUnused closes the connections to addresses that were not used for a while.
+func (p *connPools) closeUnused(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for addr, pool := range p.byAt {
-		if now.Sub(pool.used) > poolUnused {
+	for addr, pool := range p.byAddr {
+		if now.Sub(pool.usedAt) > poolIdleTimeout {
 			pool.Close()
-			delete(p.byAt, addr)
+			delete(p.byAddr, addr)
 		}
 	}
 }
 
 // close closes all idle connections.
-func (p *pools) close() {
+func (p *connPools) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, pool := range p.byAt {
+	for _, pool := range p.byAddr {
 		pool.Close()
 	}
 }
--- a/internal/host/registrar.go
+++ b/internal/host/registrar.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// alonePatience is how long a host waits to be entered by a registrar, and
+	// selfEntryDelay is how long a host waits to be entered by a registrar, and
 	// aloneSpread what is drawn on top of it; then it enters itself. Without a
 	// registrar all hosts may do so at the same moment.
-	alonePatience = 2 * time.Second
-	aloneSpread   = time.Second
-	// registerTick is the time between two looks at who is to be entered, where
+	selfEntryDelay  = 2 * time.Second
+	selfEntryJitter = time.Second
+	// registryInterval is the time between two looks at who is to be entered, where
 	// hosts tell their presence here.
-	registerTick = 200 * time.Millisecond
+	registryInterval = 200 * time.Millisecond
 	// registerTimeout bounds one write of entries.
 	registerTimeout = 600 * time.Millisecond
-	// entriesMost is how many entries one transaction writes, and removalsMost
+	// maxEntriesPerTxn is how many entries one transaction writes, and removalsMost
 	// how many it removes, each of which needs a condition: the platform takes 32
 	// parts.
-	entriesMost  = 30
-	removalsMost = 15
+	maxEntriesPerTxn  = 30
+	maxRemovalsPerTxn = 15
 )
 
 // registrar sees to it that this host is listed among the members. It tells its
@@ -45,13 +45,13 @@
 
 	// missingSince is since when this host is not listed, told when it last told
 	// its presence, enteredAt when it last entered itself.
-	missingSince, told, enteredAt time.Time
-	// patience is how long it waits for others to enter it.
-	patience time.Duration
+	missingSince, announcedAt, enteredAt time.Time
+	// selfEntryDelay is how long it waits for others to enter it.
+	selfEntryDelay time.Duration
 }
 
 func newRegistrar(h *Host) *registrar {
-	return &registrar{host: h, log: h.log, self: h.member(), registry: member.NewRegistry(h.site.Zone)}
+	return &registrar{host: h, log: h.log, self: h.memberEntry(), registry: member.NewRegistry(h.site.Zone)}
 }
 
 // run keeps this host and those that tell it their presence listed until ctx
@@ -59,12 +59,12 @@
 func (r *registrar) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		now := time.Now()
-		list := &r.host.viewer.view().members
-		rest := r.appear(ctx, now, list)
+		list := &r.host.views.view().members
+		rest := r.announceSelf(ctx, now, list)
 		r.mu.Lock()
 		enter, remove := r.registry.Due(now, list)
 		if r.registry.Active(now) {
-			rest = registerTick
+			rest = registryInterval
 		}
 		r.mu.Unlock()
 		r.enter(ctx, enter)
@@ -74,26 +74,26 @@
 	return nil
 }
 
-// hear takes the presence of a host.
-func (r *registrar) hear(now time.Time, p member.Heartbeat) {
+// receive takes the presence of a host.
+func (r *registrar) receive(now time.Time, p member.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.registry.HandleHeartbeat(now, p)
 }
 
-// heardPresence takes a datagram with the presence of another host.
-func (h *Host) heardPresence(body []byte) {
+// handleHeartbeat takes a datagram with the presence of another host.
+func (h *Host) handleHeartbeat(body []byte) {
 	p, err := member.DecodeHeartbeat(body)
 	if err != nil {
 		h.log.Warn("Presence not readable, dropped.", slog.Any("error", err))
 		return
 	}
-	h.registrar.hear(time.Now(), p)
+	h.registrar.receive(time.Now(), p)
 }
 
-// appear tells this host's presence when that is due, and enters it where
+// announceSelf tells this host's presence when that is due, and enters it where
 // nobody else has. It returns the time until the next look.
-func (r *registrar) appear(ctx context.Context, now time.Time, list *member.List) time.Duration {
+func (r *registrar) announceSelf(ctx context.Context, now time.Time, list *member.List) time.Duration {
 	every := member.HeartbeatInterval
 	if r.host.stopping.Load() {
 		return every
@@ -104,28 +104,28 @@
 	case !missing:
 		r.missingSince = time.Time{}
 	case r.missingSince.IsZero():
-		r.missingSince, r.patience = now, alonePatience+rand.N(aloneSpread)
+		r.missingSince, r.selfEntryDelay = now, selfEntryDelay+rand.N(selfEntryJitter)
 	}
 	if missing {
 		every = member.JoinInterval
 	}
-	if now.Sub(r.told) >= every {
-		r.told = now
-		r.tell(now, list)
+	if now.Sub(r.announcedAt) >= every {
+		r.announcedAt = now
+		r.sendHeartbeat(now, list)
 	}
-	if missing && now.Sub(r.missingSince) > r.patience && now.Sub(r.enteredAt) > alonePatience {
+	if missing && now.Sub(r.missingSince) > r.selfEntryDelay && now.Sub(r.enteredAt) > selfEntryDelay {
 		r.enteredAt = now
 		r.enter(ctx, []member.Host{r.self})
 	}
 	return every
 }
 
-// tell sends this host's presence to its registrars.
-func (r *registrar) tell(now time.Time, list *member.List) {
+// sendHeartbeat sends this host's presence to its registrars.
+func (r *registrar) sendHeartbeat(now time.Time, list *member.List) {
 	for turn, addr := range r.registrars(list) {
 		p := member.Heartbeat{Host: r.self, Rank: turn}
 		if addr == r.self.TicketAddr {
-			r.hear(now, p)
+			r.receive(now, p)
 			continue
 		}
 		body, err := p.Encode()
@@ -133,7 +133,7 @@
 			r.log.Error("Presence not written.", slog.Any("error", err))
 			return
 		}
-		r.host.desk.write(addr, datagramPresence, body)
+		r.host.dispatcher.write(addr, datagramPresence, body)
 	}
 }
 
@@ -163,7 +163,7 @@
 // telling that they are there.
 func (r *registrar) enter(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
-		part := hosts[:min(len(hosts), entriesMost)]
+		part := hosts[:min(len(hosts), maxEntriesPerTxn)]
 		hosts = hosts[len(part):]
 		var txn platform.Txn
 		for _, h := range part {
@@ -178,8 +178,8 @@
 			r.log.Warn("Hosts not entered in the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Hosts entered in the store.", slog.Int("hosts", len(part)), slog.Any("names", names(part)))
-		r.host.watcher.stir(time.Now())
+		r.log.Info("Hosts entered in the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
+		r.host.watcher.trigger(time.Now())
 	}
 }
 
@@ -187,7 +187,7 @@
 // again.
 func (r *registrar) remove(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
-		part := hosts[:min(len(hosts), removalsMost)]
+		part := hosts[:min(len(hosts), maxRemovalsPerTxn)]
 		hosts = hosts[len(part):]
 		var txn platform.Txn
 		for _, h := range part {
@@ -199,7 +199,7 @@
 			r.log.Warn("Silent hosts not removed from the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Silent hosts removed from the store.", slog.Int("hosts", len(part)), slog.Any("names", names(part)))
+		r.log.Info("Silent hosts removed from the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
 	}
 }
 
@@ -210,7 +210,7 @@
 	return err
 }
 
-func names(hosts []member.Host) []place.Host {
+func hostNames(hosts []member.Host) []place.Host {
 	out := make([]place.Host, len(hosts))
 	for i, h := range hosts {
 		out[i] = h.Name
--- a/internal/host/reload.go
+++ b/internal/host/reload.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// siteInterval is the time between two looks at the settings file: it may
+// settingsInterval is the time between two looks at the settings file: it may
 // change without a signal.
-const siteInterval = 2 * time.Second
+const settingsInterval = 2 * time.Second
 
-// loopSite takes over changes of the settings file until ctx ends.
-func (h *Host) loopSite(ctx context.Context) error {
+// loopSettings takes over changes of the settings file until ctx ends.
+func (h *Host) loopSettings(ctx context.Context) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	ticker := time.NewTicker(siteInterval)
+	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -51,6 +51,6 @@
 		return
 	}
 	h.setBounds(next.Bounds)
-	h.log.Info("Settings file read again.", slog.String("why", why), millis("grace", next.Bounds.Grace),
-		millis("drain", next.Bounds.Drain), slog.Float64("retries", next.Bounds.Retry.Ratio))
+	h.log.Info("Settings file read again.", slog.String("why", why), millisAttr("grace", next.Bounds.Grace),
+		millisAttr("drain", next.Bounds.Drain), slog.Float64("retries", next.Bounds.Retry.Ratio))
 }
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -14,33 +14,33 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// keptMoves is how many steps of moves a lead remembers at least.
-const keptMoves = 200
+// minMoveSteps is how many steps of moves a lead remembers at least.
+const minMoveSteps = 200
 
-// moves remembers the last steps of moves that this host took as a service's
+// moveLog remembers the last steps of moves that this host took as a service's
 // lead. Safe for concurrent use.
-type moves struct {
+type moveLog struct {
 	mu   sync.Mutex
-	list []move
+	list []moveStep
 }
 
-type move struct {
+type moveStep struct {
 	owner.Note
 
 	at time.Time
 }
 
-func (m *moves) note(now time.Time, n owner.Note) {
+func (m *moveLog) add(now time.Time, n owner.Note) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list = append(m.list, move{Note: n, at: now})
-	if len(m.list) > 2*keptMoves {
-		m.list = append([]move(nil), m.list[len(m.list)-keptMoves:]...)
+	m.list = append(m.list, moveStep{Note: n, at: now})
+	if len(m.list) > 2*minMoveSteps {
+		m.list = append([]moveStep(nil), m.list[len(m.list)-minMoveSteps:]...)
 	}
 }
 
-// of returns the steps that touch a range, oldest first.
-func (m *moves) of(r key.Range) []status.Move {
+// overlapping returns the steps that touch a range, oldest first.
+func (m *moveLog) overlapping(r key.Range) []status.Move {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []status.Move
@@ -56,10 +56,10 @@
 
 // Report implements status.Source.
 func (h *Host) Report(now time.Time, q status.Query) status.Report {
-	v := h.viewer.view()
+	v := h.views.view()
 	out := status.Report{
 		Host: string(h.site.Host), Zone: string(h.site.Zone), Role: "host", Version: version.String(),
-		Started: time.Unix(0, int64(h.life)), Ready: v.usable() && !h.stopping.Load(), Store: h.store.answeredAt(now),
+		Started: time.Unix(0, int64(h.incarnation)), Ready: v.usable() && !h.stopping.Load(), Store: h.store.lastAnswer(now),
 	}
 	if v.routes == nil {
 		return out
@@ -70,7 +70,7 @@
 			out.Cells = append(out.Cells, h.cellOf(s.Name, t))
 		}
 	}
-	for _, p := range h.desk.pools() {
+	for _, p := range h.dispatcher.pools() {
 		out.Targets = append(out.Targets, status.Target{
 			Service: string(p.ID.Service), Target: string(p.ID.Target), Waiting: p.Waiting, Running: p.Running,
 		})
@@ -102,12 +102,12 @@
 
 func (h *Host) movesOf(service key.Service, r key.Range) []status.Move {
 	h.mu.Lock()
-	runner := h.runners[service]
+	runner := h.controllers[service]
 	h.mu.Unlock()
 	if runner == nil {
 		return nil
 	}
-	return runner.moves.of(r)
+	return runner.moveLog.overlapping(r)
 }
 
 // keyOf tells where a key is, by the table that this host goes by.
@@ -133,5 +133,5 @@
 	return out
 }
 
-// pages adds the host's own page to the admin address: what it goes by, whole.
-func (h *Host) pages() { h.admin.Handle("/view", http.HandlerFunc(h.serveView)) }
+// addPages adds the host's own page to the admin address: what it goes by, whole.
+func (h *Host) addPages() { h.admin.Handle("/view", http.HandlerFunc(h.serveView)) }
--- a/internal/host/report_test.go
+++ b/internal/host/report_test.go
@@ -17,7 +17,7 @@
 func TestReport(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 2, 1)
-	d.served()
+	d.awaitServed()
 	d.targets["span-0"].Close()
 	d.store.Remove("targets/span-0")
 	var explained status.Key
@@ -57,13 +57,13 @@
 
 // TestMovesAreBounded: a lead remembers the newest steps only.
 func TestMovesAreBounded(t *testing.T) {
-	var m moves
-	for i := range 10 * keptMoves {
-		m.note(time.Unix(int64(i), 0), noteOf("span-1"))
+	var m moveLog
+	for i := range 10 * minMoveSteps {
+		m.add(time.Unix(int64(i), 0), noteTo("span-1"))
 	}
-	kept := m.of(key.FullRange())
-	assert.Assert(t, len(kept) >= keptMoves && len(kept) <= 2*keptMoves)
-	assert.Equal(t, kept[len(kept)-1].At, time.Unix(10*keptMoves-1, 0))
+	kept := m.overlapping(key.FullRange())
+	assert.Assert(t, len(kept) >= minMoveSteps && len(kept) <= 2*minMoveSteps)
+	assert.Equal(t, kept[len(kept)-1].At, time.Unix(10*minMoveSteps-1, 0))
 }
 
-func noteOf(to place.Target) owner.Note { return owner.Note{Range: key.FullRange(), To: to} }
+func noteTo(to place.Target) owner.Note { return owner.Note{Range: key.FullRange(), To: to} }
--- a/internal/host/resign.go
+++ b/internal/host/resign.go
@@ -13,7 +13,7 @@
 
 // resignIfDue hands the lead on where this host stops. While the store does not
 // answer nobody else can lead: the grants are renewed until it does.
-func (r *runner) resignIfDue(ctx context.Context, now time.Time) {
+func (r *controller) resignIfDue(ctx context.Context, now time.Time) {
 	if r.resigning || !r.host.stopping.Load() || !r.core.Leading() {
 		return
 	}
@@ -26,15 +26,15 @@
 		return
 	}
 	r.resigning = true
-	t := &resignation{runner: r, doc: r.core.Doc(now), expect: r.core.Revision(), leadRevision: r.leadRevision}
-	r.work.Add(1)
+	t := &resignation{controller: r, doc: r.core.Doc(now), expect: r.core.Revision(), leadRevision: r.leadRevision}
+	r.tasks.Add(1)
 	go t.run(ctx)
 }
 
 // resignation is one try to hand the lead on. Its document names no lead, which
 // tells the next one that nothing more will be sent.
 type resignation struct {
-	*runner
+	*controller
 
 	doc          owner.Doc
 	expect       platform.Revision
@@ -43,7 +43,7 @@
 
 // run carries the resignation out and posts its outcome.
 func (t *resignation) run(ctx context.Context) {
-	defer t.work.Done()
+	defer t.tasks.Done()
 	err := t.resign(ctx)
 	t.post(func(now time.Time) bool {
 		switch {
@@ -78,23 +78,23 @@
 	}
 	txn := docTxn(t.service, value, t.expect, t.leadRevision)
 	txn.Remove = []platform.Path{member.LeaderPath(t.service)}
-	_, err = commitSurely(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.doc.WriteID)
+	_, err = commitUntilKnown(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.doc.WriteID)
 	return err
 }
 
 // awaitSuccessors waits until this host leads no service, or until ctx ends.
 func (h *Host) awaitSuccessors(ctx context.Context) {
 	const pause = 50 * time.Millisecond
-	for h.leadsAny() && ctx.Err() == nil {
+	for h.leadsAnyService() && ctx.Err() == nil {
 		sleep(ctx, pause)
 	}
 }
 
-func (h *Host) leadsAny() bool {
+func (h *Host) leadsAnyService() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range h.runners {
-		if r.leads.Load() {
+	for _, r := range h.controllers {
+		if r.leading.Load() {
 			return true
 		}
 	}
--- a/internal/host/restore_test.go
+++ b/internal/host/restore_test.go
@@ -14,8 +14,8 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// noDoubles fails once two targets hold a key at the same time, until the test ends.
-func (d *deployment) noDoubles(points ...key.Point) {
+// watchSingleOwner fails once two targets hold a key at the same time, until the test ends.
+func (d *deployment) watchSingleOwner(points ...key.Point) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	d.t.Cleanup(func() { close(stop); <-done })
 	go func() {
@@ -43,11 +43,11 @@
 	}()
 }
 
-// TestStoreComesBackOlder: the store comes back from an older copy of itself. Keys are
+// TestStoreRestored: the store comes back from an older copy of itself. Keys are
 // served on, by one owner each; the configuration in force stays, also on a host that
 // starts then; hosts and lead are listed again within seconds, and a target that left
 // is not used again.
-func TestStoreComesBackOlder(t *testing.T) {
+func TestStoreRestored(t *testing.T) {
 	t.Parallel()
 	points := []key.Point{0, 9000, 20000, 30000, 41000, 52000, key.Points - 1}
 	for name, test := range map[string]struct {
@@ -67,14 +67,14 @@
 			t.Parallel()
 			d := deploy(t, 3, 3, 2)
 			d.store.StartCopying()
-			d.served()
-			d.noDoubles(points...)
+			d.awaitServed()
+			d.watchSingleOwner(points...)
 			left := d.targets["desk-1"]
-			d.list(left, "desk", place.Leaving)
+			d.listTarget(left, "desk", place.Leaving)
 			time.Sleep(1500 * time.Millisecond)
 			next := testConfig(9)
 			next.Routes[1].Prefix = "/new/"
-			d.accept(next)
+			d.putConfig(next)
 			d.eventually("the new configuration is in force", 3*time.Second, func() bool {
 				for _, h := range d.hosts {
 					if d.send(h, "POST", "/new/x", 0).status != http.StatusOK {
@@ -105,20 +105,20 @@
 							refused++
 						}
 					}
-					d.wants(h, "POST", "/new/x", 0, http.StatusOK)
+					d.expectStatus(h, "POST", "/new/x", 0, http.StatusOK)
 				}
-				assert.Equal(t, traffic.Version(9), d.hosts[0].viewer.view().routes.Config().Version)
+				assert.Equal(t, traffic.Version(9), d.hosts[0].views.view().routes.Config().Version)
 			}
 			t.Logf("%d served, %d not", served, refused)
 			assert.Assert(t, refused*20 < served, "%d refused, %d served", refused, served)
 			assert.Equal(t, d.send(late, "POST", "/new/x", 0).status, http.StatusOK)
 			d.eventually("all hosts and the lead are listed", 5*time.Second, func() bool {
-				v := d.hosts[0].viewer.view()
+				v := d.hosts[0].views.view()
 				lead, ok := v.members.Leader("span")
 				return len(v.members.Hosts) == 4 && ok && !lead.Restored()
 			})
 			before := left.Arrived()
-			d.ask(200*time.Millisecond, "POST", "/new/x", 0)
+			d.sendFor(200*time.Millisecond, "POST", "/new/x", 0)
 			assert.Equal(t, left.Arrived(), before, "a target that left gets requests")
 			told := 0
 			for _, h := range d.hosts[:3] {
--- /dev/null
+++ b/internal/host/retrybudget.go
@@ -0,0 +1,136 @@
+package host
+
+import (
+	"sync"
+	"time"
+
+	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/site"
+)
+
+// retryBudgetShare is the part of the budget that is used: requests are counted
+// when they come in here, and at the targets a little later.
+const retryBudgetShare = 0.8
+
+// retryBudget is this host's part of the budget for sending requests again, which
+// all hosts share: the ratio of its own requests, and an equal part of the
+// slack. Safe for concurrent use.
+type retryBudget struct {
+	mu     sync.Mutex
+	budget site.RetryBudget
+	// hosts is the largest number of hosts seen lately, at a time: a list that
+	// is short for a moment must not hand the others' parts out as well.
+	hosts   int
+	hostsAt time.Time
+	// firstListAt is when a list was first seen, most the longest so far.
+	firstListAt time.Time
+	maxHosts    int
+	services    map[key.Service]*slidingWindow
+}
+
+func newRetryBudget() *retryBudget {
+	return &retryBudget{hosts: initialHostCount, services: make(map[key.Service]*slidingWindow)}
+}
+
+// setBudget puts a budget in force.
+func (r *retryBudget) setBudget(b site.RetryBudget) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.budget = b
+}
+
+// initialHostCount stands for the number of hosts until it is known.
+const initialHostCount = 64
+
+const (
+	// hostCountTTL is how long a larger number of hosts counts.
+	hostCountTTL = 20 * time.Second
+	// hostCountSettleTime is how long after the first list the others still come: one
+	// that no registrar hears enters itself.
+	hostCountSettleTime = selfEntryDelay + selfEntryJitter + time.Second
+)
+
+// setHosts tells among how many hosts the slack is divided.
+func (r *retryBudget) setHosts(now time.Time, n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.firstListAt.IsZero() {
+		r.firstListAt = now
+	}
+	r.maxHosts = max(r.maxHosts, n, 1)
+	switch {
+	case now.Sub(r.firstListAt) < hostCountSettleTime:
+	case r.hostsAt.IsZero():
+		r.hosts, r.hostsAt = r.maxHosts, now
+	case n >= r.hosts || now.Sub(r.hostsAt) > hostCountTTL:
+		r.hosts, r.hostsAt = max(n, 1), now
+	}
+}
+
+func (r *retryBudget) window(service key.Service) *slidingWindow {
+	w := r.services[service]
+	if w == nil {
+		w = &slidingWindow{}
+		r.services[service] = w
+	}
+	return w
+}
+
+// countRequest counts one request.
+func (r *retryBudget) countRequest(now time.Time, service key.Service) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.window(service).bucketAt(now, r.budget.Window).requests++
+}
+
+// withdraw takes the right to send one request once more, if there is one.
+func (r *retryBudget) withdraw(now time.Time, service key.Service) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	w := r.window(service)
+	cell := w.bucketAt(now, r.budget.Window)
+	requests, repeats := w.sum()
+	allowed := retryBudgetShare * (r.budget.Ratio*float64(requests) + float64(r.budget.Slack)/float64(r.hosts))
+	if float64(repeats+1) > allowed {
+		return false
+	}
+	cell.retries++
+	return true
+}
+
+// windowBuckets is how many parts a window is counted in.
+const windowBuckets = 10
+
+// slidingWindow counts requests and repeats over the time of a budget.
+type slidingWindow struct {
+	buckets [windowBuckets]bucket
+}
+
+type bucket struct {
+	index             int64
+	requests, retries int
+}
+
+// bucketAt returns the cell of the present time.
+func (w *slidingWindow) bucketAt(now time.Time, length time.Duration) *bucket {
+	step := max(length/windowBuckets, time.Millisecond)
+	turn := now.UnixNano() / int64(step)
+	c := &w.buckets[turn%windowBuckets]
+	if c.index != turn {
+		*c = bucket{index: turn}
+	}
+	for i := range w.buckets {
+		if w.buckets[i].index <= turn-windowBuckets {
+			w.buckets[i] = bucket{index: w.buckets[i].index}
+		}
+	}
+	return c
+}
+
+func (w *slidingWindow) sum() (requests, repeats int) {
+	for i := range w.buckets {
+		requests += w.buckets[i].requests
+		repeats += w.buckets[i].retries
+	}
+	return requests, repeats
+}
--- a/internal/host/retries_test.go
+++ b/internal/host/retrybudget_test.go
@@ -9,10 +9,10 @@
 	"citrontray.example/citrontray/internal/site"
 )
 
-// TestRetryShare plays hosts that all want to repeat everything: what they may
+// TestRetryBudgetIsShared plays hosts that all want to repeat everything: what they may
 // repeat together stays within the deployment's budget, also while their list
 // of each other is short.
-func TestRetryShare(t *testing.T) {
+func TestRetryBudgetIsShared(t *testing.T) {
 	budget := site.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 64}
 	const hosts, perHost = 12, 400
 	tests := map[string][]int{ // numbers of hosts seen, one each two seconds
@@ -25,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			repeats := 0
 			for range hosts {
-				r := newRetries()
+				r := newRetryBudget()
 				r.setBudget(budget)
 				now := time.Unix(5000, 0)
 				for _, n := range seen {
@@ -34,9 +34,9 @@
 					}
 					for range perHost / len(seen) {
 						now = now.Add(2 * time.Second * time.Duration(len(seen)) / perHost)
-						r.earn(now, "s")
+						r.countRequest(now, "s")
 						for range 3 {
-							if r.spend(now, "s") {
+							if r.withdraw(now, "s") {
 								repeats++
 							}
 						}
--- a/internal/host/scale_bench_test.go
+++ b/internal/host/scale_bench_test.go
@@ -52,7 +52,7 @@
 	for _, targets := range []int{37, 164, 575, 1200} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			board := spread.New()
-			v := newViewer(board, journal.Nop(), nil)
+			v := newViewBuilder(board, journal.Nop(), nil)
 			members := largeMembers(295)
 			body, err := members.Encode()
 			assert.NilError(b, err)
@@ -83,8 +83,8 @@
 	}
 }
 
-// BenchmarkFollow is a look of a host that does not lead at whether it should.
-func BenchmarkFollow(b *testing.B) {
+// BenchmarkRankLeaders is a look of a host that does not lead at whether it should.
+func BenchmarkRankLeaders(b *testing.B) {
 	for _, hosts := range []int{12, 70, 295, 1800} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			members := largeMembers(hosts)
--- a/internal/host/servers.go
+++ b/internal/host/servers.go
@@ -19,11 +19,11 @@
 	// idleMargin is added to the configured idle time: a client that just
 	// keeps within it must not meet a closed connection.
 	idleMargin = 500 * time.Millisecond
-	// defaultIdle holds until the first configuration is known.
-	defaultIdle = 30 * time.Second
-	// stopIdle is how long a connection without a request is kept in a planned
+	// defaultIdleTimeout holds until the first configuration is known.
+	defaultIdleTimeout = 30 * time.Second
+	// stopIdleTimeout is how long a connection without a request is kept in a planned
 	// stop, so that a request that is on its way is still taken.
-	stopIdle = 1200 * time.Millisecond
+	stopIdleTimeout = 1200 * time.Millisecond
 	// stopMargin is left of the grace for the end of the process.
 	stopMargin = 700 * time.Millisecond
 )
@@ -39,7 +39,7 @@
 	return &servers{
 		host: h,
 		front: ingress.New(ingress.Config{
-			Handler: h, Concurrent: h.mayRunBeside, IdleTimeout: h.idleTime,
+			Handler: h, Concurrent: h.mayRunConcurrently, IdleTimeout: h.idleTime,
 			MaxHeaderBytes: maxHeaderBytes, HeaderTimeout: headerTimeout, OnPanic: h.panicked, Log: h.log,
 		}),
 		ready: &http.Server{
@@ -49,10 +49,10 @@
 	}
 }
 
-// mayRunBeside reports whether a request may run beside others that its client
+// mayRunConcurrently reports whether a request may run beside others that its client
 // has sent on the same connection: where it may be repeated, or ends here.
-func (h *Host) mayRunBeside(r *http.Request) bool {
-	v := h.viewer.view()
+func (h *Host) mayRunConcurrently(r *http.Request) bool {
+	v := h.views.view()
 	if v.routes == nil {
 		return true
 	}
@@ -62,19 +62,19 @@
 
 // idleTime is how long a client's connection without a request is kept.
 func (h *Host) idleTime() time.Duration {
-	if v := h.viewer.view(); v.routes != nil && v.routes.Config().Limits.IdleTimeout > 0 {
+	if v := h.views.view(); v.routes != nil && v.routes.Config().Limits.IdleTimeout > 0 {
 		return v.routes.Config().Limits.IdleTimeout + idleMargin
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 // runReady answers the balancer's probes.
-func (s *servers) runReady() error { return ended(s.ready.Serve(s.host.ready)) }
+func (s *servers) runReady() error { return ignoreClosed(s.ready.Serve(s.host.ready)) }
 
 // runFront takes clients' requests.
 func (s *servers) runFront() error { return s.front.Serve(s.host.front) }
 
-func ended(err error) error {
+func ignoreClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -84,18 +84,18 @@
 // serveReady tells whether this host takes new connections: it has a
 // configuration, does not stop, and no cut keeps most targets from it.
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if h.stopping.Load() || !h.viewer.view().usable() || h.cutOff(time.Now()) {
+	if h.stopping.Load() || !h.views.view().usable() || h.checkIsolated(time.Now()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// cutOff reports whether clients are better served by hosts beyond a cut. A change
+// checkIsolated reports whether clients are better served by hosts beyond a cut. A change
 // is logged.
-func (h *Host) cutOff(now time.Time) bool {
-	cut := h.desk.cutOff(now, h.viewer.view())
-	if h.cut.Swap(cut) != cut {
+func (h *Host) checkIsolated(now time.Time) bool {
+	cut := h.dispatcher.isolated(now, h.views.view())
+	if h.isolated.Swap(cut) != cut {
 		if cut {
 			h.log.Warn("Most targets are beyond a cut, clients are sent elsewhere.")
 		} else {
@@ -115,25 +115,25 @@
 func (h *Host) stop(ctx context.Context, s *servers, stopLeads context.CancelFunc) error {
 	start := time.Now()
 	grace := h.bounds.Load().Grace
-	h.log.Info("Stopping.", millis("grace", grace))
+	h.log.Info("Stopping.", millisAttr("grace", grace))
 	h.stopping.Store(true)
-	s.front.Drain(stopIdle)
-	h.desk.leave(h.viewer.view().members.Hosts)
+	s.front.Drain(stopIdleTimeout)
+	h.dispatcher.announceStop(h.views.view().members.Hosts)
 	end := start.Add(grace - stopMargin)
 	bound, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	// The balancer notices after two probes a second apart; until then new
 	// connections are still taken and served.
-	sleep(bound, min(stopNotice, grace/2))
+	sleep(bound, min(stopAcceptTime, grace/2))
 	if err := s.front.Shutdown(bound); err != nil {
 		h.log.Warn("Requests were cut at the end of the stop.", slog.Any("error", err))
 	}
 	h.awaitSuccessors(bound)
 	stopLeads()
-	h.log.Info("Stopped.", millis("took", time.Since(start)))
+	h.log.Info("Stopped.", millisAttr("took", time.Since(start)))
 	return s.close()
 }
 
-// stopNotice is how long a stopping host still takes new connections: two
+// stopAcceptTime is how long a stopping host still takes new connections: two
 // probes of the balancer a second apart, and a connection on its way.
-const stopNotice = 2500 * time.Millisecond
+const stopAcceptTime = 2500 * time.Millisecond
--- a/internal/host/status.go
+++ b/internal/host/status.go
@@ -13,12 +13,12 @@
 		Life     uint64        `json:"life"`
 		Zone     string        `json:"zone"`
 		Stopping bool          `json:"stopping"`
-		Config   wireInForce   `json:"config"`
+		Config   wireConfig    `json:"config"`
 		Hosts    []string      `json:"hosts"`
 		Services []wireService `json:"services"`
 		Pools    []wirePool    `json:"pools"`
 	}
-	wireInForce struct {
+	wireConfig struct {
 		Version  uint64 `json:"version"`
 		Revision uint64 `json:"revision"`
 	}
@@ -54,10 +54,10 @@
 }
 
 func (h *Host) status(now time.Time) wireStatus {
-	v := h.viewer.view()
+	v := h.views.view()
 	s := wireStatus{
-		Host: string(h.site.Host), Life: uint64(h.life), Zone: string(h.site.Zone), Stopping: h.stopping.Load(),
-		Config: wireInForce{Revision: v.revision},
+		Host: string(h.site.Host), Life: uint64(h.incarnation), Zone: string(h.site.Zone), Stopping: h.stopping.Load(),
+		Config: wireConfig{Revision: v.revision},
 	}
 	for _, m := range v.members.Hosts {
 		s.Hosts = append(s.Hosts, string(m.Name))
@@ -78,7 +78,7 @@
 			s.Services = append(s.Services, row)
 		}
 	}
-	for _, p := range h.desk.pools() {
+	for _, p := range h.dispatcher.pools() {
 		s.Pools = append(s.Pools, wirePool{
 			Service: string(p.ID.Service), Zone: string(p.ID.Zone), Target: string(p.ID.Target),
 			Waiting: p.Waiting, Running: p.Running, Pressure: p.Pressure,
--- /dev/null
+++ b/internal/host/store.go
@@ -0,0 +1,144 @@
+package host
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync"
+	"time"
+
+	"citrontray.example/citrontray/internal/platform"
+)
+
+// instrumentedStore counts the calls to the store: each has its price. Hosts make no
+// other ones.
+type instrumentedStore struct {
+	platform.SessionStore
+
+	metrics *metrics
+	log     *slog.Logger
+
+	mu sync.Mutex
+	// calledAt is when the store was last called, answered when it last answered.
+	calledAt, answered time.Time
+	// firstEra is the era of the first answer, era the latest of any.
+	firstEra, latestEra platform.Era
+	hasEra              bool
+}
+
+// eras returns the era of the first answer of the store, and the latest of any.
+func (s *instrumentedStore) eras() (first, latest platform.Era) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.firstEra, s.latestEra
+}
+
+// observeEra notes the era of an answer, and logs a rise.
+func (s *instrumentedStore) observeEra(era platform.Era) {
+	s.mu.Lock()
+	before, rise := s.latestEra, s.hasEra && era > s.latestEra
+	if !s.hasEra {
+		s.firstEra, s.hasEra = era, true
+	}
+	s.latestEra = max(s.latestEra, era)
+	s.mu.Unlock()
+	if rise {
+		s.metrics.countRestore()
+		s.log.Warn("Store has come back from an older copy.", slog.Uint64("era", uint64(era)), slog.Uint64("before", uint64(before)))
+	}
+}
+
+// callActivityTime is how long after its last call a host counts as one that does
+// not ask the store.
+const callActivityTime = 10 * time.Second
+
+// lastAnswer returns when the store last answered this host, zero where the host
+// has not asked it lately.
+func (s *instrumentedStore) lastAnswer(now time.Time) time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now.Sub(s.calledAt) > callActivityTime {
+		return time.Time{}
+	}
+	return s.answered
+}
+
+// recordCall notes a call that has ended.
+func (s *instrumentedStore) recordCall(kind string, err error) {
+	s.metrics.countCall(kind, err)
+	now := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calledAt = now
+	if !errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrUnknown) {
+		s.answered = now
+	}
+}
+
+func (s *instrumentedStore) Get(ctx context.Context, path platform.Path) (platform.Entry, error) {
+	e, err := s.SessionStore.Get(ctx, path)
+	s.recordCall("get", err)
+	if err == nil {
+		s.observeEra(e.Revision.Era())
+	}
+	return e, err
+}
+
+func (s *instrumentedStore) List(ctx context.Context, prefix platform.Path) ([]platform.Entry, platform.Revision, error) {
+	entries, revision, err := s.SessionStore.List(ctx, prefix)
+	s.recordCall("list", err)
+	if err == nil {
+		s.observeEra(revision.Era())
+	}
+	return entries, revision, err
+}
+
+func (s *instrumentedStore) Commit(ctx context.Context, txn platform.Txn) (platform.Revision, error) {
+	revision, err := s.SessionStore.Commit(ctx, txn)
+	s.recordCall("commit", err)
+	if err == nil {
+		s.observeEra(revision.Era())
+	}
+	return revision, err
+}
+
+func (s *instrumentedStore) Open(ctx context.Context, ttl time.Duration) (platform.SessionID, error) {
+	id, err := s.SessionStore.Open(ctx, ttl)
+	s.recordCall("open", err)
+	if err == nil {
+		s.observeEra(id.Era)
+	}
+	return id, err
+}
+
+func (s *instrumentedStore) Keep(ctx context.Context, id platform.SessionID) error {
+	err := s.SessionStore.Keep(ctx, id)
+	s.recordCall("keep", err)
+	return err
+}
+
+func (s *instrumentedStore) End(ctx context.Context, id platform.SessionID) error {
+	err := s.SessionStore.End(ctx, id)
+	s.recordCall("end", err)
+	return err
+}
+
+// callResult names how a call ended in metrics.
+func callResult(err error) string {
+	var conflict *platform.TxnConflictError
+	switch {
+	case err == nil:
+		return "done"
+	case errors.Is(err, platform.ErrNotFound):
+		return "missing"
+	case errors.As(err, &conflict):
+		return "conflict"
+	case errors.Is(err, platform.ErrSessionEnded):
+		return "ended"
+	case errors.Is(err, platform.ErrRestored):
+		return "restored"
+	case errors.Is(err, platform.ErrUnavailable):
+		return "unavailable"
+	}
+	return "unknown"
+}
--- a/internal/host/signal_test.go
+++ b/internal/host/targetsignal_test.go
@@ -13,16 +13,16 @@
 	"citrontray.example/citrontray/internal/standin"
 )
 
-// arrivals returns how many requests a target gets while f runs.
-func arrivals(r *standin.Ranged, f func()) int {
+// arrivalsDuring returns how many requests a target gets while f runs.
+func arrivalsDuring(r *standin.Ranged, f func()) int {
 	before := r.Arrived()
 	f()
 	return r.Arrived() - before
 }
 
-// ask sends requests to all hosts for a while and returns the answers.
-func (d *deployment) ask(span time.Duration, method, path string, points ...key.Point) []answer {
-	var out []answer
+// sendFor sends requests to all hosts for a while and returns the answers.
+func (d *deployment) sendFor(span time.Duration, method, path string, points ...key.Point) []testResponse {
+	var out []testResponse
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		for _, h := range d.hosts {
 			for _, p := range points {
@@ -34,7 +34,7 @@
 }
 
 // burst sends more requests at once than one target has slots for.
-func (d *deployment) burst(h *running, method, path string, point key.Point) {
+func (d *deployment) burst(h *testHost, method, path string, point key.Point) {
 	var work sync.WaitGroup
 	for range 8 {
 		work.Add(1)
@@ -46,28 +46,28 @@
 	work.Wait()
 }
 
-// TestTargetSaysItLeaves: a target that says in its answers that it leaves, whatever
+// TestTargetSignalsLeaving: a target that says in its answers that it leaves, whatever
 // the platform lists, gets nothing new from a host that has heard it.
-func TestTargetSaysItLeaves(t *testing.T) {
+func TestTargetSignalsLeaving(t *testing.T) {
 	t.Parallel()
 	t.Run("keyless", func(t *testing.T) {
 		t.Parallel()
 		d := deploy(t, 2, 1, 2)
-		d.served()
+		d.awaitServed()
 		leaver := d.targets["desk-0"]
 		leaver.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Leaving: true})
 		d.eventually("a host has heard it, which tells the home", 5*time.Second, func() bool {
 			heard := false
 			for _, h := range d.hosts {
 				d.burst(h, "POST", "/free/x", 0)
-				leaving, _ := h.desk.backoff(time.Now(), h.viewer.view().targets["desk-0"])
+				leaving, _ := h.dispatcher.backoff(time.Now(), h.views.view().targets["desk-0"])
 				heard = heard || !leaving.IsZero()
 			}
 			return heard
 		})
-		d.ask(100*time.Millisecond, "POST", "/free/x", 0)
-		n := arrivals(leaver, func() {
-			for _, a := range d.ask(time.Second, "POST", "/free/x", 0) {
+		d.sendFor(100*time.Millisecond, "POST", "/free/x", 0)
+		n := arrivalsDuring(leaver, func() {
+			for _, a := range d.sendFor(time.Second, "POST", "/free/x", 0) {
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			}
 		})
@@ -76,14 +76,14 @@
 	t.Run("owner of keys", func(t *testing.T) {
 		t.Parallel()
 		d := deploy(t, 2, 2, 1)
-		d.served()
+		d.awaitServed()
 		leaver := d.targets["span-0"]
 		leaver.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Leaving: true})
 		points := []key.Point{100, 20000, 40000, key.Points - 1}
 		drain := d.hosts[0].bounds.Load().Drain
-		d.ask(drain, "GET", "/keys/x", points...)
-		n := arrivals(leaver, func() {
-			for _, a := range d.ask(time.Second, "GET", "/keys/x", points...) {
+		d.sendFor(drain, "GET", "/keys/x", points...)
+		n := arrivalsDuring(leaver, func() {
+			for _, a := range d.sendFor(time.Second, "GET", "/keys/x", points...) {
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			}
 		})
@@ -95,8 +95,8 @@
 		d.eventually("all keys are served", 15*time.Second, func() bool { return d.send(d.hosts[0], "GET", "/keys/x", 30000).status == http.StatusOK })
 		leaver := d.targets["span-0"]
 		leaver.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Leaving: true})
-		d.ask(d.hosts[0].bounds.Load().Drain, "GET", "/keys/x", 30000)
-		n := arrivals(leaver, func() {
+		d.sendFor(d.hosts[0].bounds.Load().Drain, "GET", "/keys/x", 30000)
+		n := arrivalsDuring(leaver, func() {
 			for range 5 {
 				a := d.send(d.hosts[0], "GET", "/keys/x", 30000)
 				assert.Equal(t, a.status, http.StatusServiceUnavailable, a.body)
@@ -106,9 +106,9 @@
 	})
 }
 
-// TestTargetWantsPause: a target that turns requests away for a time gets none of this
+// TestTargetBackoff: a target that turns requests away for a time gets none of this
 // host until then; callers get another target, or are told when to come back.
-func TestTargetWantsPause(t *testing.T) {
+func TestTargetBackoff(t *testing.T) {
 	t.Parallel()
 	const pause, grace = 3 * time.Second, 500 * time.Millisecond
 	for name, test := range map[string]struct {
@@ -122,17 +122,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t, 1, 1, 2)
-			d.served()
+			d.awaitServed()
 			r := d.targets[test.paused]
 			r.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Refuse: 1, Pause: pause})
 			d.eventually("it has turned one away", 5*time.Second, func() bool {
 				d.burst(d.hosts[0], test.method, test.path, 30000)
-				_, left := d.hosts[0].desk.backoff(time.Now(), d.hosts[0].viewer.view().targets[test.paused])
+				_, left := d.hosts[0].dispatcher.backoff(time.Now(), d.hosts[0].views.view().targets[test.paused])
 				return left > 0
 			})
 			asked := time.Now()
 			time.Sleep(grace)
-			n := arrivals(r, func() {
+			n := arrivalsDuring(r, func() {
 				for time.Since(asked) < pause-2*grace { // towards the end callers are kept waiting
 					a := d.send(d.hosts[0], test.method, test.path, 30000)
 					assert.Equal(t, a.status, test.status, a.body)
@@ -148,7 +148,7 @@
 			assert.Equal(t, n, 0, "requests reached the target")
 			r.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond})
 			d.eventually("it gets requests again", pause, func() bool {
-				return arrivals(r, func() { d.burst(d.hosts[0], test.method, test.path, 30000) }) > 0
+				return arrivalsDuring(r, func() { d.burst(d.hosts[0], test.method, test.path, 30000) }) > 0
 			})
 		})
 	}
--- a/internal/host/tasks.go
+++ b/internal/host/tasks.go
@@ -15,23 +15,23 @@
 
 // grantTask sends grants.
 type grantTask struct {
-	*runner
+	*controller
 
 	effect owner.SendGrants
 }
 
 func (t *grantTask) run(ctx context.Context) {
-	defer t.work.Done()
-	t.sending.Add(1)
-	defer t.sending.Add(-1)
-	results, leaving := t.courier.grants(ctx, t.effect)
+	defer t.tasks.Done()
+	t.inFlight.Add(1)
+	defer t.inFlight.Add(-1)
+	results, leaving := t.orders.sendGrants(ctx, t.effect)
 	for _, err := range results {
-		t.host.metrics.ordered(t.service, "grant", resultOf(err))
+		t.host.metrics.countOrder(t.service, "grant", orderResult(err))
 	}
 	t.post(func(now time.Time) bool {
 		t.core.Granted(now, t.effect, results)
 		if leaving {
-			t.noteLeaving(t.effect.Target)
+			t.markLeaving(t.effect.Target)
 		}
 		return t.core.Changed() // a mere renewal needs no step
 	})
@@ -39,17 +39,17 @@
 
 // releaseTask sends a release.
 type releaseTask struct {
-	*runner
+	*controller
 
 	effect owner.SendRelease
 }
 
 func (t *releaseTask) run(ctx context.Context) {
-	defer t.work.Done()
-	t.sending.Add(1)
-	defer t.sending.Add(-1)
-	handover, err := t.courier.release(ctx, t.effect)
-	t.host.metrics.ordered(t.service, "release", resultOf(err))
+	defer t.tasks.Done()
+	t.inFlight.Add(1)
+	defer t.inFlight.Add(-1)
+	handover, err := t.orders.release(ctx, t.effect)
+	t.host.metrics.countOrder(t.service, "release", orderResult(err))
 	if err != nil {
 		t.log.Info("Release failed.", slog.String("target", string(t.effect.Target)),
 			slog.String("range", t.effect.Release.Range.String()), slog.Any("error", err))
@@ -57,8 +57,8 @@
 	t.post(func(now time.Time) bool { t.core.Released(now, t.effect, handover, err); return true })
 }
 
-// resultOf names the result of an order in metrics.
-func resultOf(err error) string {
+// orderResult names the result of an order in metrics.
+func orderResult(err error) string {
 	switch {
 	case err == nil:
 		return "done"
@@ -74,14 +74,14 @@
 
 // writeTask writes the document.
 type writeTask struct {
-	*runner
+	*controller
 
 	effect       owner.WriteDoc
 	leadRevision platform.Revision
 }
 
 func (t *writeTask) run(ctx context.Context) {
-	defer t.work.Done()
+	defer t.tasks.Done()
 	value, err := t.effect.Doc.Encode()
 	if err != nil {
 		t.log.Error("Document not written.", slog.Any("error", err))
@@ -89,8 +89,8 @@
 		return
 	}
 	txn := docTxn(t.service, value, t.effect.Expect, t.leadRevision)
-	revision, err := commitSurely(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.effect.Doc.WriteID)
-	t.post(func(now time.Time) bool { t.ended(now, revision, err); return true })
+	revision, err := commitUntilKnown(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.effect.Doc.WriteID)
+	t.post(func(now time.Time) bool { t.handleResult(now, revision, err); return true })
 }
 
 // docTxn returns the transaction by which a lead writes its service's document:
@@ -103,11 +103,11 @@
 	}
 }
 
-func (t *writeTask) ended(now time.Time, revision platform.Revision, err error) {
+func (t *writeTask) handleResult(now time.Time, revision platform.Revision, err error) {
 	switch {
 	case err == nil:
 		t.core.Written(now, t.effect, revision)
-	case errors.Is(err, errLost):
+	case errors.Is(err, errWriteConflict):
 		t.log.Warn("Document was changed before this write.", slog.Uint64("expected", uint64(t.effect.Expect)))
 		t.core.WriteConflict(t.effect)
 	case errors.Is(err, platform.ErrRestored):
--- a/internal/host/view.go
+++ b/internal/host/view.go
@@ -25,11 +25,11 @@
 	// era is the latest of the store in any list.
 	era      platform.Era
 	configAt time.Time
-	// lists numbers the lists of hosts and targets, fleet that of targets; they
+	// listVersion numbers the lists of hosts and targets, fleet that of targets; they
 	// rise with each change.
-	lists, fleet uint64
-	targets      map[place.Target]place.TargetRow
-	services     map[key.Service][]place.TargetRow
+	listVersion, fleetVersion uint64
+	targets                   map[place.Target]place.TargetRow
+	services                  map[key.Service][]place.TargetRow
 	// departed are the targets that went lately, with the time of it.
 	departed map[place.Target]time.Time
 	members  member.List
@@ -38,31 +38,31 @@
 	// replaced is closed once a newer view is in force.
 	replaced chan struct{}
 
-	ranks *ranks
+	rankCache *rankCache
 }
 
-// ranks caches the order of homes of each pool, and of candidates for the lead of
+// rankCache caches the order of homes of each pool, and of candidates for the lead of
 // each service, by one list of hosts and targets.
-type ranks struct {
-	mu    sync.Mutex
-	pools map[dispatch.PoolID][]place.Host
-	leads map[key.Service][]place.Host
+type rankCache struct {
+	mu      sync.Mutex
+	pools   map[dispatch.PoolID][]place.Host
+	leaders map[key.Service][]place.Host
 }
 
-func newRanks() *ranks {
-	return &ranks{pools: make(map[dispatch.PoolID][]place.Host), leads: make(map[key.Service][]place.Host)}
+func newRankCache() *rankCache {
+	return &rankCache{pools: make(map[dispatch.PoolID][]place.Host), leaders: make(map[key.Service][]place.Host)}
 }
 
-// onePool is the number of targets up to which a keyless service is one pool:
+// maxSinglePool is the number of targets up to which a keyless service is one pool:
 // its home then balances over all zones. Larger ones have a pool a zone.
-const onePool = 48
+const maxSinglePool = 48
 
 // pool returns the pool of a request to a keyless service from a host of the
 // zone.
 func (v *view) pool(service key.Service, zone place.Zone) dispatch.PoolID {
 	id := dispatch.PoolID{Service: service}
 	rows := v.services[service]
-	if len(rows) <= onePool {
+	if len(rows) <= maxSinglePool {
 		return id
 	}
 	for _, row := range rows {
@@ -74,9 +74,9 @@
 	return id
 }
 
-// leaves reports whether a target was seen to leave or go. A home that has not
+// isLeaving reports whether a target was seen to leave or go. A home that has not
 // heard of it yet may still give slots of it.
-func (v *view) leaves(name place.Target) bool {
+func (v *view) isLeaving(name place.Target) bool {
 	if row, ok := v.targets[name]; ok {
 		return row.State == place.Leaving
 	}
@@ -107,9 +107,9 @@
 
 // ranked returns the hosts that may be the home of a pool, best first.
 func (v *view) ranked(pool dispatch.PoolID, self place.Host) []place.Host {
-	v.ranks.mu.Lock()
-	defer v.ranks.mu.Unlock()
-	if out, ok := v.ranks.pools[pool]; ok {
+	v.rankCache.mu.Lock()
+	defer v.rankCache.mu.Unlock()
+	if out, ok := v.rankCache.pools[pool]; ok {
 		return out
 	}
 	zone := pool.Zone
@@ -129,34 +129,34 @@
 	work := string(pool.Service) + "/" + string(pool.Zone) + "/" + string(pool.Target)
 	out := member.Rank(work, hosts)
 	out = append(out[:min(len(out), candidates):min(len(out), candidates)], self)
-	v.ranks.pools[pool] = out
+	v.rankCache.pools[pool] = out
 	return out
 }
 
 // candidates returns the hosts that may lead a service, best first.
 func (v *view) candidates(service key.Service) []place.Host {
-	v.ranks.mu.Lock()
-	defer v.ranks.mu.Unlock()
-	out, ok := v.ranks.leads[service]
+	v.rankCache.mu.Lock()
+	defer v.rankCache.mu.Unlock()
+	out, ok := v.rankCache.leaders[service]
 	if !ok {
 		out = member.RankLeaders(string(rangesPath(service)), v.members.Hosts)
-		v.ranks.leads[service] = out
+		v.rankCache.leaders[service] = out
 	}
 	return out
 }
 
-// viewer makes views of the board's documents.
-type viewer struct {
-	board        *spread.Memory
+// viewBuilder makes views of the board's documents.
+type viewBuilder struct {
+	replica      *spread.Memory
 	log          *slog.Logger
 	decodeConfig func([]byte) (*traffic.Config, error)
 
-	mu      sync.Mutex
-	current *view
-	tracker *fleet.Tracker
-	seen    map[spread.Name]spread.Version
-	// heard are the tables of leads, with the time of each.
-	heard map[key.Service]heardTable
+	mu           sync.Mutex
+	current      *view
+	tracker      *fleet.Tracker
+	readVersions map[spread.Name]spread.Version
+	// published are the tables of leads, with the time of each.
+	published map[key.Service]publishedTable
 	// stored are the store's documents of owners.
 	stored map[key.Service]*storedOwners
 }
@@ -168,41 +168,41 @@
 
 	// table is what follows from it, once it was read; where it is not readable,
 	// from the one before.
-	table *owner.Table
-	read  bool
+	table   *owner.Table
+	decoded bool
 }
 
 // revision returns the store's revision of the document.
 func (s *storedOwners) revision() platform.Revision { return platform.Revision(s.Version.Major) }
 
-// heardTable is a lead's table and when it came.
-type heardTable struct {
+// publishedTable is a lead's table and when it came.
+type publishedTable struct {
 	*owner.Table
 
-	at time.Time
+	receivedAt time.Time
 }
 
-// tableAge is how old a lead's table may be while the store's document is as
+// maxTableAge is how old a lead's table may be while the store's document is as
 // new: leads publish one every second.
-const tableAge = 2500 * time.Millisecond
-
-func newViewer(board *spread.Memory, log *slog.Logger, decode func([]byte) (*traffic.Config, error)) *viewer {
-	return &viewer{
-		board: board, log: log, decodeConfig: decode,
-		tracker: fleet.NewTracker(),
-		seen:    make(map[spread.Name]spread.Version),
-		heard:   make(map[key.Service]heardTable),
-		stored:  make(map[key.Service]*storedOwners),
+const maxTableAge = 2500 * time.Millisecond
+
+func newViewBuilder(board *spread.Memory, log *slog.Logger, decode func([]byte) (*traffic.Config, error)) *viewBuilder {
+	return &viewBuilder{
+		replica: board, log: log, decodeConfig: decode,
+		tracker:      fleet.NewTracker(),
+		readVersions: make(map[spread.Name]spread.Version),
+		published:    make(map[key.Service]publishedTable),
+		stored:       make(map[key.Service]*storedOwners),
 		current: &view{
 			targets: map[place.Target]place.TargetRow{}, services: map[key.Service][]place.TargetRow{},
 			tables: map[key.Service]*owner.Table{}, tableAt: map[key.Service]time.Time{},
-			replaced: make(chan struct{}), ranks: newRanks(),
+			replaced: make(chan struct{}), rankCache: newRankCache(),
 		},
 	}
 }
 
 // view returns the view in force.
-func (v *viewer) view() *view {
+func (v *viewBuilder) view() *view {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.current
@@ -210,7 +210,7 @@
 
 // refresh takes over what is new on the board, or has expired; it reports
 // whether a new view is in force.
-func (v *viewer) refresh(now time.Time) bool {
+func (v *viewBuilder) refresh(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := *v.current
@@ -223,8 +223,8 @@
 	}
 	next.replaced = make(chan struct{})
 	if listed {
-		next.ranks = newRanks()
-		next.lists++
+		next.rankCache = newRankCache()
+		next.listVersion++
 	}
 	old := v.current
 	v.current = &next
@@ -232,29 +232,29 @@
 	return true
 }
 
-// rest returns the time until something in the view may have expired: targets have
+// untilExpiry returns the time until something in the view may have expired: targets have
 // two seconds to be used no more by any host.
-func (v *viewer) rest(now time.Time) time.Duration {
+func (v *viewBuilder) untilExpiry(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	at := v.tracker.NextChange()
 	if at.IsZero() {
-		return viewExpiry
+		return maxExpiryCheckInterval
 	}
-	return min(max(at.Sub(now), 0), viewExpiry)
+	return min(max(at.Sub(now), 0), maxExpiryCheckInterval)
 }
 
 // newer returns a document if it is newer than what was read of it last.
-func (v *viewer) newer(name spread.Name) (spread.Document, bool) {
-	doc, ok := v.board.Get(name)
-	if !ok || !v.seen[name].Less(doc.Version) {
+func (v *viewBuilder) newer(name spread.Name) (spread.Document, bool) {
+	doc, ok := v.replica.Get(name)
+	if !ok || !v.readVersions[name].Less(doc.Version) {
 		return doc, false
 	}
-	v.seen[name] = doc.Version
+	v.readVersions[name] = doc.Version
 	return doc, true
 }
 
-func (v *viewer) readConfig(now time.Time, next *view) bool {
+func (v *viewBuilder) readConfig(now time.Time, next *view) bool {
 	doc, ok := v.newer(docTraffic)
 	if !ok {
 		return false
@@ -276,7 +276,7 @@
 	return true
 }
 
-func (v *viewer) readMembers(next *view) bool {
+func (v *viewBuilder) readMembers(next *view) bool {
 	doc, ok := v.newer(docMembers)
 	if !ok {
 		return false
@@ -294,7 +294,7 @@
 
 // logMembers writes a line for each host that came or went, and one for the first
 // list, which may have thousands.
-func (v *viewer) logMembers(old, list member.List, revision uint64) {
+func (v *viewBuilder) logMembers(old, list member.List, revision uint64) {
 	if len(old.Hosts) == 0 && len(list.Hosts) > 0 {
 		v.log.Info("First list of hosts.", slog.Int("hosts", len(list.Hosts)), slog.Uint64("revision", revision))
 		return
@@ -312,7 +312,7 @@
 	}
 }
 
-func (v *viewer) readTargets(now time.Time, next *view) bool {
+func (v *viewBuilder) readTargets(now time.Time, next *view) bool {
 	doc, ok := v.newer(docTargets)
 	if ok {
 		list, err := fleet.Decode(doc.Body)
@@ -333,22 +333,22 @@
 		services[service] = append(services[service], row)
 	}
 	v.logTargets(next.targets, targets, doc.Version.Major)
-	next.fleet++
+	next.fleetVersion++
 	next.departed = departures(now, next, targets)
 	next.targets, next.services = targets, services
 	return true
 }
 
-// departedFor is how long targets that are gone are known: far longer than the
+// departedTTL is how long targets that are gone are known: far longer than the
 // lists of two hosts differ.
-const departedFor = 20 * time.Second
+const departedTTL = 20 * time.Second
 
 // departures returns the targets that went lately, where targets are those
 // there now.
 func departures(now time.Time, v *view, targets map[place.Target]place.TargetRow) map[place.Target]time.Time {
 	out := make(map[place.Target]time.Time)
 	for name, at := range v.departed {
-		if _, there := targets[name]; !there && now.Sub(at) < departedFor {
+		if _, there := targets[name]; !there && now.Sub(at) < departedTTL {
 			out[name] = at
 		}
 	}
@@ -362,7 +362,7 @@
 
 // logTargets writes a line for each target whose state changed, and one for the
 // first list.
-func (v *viewer) logTargets(old, now map[place.Target]place.TargetRow, revision uint64) {
+func (v *viewBuilder) logTargets(old, now map[place.Target]place.TargetRow, revision uint64) {
 	if len(old) == 0 && len(now) > 0 {
 		v.log.Info("First list of targets.", slog.Int("targets", len(now)), slog.Uint64("revision", revision))
 		return
@@ -383,8 +383,8 @@
 
 // readTables takes over newer tables of leads, and the store's documents where
 // a lead has not been heard for a while.
-func (v *viewer) readTables(now time.Time, next *view) bool {
-	for _, doc := range v.board.List(docRanges) {
+func (v *viewBuilder) readTables(now time.Time, next *view) bool {
+	for _, doc := range v.replica.List(docRanges) {
 		doc, ok := v.newer(doc.Name)
 		if !ok {
 			continue
@@ -394,9 +394,9 @@
 			v.log.Error("Table not readable, the last one stays.", slog.String("document", string(doc.Name)), slog.Any("error", err))
 			continue
 		}
-		v.heard[table.Service] = heardTable{table, now}
+		v.published[table.Service] = publishedTable{table, now}
 	}
-	for _, doc := range v.board.List(docOwners) {
+	for _, doc := range v.replica.List(docOwners) {
 		doc, ok := v.newer(doc.Name)
 		if !ok {
 			continue
@@ -409,8 +409,8 @@
 		v.stored[service] = next
 	}
 	changed := false
-	for service := range v.services() {
-		table, at := v.chosen(now, service)
+	for service := range v.tableServices() {
+		table, at := v.chooseTable(now, service)
 		if table == next.tables[service] {
 			continue
 		}
@@ -423,10 +423,10 @@
 	return changed
 }
 
-// services returns the services of which a table is known.
-func (v *viewer) services() map[key.Service]bool {
-	out := make(map[key.Service]bool, len(v.heard))
-	for service := range v.heard {
+// tableServices returns the services of which a table is known.
+func (v *viewBuilder) tableServices() map[key.Service]bool {
+	out := make(map[key.Service]bool, len(v.published))
+	for service := range v.published {
 		out[service] = true
 	}
 	for service := range v.stored {
@@ -435,26 +435,26 @@
 	return out
 }
 
-// chosen returns the table to use for a service now, and when it was made.
-func (v *viewer) chosen(now time.Time, service key.Service) (*owner.Table, time.Time) {
-	heard, stored := v.heard[service], v.stored[service]
+// chooseTable returns the table to use for a service now, and when it was made.
+func (v *viewBuilder) chooseTable(now time.Time, service key.Service) (*owner.Table, time.Time) {
+	heard, stored := v.published[service], v.stored[service]
 	// Without a lead's table, or where the owners have changed since one was
 	// last heard, the store's document tells them.
-	if stored != nil && (heard.Table == nil || now.Sub(heard.at) >= tableAge && stored.revision() > heard.DocRevision) {
-		if table := v.readOwners(stored); table != nil {
+	if stored != nil && (heard.Table == nil || now.Sub(heard.receivedAt) >= maxTableAge && stored.revision() > heard.DocRevision) {
+		if table := v.decodeOwners(stored); table != nil {
 			return table, now
 		}
 	}
-	return heard.Table, heard.at
+	return heard.Table, heard.receivedAt
 }
 
-// readOwners returns the table that follows from a document of owners, nil where
+// decodeOwners returns the table that follows from a document of owners, nil where
 // it can't be read.
-func (v *viewer) readOwners(s *storedOwners) *owner.Table {
-	if s.read {
+func (v *viewBuilder) decodeOwners(s *storedOwners) *owner.Table {
+	if s.decoded {
 		return s.table
 	}
-	s.read = true
+	s.decoded = true
 	d, err := owner.DecodeDoc(s.Body)
 	if err != nil {
 		v.log.Error("Document not readable, the last one stays.", slog.String("document", string(s.Name)), slog.Any("error", err))
--- a/internal/host/view_test.go
+++ b/internal/host/view_test.go
@@ -17,15 +17,15 @@
 	"citrontray.example/citrontray/internal/spread"
 )
 
-// TestChosenTable: a lead's table is used while it is fresh, and after that
+// TestChooseTable: a lead's table is used while it is fresh, and after that
 // only until the store has newer owners.
-func TestChosenTable(t *testing.T) {
+func TestChooseTable(t *testing.T) {
 	doc := owner.EmptyDoc("s")
 	doc.Rows[0].Target = "t"
 	body, err := doc.Encode()
 	assert.NilError(t, err)
 	table := func(based platform.Revision) *owner.Table { return owner.TableFromDoc(&doc, based) }
-	const fresh, old = time.Second, 2 * tableAge
+	const fresh, old = time.Second, 2 * maxTableAge
 	tests := map[string]struct {
 		heard, stored platform.Revision // revisions that they rest on, 0 for none
 		age           time.Duration
@@ -42,22 +42,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			v := newViewer(spread.New(), journal.Nop(), nil)
+			v := newViewBuilder(spread.New(), journal.Nop(), nil)
 			if test.heard > 0 {
-				v.heard[key.Service("s")] = heardTable{table(test.heard), now.Add(-test.age)}
+				v.published[key.Service("s")] = publishedTable{table(test.heard), now.Add(-test.age)}
 			}
 			if test.stored > 0 {
 				v.stored["s"] = &storedOwners{Document: spread.Document{Version: spread.Version{Major: uint64(test.stored)}, Body: body}}
 			}
-			got, _ := v.chosen(now, "s")
+			got, _ := v.chooseTable(now, "s")
 			assert.Equal(t, test.stored > 0 && got == v.stored["s"].table && got != nil, test.wantStored)
 		})
 	}
 }
 
-// TestLeaves: a target that was seen to leave or go counts as leaving until it
+// TestIsLeaving: a target that was seen to leave or go counts as leaving until it
 // is listed again; one that was never listed may be new.
-func TestLeaves(t *testing.T) {
+func TestIsLeaving(t *testing.T) {
 	live := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
 	leaving := live
 	leaving.State = place.Leaving
@@ -76,7 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			board := spread.New()
-			v := newViewer(board, journal.Nop(), nil)
+			v := newViewBuilder(board, journal.Nop(), nil)
 			for i, rows := range test.lists {
 				// Lists differ, or they are not read again.
 				other := place.TargetRow{Target: place.Target(fmt.Sprint("other-", i)), Incarnation: 1}
@@ -87,29 +87,29 @@
 				v.refresh(now)
 				now = now.Add(time.Second)
 			}
-			assert.Equal(t, v.view().leaves("t"), test.want)
+			assert.Equal(t, v.view().isLeaving("t"), test.want)
 		})
 	}
 }
 
-// TestTargetGoesInTime: a target whose entry is gone is in no view once its grace has
+// TestRemovedTargetExpiresInTime: a target whose entry is gone is in no view once its grace has
 // passed, however long that is before the next look at what has expired. Found by
 // hunt-1288-7 of serantau-dq, where a host used one for 2.2 s.
-func TestTargetGoesInTime(t *testing.T) {
+func TestRemovedTargetExpiresInTime(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1, 1, 2)
-	d.served()
+	d.awaitServed()
 	h := d.hosts[0]
 	const slack = 100 * time.Millisecond // of a machine that is busy
 	for i := range 4 {
 		name := place.Target(fmt.Sprintf("desk-%d", 2+i))
 		r := d.addTarget(name, "desk")
-		d.eventually("the target is there", 5*time.Second, func() bool { _, ok := h.viewer.view().targets[name]; return ok })
-		time.Sleep(time.Duration(i) * viewExpiry / 4) // at another moment between two looks
+		d.eventually("the target is there", 5*time.Second, func() bool { _, ok := h.views.view().targets[name]; return ok })
+		time.Sleep(time.Duration(i) * maxExpiryCheckInterval / 4) // at another moment between two looks
 		d.store.Remove(platform.PathTargets + platform.Path(r.Name))
-		gone := func() bool { _, ok := h.viewer.view().targets[name]; return !ok }
+		gone := func() bool { _, ok := h.views.view().targets[name]; return !ok }
 		noticed := func() bool {
-			doc, ok := h.board.Get(docTargets)
+			doc, ok := h.replica.Get(docTargets)
 			list, err := fleet.Decode(doc.Body)
 			return ok && err == nil && !slices.ContainsFunc(list.Targets, func(row place.TargetRow) bool { return row.Target == name })
 		}
--- a/internal/host/watcher_test.go
+++ b/internal/host/watcher_test.go
@@ -17,9 +17,9 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// TestReadingOfAnother: a watcher leaves the store alone for a while after
+// TestWatcherHandlesDigests: a watcher leaves the store alone for a while after
 // another one has read it, if what that one found is here.
-func TestReadingOfAnother(t *testing.T) {
+func TestWatcherHandlesDigests(t *testing.T) {
 	const here = 7
 	versions := func(traffic uint64) map[spread.Name]uint64 { return map[spread.Name]uint64{docTraffic: traffic} }
 	for name, test := range map[string]struct {
@@ -34,43 +34,43 @@
 		"another one, what it found is old": {own: time.Hour, heard: versions(here - 1), at: time.Millisecond, rests: true},
 		"another one, not here yet":         {own: time.Hour, heard: versions(here + 1), at: time.Millisecond},
 		"another one, owners not here yet":  {own: time.Hour, heard: map[spread.Name]uint64{docTraffic: here, docOwners + "s": 9}, at: time.Millisecond, rests: true},
-		"another one, too long ago":         {own: time.Hour, heard: versions(here), at: readInterval},
+		"another one, too long ago":         {own: time.Hour, heard: versions(here), at: pollInterval},
 		"another one, before this one":      {own: time.Millisecond, heard: versions(here), at: time.Hour, rests: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			board := spread.New()
 			board.PublishRead(spread.Document{Name: docTraffic, Version: spread.Version{Major: here}, Body: []byte("x")})
-			w := &watcher{board: board, readAt: now.Add(-test.own)}
+			w := &watcher{replica: board, readAt: now.Add(-test.own)}
 			if test.heard != nil {
-				w.hear(reading{at: now.Add(-test.at), versions: test.heard})
+				w.receive(digest{receivedAt: now.Add(-test.at), versions: test.heard})
 			}
-			assert.Equal(t, w.rest(now) > 0, test.rests)
+			assert.Equal(t, w.untilNextRead(now) > 0, test.rests)
 		})
 	}
 }
 
-// TestStirred: after something was written that others wait for, the next read
+// TestTriggeredRead: after something was written that others wait for, the next read
 // comes sooner than usual, but not at once again.
-func TestStirred(t *testing.T) {
+func TestTriggeredRead(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := &watcher{board: spread.New(), readAt: now, stirred: make(chan struct{}, 1)}
-	assert.Assert(t, w.rest(now) > stirInterval)
-	w.stir(now.Add(time.Millisecond))
-	assert.Equal(t, w.rest(now), stirInterval)
-	w.readAt = now.Add(stirInterval)
-	assert.Assert(t, w.rest(w.readAt) > stirInterval)
+	w := &watcher{replica: spread.New(), readAt: now, triggered: make(chan struct{}, 1)}
+	assert.Assert(t, w.untilNextRead(now) > minPollInterval)
+	w.trigger(now.Add(time.Millisecond))
+	assert.Equal(t, w.untilNextRead(now), minPollInterval)
+	w.readAt = now.Add(minPollInterval)
+	assert.Assert(t, w.untilNextRead(w.readAt) > minPollInterval)
 }
 
-// TestConfigurationOnce: watchers that read the store at different times give the
+// TestConfigVersionIsStable: watchers that read the store at different times give the
 // same configuration the same version. It is large, and would go to every host
 // once for each of them.
-func TestConfigurationOnce(t *testing.T) {
+func TestConfigVersionIsStable(t *testing.T) {
 	store := standin.NewSessions()
 	store.Set(platform.PathConfig, []byte("one"))
 	version := func() spread.Version {
 		board := spread.New()
-		w := &watcher{store: store, board: board, log: journal.Nop(), configVersion: noVersion}
+		w := &watcher{store: store, replica: board, log: journal.Nop(), configVersion: noVersion}
 		assert.NilError(t, w.read(context.Background()))
 		doc, ok := board.Get(docTraffic)
 		assert.Assert(t, ok)
@@ -83,13 +83,13 @@
 	assert.Assert(t, first.Less(version()))
 }
 
-// TestUnsureWatcher: what a watcher reads right after the store turned it away
+// TestUnsureWatcherSendsNoDigest: what a watcher reads right after the store turned it away
 // does not keep others from reading for themselves.
-func TestUnsureWatcher(t *testing.T) {
+func TestUnsureWatcherSendsNoDigest(t *testing.T) {
 	store, board := standin.NewSessions(), spread.New()
 	var told atomic.Int32
 	w := &watcher{
-		store: store, board: board, log: journal.Nop(), tell: func(reading) { told.Add(1) }, configVersion: noVersion,
+		store: store, replica: board, log: journal.Nop(), broadcast: func(digest) { told.Add(1) }, configVersion: noVersion,
 		decodeTarget: func(place.Target, []byte) (place.TargetRow, error) { return place.TargetRow{}, nil },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -25,13 +25,13 @@
 	Admin netip.AddrPort
 	// Seeds are hosts to start from; they may be stale.
 	Seeds []Seed
-	// First tells that the whole deployment starts for the first time.
-	First bool
-	// Processor is the share of a core that the machine has.
-	Processor float64
+	// FirstStart tells that the whole deployment starts for the first time.
+	FirstStart bool
+	// CPUShare is the share of a core that the machine has.
+	CPUShare float64
 	// MemoryBytes is what a process may use, Descriptors how many files.
 	MemoryBytes int64
-	Descriptors int
+	MaxFiles    int
 	Bounds      Bounds
 }
 
@@ -44,17 +44,17 @@
 	Drain time.Duration
 	// Grace is the time from the signal to stop to the end of the process.
 	Grace time.Duration
-	// Apply is the time within which a configuration is in force everywhere.
-	Apply time.Duration
-	// HoldMax is the longest grant that a target takes.
-	HoldMax time.Duration
-	// Reuse is how long the address of a target that ended stays unused.
-	Reuse time.Duration
+	// ConfigApply is the time within which a configuration is in force everywhere.
+	ConfigApply time.Duration
+	// MaxGrantDuration is the longest grant that a target takes.
+	MaxGrantDuration time.Duration
+	// AddrReuse is how long the address of a target that ended stays unused.
+	AddrReuse time.Duration
 	// Heartbeat is the time between two signs of life of a target.
 	Heartbeat time.Duration
-	// SessionMin is the shortest session that the store takes.
-	SessionMin time.Duration
-	Retry      RetryBudget
+	// MinSessionTTL is the shortest session that the store takes.
+	MinSessionTTL time.Duration
+	Retry         RetryBudget
 }
 
 // RetryBudget bounds how often requests are sent again, over all hosts: in any
