--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 SEED ?= $(shell date +%s)
 RULES ?= 0
 BINARIES = citrontray-entry citrontray-lead citrontray-host citrontray citrontray-lab
-DECISIONS = ./internal/owner/... ./internal/dispatch/... ./internal/partition/... ./internal/member/... ./internal/traffic/... ./internal/cell/... ./internal/placement/... ./internal/queue/... ./internal/settings/... ./internal/spread/... ./internal/custody/... ./internal/load/...
+DECISIONS = ./internal/owner/... ./internal/dispatch/... ./internal/partition/... ./internal/member/... ./internal/traffic/... ./internal/cell/... ./internal/placement/... ./internal/queue/... ./internal/settings/... ./internal/docsync/... ./internal/custody/... ./internal/load/...
 
 .PHONY: help build test race fmt fmt-check lint vet demo bench soak soak-path soak-processes capacity ci clean
 
--- a/cmd/citrontray-host/main.go
+++ b/cmd/citrontray-host/main.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"citrontray.example/citrontray/internal/host"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/keys"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/option"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/site"
@@ -62,8 +62,8 @@
 	return host.Main(host.Environment{
 		Site:   s,
 		Store:  platform.NewStore(store),
-		Orders: platform.Orders{},
-		Names:  platform.Names(),
+		Orders: platform.OrderDialer{},
+		Names:  platform.HeaderNames(),
 		Dial: func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", addr.String())
 		},
@@ -74,6 +74,6 @@
 			s, _, err := platform.ReadSite(config)
 			return s, err
 		},
-		Journal: journal.NewBounded(os.Stdout, level),
+		Journal: logging.NewBoundedHandler(os.Stdout, level),
 	})
 }
--- a/cmd/citrontray/deploy_test.go
+++ b/cmd/citrontray/deploy_test.go
@@ -15,13 +15,13 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/outcome"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/preset"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // deployHosts is the number of entry hosts of a script, one in each zone.
@@ -80,19 +80,19 @@
 // startTargets starts the preset's targets until the script ends. At the end,
 // the targets' own record must show no key owned twice.
 func startTargets(ts *testscript.TestScript, p preset.Preset, store *faultyStore) {
-	groups := make([]standin.Group, 0, len(p.Services))
+	groups := make([]fake.TargetGroup, 0, len(p.Services))
 	for _, s := range p.Services {
-		groups = append(groups, standin.Group{Count: s.Targets, TargetConfig: standin.TargetConfig{
-			Service: s.Name, Slots: 3, Connections: 130, Work: time.Millisecond, ChecksTerms: true,
+		groups = append(groups, fake.TargetGroup{Count: s.Targets, TargetConfig: fake.TargetConfig{
+			Service: s.Name, Slots: 3, Connections: 130, MeanWork: time.Millisecond, ChecksTerms: true,
 		}})
 	}
-	farm := standin.NewFarm(groups, p.Zones)
+	farm := fake.NewTargetSet(groups, p.Zones)
 	ts.Check(farm.Start())
 	ts.Defer(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		farm.Stop(ctx)
-		if found := farm.Ledger.Findings(); len(found) > 0 {
+		if found := farm.Ledger.Violations(); len(found) > 0 {
 			ts.Fatalf("targets: %s", strings.Join(found, "; "))
 		}
 	})
--- a/cmd/citrontray/script_test.go
+++ b/cmd/citrontray/script_test.go
@@ -15,17 +15,17 @@
 	"github.com/rogpeppe/go-internal/testscript"
 	"golang.org/x/sync/errgroup"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/entry"
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/lead"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/operator"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/preset"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
-	"citrontray.example/citrontray/internal/standin"
 	"citrontray.example/citrontray/internal/status"
 )
 
@@ -67,13 +67,13 @@
 // awaitSettings is the script command that waits until the host has settings
 // from the store.
 func awaitSettings(ts *testscript.TestScript, _ bool, _ []string) {
-	board, ok := ts.Value(boardKey{}).(spread.Board)
+	board, ok := ts.Value(boardKey{}).(docsync.Replica)
 	if !ok {
 		ts.Fatalf("no board")
 	}
-	news := board.Subscribe(spread.Settings)
+	news := board.Subscribe(docsync.Settings)
 	for {
-		if _, ok := board.Get(spread.Settings); ok {
+		if _, ok := board.Get(docsync.Settings); ok {
 			return
 		}
 		select {
@@ -87,7 +87,7 @@
 // setUp starts a stand-in platform, an operators' API on it and one daemon's
 // status page for a script.
 func setUp(env *testscript.Env) error {
-	store := &faultyStore{Platform: standin.NewPlatform()}
+	store := &faultyStore{Platform: fake.NewPlatform()}
 	env.Values[storeKey{}] = store
 	client := func(addr string) platform.Store {
 		return platform.NewClient(platform.ClientConfig{
@@ -127,7 +127,7 @@
 
 // faultyStore loses the answers of the next writes, after they took effect.
 type faultyStore struct {
-	*standin.Platform
+	*fake.Platform
 	lose atomic.Int64
 }
 
@@ -135,7 +135,7 @@
 func (s *faultyStore) Write(ctx context.Context, path platform.Path, value []byte, expect platform.Revision) (platform.Revision, error) {
 	revision, err := s.Platform.Write(ctx, path, value, expect)
 	if err == nil && s.lose.Add(-1) >= 0 {
-		return 0, platform.ErrUnknown
+		return 0, platform.ErrOutcomeUnknown
 	}
 	return revision, err
 }
@@ -155,10 +155,10 @@
 	if err != nil {
 		return "", err
 	}
-	board := spread.New()
+	board := docsync.New()
 	env.Values[boardKey{}] = board
 	listener, err := operator.Listen(netip.AddrPortFrom(loopback, 0), material.OperatorTLS(), operator.NewServer(operator.ServerConfig{
-		Store: store, Board: board, Bootstrap: settings.HashCredential(bootstrap), Log: journal.Nop(),
+		Store: store, Board: board, Bootstrap: settings.HashCredential(bootstrap), Log: logging.Nop(),
 	}))
 	if err != nil {
 		return "", err
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error { return listener.Run(ctx) })
-	group.Go(func() error { return spread.NewWatcher(store, board, journal.Nop()).Run(ctx) })
+	group.Go(func() error { return docsync.NewWatcher(store, board, logging.Nop()).Run(ctx) })
 	env.Defer(func() {
 		cancel()
 		_ = group.Wait()
@@ -200,10 +200,10 @@
 	if !ok {
 		ts.Fatalf("no store")
 	}
-	faults, ok := map[string]standin.PlatformFaults{
+	faults, ok := map[string]fake.PlatformFaults{
 		"on":   {},
 		"out":  {Down: true},
-		"old":  {OldValues: true},
+		"old":  {StaleReads: true},
 		"lose": {},
 	}[args[0]]
 	if !ok {
--- a/internal/bench/act.go
+++ b/internal/bench/act.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // The parts of answers that go wrong.
@@ -27,26 +27,26 @@
 	case ThawTarget:
 		r.target(a.Target).Thaw()
 	case StoreDown:
-		r.platform.SetFaults(standin.PlatformFaults{Down: true})
+		r.platform.SetFaults(fake.PlatformFaults{Down: true})
 	case StoreSlow:
-		r.platform.SetFaults(standin.PlatformFaults{SlowMin: slowMin, SlowMax: slowMax})
+		r.platform.SetFaults(fake.PlatformFaults{SlowMin: slowMin, SlowMax: slowMax})
 	case StoreLosesAnswers:
-		r.platform.SetFaults(standin.PlatformFaults{LoseAnswers: lostAnswers})
+		r.platform.SetFaults(fake.PlatformFaults{LoseResponses: lostAnswers})
 	case Misbehave:
-		r.target(a.Target).SetFaults(standin.TargetFaults{
-			Cut: badAnswers, Crossed: badAnswers, Truncated: badAnswers,
-			Late: badAnswers / 5, Oversized: badAnswers / 5,
+		r.target(a.Target).SetFaults(fake.TargetFaults{
+			Reset: badAnswers, SwapResponse: badAnswers, Truncated: badAnswers,
+			DelayResponse: badAnswers / 5, Oversized: badAnswers / 5,
 		})
 	case StoreUp:
-		r.platform.SetFaults(standin.PlatformFaults{})
+		r.platform.SetFaults(fake.PlatformFaults{})
 	case CutZone:
-		r.platform.SetFaults(standin.PlatformFaults{CutZones: []place.Zone{r.Preset.Zones[a.Zone]}})
+		r.platform.SetFaults(fake.PlatformFaults{PartitionedZones: []place.Zone{r.Preset.Zones[a.Zone]}})
 	case SplitZone:
-		r.platform.SetFaults(standin.PlatformFaults{CutZones: []place.Zone{r.Preset.Zones[a.Zone]}})
-		r.network.Cut(r.Preset.Zones[a.Zone])
+		r.platform.SetFaults(fake.PlatformFaults{PartitionedZones: []place.Zone{r.Preset.Zones[a.Zone]}})
+		r.network.Partition(r.Preset.Zones[a.Zone])
 	case JoinZone:
-		r.network.Cut()
-		r.platform.SetFaults(standin.PlatformFaults{})
+		r.network.Partition()
+		r.platform.SetFaults(fake.PlatformFaults{})
 	case SetLoad:
 		r.measured.SetFactor(a.Load / r.Scenario.Load)
 	case SetHot:
@@ -90,7 +90,7 @@
 }
 
 // target returns a target by its number within the deployment.
-func (r *Run) target(n int) *standin.Target { return r.farm.Targets()[n] }
+func (r *Run) target(n int) *fake.Target { return r.farm.Targets()[n] }
 
 // chooseLead picks the lead of the cell that the first target is in.
 func (r *Run) chooseLead() error {
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -10,9 +10,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/load"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 func TestDirectorAsksALineAtATime(t *testing.T) {
@@ -82,15 +82,15 @@
 	cut := load.Summary{Counts: load.Counts{Done: 1}, Reasons: map[string]uint64{"answer-cut": 2}}
 	tests := map[string]struct {
 		scenario Scenario
-		ledger   standin.LedgerCounts
+		ledger   fake.LedgerCounts
 		summary  load.Summary
 		broken   string
 	}{
 		"all held":                    {summary: load.Summary{Counts: load.Counts{Done: 1}}},
 		"cut by a fault":              {summary: cut},
 		"cut though nothing failed":   {scenario: Scenario{Planned: true}, summary: cut, broken: "2 requests cut though nothing failed"},
-		"doubled owner":               {ledger: standin.LedgerCounts{DoubledOwner: 1}, summary: cut, broken: "1 doubled owners"},
-		"doubled run":                 {ledger: standin.LedgerCounts{DoubledRun: 1}, summary: cut, broken: "1 doubled runs"},
+		"doubled owner":               {ledger: fake.LedgerCounts{DuplicateOwners: 1}, summary: cut, broken: "1 doubled owners"},
+		"doubled run":                 {ledger: fake.LedgerCounts{DuplicateRuns: 1}, summary: cut, broken: "1 doubled runs"},
 		"false not-run":               {summary: load.Summary{FalseNotRun: 3, Counts: load.Counts{Done: 1}}, broken: "3 answers said not-run of what ran"},
 		"done, never ran":             {summary: load.Summary{Unrun: 1, Counts: load.Counts{Done: 1}}, broken: "1 answers said done of what did not run"},
 		"no answer":                   {summary: load.Summary{Counts: load.Counts{Done: 1, Lost: 1}}, broken: "1 requests without an answer"},
@@ -99,7 +99,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &Run{Config: Config{Scenario: tt.scenario}, farm: standin.NewFarm(nil, nil)}
+			r := &Run{Config: Config{Scenario: tt.scenario}, farm: fake.NewTargetSet(nil, nil)}
 			got := r.broken(snapshot{ledger: tt.ledger}, tt.summary)
 			assert.Equal(t, strings.Join(got, "; "), tt.broken)
 		})
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/load"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // leavingBound is for how long a leaving target may get new work.
@@ -39,8 +39,8 @@
 // snapshot is the state of all counts at one time.
 type snapshot struct {
 	at       time.Time
-	platform standin.PlatformCounts
-	ledger   standin.LedgerCounts
+	platform fake.PlatformCounts
+	ledger   fake.LedgerCounts
 	served   map[key.Service][]uint64
 	usage    map[Part]map[string]Usage
 }
@@ -72,11 +72,11 @@
 	report.addLoad(summary)
 	add("imbalance", imbalance(before.served, after.served), "ratio")
 	add("moves", float64(after.ledger.Moves-before.ledger.Moves), "1")
-	add("doubled_owner", float64(after.ledger.DoubledOwner), "1")
-	add("doubled_run", float64(after.ledger.DoubledRun), "1")
+	add("doubled_owner", float64(after.ledger.DuplicateOwners), "1")
+	add("doubled_run", float64(after.ledger.DuplicateRuns), "1")
 	add("sheds", float64(after.ledger.Sheds-before.ledger.Sheds), "1")
 	add("misrouted", float64(after.ledger.Misrouted-before.ledger.Misrouted), "1")
-	add("refused_connections", float64(after.ledger.Refused-before.ledger.Refused), "1")
+	add("refused_connections", float64(after.ledger.RefusedConns-before.ledger.RefusedConns), "1")
 	add("store_reads_s", perSecond(after.platform.Reads-before.platform.Reads), "1/s")
 	add("store_writes_s", perSecond(after.platform.Writes-before.platform.Writes), "1/s")
 	r.addUsage(add, before, after, span)
@@ -184,8 +184,8 @@
 			out = append(out, fmt.Sprintf("%d %s", n, text))
 		}
 	}
-	check(after.ledger.DoubledOwner, "doubled owners")
-	check(after.ledger.DoubledRun, "doubled runs")
+	check(after.ledger.DuplicateOwners, "doubled owners")
+	check(after.ledger.DuplicateRuns, "doubled runs")
 	check(s.FalseNotRun, "answers said not-run of what ran")
 	check(s.Unrun, "answers said done of what did not run")
 	check(s.Lost, "requests without an answer")
@@ -196,7 +196,7 @@
 	if s.Done == 0 && r.Scenario.Load > 0 {
 		out = append(out, "nothing was done")
 	}
-	return append(out, r.farm.Ledger.Findings()...)
+	return append(out, r.farm.Ledger.Violations()...)
 }
 
 // imbalance is the busiest target's load over the mean, of the service where
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -13,12 +13,12 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/load"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/preset"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 const (
@@ -55,9 +55,9 @@
 type Run struct {
 	Config
 
-	platform *standin.Platform
-	farm     *standin.Farm
-	network  *standin.Network
+	platform *fake.Platform
+	farm     *fake.TargetSet
+	network  *fake.Network
 	balancer *load.Balancer
 	plan     load.Plan
 	measured *load.Generator
@@ -68,14 +68,14 @@
 
 // leaving is a target that was told to leave.
 type leaving struct {
-	target *standin.Target
+	target *fake.Target
 	since  time.Time
 }
 
 // New returns a run.
 func New(config Config) *Run {
-	r := &Run{Config: config, platform: standin.NewPlatform(), network: standin.NewNetwork()}
-	r.farm = standin.NewFarm(load.Groups(config.Preset, config.Settings, config.Scenario.slowdown()), config.Preset.Zones)
+	r := &Run{Config: config, platform: fake.NewPlatform(), network: fake.NewNetwork()}
+	r.farm = fake.NewTargetSet(load.Groups(config.Preset, config.Settings, config.Scenario.slowdown()), config.Preset.Zones)
 	r.balancer = load.NewBalancer(EntryHosts(config.Hosts))
 	r.plan = load.NewPlan(config.Preset, config.Settings, config.Scenario.Load, config.Scenario.slowdown())
 	r.plan.Hot = config.Scenario.Hot
--- a/internal/bench/watch.go
+++ b/internal/bench/watch.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 const (
@@ -23,7 +23,7 @@
 // Convergence measures how long an accepted revision of the settings takes to
 // be in force at each daemon, and whether any daemon ever went back.
 type Convergence struct {
-	platform *standin.Platform
+	platform *fake.Platform
 	client   *http.Client
 	daemons  []netip.AddrPort
 
@@ -42,7 +42,7 @@
 }
 
 // NewConvergence returns a measurement over the daemons' admin addresses.
-func NewConvergence(p *standin.Platform, daemons []netip.AddrPort) *Convergence {
+func NewConvergence(p *fake.Platform, daemons []netip.AddrPort) *Convergence {
 	return &Convergence{
 		platform: p,
 		client:   &http.Client{Timeout: watchTimeout},
--- a/internal/bench/watch_test.go
+++ b/internal/bench/watch_test.go
@@ -12,8 +12,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // daemonFake shows a revision on its status page.
@@ -28,7 +28,7 @@
 }
 
 func TestConvergence(t *testing.T) {
-	p := standin.NewPlatform()
+	p := fake.NewPlatform()
 	daemons := []*daemonFake{{form: `{"revision":%d}`}, {form: `{"settings":{"revision":%d}}`}}
 	addrs := make([]netip.AddrPort, len(daemons))
 	for i, daemon := range daemons {
--- a/internal/cell/codec.go
+++ b/internal/cell/codec.go
@@ -97,7 +97,7 @@
 	switch m := m.(type) {
 	case Heartbeat:
 		w := wireMessage{
-			Kind: wireHeartbeat, Term: uint64(m.Term), SentAt: wire.Nanos(m.SentAt),
+			Kind: wireHeartbeat, Term: uint64(m.Term), SentAt: wire.UnixNano(m.SentAt),
 			Flag: m.Deputy, Revision: uint64(m.Revision),
 		}
 		if m.Doc != nil {
@@ -107,7 +107,7 @@
 		return w
 	case Promise:
 		return wireMessage{
-			Kind: wirePromise, Term: uint64(m.Term), SentAt: wire.Nanos(m.SentAt),
+			Kind: wirePromise, Term: uint64(m.Term), SentAt: wire.UnixNano(m.SentAt),
 			Flag: m.ReadStore, Incarnation: uint64(m.Incarnation),
 			Revision: uint64(m.Revision),
 		}
--- a/internal/cell/publish.go
+++ b/internal/cell/publish.go
@@ -25,23 +25,23 @@
 	t := table.Table{
 		Service: c.cfg.ID.Service, Zone: c.cfg.ID.Zone,
 		Version: table.Version{Term: c.doc.Term, Sequence: c.published},
-		Lead:    c.cfg.Self, LeadAddr: c.cfg.SelfAddr, Shards: c.cfg.Shards,
+		Leader:  c.cfg.Self, LeaderAddr: c.cfg.SelfAddr, Shards: c.cfg.Shards,
 		Targets: make([]table.Target, 0, len(c.doc.Targets)),
 		Rows:    make([]table.Row, 0, len(c.doc.Rows)),
 	}
 	for _, m := range c.doc.Targets {
-		t.Targets = append(t.Targets, table.Target{Target: m.Target, Addr: m.Addr, Leaving: m.Leaving, Since: m.Since})
+		t.Targets = append(t.Targets, table.Target{Name: m.Target, Addr: m.Addr, Leaving: m.Leaving, WarmupStart: m.Since})
 	}
 	for i := range c.doc.Rows {
 		r := c.row(i)
-		row := table.Row{Shard: r.Shard, Epoch: r.Epoch, Owner: table.None}
+		row := table.Row{Shard: r.Shard, Epoch: r.Epoch, Owner: table.NoOwner}
 		if c.rows[i].served && r.Owner != NoTarget {
-			row.Owner = table.Index(r.Owner)
+			row.Owner = table.TargetIndex(r.Owner)
 		}
 		t.Rows = append(t.Rows, row)
 	}
 	for _, s := range c.doc.Solos {
-		t.Solos = append(t.Solos, table.Solo{Hash: s.Hash, Shard: s.Shard})
+		t.SingleKeys = append(t.SingleKeys, table.SingleKey{Hash: s.Hash, Shard: s.Shard})
 	}
 	return t
 }
--- a/internal/cell/wire.go
+++ b/internal/cell/wire.go
@@ -101,7 +101,7 @@
 		Zone:        string(d.ID.Zone),
 		Term:        uint64(d.Term),
 		Lead:        string(d.Lead),
-		LeadAddr:    wire.AddrText(d.LeadAddr),
+		LeadAddr:    wire.FormatAddr(d.LeadAddr),
 		Incarnation: uint64(d.LeadIncarnation),
 		WriteID:     d.WriteID,
 		NextSolo:    uint32(d.NextSolo),
@@ -144,7 +144,7 @@
 		ID:              ID{Service: key.Service(w.Service), Zone: place.Zone(w.Zone)},
 		Term:            grant.Term(w.Term),
 		Lead:            place.Host(w.Lead),
-		LeadAddr:        wire.Addr(w.LeadAddr),
+		LeadAddr:        wire.ParseAddr(w.LeadAddr),
 		LeadIncarnation: place.Incarnation(w.Incarnation),
 		WriteID:         w.WriteID,
 		NextSolo:        key.Shard(w.NextSolo),
@@ -184,21 +184,21 @@
 
 func targetToWire(t TargetDoc) wireTarget {
 	return wireTarget{
-		Target: string(t.Target), Addr: wire.AddrText(t.Addr), Leaving: t.Leaving,
-		Since: wire.Nanos(t.Since), Incarnation: uint64(t.Incarnation),
+		Target: string(t.Target), Addr: wire.FormatAddr(t.Addr), Leaving: t.Leaving,
+		Since: wire.UnixNano(t.Since), Incarnation: uint64(t.Incarnation),
 	}
 }
 
 func targetFromWire(w wireTarget) TargetDoc {
 	return TargetDoc{
-		Target: place.Target(w.Target), Addr: wire.Addr(w.Addr), Leaving: w.Leaving,
+		Target: place.Target(w.Target), Addr: wire.ParseAddr(w.Addr), Leaving: w.Leaving,
 		Since: wire.Time(w.Since), Incarnation: place.Incarnation(w.Incarnation),
 	}
 }
 
 func moveToWire(m Move) wireMove {
 	return wireMove{
-		At: wire.Nanos(m.At), Shard: uint32(m.Shard), Epoch: uint64(m.Epoch),
+		At: wire.UnixNano(m.At), Shard: uint32(m.Shard), Epoch: uint64(m.Epoch),
 		From: string(m.From), To: string(m.To), Evidence: evidenceToWire(m.Evidence),
 	}
 }
@@ -215,7 +215,7 @@
 	case grant.Released:
 		return wireEvidence{Kind: wireReleased, First: uint64(e.Epoch)}
 	case grant.Expired:
-		return wireEvidence{Kind: wireLapsed, First: uint64(wire.Nanos(e.Since))}
+		return wireEvidence{Kind: wireLapsed, First: uint64(wire.UnixNano(e.Since))}
 	case grant.Restarted:
 		return wireEvidence{Kind: wireRestarted, First: uint64(e.Old), Second: uint64(e.New)}
 	case grant.Declared:
--- a/internal/spread/delta_bench_test.go
+++ b/internal/docsync/delta_bench_test.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"fmt"
@@ -15,27 +15,27 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// routing returns the encoded table of a cell with 20 targets, with every
+// encodedTable returns the encoded table of a cell with 20 targets, with every
 // shard at an epoch of its own, after some moves.
-func routing(tb testing.TB, rows, moves int) []byte {
+func encodedTable(tb testing.TB, rows, moves int) []byte {
 	tb.Helper()
 	const targets = 20
 	t := table.Table{Service: "balance", Zone: "zone-a", Shards: key.ShardCount(rows), Version: table.Version{Term: 3, Sequence: uint64(moves)}}
 	for i := range targets {
 		t.Targets = append(t.Targets, table.Target{
-			Target: place.Target(fmt.Sprintf("balance-%02d", i)),
-			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 8000),
-			Since:  time.Unix(1_700_000_000, 0),
+			Name:        place.Target(fmt.Sprintf("balance-%02d", i)),
+			Addr:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 8000),
+			WarmupStart: time.Unix(1_700_000_000, 0),
 		})
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range rows {
-		t.Rows = append(t.Rows, table.Row{Shard: key.Shard(i), Epoch: grant.Epoch(random.IntN(40) + 1), Owner: table.Index(random.IntN(targets))})
+		t.Rows = append(t.Rows, table.Row{Shard: key.Shard(i), Epoch: grant.Epoch(random.IntN(40) + 1), Owner: table.TargetIndex(random.IntN(targets))})
 	}
 	for i := range moves {
 		row := &t.Rows[i*104729%rows]
 		row.Epoch++
-		row.Owner = table.Index((int(row.Owner) + 1) % targets)
+		row.Owner = table.TargetIndex((int(row.Owner) + 1) % targets)
 	}
 	data, err := table.Encode(t)
 	if err != nil {
@@ -50,8 +50,8 @@
 	for _, rows := range []int{256, 1024, 4096} {
 		for _, moves := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("rows=%d/moves=%d", rows, moves), func(b *testing.B) {
-				base, next := routing(b, rows, 0), routing(b, rows, moves)
-				whole := packWhole(Document{Body: next})
+				base, next := encodedTable(b, rows, 0), encodedTable(b, rows, moves)
+				whole := encodeFull(Document{Body: next})
 				var delta []byte
 				for b.Loop() {
 					delta = deltaOf(b, next, base)
@@ -64,11 +64,11 @@
 	}
 }
 
-func BenchmarkOpenDelta(b *testing.B) {
-	base, next := routing(b, 1024, 0), routing(b, 1024, 10)
+func BenchmarkDecodeDelta(b *testing.B) {
+	base, next := encodedTable(b, 1024, 0), encodedTable(b, 1024, 10)
 	delta := deltaOf(b, next, base)
 	for b.Loop() {
-		if _, err := expand(delta, base); err != nil {
+		if _, err := decompress(delta, base); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/spread/spread.go
+++ b/internal/docsync/docsync.go
@@ -1,6 +1,6 @@
-// Package spread passes documents between hosts: newest version wins, no host
+// Package docsync passes documents between hosts: newest version wins, no host
 // ever goes back to an older one.
-package spread
+package docsync
 
 // Name names a document, such as "settings" or "table/balance/zone-a".
 type Name string
@@ -35,9 +35,9 @@
 	Body    []byte
 }
 
-// Board holds the newest version of each document that this process knows and
+// Replica holds the newest version of each document that this process knows and
 // tells subscribers of newer ones. Safe for concurrent use.
-type Board interface {
+type Replica interface {
 	// Publish offers a version; it reports whether it was newer.
 	Publish(doc Document) bool
 	// Get returns the newest known version.
--- a/internal/spread/parcel.go
+++ b/internal/docsync/encoding.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"errors"
@@ -10,63 +10,63 @@
 )
 
 const (
-	// deltaFrom is the size of a body, in bytes, from which deltas are made.
-	deltaFrom = 1 << 10
-	// packFrom is the size of a body, in bytes, from which it is compressed.
-	packFrom = 256
-	// windowBytes is the window of the encoder: it covers a large document
+	// minDeltaBytes is the size of a body, in bytes, from which deltas are made.
+	minDeltaBytes = 1 << 10
+	// minCompressBytes is the size of a body, in bytes, from which it is compressed.
+	minCompressBytes = 256
+	// maxWindowBytes is the window of the encoder: it covers a large document
 	// and its base.
-	windowBytes = 2 * MaxDocument
+	maxWindowBytes = 2 * MaxDocumentBytes
 )
 
-// form tells how a document's body travels.
-type form uint8
+// encoding tells how a document's body travels.
+type encoding uint8
 
 const (
-	formRaw    form = iota + 1
-	formPacked      // compressed
-	formDelta       // compressed against the body of the base version
+	encodingRaw   encoding = iota + 1
+	encodingZstd           // compressed
+	encodingDelta          // compressed against the body of the base version
 )
 
-// parcel is a document on its way.
-type parcel struct {
-	name    Name
-	version Version
-	form    form
-	base    Version // for formDelta
-	payload []byte
+// encodedDoc is a document on its way.
+type encodedDoc struct {
+	name     Name
+	version  Version
+	encoding encoding
+	base     Version // for formDelta
+	payload  []byte
 }
 
-// errBase is returned where the base of a delta is not known here.
-var errBase = errors.New("spread: base of a delta is unknown")
+// errUnknownBase is returned where the base of a delta is not known here.
+var errUnknownBase = errors.New("spread: base of a delta is unknown")
 
-// errParcel is returned for a parcel that can't be opened.
-var errParcel = errors.New("spread: malformed document")
+// errMalformedDoc is returned for a parcel that can't be opened.
+var errMalformedDoc = errors.New("spread: malformed document")
 
-// pack returns the newest version of a document for a process that has the
+// encode returns the newest version of a document for a process that has the
 // version base, as a delta where this board still knows that version.
-func (m *Memory) pack(name Name, base Version) (parcel, bool) {
+func (m *MemoryReplica) encode(name Name, base Version) (encodedDoc, bool) {
 	m.mu.Lock()
-	r := m.rows[name]
+	r := m.docs[name]
 	if r == nil {
 		m.mu.Unlock()
-		return parcel{}, false
+		return encodedDoc{}, false
 	}
 	doc, old := r.Document, r.body(base)
-	if old == nil || len(doc.Body) < deltaFrom {
+	if old == nil || len(doc.Body) < minDeltaBytes {
 		base, old = Version{}, nil
 	}
-	packed, cached := r.packed[base]
+	packed, cached := r.encodings[base]
 	m.mu.Unlock()
 	if !cached {
-		packed = packDocument(doc, base, old)
+		packed = encodeDoc(doc, base, old)
 		m.cache(base, packed)
 	}
 	return packed, true
 }
 
 // body returns the body that the row had at a version, nil where it is gone.
-func (r *row) body(at Version) []byte {
+func (r *docState) body(at Version) []byte {
 	i := slices.IndexFunc(r.older, func(d Document) bool { return d.Version == at })
 	if i < 0 {
 		return nil
@@ -75,70 +75,70 @@
 }
 
 // cache keeps a parcel for others that ask from the same base.
-func (m *Memory) cache(base Version, p parcel) {
+func (m *MemoryReplica) cache(base Version, p encodedDoc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := m.rows[p.name]
+	r := m.docs[p.name]
 	if r.Version != p.version {
 		return
 	}
-	if r.packed == nil {
-		r.packed = make(map[Version]parcel, keptVersions+1)
+	if r.encodings == nil {
+		r.encodings = make(map[Version]encodedDoc, maxOlderVersions+1)
 	}
-	r.packed[base] = p
+	r.encodings[base] = p
 }
 
-// packDocument returns a document as a delta against old, the body of the base
+// encodeDoc returns a document as a delta against old, the body of the base
 // version, or whole where that is nil or most of it has changed.
-func packDocument(doc Document, base Version, old []byte) parcel {
+func encodeDoc(doc Document, base Version, old []byte) encodedDoc {
 	if old == nil {
-		return packWhole(doc)
+		return encodeFull(doc)
 	}
 	delta, err := compressDelta(doc.Body, old)
 	if err != nil || len(delta) > len(doc.Body)/2 {
-		return packWhole(doc)
+		return encodeFull(doc)
 	}
-	return parcel{name: doc.Name, version: doc.Version, form: formDelta, base: base, payload: delta}
+	return encodedDoc{name: doc.Name, version: doc.Version, encoding: encodingDelta, base: base, payload: delta}
 }
 
-func packWhole(doc Document) parcel {
-	p := parcel{name: doc.Name, version: doc.Version, form: formRaw, payload: doc.Body}
-	if len(doc.Body) < packFrom {
+func encodeFull(doc Document) encodedDoc {
+	p := encodedDoc{name: doc.Name, version: doc.Version, encoding: encodingRaw, payload: doc.Body}
+	if len(doc.Body) < minCompressBytes {
 		return p
 	}
 	if packed := compress(doc.Body); len(packed) < len(doc.Body) {
-		p.form, p.payload = formPacked, packed
+		p.encoding, p.payload = encodingZstd, packed
 	}
 	return p
 }
 
-// open returns the document of a parcel; a delta needs its base on the board.
-func (m *Memory) open(p parcel) (Document, error) {
+// decode returns the document of a parcel; a delta needs its base on the board.
+func (m *MemoryReplica) decode(p encodedDoc) (Document, error) {
 	doc := Document{Name: p.name, Version: p.version}
-	switch p.form {
-	case formRaw:
+	switch p.encoding {
+	case encodingRaw:
 		doc.Body = p.payload
 		return doc, nil
-	case formPacked:
-		body, err := expand(p.payload, nil)
+	case encodingZstd:
+		body, err := decompress(p.payload, nil)
 		doc.Body = body
 		return doc, err
-	case formDelta:
+	case encodingDelta:
 		base := m.bodyAt(p.name, p.base)
 		if base == nil {
-			return doc, errBase
+			return doc, errUnknownBase
 		}
-		body, err := expand(p.payload, base)
+		body, err := decompress(p.payload, base)
 		doc.Body = body
 		return doc, err
 	}
-	return doc, errParcel
+	return doc, errMalformedDoc
 }
 
-func (m *Memory) bodyAt(name Name, at Version) []byte {
+func (m *MemoryReplica) bodyAt(name Name, at Version) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := m.rows[name]
+	r := m.docs[name]
 	if r == nil {
 		return nil
 	}
@@ -171,7 +171,7 @@
 	if encoder == nil {
 		encoder, err = zstd.NewWriter(nil, append(encoderOptions(size), dict)...)
 	} else {
-		err = encoder.ResetWithOptions(nil, zstd.WithWindowSize(windowFor(size)), dict)
+		err = encoder.ResetWithOptions(nil, zstd.WithWindowSize(windowSize(size)), dict)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("spread: delta: %w", err)
@@ -187,37 +187,37 @@
 		zstd.WithEncoderConcurrency(1),
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(windowFor(size)),
+		zstd.WithWindowSize(windowSize(size)),
 	}
 }
 
-// windowFor returns the smallest valid window that covers size bytes.
-func windowFor(size int) int {
+// windowSize returns the smallest valid window that covers size bytes.
+func windowSize(size int) int {
 	window := zstd.MinWindowSize
-	for window < size && window < windowBytes {
+	for window < size && window < maxWindowBytes {
 		window *= 2
 	}
 	return window
 }
 
-func expand(payload, base []byte) ([]byte, error) {
+func decompress(payload, base []byte) ([]byte, error) {
 	opts := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(MaxDocument),
-		zstd.WithDecoderMaxWindow(windowBytes),
+		zstd.WithDecoderMaxMemory(MaxDocumentBytes),
+		zstd.WithDecoderMaxWindow(maxWindowBytes),
 	}
 	if base != nil {
 		opts = append(opts, zstd.WithDecoderDictRaw(0, base))
 	}
 	decoder, err := zstd.NewReader(nil, opts...)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errParcel, err)
+		return nil, fmt.Errorf("%w: %w", errMalformedDoc, err)
 	}
 	defer decoder.Close()
 	body, err := decoder.DecodeAll(payload, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errParcel, err)
+		return nil, fmt.Errorf("%w: %w", errMalformedDoc, err)
 	}
 	return body, nil
 }
--- a/internal/spread/fleet.go
+++ b/internal/docsync/fleet.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"fmt"
--- a/internal/spread/follow.go
+++ b/internal/docsync/follower.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"context"
@@ -14,46 +14,46 @@
 )
 
 const (
-	// leadWait is how long a poll between leads waits for news.
-	leadWait = 700 * time.Millisecond
-	// entryWait is shorter: an entry follows one process alone and has to
+	// leadPollWait is how long a poll between leads waits for news.
+	leadPollWait = 700 * time.Millisecond
+	// entryPollWait is shorter: an entry follows one process alone and has to
 	// notice its loss.
-	entryWait = time.Second
-	// answerMargin is the time on top of the wait.
-	answerMargin = 400 * time.Millisecond
-	fetchTimeout = 2 * time.Second
-	// otherFetch is how long a document is left to another follower that gets
+	entryPollWait = time.Second
+	// responseMargin is the time on top of the wait.
+	responseMargin = 400 * time.Millisecond
+	fetchTimeout   = 2 * time.Second
+	// sharedFetchWait is how long a document is left to another follower that gets
 	// it already: the link of the process that it asks may be full.
-	otherFetch = 250 * time.Millisecond
+	sharedFetchWait = 250 * time.Millisecond
 	// pollInterval is the least time between two polls of one process.
 	pollInterval = 20 * time.Millisecond
-	// spareInterval is the same for a process that says what another one says
+	// standbyPollInterval is the same for a process that says what another one says
 	// too: so old is the news where that one has just failed.
-	spareInterval = 500 * time.Millisecond
-	// spareNews is how many polls of it in a row bring news if the other one
+	standbyPollInterval = 500 * time.Millisecond
+	// standbyPromoteAfter is how many polls of it in a row bring news if the other one
 	// has gone silent; one may be first by chance.
-	spareNews      = 2
-	firstRetryWait = 50 * time.Millisecond
-	maxRetryWait   = time.Second
+	standbyPromoteAfter = 2
+	minRetryBackoff     = 50 * time.Millisecond
+	maxRetryBackoff     = time.Second
 )
 
 // follower hears documents from one process.
 type follower struct {
 	node     *Node
 	addr     netip.AddrPort
-	board    instance
+	replica  instanceID
 	cursor   cursor
 	failures int
-	// spare tells that another process says the same, and news how many polls
+	// standby tells that another process says the same, and news how many polls
 	// in a row brought something all the same.
-	spare bool
-	news  int
+	standby    bool
+	freshPolls int
 }
 
-// pause returns the least time between two polls.
-func (f *follower) pause() time.Duration {
-	if f.spare && f.news < spareNews {
-		return spareInterval
+// interval returns the least time between two polls.
+func (f *follower) interval() time.Duration {
+	if f.standby && f.freshPolls < standbyPromoteAfter {
+		return standbyPollInterval
 	}
 	return pollInterval
 }
@@ -66,30 +66,30 @@
 			if ctx.Err() != nil {
 				return
 			}
-			f.node.failed(sent, f.addr)
+			f.node.markFailed(sent, f.addr)
 			f.node.log.Debug("Poll failed.", slog.String("addr", f.addr.String()), slog.Any("error", err))
-			sleep(ctx, retryWait(f.failures))
+			sleep(ctx, retryBackoff(f.failures))
 			f.failures++
 			continue
 		}
 		f.failures = 0
-		f.node.succeeded(f.addr)
-		sleep(ctx, f.pause()-time.Since(sent))
+		f.node.markHealthy(f.addr)
+		sleep(ctx, f.interval()-time.Since(sent))
 	}
 }
 
-// retryWait returns the time before the next attempt at a process.
-func retryWait(failures int) time.Duration {
+// retryBackoff returns the time before the next attempt at a process.
+func retryBackoff(failures int) time.Duration {
 	const maxDoublings = 8
-	full := min(firstRetryWait<<min(failures, maxDoublings), maxRetryWait)
+	full := min(minRetryBackoff<<min(failures, maxDoublings), maxRetryBackoff)
 	return full/2 + rand.N(full/2)
 }
 
-func (f *follower) wait() time.Duration {
+func (f *follower) pollWait() time.Duration {
 	if f.node.cfg.Self.Role == peer.RoleEntry {
-		return entryWait
+		return entryPollWait
 	}
-	return leadWait
+	return leadPollWait
 }
 
 // step polls once and takes what is newer. The cursor moves only once all of
@@ -99,11 +99,11 @@
 	if err != nil {
 		return err
 	}
-	before := f.node.board.now()
-	for _, p := range answer.small {
-		err := f.node.take(p)
+	before := f.node.replica.currentCursor()
+	for _, p := range answer.inline {
+		err := f.node.apply(p)
 		switch {
-		case errors.Is(err, errBase): // a newer version came from elsewhere meanwhile
+		case errors.Is(err, errUnknownBase): // a newer version came from elsewhere meanwhile
 			answer.newer = append(answer.newer, header{name: p.name, version: p.version})
 		case err != nil:
 			return err
@@ -113,32 +113,32 @@
 	if err != nil || !complete {
 		return err
 	}
-	f.board, f.cursor = answer.board, answer.cursor
-	if f.news++; f.node.board.now() == before {
-		f.news = 0
+	f.replica, f.cursor = answer.replica, answer.cursor
+	if f.freshPolls++; f.node.replica.currentCursor() == before {
+		f.freshPolls = 0
 	}
 	return nil
 }
 
-func (f *follower) poll(ctx context.Context) (pollAnswer, error) {
-	q := poll{board: f.board, cursor: f.cursor, wait: f.wait()}
-	if known := f.node.known(); f.board == 0 || len(known) <= fewDocuments {
+func (f *follower) poll(ctx context.Context) (pollResponse, error) {
+	q := poll{replica: f.replica, cursor: f.cursor, wait: f.pollWait()}
+	if known := f.node.known(); f.replica == 0 || len(known) <= maxAlwaysKnown {
 		q.known = known
 	}
-	body, err := f.node.call(ctx, f.addr, q, q.wait+answerMargin)
+	body, err := f.node.call(ctx, f.addr, q, q.wait+responseMargin)
 	if err != nil {
-		return pollAnswer{}, err
+		return pollResponse{}, err
 	}
-	return decodePollAnswer(body)
+	return decodePollResponse(body)
 }
 
-// fewDocuments is how many documents a poll names always, so that the answer
+// maxAlwaysKnown is how many documents a poll names always, so that the answer
 // can bring their changes at once: they take some 30 bytes each.
-const fewDocuments = 16
+const maxAlwaysKnown = 16
 
 // known returns the headers of all that the board has.
 func (n *Node) known() []header {
-	docs := n.board.List("")
+	docs := n.replica.List("")
 	out := make([]header, len(docs))
 	for i, doc := range docs {
 		out[i] = header{name: doc.Name, version: doc.Version}
@@ -153,31 +153,31 @@
 	var mine, others []header
 	var running []<-chan struct{}
 	for _, h := range newer {
-		if !f.node.board.version(h.name).Less(h.version) {
+		if !f.node.replica.version(h.name).Less(h.version) {
 			continue
 		}
-		other, started := f.node.fetching.start(h)
+		other, started := f.node.fetching.begin(h)
 		if started {
 			mine = append(mine, h)
 			continue
 		}
 		others, running = append(others, h), append(running, other)
 	}
-	complete, err := f.fetchMine(ctx, mine)
+	complete, err := f.fetchDocs(ctx, mine)
 	f.node.fetching.end(mine)
 	if err != nil || len(others) == 0 {
 		return complete, err
 	}
-	if err := await(ctx, running, otherFetch); err != nil {
+	if err := waitAll(ctx, running, sharedFetchWait); err != nil {
 		return false, err
 	}
-	late := slices.DeleteFunc(others, func(h header) bool { return !f.node.board.version(h.name).Less(h.version) })
-	came, err := f.fetchMine(ctx, late)
+	late := slices.DeleteFunc(others, func(h header) bool { return !f.node.replica.version(h.name).Less(h.version) })
+	came, err := f.fetchDocs(ctx, late)
 	return complete && came, err
 }
 
-// await waits until all channels are closed, at most for d.
-func await(ctx context.Context, closed []<-chan struct{}, d time.Duration) error {
+// waitAll waits until all channels are closed, at most for d.
+func waitAll(ctx context.Context, closed []<-chan struct{}, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for _, c := range closed {
@@ -192,13 +192,13 @@
 	return nil
 }
 
-func (f *follower) fetchMine(ctx context.Context, headers []header) (bool, error) {
+func (f *follower) fetchDocs(ctx context.Context, headers []header) (bool, error) {
 	if len(headers) == 0 {
 		return true, nil
 	}
 	var q fetch
 	for _, h := range headers {
-		q.wanted = append(q.wanted, header{name: h.name, version: f.node.board.version(h.name)})
+		q.wanted = append(q.wanted, header{name: h.name, version: f.node.replica.version(h.name)})
 	}
 	came, again, err := f.fetchOnce(ctx, q)
 	if err != nil || len(again.wanted) == 0 {
@@ -215,15 +215,15 @@
 	if err != nil {
 		return 0, again, err
 	}
-	answer, err := decodeParcelAnswer(body)
+	answer, err := decodeFetchResponse(body)
 	if err != nil {
 		return 0, again, err
 	}
 	came := 0
-	for _, p := range answer.parcels {
-		err := f.node.take(p)
+	for _, p := range answer.docs {
+		err := f.node.apply(p)
 		switch {
-		case errors.Is(err, errBase):
+		case errors.Is(err, errUnknownBase):
 			again.wanted = append(again.wanted, header{name: p.name})
 		case err != nil:
 			return came, again, err
@@ -234,38 +234,38 @@
 	return came, again, nil
 }
 
-// take opens a parcel and offers its document to the board.
-func (n *Node) take(p parcel) error {
-	if !n.board.version(p.name).Less(p.version) {
+// apply opens a parcel and offers its document to the board.
+func (n *Node) apply(p encodedDoc) error {
+	if !n.replica.version(p.name).Less(p.version) {
 		return nil
 	}
-	doc, err := n.board.open(p)
+	doc, err := n.replica.decode(p)
 	if err != nil {
 		return err
 	}
-	n.board.offer(doc, originPeer)
+	n.replica.offer(doc, originPeer)
 	return nil
 }
 
-func (n *Node) call(ctx context.Context, to netip.AddrPort, q question, timeout time.Duration) ([]byte, error) {
-	body, err := encodeQuestion(q)
+func (n *Node) call(ctx context.Context, to netip.AddrPort, q request, timeout time.Duration) ([]byte, error) {
+	body, err := encodeRequest(q)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return n.link.Call(ctx, to, peer.KindSpread, body)
+	return n.link.Call(ctx, to, peer.KindSync, body)
 }
 
-// flight holds the documents that are being fetched now, so that two
+// fetchGroup holds the documents that are being fetched now, so that two
 // followers of one node don't both fetch the same version.
-type flight struct {
+type fetchGroup struct {
 	mu      sync.Mutex
 	running map[header]chan struct{}
 }
 
-// start enters a fetch; where one runs already it returns its end.
-func (f *flight) start(h header) (<-chan struct{}, bool) {
+// begin enters a fetch; where one runs already it returns its end.
+func (f *fetchGroup) begin(h header) (<-chan struct{}, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if running, ok := f.running[h]; ok {
@@ -275,7 +275,7 @@
 	return nil, true
 }
 
-func (f *flight) end(headers []header) {
+func (f *fetchGroup) end(headers []header) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range headers {
--- a/internal/spread/followers_bench_test.go
+++ b/internal/docsync/followers_bench_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // countedConn counts the bytes that pass a socket.
@@ -51,9 +51,9 @@
 
 // zone is one availability zone of lead processes over real sockets.
 type zone struct {
-	boards []*spread.Memory
-	conns  []*countedConn
-	links  []*countedLink
+	replicas []*docsync.MemoryReplica
+	conns    []*countedConn
+	links    []*countedLink
 }
 
 func startZone(b *testing.B, hosts int) *zone {
@@ -70,7 +70,7 @@
 			Host: place.Host(fmt.Sprintf("h%03d", i)), Zone: "z1", LeadAddr: conn.LocalAddr().(*net.UDPAddr).AddrPort(),
 		})
 	}
-	body, err := spread.EncodeFleet(fleet)
+	body, err := docsync.EncodeFleet(fleet)
 	must(b, err)
 	ctx, cancel := context.WithCancel(b.Context())
 	var work sync.WaitGroup
@@ -84,10 +84,10 @@
 		must(b, err)
 		p, err := peer.New(peer.Config{Conn: z.conns[i], Keys: m})
 		must(b, err)
-		link, board := &countedLink{Peer: p}, spread.New()
-		board.Publish(spread.Document{Name: spread.Fleet, Version: spread.Version{Major: 1}, Body: body})
-		node := spread.NewNode(board, link, spread.Config{Self: m.Self(), Addr: row.LeadAddr})
-		z.links, z.boards = append(z.links, link), append(z.boards, board)
+		link, board := &countedLink{Peer: p}, docsync.New()
+		board.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: body})
+		node := docsync.NewNode(board, link, docsync.Config{Self: m.Self(), Addr: row.LeadAddr})
+		z.links, z.replicas = append(z.links, link), append(z.replicas, board)
 		work.Go(func() { _ = p.Run(ctx) })
 		work.Go(func() { _ = node.Run(ctx) })
 	}
@@ -110,8 +110,8 @@
 }
 
 // await waits until all boards have a version of a document.
-func (z *zone) await(name spread.Name, version spread.Version) {
-	for _, board := range z.boards {
+func (z *zone) await(name docsync.Name, version docsync.Version) {
+	for _, board := range z.replicas {
 		for {
 			if doc, ok := board.Get(name); ok && !doc.Version.Less(version) {
 				break
@@ -135,11 +135,11 @@
 	for _, hosts := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
 			z := startZone(b, hosts)
-			name := spread.TablePrefix + "balance/z1"
+			name := docsync.TablePrefix + "balance/z1"
 			body := func(i uint64) []byte { return fmt.Appendf(nil, "%04096d %d", i*7919, i) }
 			publish := func(i uint64) {
-				z.boards[0].Publish(spread.Document{Name: name, Version: spread.Version{Major: i}, Body: body(i)})
-				z.await(name, spread.Version{Major: i})
+				z.replicas[0].Publish(docsync.Document{Name: name, Version: docsync.Version{Major: i}, Body: body(i)})
+				z.await(name, docsync.Version{Major: i})
 			}
 			publish(1)
 			time.Sleep(2 * time.Second)
--- a/internal/spread/main_test.go
+++ b/internal/docsync/main_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"flag"
--- a/internal/spread/network_test.go
+++ b/internal/docsync/network_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"context"
@@ -7,26 +7,26 @@
 	"sync"
 	"time"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // network connects the nodes of a test in memory, with cuts.
 type network struct {
-	mu    sync.Mutex
-	links map[netip.AddrPort]*wire
-	cut   func(from, to netip.AddrPort) bool
-	// choked are the addresses whose long answers never arrive.
-	choked map[netip.AddrPort]bool
-	calls  int
-	bytes  int
+	mu          sync.Mutex
+	links       map[netip.AddrPort]*memoryTransport
+	partitioned func(from, to netip.AddrPort) bool
+	// dropsLarge are the addresses whose long answers never arrive.
+	dropsLarge map[netip.AddrPort]bool
+	calls      int
+	bytes      int
 }
 
-// wire is one process's peer.Link.
-type wire struct {
+// memoryTransport is one process's peer.Link.
+type memoryTransport struct {
 	net      *network
 	self     peer.Identity
 	addr     netip.AddrPort
@@ -34,38 +34,38 @@
 	handlers map[peer.Kind]peer.Handler
 }
 
-const hop = time.Millisecond
+const hopDelay = time.Millisecond
 
 func newNetwork() *network {
-	return &network{links: make(map[netip.AddrPort]*wire), choked: make(map[netip.AddrPort]bool), cut: func(_, _ netip.AddrPort) bool { return false }}
+	return &network{links: make(map[netip.AddrPort]*memoryTransport), dropsLarge: make(map[netip.AddrPort]bool), partitioned: func(_, _ netip.AddrPort) bool { return false }}
 }
 
-func (n *network) link(self peer.Identity, addr netip.AddrPort) *wire {
-	w := &wire{net: n, self: self, addr: addr, handlers: make(map[peer.Kind]peer.Handler)}
+func (n *network) link(self peer.Identity, addr netip.AddrPort) *memoryTransport {
+	w := &memoryTransport{net: n, self: self, addr: addr, handlers: make(map[peer.Kind]peer.Handler)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[addr] = w
 	return w
 }
 
-func (n *network) setCut(cut func(from, to netip.AddrPort) bool) {
+func (n *network) setPartition(cut func(from, to netip.AddrPort) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.partitioned = cut
 }
 
-// choke lets no long answer of an address arrive any more: its link is full.
-func (n *network) choke(addr netip.AddrPort) {
+// dropLargeResponses lets no long answer of an address arrive any more: its link is full.
+func (n *network) dropLargeResponses(addr netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.choked[addr] = true
+	n.dropsLarge[addr] = true
 }
 
-func (n *network) chokes(addr netip.AddrPort, size int) bool {
+func (n *network) dropsResponse(addr netip.AddrPort, size int) bool {
 	const long = 2 << 10
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return size > long && n.choked[addr]
+	return size > long && n.dropsLarge[addr]
 }
 
 func (n *network) remove(addr netip.AddrPort) {
@@ -74,25 +74,25 @@
 	delete(n.links, addr)
 }
 
-func (n *network) find(from, to netip.AddrPort, size int) *wire {
+func (n *network) find(from, to netip.AddrPort, size int) *memoryTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.calls++
 	n.bytes += size
-	if n.cut(from, to) {
+	if n.partitioned(from, to) {
 		return nil
 	}
 	return n.links[to]
 }
 
-func (w *wire) Handle(kind peer.Kind, handler peer.Handler) {
+func (w *memoryTransport) Handle(kind peer.Kind, handler peer.Handler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handlers[kind] = handler
 }
 
-func (w *wire) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
-	time.Sleep(hop)
+func (w *memoryTransport) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
+	time.Sleep(hopDelay)
 	other := w.net.find(w.addr, to, len(body))
 	if other == nil {
 		<-ctx.Done()
@@ -105,34 +105,34 @@
 		return nil, peer.ErrRefused
 	}
 	answer, err := handler(ctx, w.self, body)
-	time.Sleep(hop)
-	if w.net.find(w.addr, to, len(answer)) == nil || w.net.chokes(to, len(answer)) {
+	time.Sleep(hopDelay)
+	if w.net.find(w.addr, to, len(answer)) == nil || w.net.dropsResponse(to, len(answer)) {
 		<-ctx.Done()
-		return nil, peer.ErrLost
+		return nil, peer.ErrNoResponse
 	}
 	return answer, err
 }
 
-// store is a stand-in of the platform's service that counts calls.
-type store struct {
+// fakeStore is a stand-in of the platform's service that counts calls.
+type fakeStore struct {
 	platform.Store
 
-	mu       sync.Mutex
-	revision platform.Revision
-	value    []byte
-	changed  chan struct{}
-	fleet    platform.Fleet
-	down     func() bool
-	calls    int
-	cutZone  place.Zone
-	delay    time.Duration
+	mu              sync.Mutex
+	revision        platform.Revision
+	value           []byte
+	changed         chan struct{}
+	fleet           platform.Fleet
+	down            func() bool
+	calls           int
+	partitionedZone place.Zone
+	delay           time.Duration
 }
 
-func newStore() *store {
-	return &store{changed: make(chan struct{}), down: func() bool { return false }}
+func newStore() *fakeStore {
+	return &fakeStore{changed: make(chan struct{}), down: func() bool { return false }}
 }
 
-func (s *store) set(value string) platform.Revision {
+func (s *fakeStore) set(value string) platform.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -142,25 +142,27 @@
 	return s.revision
 }
 
-func (s *store) setDown(down bool) {
+func (s *fakeStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = func() bool { return down }
 }
 
-// from is the store as one zone's hosts reach it.
-func (s *store) from(zone place.Zone) platform.Store { return zoneStore{store: s, zone: zone} }
+// inZone is the store as one zone's hosts reach it.
+func (s *fakeStore) inZone(zone place.Zone) platform.Store {
+	return zoneStore{fakeStore: s, zone: zone}
+}
 
 // zoneStore is a store that a zone may be cut off from, or that is slow.
 type zoneStore struct {
-	*store
+	*fakeStore
 
 	zone place.Zone
 }
 
-func (z zoneStore) reach() error {
+func (z zoneStore) beginCall() error {
 	z.mu.Lock()
-	cut, delay := z.cutZone == z.zone, z.delay
+	cut, delay := z.partitionedZone == z.zone, z.delay
 	z.mu.Unlock()
 	time.Sleep(delay)
 	if cut {
@@ -170,40 +172,40 @@
 }
 
 func (z zoneStore) List(ctx context.Context, prefix platform.Path) ([]platform.Entry, platform.Revision, error) {
-	if err := z.reach(); err != nil {
+	if err := z.beginCall(); err != nil {
 		return nil, 0, err
 	}
-	return z.store.List(ctx, prefix)
+	return z.fakeStore.List(ctx, prefix)
 }
 
 func (z zoneStore) Watch(ctx context.Context, prefix platform.Path, from platform.Revision) ([]platform.Change, platform.Revision, error) {
-	if err := z.reach(); err != nil {
+	if err := z.beginCall(); err != nil {
 		return nil, from, err
 	}
-	return z.store.Watch(ctx, prefix, from)
+	return z.fakeStore.Watch(ctx, prefix, from)
 }
 
 func (z zoneStore) Fleet(ctx context.Context) (platform.Fleet, error) {
-	if err := z.reach(); err != nil {
+	if err := z.beginCall(); err != nil {
 		return platform.Fleet{}, err
 	}
-	return z.store.Fleet(ctx)
+	return z.fakeStore.Fleet(ctx)
 }
 
-// trouble cuts a zone off from the store and makes each call take delay.
-func (s *store) trouble(zone place.Zone, delay time.Duration) {
+// injectFault cuts a zone off from the store and makes each call take delay.
+func (s *fakeStore) injectFault(zone place.Zone, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cutZone, s.delay = zone, delay
+	s.partitionedZone, s.delay = zone, delay
 }
 
-func (s *store) count() int {
+func (s *fakeStore) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *store) enter() error {
+func (s *fakeStore) beginCall() error {
 	s.calls++
 	if s.down() {
 		return platform.ErrUnavailable
@@ -211,10 +213,10 @@
 	return nil
 }
 
-func (s *store) List(context.Context, platform.Path) ([]platform.Entry, platform.Revision, error) {
+func (s *fakeStore) List(context.Context, platform.Path) ([]platform.Entry, platform.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter(); err != nil {
+	if err := s.beginCall(); err != nil {
 		return nil, 0, err
 	}
 	if s.revision == 0 {
@@ -223,13 +225,13 @@
 	return []platform.Entry{s.entry()}, s.revision, nil
 }
 
-func (s *store) entry() platform.Entry {
+func (s *fakeStore) entry() platform.Entry {
 	return platform.Entry{Path: settings.StorePath, Value: s.value, Revision: s.revision}
 }
 
-func (s *store) Watch(ctx context.Context, _ platform.Path, from platform.Revision) ([]platform.Change, platform.Revision, error) {
+func (s *fakeStore) Watch(ctx context.Context, _ platform.Path, from platform.Revision) ([]platform.Change, platform.Revision, error) {
 	s.mu.Lock()
-	err, changed := s.enter(), s.changed
+	err, changed := s.beginCall(), s.changed
 	if err != nil || s.revision > from {
 		defer s.mu.Unlock()
 		return []platform.Change{{Entry: s.entry()}}, s.revision, err
@@ -248,21 +250,21 @@
 	return []platform.Change{{Entry: s.entry()}}, s.revision, nil
 }
 
-func (s *store) Fleet(context.Context) (platform.Fleet, error) {
+func (s *fakeStore) Fleet(context.Context) (platform.Fleet, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet, s.enter()
+	return s.fleet, s.beginCall()
 }
 
 // deployment is a set of hosts with a lead and an entry process each.
 type deployment struct {
 	net   *network
-	store *store
+	store *fakeStore
 	hosts []place.HostRow
 	ctx   context.Context
 	stops map[place.Host]context.CancelFunc
-	leads map[place.Host]*spread.Memory
-	entry map[place.Host]*spread.Memory
+	leads map[place.Host]*docsync.MemoryReplica
+	entry map[place.Host]*docsync.MemoryReplica
 }
 
 func zoneOf(i, zones int) place.Zone { return place.Zone(fmt.Sprintf("zone-%c", 'a'+i%zones)) }
@@ -271,8 +273,8 @@
 	d := &deployment{
 		net: newNetwork(), store: newStore(), ctx: ctx,
 		stops: make(map[place.Host]context.CancelFunc),
-		leads: make(map[place.Host]*spread.Memory),
-		entry: make(map[place.Host]*spread.Memory),
+		leads: make(map[place.Host]*docsync.MemoryReplica),
+		entry: make(map[place.Host]*docsync.MemoryReplica),
 	}
 	for i := range hosts {
 		addr := netip.AddrFrom4([4]byte{10, byte(i % zones), byte(i >> 8), byte(i)})
@@ -298,9 +300,9 @@
 	seeds := []netip.AddrPort{d.hosts[0].LeadAddr, d.hosts[1].LeadAddr, d.hosts[2].LeadAddr}
 	lead := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleLead}
 	entry := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleEntry}
-	d.leads[row.Host], d.entry[row.Host] = spread.New(), spread.New()
-	leadNode := spread.NewNode(d.leads[row.Host], d.net.link(lead, row.LeadAddr), spread.Config{Self: lead, Addr: row.LeadAddr, Seeds: seeds, Store: d.store.from(row.Zone)})
-	entryNode := spread.NewNode(d.entry[row.Host], d.net.link(entry, row.EntryAddr), spread.Config{Self: entry, OwnLead: row.LeadAddr, Seeds: seeds})
+	d.leads[row.Host], d.entry[row.Host] = docsync.New(), docsync.New()
+	leadNode := docsync.NewNode(d.leads[row.Host], d.net.link(lead, row.LeadAddr), docsync.Config{Self: lead, Addr: row.LeadAddr, Seeds: seeds, Store: d.store.inZone(row.Zone)})
+	entryNode := docsync.NewNode(d.entry[row.Host], d.net.link(entry, row.EntryAddr), docsync.Config{Self: entry, LocalLead: row.LeadAddr, Seeds: seeds})
 	go func() { _ = leadNode.Run(ctx) }()
 	go func() { _ = entryNode.Run(ctx) }()
 }
@@ -314,10 +316,10 @@
 	delete(d.entry, row.Host)
 }
 
-// behind returns the processes whose document has not the wanted body.
-func (d *deployment) behind(name spread.Name, body string) []string {
+// outdated returns the processes whose document has not the wanted body.
+func (d *deployment) outdated(name docsync.Name, body string) []string {
 	var out []string
-	for kind, boards := range map[string]map[place.Host]*spread.Memory{"lead": d.leads, "entry": d.entry} {
+	for kind, boards := range map[string]map[place.Host]*docsync.MemoryReplica{"lead": d.leads, "entry": d.entry} {
 		for host, board := range boards {
 			if doc, _ := board.Get(name); string(doc.Body) != body {
 				out = append(out, fmt.Sprintf("%s of %s has %q", kind, host, doc.Body))
@@ -327,9 +329,9 @@
 	return out
 }
 
-// goBack makes the store answer with the revision before its newest, as a
+// rollBack makes the store answer with the revision before its newest, as a
 // lagging copy of it would.
-func (s *store) goBack(value string) {
+func (s *fakeStore) rollBack(value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision--
--- a/internal/spread/node.go
+++ b/internal/docsync/node.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"cmp"
@@ -9,17 +9,17 @@
 	"sync"
 	"time"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 )
 
 const (
-	// arrangeInterval is the time between two looks at whom to follow, arrangeSoon
+	// topologyInterval is the time between two looks at whom to follow, arrangeSoon
 	// that after the list of hosts has changed and while an address fails.
-	arrangeInterval = time.Second
-	arrangeSoon     = 250 * time.Millisecond
+	topologyInterval     = time.Second
+	fastTopologyInterval = 250 * time.Millisecond
 	// suspectAfter is how long a process may fail to answer before others
 	// stand in for it.
 	suspectAfter = time.Second
@@ -30,10 +30,10 @@
 	Self peer.Identity
 	// Addr is the process's own peer address: it follows itself nowhere.
 	Addr netip.AddrPort
-	// Processor is the host's share of a core, zero where nobody tells.
-	Processor float64
-	// OwnLead is where an entry finds the lead process of its own host.
-	OwnLead netip.AddrPort
+	// CPUShare is the host's share of a core, zero where nobody tells.
+	CPUShare float64
+	// LocalLead is where an entry finds the lead process of its own host.
+	LocalLead netip.AddrPort
 	// Seeds are peer addresses of lead processes to start from.
 	Seeds []netip.AddrPort
 	// Store is the platform's service; entries leave it nil.
@@ -42,21 +42,21 @@
 	Watch func(ctx context.Context) error
 	// Hosts, where set, lists the hosts in place of the Fleet document, and Listed
 	// names the document that they come from.
-	Hosts  func() []place.HostRow
-	Listed Name
-	Log    *slog.Logger
+	Hosts         func() []place.HostRow
+	HostsDocument Name
+	Log           *slog.Logger
 }
 
 // Node keeps the board of one process in step with those of others.
 type Node struct {
-	cfg   Config
-	board *Memory
-	link  peer.Link
-	log   *slog.Logger
+	cfg     Config
+	replica *MemoryReplica
+	link    peer.Transport
+	log     *slog.Logger
 
-	fetching flight
-	// stirred gets a token when a process begins to fail.
-	stirred chan struct{}
+	fetching fetchGroup
+	// failureSignal gets a token when a process begins to fail.
+	failureSignal chan struct{}
 
 	mu     sync.Mutex
 	health map[netip.AddrPort]health
@@ -69,21 +69,21 @@
 }
 
 // NewNode returns a node for one process and registers its message handler.
-func NewNode(board *Memory, link peer.Link, cfg Config) *Node {
+func NewNode(board *MemoryReplica, link peer.Transport, cfg Config) *Node {
 	if cfg.Log == nil {
-		cfg.Log = journal.Nop()
+		cfg.Log = logging.Nop()
 	}
 	n := &Node{
-		cfg:      cfg,
-		board:    board,
-		link:     link,
-		log:      journal.Part(cfg.Log, "spread"),
-		fetching: flight{running: make(map[header]chan struct{})},
-		health:   make(map[netip.AddrPort]health),
-		stirred:  make(chan struct{}, 1),
+		cfg:           cfg,
+		replica:       board,
+		link:          link,
+		log:           logging.Component(cfg.Log, "spread"),
+		fetching:      fetchGroup{running: make(map[header]chan struct{})},
+		health:        make(map[netip.AddrPort]health),
+		failureSignal: make(chan struct{}, 1),
 	}
 	if cfg.Self.Role == peer.RoleLead {
-		link.Handle(peer.KindSpread, n.answer)
+		link.Handle(peer.KindSync, n.serve)
 	}
 	return n
 }
@@ -92,30 +92,30 @@
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &staff{node: n, ctx: ctx, running: make(map[duty]context.CancelFunc)}
-	listed := n.board.Subscribe(cmp.Or(n.cfg.Listed, Fleet))
-	timer := time.NewTimer(arrangeSoon)
+	s := &taskSet{node: n, ctx: ctx, running: make(map[task]context.CancelFunc)}
+	listed := n.replica.Subscribe(cmp.Or(n.cfg.HostsDocument, Fleet))
+	timer := time.NewTimer(fastTopologyInterval)
 	defer timer.Stop()
 	for {
-		s.assign(Arrange(n.view(time.Now())))
-		rest := arrangeInterval
+		s.reconcile(ComputeTopology(n.view(time.Now())))
+		rest := topologyInterval
 		if n.anyFailing() {
-			rest = arrangeSoon
+			rest = fastTopologyInterval
 		}
 		timer.Reset(rest)
 		select {
 		case <-ctx.Done():
-			s.work.Wait()
+			s.wg.Wait()
 			return nil
 		case <-timer.C:
 			continue
 		case <-listed:
-		case <-n.stirred:
+		case <-n.failureSignal:
 		}
 		// What changed may take a moment to be all there.
 		select {
 		case <-ctx.Done():
-		case <-time.After(arrangeSoon / 5):
+		case <-time.After(fastTopologyInterval / 5):
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	return false
 }
 
-// Arrangement returns whom the node follows and tells at the time now.
-func (n *Node) Arrangement(now time.Time) Arrangement { return Arrange(n.view(now)) }
+// Topology returns whom the node follows and tells at the time now.
+func (n *Node) Topology(now time.Time) Topology { return ComputeTopology(n.view(now)) }
 
 func (n *Node) view(now time.Time) View {
 	return View{
@@ -141,8 +141,8 @@
 		Zone:      n.cfg.Self.Zone,
 		Role:      n.cfg.Self.Role,
 		Addr:      n.cfg.Addr,
-		Processor: n.cfg.Processor,
-		OwnLead:   n.cfg.OwnLead,
+		CPUShare:  n.cfg.CPUShare,
+		LocalLead: n.cfg.LocalLead,
 		Seeds:     n.cfg.Seeds,
 		Hosts:     n.hosts(),
 		Suspected: func(addr netip.AddrPort) bool { return n.suspected(now, addr) },
@@ -154,7 +154,7 @@
 	if n.cfg.Hosts != nil {
 		return n.cfg.Hosts()
 	}
-	doc, ok := n.board.Get(Fleet)
+	doc, ok := n.replica.Get(Fleet)
 	if !ok {
 		return nil
 	}
@@ -179,14 +179,14 @@
 	return n.health[addr].failing
 }
 
-func (n *Node) succeeded(addr netip.AddrPort) {
+func (n *Node) markHealthy(addr netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.health, addr)
 }
 
-// failed records that a call sent at the given time got no answer.
-func (n *Node) failed(sent time.Time, addr netip.AddrPort) {
+// markFailed records that a call sent at the given time got no answer.
+func (n *Node) markFailed(sent time.Time, addr netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.health[addr].failing {
@@ -194,7 +194,7 @@
 	}
 	n.health[addr] = health{failing: true, since: sent}
 	select {
-	case n.stirred <- struct{}{}:
+	case n.failureSignal <- struct{}{}:
 	default: // a token is waiting already
 	}
 }
@@ -205,46 +205,46 @@
 	delete(n.health, addr)
 }
 
-// duty is one thing that a node does at a time.
-type duty struct {
-	kind dutyKind
+// task is one thing that a node does at a time.
+type task struct {
+	kind taskKind
 	addr netip.AddrPort
-	// spare tells that a process is followed in case another one fails.
-	spare bool
+	// standby tells that a process is followed in case another one fails.
+	standby bool
 }
 
-type dutyKind uint8
+type taskKind uint8
 
 const (
-	dutyWatch dutyKind = iota
-	dutyFollow
-	dutyPush
+	taskWatch taskKind = iota
+	taskFollow
+	taskPush
 )
 
-// staff runs one goroutine for each duty and ends those no longer wanted.
-type staff struct {
+// taskSet runs one goroutine for each duty and ends those no longer wanted.
+type taskSet struct {
 	node    *Node
 	ctx     context.Context
-	running map[duty]context.CancelFunc
-	work    sync.WaitGroup
+	running map[task]context.CancelFunc
+	wg      sync.WaitGroup
 }
 
-func (s *staff) assign(a Arrangement) {
-	wanted := make(map[duty]struct{})
+func (s *taskSet) reconcile(a Topology) {
+	wanted := make(map[task]struct{})
 	if a.Watch && (s.node.cfg.Store != nil || s.node.cfg.Watch != nil) {
-		wanted[duty{kind: dutyWatch}] = struct{}{}
+		wanted[task{kind: taskWatch}] = struct{}{}
 	}
 	for _, addr := range a.Follow {
-		wanted[duty{kind: dutyFollow, addr: addr, spare: slices.Contains(a.Spare, addr)}] = struct{}{}
+		wanted[task{kind: taskFollow, addr: addr, standby: slices.Contains(a.Standby, addr)}] = struct{}{}
 	}
 	for _, addr := range a.Push {
-		wanted[duty{kind: dutyPush, addr: addr}] = struct{}{}
+		wanted[task{kind: taskPush, addr: addr}] = struct{}{}
 	}
 	for d, cancel := range s.running {
 		if _, ok := wanted[d]; !ok {
 			cancel()
 			delete(s.running, d)
-			if _, ok := wanted[duty{kind: d.kind, addr: d.addr, spare: !d.spare}]; !ok {
+			if _, ok := wanted[task{kind: d.kind, addr: d.addr, standby: !d.standby}]; !ok {
 				s.node.forget(d.addr)
 			}
 		}
@@ -255,27 +255,27 @@
 		}
 		ctx, cancel := context.WithCancel(s.ctx)
 		s.running[d] = cancel
-		s.work.Add(1)
+		s.wg.Add(1)
 		go s.run(ctx, d)
 	}
 }
 
-func (s *staff) run(ctx context.Context, d duty) {
-	defer s.work.Done()
+func (s *taskSet) run(ctx context.Context, d task) {
+	defer s.wg.Done()
 	switch d.kind {
-	case dutyWatch:
+	case taskWatch:
 		s.node.log.Info("Watching the store.")
 		watch := s.node.cfg.Watch
 		if watch == nil {
-			watch = NewWatcher(s.node.cfg.Store, s.node.board, s.node.log).Run
+			watch = NewWatcher(s.node.cfg.Store, s.node.replica, s.node.log).Run
 		}
 		// It ends with its context alone.
 		_ = watch(ctx)
-	case dutyFollow:
-		f := &follower{node: s.node, addr: d.addr, spare: d.spare}
+	case taskFollow:
+		f := &follower{node: s.node, addr: d.addr, standby: d.standby}
 		f.loop(ctx)
-	case dutyPush:
-		p := &pusher{node: s.node, addr: d.addr, told: make(map[Name]Version)}
+	case taskPush:
+		p := &pusher{node: s.node, addr: d.addr, acked: make(map[Name]Version)}
 		p.loop(ctx)
 	}
 }
--- a/internal/spread/push.go
+++ b/internal/docsync/pusher.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"context"
@@ -18,28 +18,28 @@
 type pusher struct {
 	node     *Node
 	addr     netip.AddrPort
-	told     map[Name]Version
+	acked    map[Name]Version
 	failures int
 }
 
 // loop pushes at each change until ctx ends.
 func (p *pusher) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := p.node.board.change()
+		changed := p.node.replica.nextChange()
 		sent := time.Now()
 		if err := p.step(ctx); err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			p.node.failed(sent, p.addr)
+			p.node.markFailed(sent, p.addr)
 			p.node.log.Debug("Push failed.", slog.String("addr", p.addr.String()), slog.Any("error", err))
-			sleep(ctx, retryWait(p.failures))
+			sleep(ctx, retryBackoff(p.failures))
 			p.failures++
 			continue
 		}
 		p.failures = 0
 		sleep(ctx, pushInterval-time.Since(sent))
-		if p.behind() {
+		if p.hasPending() {
 			continue
 		}
 		select {
@@ -62,9 +62,9 @@
 	if len(again) == 0 {
 		return nil
 	}
-	var whole []parcel
+	var whole []encodedDoc
 	for _, name := range again {
-		if w, ok := p.node.board.pack(name, Version{}); ok {
+		if w, ok := p.node.replica.encode(name, Version{}); ok {
 			whole = append(whole, w)
 		}
 	}
@@ -72,29 +72,29 @@
 	return err
 }
 
-// behind reports whether more is left to push, such as what went past the
+// hasPending reports whether more is left to push, such as what went past the
 // bound of one message.
-func (p *pusher) behind() bool {
-	for _, doc := range p.node.board.local() {
-		if p.told[doc.Name].Less(doc.Version) {
+func (p *pusher) hasPending() bool {
+	for _, doc := range p.node.replica.localDocs() {
+		if p.acked[doc.Name].Less(doc.Version) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *pusher) pending() []parcel {
-	var out []parcel
+func (p *pusher) pending() []encodedDoc {
+	var out []encodedDoc
 	size := 0
-	for _, doc := range p.node.board.local() {
-		if !p.told[doc.Name].Less(doc.Version) {
+	for _, doc := range p.node.replica.localDocs() {
+		if !p.acked[doc.Name].Less(doc.Version) {
 			continue
 		}
-		next, ok := p.node.board.pack(doc.Name, p.told[doc.Name])
+		next, ok := p.node.replica.encode(doc.Name, p.acked[doc.Name])
 		if !ok {
 			continue
 		}
-		if size += len(next.payload) + len(next.name); size > answerBytes && len(out) > 0 {
+		if size += len(next.payload) + len(next.name); size > maxResponseBytes && len(out) > 0 {
 			break
 		}
 		out = append(out, next)
@@ -103,19 +103,19 @@
 }
 
 // send returns the documents that have to go again, whole.
-func (p *pusher) send(ctx context.Context, parcels []parcel) ([]Name, error) {
-	body, err := p.node.call(ctx, p.addr, push{parcels: parcels}, pushTimeout)
+func (p *pusher) send(ctx context.Context, parcels []encodedDoc) ([]Name, error) {
+	body, err := p.node.call(ctx, p.addr, push{docs: parcels}, pushTimeout)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := decodePushAnswer(body)
+	answer, err := decodePushResponse(body)
 	if err != nil {
 		return nil, err
 	}
 	for _, sent := range parcels {
-		if !slices.Contains(answer.again, sent.name) {
-			p.told[sent.name] = sent.version
+		if !slices.Contains(answer.resend, sent.name) {
+			p.acked[sent.name] = sent.version
 		}
 	}
-	return answer.again, nil
+	return answer.resend, nil
 }
--- a/internal/spread/random_test.go
+++ b/internal/docsync/random_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // chaos makes trouble for a deployment: cuts, outages, restarts.
@@ -20,7 +20,7 @@
 	random  *rand.Rand
 	version uint64
 	// seen holds the newest version that each board has shown.
-	seen map[*spread.Memory]map[spread.Name]spread.Version
+	seen map[*docsync.MemoryReplica]map[docsync.Name]docsync.Version
 }
 
 func (c *chaos) step(t *testing.T) {
@@ -32,36 +32,36 @@
 		time.Sleep(time.Duration(c.random.IntN(3000)) * time.Millisecond)
 		c.start(row)
 	case 1:
-		c.cutZones(byte(c.random.IntN(3)), byte(c.random.IntN(3)))
+		c.partitionZones(byte(c.random.IntN(3)), byte(c.random.IntN(3)))
 	case 2:
-		c.cutHost(row)
+		c.isolateHost(row)
 	case 3:
-		c.setCut(nil)
+		c.setPartition(nil)
 	case 4:
 		c.store.setDown(c.random.IntN(2) == 0)
 	case 5:
 		c.publish(row)
 	}
 	time.Sleep(time.Duration(c.random.IntN(1500)) * time.Millisecond)
-	c.checkNeverFalls(t)
+	c.checkMonotonic(t)
 }
 
-func (c *chaos) setCut(cut func(from, to netip.AddrPort) bool) {
+func (c *chaos) setPartition(cut func(from, to netip.AddrPort) bool) {
 	if cut == nil {
 		cut = func(_, _ netip.AddrPort) bool { return false }
 	}
-	c.net.setCut(cut)
+	c.net.setPartition(cut)
 }
 
-func (c *chaos) cutZones(a, b byte) {
-	c.setCut(func(from, to netip.AddrPort) bool {
+func (c *chaos) partitionZones(a, b byte) {
+	c.setPartition(func(from, to netip.AddrPort) bool {
 		x, y := from.Addr().As4()[1], to.Addr().As4()[1]
 		return x != y && (x == a && y == b || x == b && y == a)
 	})
 }
 
-func (c *chaos) cutHost(row place.HostRow) {
-	c.setCut(func(from, to netip.AddrPort) bool {
+func (c *chaos) isolateHost(row place.HostRow) {
+	c.setPartition(func(from, to netip.AddrPort) bool {
 		return (from.Addr() == row.LeadAddr.Addr()) != (to.Addr() == row.LeadAddr.Addr())
 	})
 }
@@ -72,17 +72,17 @@
 	c.leads[row.Host].Publish(c.table())
 }
 
-func (c *chaos) table() spread.Document {
+func (c *chaos) table() docsync.Document {
 	body := fmt.Appendf(nil, "%01000d %d", 7, c.version)
-	return spread.Document{Name: "table/s/zone-a", Version: spread.Version{Major: c.version}, Body: body}
+	return docsync.Document{Name: "table/s/zone-a", Version: docsync.Version{Major: c.version}, Body: body}
 }
 
-func (c *chaos) checkNeverFalls(t *testing.T) {
+func (c *chaos) checkMonotonic(t *testing.T) {
 	t.Helper()
-	for _, boards := range []map[place.Host]*spread.Memory{c.leads, c.entry} {
+	for _, boards := range []map[place.Host]*docsync.MemoryReplica{c.leads, c.entry} {
 		for host, board := range boards {
 			if c.seen[board] == nil {
-				c.seen[board] = make(map[spread.Name]spread.Version)
+				c.seen[board] = make(map[docsync.Name]docsync.Version)
 			}
 			for _, doc := range board.List("") {
 				assert.Assert(t, !doc.Version.Less(c.seen[board][doc.Name]), "%s fell on %s", doc.Name, host)
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestRandomTrouble runs random trouble and ends it: all processes then have
+// TestRandomFaults runs random trouble and ends it: all processes then have
 // the newest documents.
-func TestRandomTrouble(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	const steps = 40
 	seeds := uint64(12)
 	if testing.Short() {
@@ -102,40 +102,40 @@
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			run(t, 9, 3, func(t *testing.T, d *deployment) {
-				c := &chaos{deployment: d, random: rand.New(rand.NewPCG(seed, 0)), seen: make(map[*spread.Memory]map[spread.Name]spread.Version)}
+			runDeployment(t, 9, 3, func(t *testing.T, d *deployment) {
+				c := &chaos{deployment: d, random: rand.New(rand.NewPCG(seed, 0)), seen: make(map[*docsync.MemoryReplica]map[docsync.Name]docsync.Version)}
 				d.startAll()
 				for range steps {
 					c.step(t)
 				}
-				c.setCut(nil)
+				c.setPartition(nil)
 				d.store.setDown(false)
-				time.Sleep(inForce)
+				time.Sleep(settingsBound)
 				c.publish(d.hosts[c.random.IntN(len(d.hosts))])
-				time.Sleep(inForce)
-				assert.DeepEqual(t, d.behind(spread.Settings, fmt.Sprint(c.version)), []string(nil))
-				assert.DeepEqual(t, d.behind("table/s/zone-a", string(c.table().Body)), []string(nil))
+				time.Sleep(settingsBound)
+				assert.DeepEqual(t, d.outdated(docsync.Settings, fmt.Sprint(c.version)), []string(nil))
+				assert.DeepEqual(t, d.outdated("table/s/zone-a", string(c.table().Body)), []string(nil))
 			})
 		})
 	}
 }
 
-// TestOldValueFromStore lets the store answer with an older revision than the
+// TestStaleValueFromStore lets the store answer with an older revision than the
 // one in force: nothing goes back.
-func TestOldValueFromStore(t *testing.T) {
-	run(t, 3, 3, func(t *testing.T, d *deployment) {
+func TestStaleValueFromStore(t *testing.T) {
+	runDeployment(t, 3, 3, func(t *testing.T, d *deployment) {
 		d.store.set("one")
 		d.store.set("two")
 		d.startAll()
-		time.Sleep(inForce)
-		d.store.goBack("one")
+		time.Sleep(settingsBound)
+		d.store.rollBack("one")
 		for _, row := range d.hosts {
 			d.stop(row)
 			d.start(row)
-			time.Sleep(inForce)
+			time.Sleep(settingsBound)
 		}
 		for i, row := range d.hosts {
-			doc, _ := d.leads[row.Host].Get(spread.Settings)
+			doc, _ := d.leads[row.Host].Get(docsync.Settings)
 			assert.Equal(t, string(doc.Body), "two", "host %d", i)
 		}
 	})
--- /dev/null
+++ b/internal/docsync/replica_test.go
@@ -0,0 +1,89 @@
+package docsync_test
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"gotest.tools/v3/assert"
+	"pgregory.net/rapid"
+
+	"citrontray.example/citrontray/internal/docsync"
+)
+
+// TestNewestWins offers versions in any order: the board's version never falls
+// and is the highest of those offered.
+func TestNewestWins(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		board := docsync.New()
+		highest := make(map[docsync.Name]docsync.Version)
+		for range rapid.IntRange(0, 60).Draw(t, "offers") {
+			name := docsync.Name(rapid.SampledFrom([]string{"settings", "table/a", "table/b"}).Draw(t, "name"))
+			version := docsync.Version{
+				Major: rapid.Uint64Range(0, 4).Draw(t, "major"),
+				Minor: rapid.Uint64Range(1, 4).Draw(t, "minor"),
+			}
+			body := fmt.Appendf(nil, "%s %v", name, version)
+			newer := highest[name].Less(version)
+			assert.Equal(t, board.Publish(docsync.Document{Name: name, Version: version, Body: body}), newer)
+			if newer {
+				highest[name] = version
+			}
+			doc, _ := board.Get(name)
+			assert.Equal(t, doc.Version, highest[name])
+			assert.Equal(t, string(doc.Body), fmt.Sprintf("%s %v", name, doc.Version))
+		}
+	})
+}
+
+func TestReplicaIsBounded(t *testing.T) {
+	board := docsync.New()
+	large := make([]byte, docsync.MaxDocumentBytes+1)
+	assert.Assert(t, !board.Publish(docsync.Document{Name: "large", Version: docsync.Version{Major: 1}, Body: large}))
+	for i := range docsync.MaxDocuments {
+		name := docsync.Name(fmt.Sprintf("table/%d", i))
+		assert.Assert(t, board.Publish(docsync.Document{Name: name, Version: docsync.Version{Major: 1}}))
+	}
+	assert.Assert(t, !board.Publish(docsync.Document{Name: "more", Version: docsync.Version{Major: 1}}))
+	assert.Assert(t, board.Publish(docsync.Document{Name: "table/0", Version: docsync.Version{Major: 2}}))
+	bytes := 0
+	for version := range uint64(100) {
+		body := make([]byte, docsync.MaxDocumentBytes)
+		if board.Publish(docsync.Document{Name: "table/1", Version: docsync.Version{Major: 2 + version}, Body: body}) {
+			bytes++
+		}
+	}
+	assert.Equal(t, bytes, 100, "the board keeps older versions without bound")
+}
+
+// TestOlderVersionsEvicted fills the board with documents and their older
+// versions: a new version of any of them still fits.
+func TestOlderVersionsEvicted(t *testing.T) {
+	const documents = 15 // of 4 MiB, of the 64 MiB in all
+	board := docsync.New()
+	for version := range uint64(5) {
+		for i := range documents {
+			doc := docsync.Document{
+				Name:    docsync.Name(fmt.Sprintf("table/%d", i)),
+				Version: docsync.Version{Major: 1 + version},
+				Body:    make([]byte, docsync.MaxDocumentBytes),
+			}
+			assert.Assert(t, board.Publish(doc), "version %d of %s", version, doc.Name)
+		}
+	}
+}
+
+func TestSubscribersNotifiedByPrefix(t *testing.T) {
+	board := docsync.New()
+	tables, settings := board.Subscribe(docsync.TablePrefix), board.Subscribe(docsync.Settings)
+	board.Publish(docsync.Document{Name: "table/a", Version: docsync.Version{Major: 1}})
+	board.Publish(docsync.Document{Name: "table/b", Version: docsync.Version{Major: 1}})
+	board.Publish(docsync.Document{Name: "table/b", Version: docsync.Version{Major: 1}})
+	assert.Equal(t, len(tables), 1)
+	assert.Equal(t, len(settings), 0)
+	names := make([]docsync.Name, 0, 2)
+	for _, doc := range board.List(docsync.TablePrefix) {
+		names = append(names, doc.Name)
+	}
+	assert.Assert(t, slices.Equal(names, []docsync.Name{"table/a", "table/b"}))
+}
--- a/internal/spread/topology.go
+++ b/internal/docsync/topology.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"cmp"
@@ -14,9 +14,9 @@
 const (
 	// watchersPerZone is how many hosts of a zone watch the store.
 	watchersPerZone = 2
-	// maxRank bounds how far down its order a zone's hosts are tried: a zone
+	// maxRanked bounds how far down its order a zone's hosts are tried: a zone
 	// that is cut off must not make others try all of its hosts.
-	maxRank = 3 * watchersPerZone
+	maxRanked = 3 * watchersPerZone
 	// maxSeeds bounds how many of the seeds are followed at once.
 	maxSeeds = 4
 )
@@ -25,11 +25,11 @@
 // given: the first by rendezvous hashing, strong ones before others, as many
 // hosts follow each. All who know the same hosts agree.
 func Watchers(zone place.Zone, hosts []place.HostRow) []place.HostRow {
-	ranked := rank(zone, hosts)
+	ranked := rankHosts(zone, hosts)
 	return ranked[:min(len(ranked), watchersPerZone)]
 }
 
-func rank(zone place.Zone, hosts []place.HostRow) []place.HostRow {
+func rankHosts(zone place.Zone, hosts []place.HostRow) []place.HostRow {
 	type ranked struct {
 		place.HostRow
 
@@ -41,7 +41,7 @@
 	for _, h := range hosts {
 		if h.Zone == zone {
 			most = max(most, h.CPUShare)
-			list = append(list, ranked{HostRow: h, weight: weight(zone, h.Host)})
+			list = append(list, ranked{HostRow: h, weight: hostWeight(zone, h.Host)})
 		}
 	}
 	for i := range list {
@@ -63,7 +63,7 @@
 	return out
 }
 
-func weight(zone place.Zone, host place.Host) uint64 {
+func hostWeight(zone place.Zone, host place.Host) uint64 {
 	return xxhash.Sum64String(string(zone) + "\x00" + string(host))
 }
 
@@ -74,11 +74,11 @@
 	Role peer.Role
 	// Addr is the process's own peer address, where it is known, Processor its
 	// host's share of a core.
-	Addr      netip.AddrPort
-	Processor float64
-	// OwnLead is where an entry finds the lead process of its own host.
-	OwnLead netip.AddrPort
-	Seeds   []netip.AddrPort
+	Addr     netip.AddrPort
+	CPUShare float64
+	// LocalLead is where an entry finds the lead process of its own host.
+	LocalLead netip.AddrPort
+	Seeds     []netip.AddrPort
 	// Hosts is the newest known list of entry hosts; empty before the first.
 	Hosts []place.HostRow
 	// Suspected reports whether an address has not answered for a while, Failing
@@ -87,63 +87,63 @@
 	Failing   func(netip.AddrPort) bool
 }
 
-// Arrangement is what follows from a View.
-type Arrangement struct {
+// Topology is what follows from a View.
+type Topology struct {
 	// Watch tells whether this process watches the store.
 	Watch bool
 	// Follow lists the processes to hear documents from, Spare those of them
 	// that are asked seldom: another one of the same zone says the same.
-	Follow []netip.AddrPort
-	Spare  []netip.AddrPort
+	Follow  []netip.AddrPort
+	Standby []netip.AddrPort
 	// Push lists the processes to tell what this one published itself.
 	Push []netip.AddrPort
 }
 
-// Arrange decides whom a process follows, whom it tells, and whether it
+// ComputeTopology decides whom a process follows, whom it tells, and whether it
 // watches the store. It decides nothing on ownership: where hosts disagree for
 // a while, some documents travel twice.
-func Arrange(v View) Arrangement {
+func ComputeTopology(v View) Topology {
 	if v.Role == peer.RoleEntry {
-		return arrangeEntry(v)
+		return entryTopology(v)
 	}
-	return arrangeLead(v)
+	return leadTopology(v)
 }
 
-func arrangeEntry(v View) Arrangement {
-	var follow addresses
-	if v.OwnLead.IsValid() {
-		follow.add(v.OwnLead)
+func entryTopology(v View) Topology {
+	var follow addrSet
+	if v.LocalLead.IsValid() {
+		follow.add(v.LocalLead)
 	}
 	if follow.allSuspected(v) {
 		follow.add(v.zoneWatchers(v.Zone)...)
 	}
 	if follow.allSuspected(v) {
-		follow.add(v.someSeeds()...)
+		follow.add(v.seedSubset()...)
 	}
-	return Arrangement{Follow: follow.list}
+	return Topology{Follow: follow.list}
 }
 
-func arrangeLead(v View) Arrangement {
-	var a Arrangement
-	for _, host := range v.chosen(v.Zone, v.Suspected) {
+func leadTopology(v View) Topology {
+	var a Topology
+	for _, host := range v.selectWatchers(v.Zone, v.Suspected) {
 		a.Watch = a.Watch || host.Host == v.Self
 	}
-	var push, follow addresses
+	var push, follow addrSet
 	push.add(v.zoneWatchers(v.Zone)...)
 	follow.add(push.list...)
-	a.Spare = v.spare(push.list)
+	a.Standby = v.standbys(push.list)
 	if a.Watch {
 		for _, zone := range v.otherZones() {
 			watchers := v.zoneWatchers(zone)
 			follow.add(watchers...)
-			a.Spare = append(a.Spare, v.spare(watchers)...)
+			a.Standby = append(a.Standby, v.standbys(watchers)...)
 		}
 	}
 	if follow.allSuspected(v) {
-		follow.add(v.someSeeds()...)
+		follow.add(v.seedSubset()...)
 	}
 	if len(v.Hosts) == 0 {
-		push.add(v.someSeeds()...)
+		push.add(v.seedSubset()...)
 	}
 	a.Follow, a.Push = follow.list, push.list
 	return a
@@ -152,10 +152,10 @@
 // zoneWatchers returns the addresses of a zone's watchers by the list of hosts
 // alone and, where some of them are suspected, of those that stand in.
 func (v View) zoneWatchers(zone place.Zone) []netip.AddrPort {
-	var out addresses
+	var out addrSet
 	none := func(netip.AddrPort) bool { return false }
 	for _, suspected := range []func(netip.AddrPort) bool{none, v.Suspected} {
-		for _, row := range v.chosen(zone, suspected) {
+		for _, row := range v.selectWatchers(zone, suspected) {
 			if row.Host != v.Self {
 				out.add(row.LeadAddr)
 			}
@@ -164,11 +164,11 @@
 	return out.list
 }
 
-// spare returns all of a zone's watchers but the one that this process hears
+// standbys returns all of a zone's watchers but the one that this process hears
 // first: they share their followers evenly.
-func (v View) spare(watchers []netip.AddrPort) []netip.AddrPort {
+func (v View) standbys(watchers []netip.AddrPort) []netip.AddrPort {
 	ranked := slices.Clone(watchers)
-	Shuffle(v.Self, ranked)
+	SortByHostHash(v.Self, ranked)
 	first := slices.IndexFunc(ranked, func(a netip.AddrPort) bool { return !v.Failing(a) })
 	if first < 0 {
 		return nil // whoever answers first will do
@@ -176,20 +176,20 @@
 	return slices.Delete(ranked, first, first+1)
 }
 
-// chosen returns the rows of a zone's watchers among those not suspected.
-func (v View) chosen(zone place.Zone, suspected func(netip.AddrPort) bool) []place.HostRow {
+// selectWatchers returns the rows of a zone's watchers among those not suspected.
+func (v View) selectWatchers(zone place.Zone, suspected func(netip.AddrPort) bool) []place.HostRow {
 	var hosts []place.HostRow
 	for _, row := range v.Hosts {
 		if row.Zone == zone && row.Host != v.Self && row.State == place.Live && row.LeadAddr.IsValid() {
 			hosts = append(hosts, row)
 		}
 	}
-	if zone == v.Zone && v.Role == peer.RoleLead && !v.leaving() {
-		hosts = append(hosts, place.HostRow{Host: v.Self, Zone: zone, CPUShare: v.Processor})
+	if zone == v.Zone && v.Role == peer.RoleLead && !v.selfLeaving() {
+		hosts = append(hosts, place.HostRow{Host: v.Self, Zone: zone, CPUShare: v.CPUShare})
 	}
-	ranked := rank(zone, hosts)
+	ranked := rankHosts(zone, hosts)
 	var out []place.HostRow
-	for _, row := range ranked[:min(len(ranked), maxRank)] {
+	for _, row := range ranked[:min(len(ranked), maxRanked)] {
 		if row.Host != v.Self && suspected(row.LeadAddr) {
 			continue
 		}
@@ -200,8 +200,8 @@
 	return out
 }
 
-// leaving reports whether this host itself is on its way out.
-func (v View) leaving() bool {
+// selfLeaving reports whether this host itself is on its way out.
+func (v View) selfLeaving() bool {
 	i := slices.IndexFunc(v.Hosts, func(r place.HostRow) bool { return r.Host == v.Self })
 	return i >= 0 && v.Hosts[i].State == place.Leaving
 }
@@ -216,16 +216,16 @@
 	return out
 }
 
-// someSeeds returns a few of the seeds, different ones for different hosts.
-func (v View) someSeeds() []netip.AddrPort {
+// seedSubset returns a few of the seeds, different ones for different hosts.
+func (v View) seedSubset() []netip.AddrPort {
 	out := slices.DeleteFunc(slices.Clone(v.Seeds), func(a netip.AddrPort) bool { return a == v.Addr })
-	Shuffle(v.Self, out)
+	SortByHostHash(v.Self, out)
 	return out[:min(len(out), maxSeeds)]
 }
 
-// Shuffle sorts addresses in an order of the host's own, always the same one: so
+// SortByHostHash sorts addresses in an order of the host's own, always the same one: so
 // hosts share out whom they ask first.
-func Shuffle(host place.Host, list []netip.AddrPort) {
+func SortByHostHash(host place.Host, list []netip.AddrPort) {
 	order := make(map[netip.AddrPort]uint64, len(list))
 	for _, addr := range list {
 		order[addr] = xxhash.Sum64String(string(host) + "\x00" + addr.String())
@@ -233,10 +233,10 @@
 	slices.SortFunc(list, func(a, b netip.AddrPort) int { return cmp.Compare(order[a], order[b]) })
 }
 
-// addresses is a list without doubles.
-type addresses struct{ list []netip.AddrPort }
+// addrSet is a list without doubles.
+type addrSet struct{ list []netip.AddrPort }
 
-func (a *addresses) add(more ...netip.AddrPort) {
+func (a *addrSet) add(more ...netip.AddrPort) {
 	for _, addr := range more {
 		if addr.IsValid() && !slices.Contains(a.list, addr) {
 			a.list = append(a.list, addr)
@@ -244,7 +244,7 @@
 	}
 }
 
-func (a *addresses) allSuspected(v View) bool {
+func (a *addrSet) allSuspected(v View) bool {
 	for _, addr := range a.list {
 		if !v.Suspected(addr) {
 			return false
--- a/internal/spread/watcher.go
+++ b/internal/docsync/watcher.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"bytes"
@@ -20,27 +20,27 @@
 const (
 	fleetInterval = time.Second
 	// watchTimeout is longer than the service's own wait for a change.
-	watchTimeout   = 40 * time.Second
-	readTimeout    = 10 * time.Second
-	firstStoreWait = 100 * time.Millisecond
-	// silenceNoted is how many reads in a row fail before it is logged.
-	silenceNoted = 3
-	maxStoreWait = 2 * time.Second
+	watchTimeout    = 40 * time.Second
+	readTimeout     = 10 * time.Second
+	minStoreBackoff = 100 * time.Millisecond
+	// outageLogThreshold is how many reads in a row fail before it is logged.
+	outageLogThreshold = 3
+	maxStoreBackoff    = 2 * time.Second
 )
 
 // Watcher reads the platform's service and publishes what it finds. While the
 // service is down or slow, the board keeps what it has.
 type Watcher struct {
-	store platform.Store
-	board *Memory
-	log   *slog.Logger
-	// seen is the fleet list as this watcher read it last.
-	seen []byte
+	store   platform.Store
+	replica *MemoryReplica
+	log     *slog.Logger
+	// lastFleet is the fleet list as this watcher read it last.
+	lastFleet []byte
 }
 
 // NewWatcher returns a watcher that publishes on board.
-func NewWatcher(store platform.Store, board *Memory, log *slog.Logger) *Watcher {
-	return &Watcher{store: store, board: board, log: log}
+func NewWatcher(store platform.Store, board *MemoryReplica, log *slog.Logger) *Watcher {
+	return &Watcher{store: store, replica: board, log: log}
 }
 
 // Run watches until ctx ends.
@@ -75,7 +75,7 @@
 		next, err := w.step(ctx, f, from, started)
 		if err != nil {
 			w.log.Debug("Store not read.", slog.String("prefix", string(f.prefix)), slog.Any("error", err))
-			sleep(ctx, storeWait(failures))
+			sleep(ctx, storeBackoff(failures))
 			failures++
 			continue
 		}
@@ -130,7 +130,7 @@
 		Version: Version{Major: uint64(entry.Revision)},
 		Body:    entry.Value,
 	}
-	if w.board.offer(doc, originStore) {
+	if w.replica.offer(doc, originStore) {
 		w.log.Info("Document read from the store.",
 			slog.String("name", string(doc.Name)), slog.Uint64("revision", uint64(entry.Revision)))
 	}
@@ -141,12 +141,12 @@
 	failures := 0
 	for ctx.Err() == nil {
 		if err := w.readFleet(ctx); err != nil {
-			w.noteSilence(failures, err)
-			sleep(ctx, storeWait(failures))
+			w.logOutage(failures, err)
+			sleep(ctx, storeBackoff(failures))
 			failures++
 			continue
 		}
-		if failures >= silenceNoted {
+		if failures >= outageLogThreshold {
 			w.log.Info("Platform's service answers again.")
 		}
 		failures = 0
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// noteSilence logs that the store does not answer, once for each silence.
-func (w *Watcher) noteSilence(failures int, err error) {
-	if failures+1 == silenceNoted {
+// logOutage logs that the store does not answer, once for each silence.
+func (w *Watcher) logOutage(failures int, err error) {
+	if failures+1 == outageLogThreshold {
 		w.log.Warn("Platform's service does not answer; this host goes on with what it and its peers have. Check --platform if it never did.",
 			slog.Any("error", err))
 	}
@@ -183,14 +183,14 @@
 // watchers whose answers lag differently would else replace each other's list
 // once a second.
 func (w *Watcher) publishFleet(now time.Time, body []byte) {
-	moved := !bytes.Equal(w.seen, body)
-	w.seen = body
-	last, _ := w.board.Get(Fleet)
+	moved := !bytes.Equal(w.lastFleet, body)
+	w.lastFleet = body
+	last, _ := w.replica.Get(Fleet)
 	if !moved || bytes.Equal(last.Body, body) {
 		return
 	}
 	major := max(uint64(now.UnixMilli()), last.Version.Major+1)
-	w.board.offer(Document{Name: Fleet, Version: Version{Major: major}, Body: body}, originStore)
+	w.replica.offer(Document{Name: Fleet, Version: Version{Major: major}, Body: body}, originStore)
 }
 
 // sortFleet makes equal lists equal byte for byte.
@@ -199,10 +199,10 @@
 	slices.SortFunc(fleet.Targets, func(a, b place.TargetRow) int { return cmp.Compare(a.Target, b.Target) })
 }
 
-// storeWait returns the time before the next attempt at the store.
-func storeWait(failures int) time.Duration {
+// storeBackoff returns the time before the next attempt at the store.
+func storeBackoff(failures int) time.Duration {
 	const maxDoublings = 8
-	full := min(firstStoreWait<<min(failures, maxDoublings), maxStoreWait)
+	full := min(minStoreBackoff<<min(failures, maxDoublings), maxStoreBackoff)
 	return full/2 + rand.N(full/2)
 }
 
--- a/internal/spread/watcher_test.go
+++ b/internal/docsync/watcher_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"context"
@@ -7,28 +7,28 @@
 
 	"gotest.tools/v3/assert"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/docsync"
+	"citrontray.example/citrontray/internal/fake"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // TestFirstWriteOfStore starts a watcher on an empty store: the very first
 // write, at revision 1, was missed until the next one.
 func TestFirstWriteOfStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, board := standin.NewPlatform(), spread.New()
+		store, board := fake.NewPlatform(), docsync.New()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() {
 			cancel()
 			synctest.Wait()
 		}()
-		go func() { _ = spread.NewWatcher(store, board, journal.Nop()).Run(ctx) }()
+		go func() { _ = docsync.NewWatcher(store, board, logging.Nop()).Run(ctx) }()
 		synctest.Wait()
 		_, err := store.Write(ctx, settings.StorePath, []byte("one"), 0)
 		assert.NilError(t, err)
 		synctest.Wait()
-		doc, ok := board.Get(spread.Settings)
+		doc, ok := board.Get(docsync.Settings)
 		assert.Assert(t, ok)
 		assert.Equal(t, doc.Version.Major, uint64(1))
 	})
--- a/internal/spread/wire.go
+++ b/internal/docsync/wire.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"errors"
@@ -17,27 +17,27 @@
 	maxNameBytes    = 256
 )
 
-// question is what one process asks or tells another.
-type question interface{ question() }
+// request is what one process asks or tells another.
+type request interface{ request() }
 
 // poll asks for what is newer than the asking process has. Known tells what it
 // has, where that is little or the cursor is of another life of the board.
 type poll struct {
-	board  instance
-	cursor cursor
-	wait   time.Duration
-	known  []header
+	replica instanceID
+	cursor  cursor
+	wait    time.Duration
+	known   []header
 }
 
 // fetch asks for the newest versions of documents.
 type fetch struct{ wanted []header }
 
 // push hands over documents that the sender published.
-type push struct{ parcels []parcel }
+type push struct{ docs []encodedDoc }
 
-func (poll) question()  {}
-func (fetch) question() {}
-func (push) question()  {}
+func (poll) request()  {}
+func (fetch) request() {}
+func (push) request()  {}
 
 // header names one version of a document.
 type header struct {
@@ -45,19 +45,19 @@
 	version Version
 }
 
-// pollAnswer tells what is newer; small documents and changes come along.
-type pollAnswer struct {
-	board  instance
-	cursor cursor
-	newer  []header
-	small  []parcel
+// pollResponse tells what is newer; small documents and changes come along.
+type pollResponse struct {
+	replica instanceID
+	cursor  cursor
+	newer   []header
+	inline  []encodedDoc
 }
 
-// parcelAnswer answers a fetch.
-type parcelAnswer struct{ parcels []parcel }
+// fetchResponse answers a fetch.
+type fetchResponse struct{ docs []encodedDoc }
 
-// pushAnswer names the documents whose delta had no base; they come whole.
-type pushAnswer struct{ again []Name }
+// pushResponse names the documents whose delta had no base; they come whole.
+type pushResponse struct{ resend []Name }
 
 type wireHeader struct {
 	_     struct{} `cbor:",toarray"`
@@ -66,35 +66,35 @@
 	Minor uint64
 }
 
-type wireParcel struct {
+type wireDoc struct {
 	_         struct{} `cbor:",toarray"`
 	Header    wireHeader
-	Form      uint8
+	Encoding  uint8
 	BaseMajor uint64
 	BaseMinor uint64
 	Payload   []byte
 }
 
-type wireQuestion struct {
+type wireRequest struct {
 	Poll  *wirePoll    `cbor:"1,keyasint,omitempty"`
 	Fetch []wireHeader `cbor:"2,keyasint,omitempty"`
-	Push  []wireParcel `cbor:"3,keyasint,omitempty"`
+	Push  []wireDoc    `cbor:"3,keyasint,omitempty"`
 }
 
 type wirePoll struct {
-	_      struct{} `cbor:",toarray"`
-	Board  uint64
-	Cursor uint64
-	WaitMS uint32
-	Known  []wireHeader
+	_       struct{} `cbor:",toarray"`
+	Replica uint64
+	Cursor  uint64
+	WaitMS  uint32
+	Known   []wireHeader
 }
 
-type wireAnswer struct {
-	Board   uint64       `cbor:"1,keyasint,omitempty"`
+type wireResponse struct {
+	Replica uint64       `cbor:"1,keyasint,omitempty"`
 	Cursor  uint64       `cbor:"2,keyasint,omitempty"`
 	Newer   []wireHeader `cbor:"3,keyasint,omitempty"`
-	Parcels []wireParcel `cbor:"4,keyasint,omitempty"`
-	Again   []string     `cbor:"5,keyasint,omitempty"`
+	Docs    []wireDoc    `cbor:"4,keyasint,omitempty"`
+	Resend  []string     `cbor:"5,keyasint,omitempty"`
 }
 
 var wireDecoder = mustDecoder()
@@ -111,26 +111,26 @@
 	return mode
 }
 
-func encodeQuestion(q question) ([]byte, error) {
-	var w wireQuestion
+func encodeRequest(q request) ([]byte, error) {
+	var w wireRequest
 	switch q := q.(type) {
 	case poll:
 		w.Poll = &wirePoll{
-			Board:  uint64(q.board),
-			Cursor: uint64(q.cursor),
-			WaitMS: uint32(q.wait.Milliseconds()),
-			Known:  wireHeaders(q.known),
+			Replica: uint64(q.replica),
+			Cursor:  uint64(q.cursor),
+			WaitMS:  uint32(q.wait.Milliseconds()),
+			Known:   wireHeaders(q.known),
 		}
 	case fetch:
 		w.Fetch = wireHeaders(q.wanted)
 	case push:
-		w.Push = wireParcels(q.parcels)
+		w.Push = wireDocs(q.docs)
 	}
 	return encodeWire(w)
 }
 
-func decodeQuestion(data []byte) (question, error) {
-	var w wireQuestion
+func decodeRequest(data []byte) (request, error) {
+	var w wireRequest
 	if err := decodeWire(data, &w); err != nil {
 		return nil, err
 	}
@@ -138,72 +138,72 @@
 	case w.Poll != nil:
 		known, err := headersOf(w.Poll.Known)
 		return poll{
-			board:  instance(w.Poll.Board),
-			cursor: cursor(w.Poll.Cursor),
-			wait:   time.Duration(w.Poll.WaitMS) * time.Millisecond,
-			known:  known,
+			replica: instanceID(w.Poll.Replica),
+			cursor:  cursor(w.Poll.Cursor),
+			wait:    time.Duration(w.Poll.WaitMS) * time.Millisecond,
+			known:   known,
 		}, err
 	case w.Fetch != nil:
 		wanted, err := headersOf(w.Fetch)
 		return fetch{wanted: wanted}, err
 	case w.Push != nil:
-		parcels, err := parcelsOf(w.Push)
-		return push{parcels: parcels}, err
+		parcels, err := docsOf(w.Push)
+		return push{docs: parcels}, err
 	}
 	return nil, ErrMalformed
 }
 
-func encodePollAnswer(a pollAnswer) ([]byte, error) {
-	return encodeWire(wireAnswer{
-		Board:   uint64(a.board),
+func encodePollResponse(a pollResponse) ([]byte, error) {
+	return encodeWire(wireResponse{
+		Replica: uint64(a.replica),
 		Cursor:  uint64(a.cursor),
 		Newer:   wireHeaders(a.newer),
-		Parcels: wireParcels(a.small),
+		Docs:    wireDocs(a.inline),
 	})
 }
 
-func decodePollAnswer(data []byte) (pollAnswer, error) {
-	var w wireAnswer
+func decodePollResponse(data []byte) (pollResponse, error) {
+	var w wireResponse
 	if err := decodeWire(data, &w); err != nil {
-		return pollAnswer{}, err
+		return pollResponse{}, err
 	}
 	newer, err := headersOf(w.Newer)
 	if err != nil {
-		return pollAnswer{}, err
+		return pollResponse{}, err
 	}
-	small, err := parcelsOf(w.Parcels)
-	return pollAnswer{board: instance(w.Board), cursor: cursor(w.Cursor), newer: newer, small: small}, err
+	small, err := docsOf(w.Docs)
+	return pollResponse{replica: instanceID(w.Replica), cursor: cursor(w.Cursor), newer: newer, inline: small}, err
 }
 
-func encodeParcelAnswer(a parcelAnswer) ([]byte, error) {
-	return encodeWire(wireAnswer{Parcels: wireParcels(a.parcels)})
+func encodeFetchResponse(a fetchResponse) ([]byte, error) {
+	return encodeWire(wireResponse{Docs: wireDocs(a.docs)})
 }
 
-func decodeParcelAnswer(data []byte) (parcelAnswer, error) {
-	var w wireAnswer
+func decodeFetchResponse(data []byte) (fetchResponse, error) {
+	var w wireResponse
 	if err := decodeWire(data, &w); err != nil {
-		return parcelAnswer{}, err
+		return fetchResponse{}, err
 	}
-	parcels, err := parcelsOf(w.Parcels)
-	return parcelAnswer{parcels: parcels}, err
+	parcels, err := docsOf(w.Docs)
+	return fetchResponse{docs: parcels}, err
 }
 
-func encodePushAnswer(a pushAnswer) ([]byte, error) {
-	var w wireAnswer
-	for _, name := range a.again {
-		w.Again = append(w.Again, string(name))
+func encodePushResponse(a pushResponse) ([]byte, error) {
+	var w wireResponse
+	for _, name := range a.resend {
+		w.Resend = append(w.Resend, string(name))
 	}
 	return encodeWire(w)
 }
 
-func decodePushAnswer(data []byte) (pushAnswer, error) {
-	var w wireAnswer
+func decodePushResponse(data []byte) (pushResponse, error) {
+	var w wireResponse
 	if err := decodeWire(data, &w); err != nil {
-		return pushAnswer{}, err
+		return pushResponse{}, err
 	}
-	var a pushAnswer
-	for _, name := range w.Again {
-		a.again = append(a.again, Name(name))
+	var a pushResponse
+	for _, name := range w.Resend {
+		a.resend = append(a.resend, Name(name))
 	}
 	return a, nil
 }
@@ -254,12 +254,12 @@
 	return header{name: Name(w.Name), version: Version{Major: w.Major, Minor: w.Minor}}, nil
 }
 
-func wireParcels(parcels []parcel) []wireParcel {
-	out := make([]wireParcel, len(parcels))
+func wireDocs(parcels []encodedDoc) []wireDoc {
+	out := make([]wireDoc, len(parcels))
 	for i, p := range parcels {
-		out[i] = wireParcel{
+		out[i] = wireDoc{
 			Header:    wireHeaderOf(header{name: p.name, version: p.version}),
-			Form:      uint8(p.form),
+			Encoding:  uint8(p.encoding),
 			BaseMajor: p.base.Major,
 			BaseMinor: p.base.Minor,
 			Payload:   p.payload,
@@ -268,22 +268,22 @@
 	return out
 }
 
-func parcelsOf(wire []wireParcel) ([]parcel, error) {
-	out := make([]parcel, len(wire))
+func docsOf(wire []wireDoc) ([]encodedDoc, error) {
+	out := make([]encodedDoc, len(wire))
 	for i, w := range wire {
 		h, err := headerOf(w.Header)
 		if err != nil {
 			return nil, err
 		}
-		if len(w.Payload) > MaxDocument {
+		if len(w.Payload) > MaxDocumentBytes {
 			return nil, ErrMalformed
 		}
-		out[i] = parcel{
-			name:    h.name,
-			version: h.version,
-			form:    form(w.Form),
-			base:    Version{Major: w.BaseMajor, Minor: w.BaseMinor},
-			payload: w.Payload,
+		out[i] = encodedDoc{
+			name:     h.name,
+			version:  h.version,
+			encoding: encoding(w.Encoding),
+			base:     Version{Major: w.BaseMajor, Minor: w.BaseMinor},
+			payload:  w.Payload,
 		}
 	}
 	return out, nil
--- a/internal/spread/wire_test.go
+++ b/internal/docsync/wire_test.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"bytes"
@@ -13,25 +13,25 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-func samples(t testing.TB) map[string]question {
+func sampleRequests(t testing.TB) map[string]request {
 	t.Helper()
 	h := header{name: "table/s/zone-a", version: Version{Major: 3, Minor: 9}}
-	p := parcel{name: h.name, version: h.version, form: formDelta, base: Version{Major: 3, Minor: 8}, payload: []byte("x")}
-	return map[string]question{
-		"poll":  poll{board: 7, cursor: 8, wait: time.Second, known: []header{h}},
+	p := encodedDoc{name: h.name, version: h.version, encoding: encodingDelta, base: Version{Major: 3, Minor: 8}, payload: []byte("x")}
+	return map[string]request{
+		"poll":  poll{replica: 7, cursor: 8, wait: time.Second, known: []header{h}},
 		"fetch": fetch{wanted: []header{h, {name: "settings"}}},
-		"push":  push{parcels: []parcel{p, {name: "b", form: formRaw, payload: []byte{}}}},
+		"push":  push{docs: []encodedDoc{p, {name: "b", encoding: encodingRaw, payload: []byte{}}}},
 	}
 }
 
-func TestQuestionsRoundTrip(t *testing.T) {
-	for name, want := range samples(t) {
+func TestRequestsRoundTrip(t *testing.T) {
+	for name, want := range sampleRequests(t) {
 		t.Run(name, func(t *testing.T) {
-			data, err := encodeQuestion(want)
+			data, err := encodeRequest(want)
 			assert.NilError(t, err)
-			got, err := decodeQuestion(data)
+			got, err := decodeRequest(data)
 			assert.NilError(t, err)
-			again, err := encodeQuestion(got)
+			again, err := encodeRequest(got)
 			assert.NilError(t, err)
 			assert.Assert(t, bytes.Equal(data, again))
 		})
@@ -39,17 +39,17 @@
 }
 
 func FuzzDecodeQuestion(f *testing.F) {
-	for _, q := range samples(f) {
-		data, err := encodeQuestion(q)
+	for _, q := range sampleRequests(f) {
+		data, err := encodeRequest(q)
 		assert.NilError(f, err)
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		q, err := decodeQuestion(data)
+		q, err := decodeRequest(data)
 		if err != nil {
 			return
 		}
-		_, err = encodeQuestion(q)
+		_, err = encodeRequest(q)
 		assert.NilError(t, err)
 	})
 }
@@ -57,26 +57,26 @@
 func FuzzOpen(f *testing.F) {
 	base := bytes.Repeat([]byte("0123456789abcdef"), 100)
 	next := append(bytes.Clone(base), "more"...)
-	f.Add(uint8(formRaw), next)
-	f.Add(uint8(formPacked), compress(next))
-	f.Add(uint8(formDelta), deltaOf(f, next, base))
+	f.Add(uint8(encodingRaw), next)
+	f.Add(uint8(encodingZstd), compress(next))
+	f.Add(uint8(encodingDelta), deltaOf(f, next, base))
 	f.Fuzz(func(t *testing.T, kind uint8, payload []byte) {
 		board := New()
 		at := Version{Major: 1}
 		board.Publish(Document{Name: "d", Version: at, Body: base})
-		doc, err := board.open(parcel{name: "d", version: Version{Major: 2}, form: form(kind), base: at, payload: payload})
-		assert.Assert(t, err != nil || len(doc.Body) <= max(MaxDocument, len(payload)))
+		doc, err := board.decode(encodedDoc{name: "d", version: Version{Major: 2}, encoding: encoding(kind), base: at, payload: payload})
+		assert.Assert(t, err != nil || len(doc.Body) <= max(MaxDocumentBytes, len(payload)))
 	})
 }
 
 func FuzzDecodeAnswers(f *testing.F) {
-	data, err := encodePollAnswer(pollAnswer{board: 1, cursor: 2, newer: []header{{name: "a"}}})
+	data, err := encodePollResponse(pollResponse{replica: 1, cursor: 2, newer: []header{{name: "a"}}})
 	assert.NilError(f, err)
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		_, _ = decodePollAnswer(data)
-		_, _ = decodeParcelAnswer(data)
-		_, _ = decodePushAnswer(data)
+		_, _ = decodePollResponse(data)
+		_, _ = decodeFetchResponse(data)
+		_, _ = decodePushResponse(data)
 		_, _ = DecodeFleet(data)
 	})
 }
@@ -86,10 +86,10 @@
 	for role, taken := range map[peer.Role]bool{peer.RoleLead: true, peer.RoleEntry: false, peer.RoleOperator: false} {
 		t.Run(string(role), func(t *testing.T) {
 			board := New()
-			n := NewNode(board, nowhere{}, Config{Self: peer.Identity{Host: "h1", Zone: "z1", Role: peer.RoleLead}})
-			data, err := encodeQuestion(push{parcels: []parcel{{name: "settings", version: Version{Major: 9}, form: formRaw}}})
+			n := NewNode(board, unreachableTransport{}, Config{Self: peer.Identity{Host: "h1", Zone: "z1", Role: peer.RoleLead}})
+			data, err := encodeRequest(push{docs: []encodedDoc{{name: "settings", version: Version{Major: 9}, encoding: encodingRaw}}})
 			assert.NilError(t, err)
-			_, err = n.answer(t.Context(), peer.Identity{Host: "h2", Zone: "z1", Role: role}, data)
+			_, err = n.serve(t.Context(), peer.Identity{Host: "h2", Zone: "z1", Role: role}, data)
 			assert.Equal(t, errors.Is(err, peer.ErrRefused), !taken)
 			_, known := board.Get("settings")
 			assert.Equal(t, known, taken)
@@ -97,12 +97,12 @@
 	}
 }
 
-// nowhere is a link without peers.
-type nowhere struct{}
+// unreachableTransport is a link without peers.
+type unreachableTransport struct{}
 
-func (nowhere) Handle(peer.Kind, peer.Handler) {}
+func (unreachableTransport) Handle(peer.Kind, peer.Handler) {}
 
-func (nowhere) Call(context.Context, netip.AddrPort, peer.Kind, []byte) ([]byte, error) {
+func (unreachableTransport) Call(context.Context, netip.AddrPort, peer.Kind, []byte) ([]byte, error) {
 	return nil, peer.ErrUnreachable
 }
 
@@ -113,14 +113,14 @@
 	first, second := Version{Major: 1}, Version{Major: 2}
 	sender.Publish(Document{Name: "d", Version: first, Body: body})
 	sender.Publish(Document{Name: "d", Version: second, Body: append(bytes.Clone(body), 'x')})
-	delta, _ := sender.pack("d", first)
-	assert.Equal(t, delta.form, formDelta)
-	_, err := receiver.open(delta)
-	assert.ErrorIs(t, err, errBase)
+	delta, _ := sender.encode("d", first)
+	assert.Equal(t, delta.encoding, encodingDelta)
+	_, err := receiver.decode(delta)
+	assert.ErrorIs(t, err, errUnknownBase)
 	receiver.Publish(Document{Name: "d", Version: first, Body: body})
-	doc, err := receiver.open(delta)
+	doc, err := receiver.decode(delta)
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(doc.Body, append(bytes.Clone(body), 'x')))
-	unknown, _ := sender.pack("d", Version{Major: 7})
-	assert.Equal(t, unknown.form, formPacked)
+	unknown, _ := sender.encode("d", Version{Major: 7})
+	assert.Equal(t, unknown.encoding, encodingZstd)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/time/rate"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/forward"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/outcome"
@@ -21,13 +22,12 @@
 	"citrontray.example/citrontray/internal/queue"
 	"citrontray.example/citrontray/internal/route"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/table"
 )
 
 // Config is what an entry needs of its process.
 type Config struct {
-	Board          spread.Board
+	Board          docsync.Replica
 	DecodeSettings func([]byte) (*settings.Settings, error)
 	DecodeTable    func([]byte) (table.Table, error)
 	// Host and Zone name this entry host.
@@ -37,7 +37,7 @@
 	Sharing Sharing
 	// Link carries load reports to leads and requests to homes; without it
 	// all is run here.
-	Link     peer.Link
+	Link     peer.Transport
 	Log      *slog.Logger
 	Registry *metric.Registry
 	// Dial opens connections to targets; nil stands for TCP.
@@ -81,9 +81,9 @@
 
 	// refreshing guards what refresh alone changes.
 	refreshing      sync.Mutex
-	settingsVersion spread.Version
+	settingsVersion docsync.Version
 	settingsSince   time.Time
-	tableCache      map[spread.Name]cachedTable
+	tableCache      map[docsync.Name]cachedTable
 	lanes           map[laneID]*lane
 
 	limitMu sync.Mutex
@@ -117,7 +117,7 @@
 		load:       newLoad(),
 		parked:     gate{bound: int64(cfg.Parked)},
 		memory:     memory{bound: cfg.Memory},
-		tableCache: make(map[spread.Name]cachedTable),
+		tableCache: make(map[docsync.Name]cachedTable),
 		lanes:      make(map[laneID]*lane),
 		limits:     make(map[callerLimitID]*callerLimit),
 		budget:     newBudget(),
@@ -127,7 +127,7 @@
 		homes:      newHomes(),
 	}
 	if cfg.Link != nil {
-		cfg.Link.Handle(peer.KindWork, e.HandleWork)
+		cfg.Link.Handle(peer.KindForward, e.HandleWork)
 	}
 	e.view.Store(&view{replaced: make(chan struct{})})
 	e.refresh(time.Now())
@@ -147,9 +147,9 @@
 }
 
 func (e *Entry) loop(ctx context.Context) error {
-	settingsChanged := e.cfg.Board.Subscribe(spread.Settings)
-	fleetChanged := e.cfg.Board.Subscribe(spread.Fleet)
-	tablesChanged := e.cfg.Board.Subscribe(spread.TablePrefix)
+	settingsChanged := e.cfg.Board.Subscribe(docsync.Settings)
+	fleetChanged := e.cfg.Board.Subscribe(docsync.Fleet)
+	tablesChanged := e.cfg.Board.Subscribe(docsync.TablePrefix)
 	e.refresh(time.Now())
 	ticker := time.NewTicker(e.cfg.Tick)
 	defer ticker.Stop()
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -18,15 +18,15 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/entry"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/outcome"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/queue"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/table"
 	"citrontray.example/citrontray/internal/target"
 )
@@ -34,7 +34,7 @@
 // board is a spread.Board that keeps decoded documents by their body.
 type board struct {
 	mu        sync.Mutex
-	docs      map[spread.Name]spread.Document
+	docs      map[docsync.Name]docsync.Document
 	watchers  []chan struct{}
 	settings  *settings.Settings
 	tables    map[string]*table.Table
@@ -42,10 +42,10 @@
 }
 
 func newBoard() *board {
-	return &board{docs: map[spread.Name]spread.Document{}, tables: map[string]*table.Table{}}
+	return &board{docs: map[docsync.Name]docsync.Document{}, tables: map[string]*table.Table{}}
 }
 
-func (b *board) Publish(doc spread.Document) bool {
+func (b *board) Publish(doc docsync.Document) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.docs[doc.Name] = doc
@@ -58,14 +58,14 @@
 	return true
 }
 
-func (b *board) Get(name spread.Name) (spread.Document, bool) {
+func (b *board) Get(name docsync.Name) (docsync.Document, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	d, ok := b.docs[name]
 	return d, ok
 }
 
-func (b *board) Subscribe(spread.Name) <-chan struct{} {
+func (b *board) Subscribe(docsync.Name) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := make(chan struct{}, 1)
@@ -73,16 +73,16 @@
 	return c
 }
 
-func (b *board) List(prefix spread.Name) []spread.Document {
+func (b *board) List(prefix docsync.Name) []docsync.Document {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []spread.Document
+	var out []docsync.Document
 	for name, d := range b.docs {
 		if strings.HasPrefix(string(name), string(prefix)) {
 			out = append(out, d)
 		}
 	}
-	slices.SortFunc(out, func(x, y spread.Document) int { return strings.Compare(string(x.Name), string(y.Name)) })
+	slices.SortFunc(out, func(x, y docsync.Document) int { return strings.Compare(string(x.Name), string(y.Name)) })
 	return out
 }
 
@@ -90,9 +90,9 @@
 	b.mu.Lock()
 	b.settings = s
 	b.sequences++
-	v := spread.Version{Major: uint64(b.sequences)}
+	v := docsync.Version{Major: uint64(b.sequences)}
 	b.mu.Unlock()
-	b.Publish(spread.Document{Name: spread.Settings, Version: v})
+	b.Publish(docsync.Document{Name: docsync.Settings, Version: v})
 }
 
 func (b *board) putTable(t *table.Table) {
@@ -100,10 +100,10 @@
 	b.sequences++
 	id := fmt.Sprint(b.sequences)
 	b.tables[id] = t
-	v := spread.Version{Major: uint64(b.sequences)}
+	v := docsync.Version{Major: uint64(b.sequences)}
 	b.mu.Unlock()
-	name := spread.TablePrefix + spread.Name(string(t.Service)+"/"+string(t.Zone))
-	b.Publish(spread.Document{Name: name, Version: v, Body: []byte(id)})
+	name := docsync.TablePrefix + docsync.Name(string(t.Service)+"/"+string(t.Zone))
+	b.Publish(docsync.Document{Name: name, Version: v, Body: []byte(id)})
 }
 
 func (b *board) decodeSettings([]byte) (*settings.Settings, error) {
@@ -149,7 +149,7 @@
 func someTable(name key.Service, addr netip.AddrPort) *table.Table {
 	t := &table.Table{
 		Service: name, Zone: "zone-a", Shards: 4,
-		Targets: []table.Target{{Target: place.Target("target-" + addr.String()), Addr: addr}},
+		Targets: []table.Target{{Name: place.Target("target-" + addr.String()), Addr: addr}},
 	}
 	for s := range key.Shard(4) {
 		t.Rows = append(t.Rows, table.Row{Shard: s, Epoch: 7, Owner: 0})
@@ -171,7 +171,7 @@
 	b.putSettings(someSettings())
 	cfg := entry.Config{
 		Board: b, DecodeSettings: b.decodeSettings, DecodeTable: b.decodeTable,
-		Log: journal.Nop(), Registry: metric.New("test"), Hosts: 1, Queue: queue.DefaultConfig(),
+		Log: logging.Nop(), Registry: metric.New("test"), Hosts: 1, Queue: queue.DefaultConfig(),
 		Park: time.Second, Parked: 100, Memory: 1 << 20, Tick: time.Millisecond,
 	}
 	if change != nil {
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -195,7 +195,7 @@
 		stop := context.AfterFunc(gone, cancel)
 		defer stop()
 	}
-	return e.cfg.Link.Call(ctx, home.EntryAddr, peer.KindWork, body)
+	return e.cfg.Link.Call(ctx, home.EntryAddr, peer.KindForward, body)
 }
 
 // homeAway passes over a home that did not take the request. With an
--- a/internal/entry/home_test.go
+++ b/internal/entry/home_test.go
@@ -60,7 +60,7 @@
 	}
 	wg.Wait()
 	assert.Equal(t, c.farm.Ledger.Counts().Runs, uint64(requests))
-	assert.Equal(t, c.farm.Ledger.Counts().DoubledRun, uint64(0))
+	assert.Equal(t, c.farm.Ledger.Counts().DuplicateRuns, uint64(0))
 }
 
 // TestKeyReused shows that another request with a used key does not run.
@@ -103,7 +103,7 @@
 		assert.Equal(t, a.outcome, outcome.Done)
 	}
 	assert.Assert(t, notRun > 0, "host 0 is no target's home")
-	assert.Equal(t, c.farm.Ledger.Counts().DoubledRun, uint64(0))
+	assert.Equal(t, c.farm.Ledger.Counts().DuplicateRuns, uint64(0))
 }
 
 // TestHomeDrains shows that requests go on elsewhere while a home stops.
--- a/internal/entry/homes.go
+++ b/internal/entry/homes.go
@@ -11,10 +11,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 const (
@@ -104,11 +104,11 @@
 
 // fleetHosts reads the entry hosts that the platform lists, sorted by name.
 func (e *Entry) fleetHosts() []place.HostRow {
-	doc, ok := e.cfg.Board.Get(spread.Fleet)
+	doc, ok := e.cfg.Board.Get(docsync.Fleet)
 	if !ok {
 		return nil
 	}
-	fleet, err := spread.DecodeFleet(doc.Body)
+	fleet, err := docsync.DecodeFleet(doc.Body)
 	if err != nil {
 		e.log.Error("Fleet list is unreadable.", "error", err)
 		return nil
@@ -227,7 +227,7 @@
 func (p ping) run(ctx context.Context, e *Entry) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	_, err := e.cfg.Link.Call(ctx, p.addr, peer.KindWork, nil)
+	_, err := e.cfg.Link.Call(ctx, p.addr, peer.KindForward, nil)
 	e.homes.pinged(p.host)
 	if err == nil {
 		e.homes.trust(p.host)
--- a/internal/entry/lane.go
+++ b/internal/entry/lane.go
@@ -105,7 +105,7 @@
 		meter:   newMeter(),
 		entry:   e,
 		service: cfg.Name,
-		target:  row.Target,
+		target:  row.Name,
 		zone:    zone,
 		addr:    row.Addr.String(),
 		queue:   queue.New[*work](e.cfg.Queue),
@@ -127,7 +127,7 @@
 func (l *lane) configure(row *table.Target, cfg *settings.Service) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.warmUp = row.Since, cfg.WarmUp
+	l.since, l.warmUp = row.WarmupStart, cfg.WarmUp
 	if l.limiter.slots != cfg.Slots && cfg.Slots > 0 {
 		l.limiter = newLimiter(cfg.Slots)
 	}
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -137,7 +137,7 @@
 		for _, t := range v.tables {
 			if r := cells[t.Zone]; r != nil && t.Service == name {
 				r.Service, r.Zone, r.Period = name, t.Zone, period
-				out = append(out, cellReport{*r, t.LeadAddr})
+				out = append(out, cellReport{*r, t.LeaderAddr})
 			}
 		}
 	}
--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"citrontray.example/citrontray/internal/admin"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/option"
@@ -20,7 +21,6 @@
 	"citrontray.example/citrontray/internal/program"
 	"citrontray.example/citrontray/internal/queue"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/status"
 	"citrontray.example/citrontray/internal/table"
 )
@@ -90,7 +90,7 @@
 	link     *peer.Peer
 	metrics  *metric.Registry
 	entry    *Entry
-	node     *spread.Node
+	node     *docsync.Node
 	pages    *admin.Server
 	listener net.Listener
 	server   *Server
@@ -106,9 +106,9 @@
 	if d.link, err = peer.New(peer.Config{Listen: o.Peer, Keys: material, Log: log}); err != nil {
 		return nil, fmt.Errorf("--peer-address: %w", err)
 	}
-	board := spread.New()
-	d.node = spread.NewNode(board, d.link, spread.Config{
-		Self: material.Self(), Addr: o.Peer, OwnLead: o.Lead, Seeds: o.Peers, Log: log,
+	board := docsync.New()
+	d.node = docsync.NewNode(board, d.link, docsync.Config{
+		Self: material.Self(), Addr: o.Peer, LocalLead: o.Lead, Seeds: o.Peers, Log: log,
 	})
 	d.entry = New(d.config(board))
 	if d.pages, err = admin.Listen(o.Admin, d.metrics.Handler(), d.entry.StatusHandler()); err != nil {
@@ -121,7 +121,7 @@
 	return d, nil
 }
 
-func (d *daemon) config(board spread.Board) Config {
+func (d *daemon) config(board docsync.Replica) Config {
 	bounds := queue.DefaultConfig()
 	bounds.Bound = d.opts.QueueBound
 	return Config{
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -65,8 +65,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := m.registry.Tagged(map[string]string{
-		"tenant": m.registry.Value("tenant", string(id.tenant)),
-		"class":  m.registry.Value("class", string(id.class)),
+		"tenant": m.registry.LabelValue("tenant", string(id.tenant)),
+		"class":  m.registry.LabelValue("class", string(id.class)),
 	}).Histogram("latency_seconds", metric.LatencyBuckets())
 	m.paths[id] = h
 	return h
--- a/internal/entry/slots_bench_test.go
+++ b/internal/entry/slots_bench_test.go
@@ -17,11 +17,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/entry"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/grant"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/keys"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/outcome"
 	"citrontray.example/citrontray/internal/peer"
@@ -29,8 +31,6 @@
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/queue"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
-	"citrontray.example/citrontray/internal/standin"
 	"citrontray.example/citrontray/internal/table"
 	"citrontray.example/citrontray/internal/target"
 )
@@ -85,7 +85,7 @@
 
 // cluster is some entry hosts with real sockets between them, and targets.
 type cluster struct {
-	farm    *standin.Farm
+	farm    *fake.TargetSet
 	entries []*entry.Entry
 	servers []*httptest.Server
 	links   []*peer.Peer
@@ -94,8 +94,8 @@
 
 func newCluster(b testing.TB, hosts int, w way) *cluster {
 	c := &cluster{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}}
-	c.farm = standin.NewFarm([]standin.Group{{Count: benchTargets, TargetConfig: standin.TargetConfig{
-		Service: balance, Slots: benchSlots, Connections: 130, Work: *benchWork, Connect: time.Millisecond,
+	c.farm = fake.NewTargetSet([]fake.TargetGroup{{Count: benchTargets, TargetConfig: fake.TargetConfig{
+		Service: balance, Slots: benchSlots, Connections: 130, MeanWork: *benchWork, ConnectDelay: time.Millisecond,
 	}}}, []place.Zone{"zone-a"})
 	assert.NilError(b, c.farm.Start())
 	b.Cleanup(func() { c.farm.Stop(context.Background()) })
@@ -109,7 +109,7 @@
 		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
 	}
 	c.links = links
-	list, err := spread.EncodeFleet(fleet)
+	list, err := docsync.EncodeFleet(fleet)
 	assert.NilError(b, err)
 	rows := c.grant(b)
 	for i := range hosts {
@@ -135,7 +135,7 @@
 	assert.NilError(b, keys.MakeHost(now, dir, host, "zone-a", []peer.Role{peer.RoleEntry}, []netip.Addr{loopback}))
 	material, err := keys.Load(now, dir, host, peer.RoleEntry)
 	assert.NilError(b, err)
-	link, err := peer.New(peer.Config{Listen: netip.AddrPortFrom(loopback, 0), Keys: material, Log: journal.Nop()})
+	link, err := peer.New(peer.Config{Listen: netip.AddrPortFrom(loopback, 0), Keys: material, Log: logging.Nop()})
 	assert.NilError(b, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -155,7 +155,7 @@
 	items := make([][]grant.Item, benchTargets)
 	for shard := range key.Shard(benchShards) {
 		owner := shard % benchTargets
-		rows = append(rows, table.Row{Shard: shard, Epoch: 1, Owner: table.Index(owner)})
+		rows = append(rows, table.Row{Shard: shard, Epoch: 1, Owner: table.TargetIndex(owner)})
 		items[owner] = append(items[owner], grant.Item{Shard: shard, Epoch: 1, Kind: grant.Grant})
 	}
 	for i, t := range c.farm.Targets() {
@@ -169,7 +169,7 @@
 	return rows
 }
 
-func (c *cluster) startEntry(b testing.TB, host place.Host, link peer.Link, w way, list []byte, rows []table.Row) {
+func (c *cluster) startEntry(b testing.TB, host place.Host, link peer.Transport, w way, list []byte, rows []table.Row) {
 	bd := newBoard()
 	s := someSettings()
 	s.Services = []settings.Service{{Name: balance, Shards: benchShards, Slots: benchSlots, Connections: 130, BodyBytes: bodySize}}
@@ -179,14 +179,14 @@
 		Path: "/remind/{key}", KeySource: settings.KeyInPath, Class: settings.Bulk, Timeout: 2 * time.Second,
 	})
 	bd.putSettings(s)
-	bd.Publish(spread.Document{Name: spread.Fleet, Version: spread.Version{Major: 1}, Body: list})
+	bd.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
 	t := &table.Table{Service: balance, Zone: "zone-a", Shards: benchShards, Rows: rows}
 	for _, one := range c.farm.Targets() {
-		t.Targets = append(t.Targets, table.Target{Target: one.Name(), Addr: one.Addr()})
+		t.Targets = append(t.Targets, table.Target{Name: one.Name(), Addr: one.Addr()})
 	}
 	bd.putTable(t)
 	e := entry.New(entry.Config{
-		Board: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: journal.Nop(),
+		Board: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
 		Registry: metric.New("test"), Host: host, Link: link, Sharing: w.sharing, Hosts: *benchHosts,
 		Queue: queue.DefaultConfig(), Park: time.Second, Parked: 1000, Memory: 16 << 20, Tick: entry.DefaultTick,
 	})
@@ -304,7 +304,7 @@
 // startBenchEntry starts one entry host without links.
 func startBenchEntry(b testing.TB, bd *board) (*entry.Entry, string) {
 	e := entry.New(entry.Config{
-		Board: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: journal.Nop(),
+		Board: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
 		Registry: metric.New("test"), Hosts: 1, Queue: queue.DefaultConfig(),
 		Park: time.Second, Parked: 1000, Memory: 16 << 20, Tick: entry.DefaultTick,
 	})
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -17,19 +17,19 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/entry"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/grant"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/keys"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/outcome"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/queue"
-	"citrontray.example/citrontray/internal/spread"
-	"citrontray.example/citrontray/internal/standin"
 	"citrontray.example/citrontray/internal/table"
 	"citrontray.example/citrontray/internal/target"
 )
@@ -53,7 +53,7 @@
 	*testing.T
 	rand    *rand.Rand // of the disturber alone
 	board   *board
-	farm    *standin.Farm
+	farm    *fake.TargetSet
 	control *target.HTTPControl
 	rows    map[key.Service][]table.Row
 	life    map[place.Target]place.Incarnation
@@ -102,13 +102,13 @@
 		}},
 	}
 	names := []key.Service{balance, plan}
-	groups := make([]standin.Group, 0, len(names))
+	groups := make([]fake.TargetGroup, 0, len(names))
 	for _, name := range names {
-		groups = append(groups, standin.Group{Count: soakTargets, TargetConfig: standin.TargetConfig{
-			Service: name, Slots: 3, Connections: 110, Work: 500 * time.Microsecond, ChecksTerms: true,
+		groups = append(groups, fake.TargetGroup{Count: soakTargets, TargetConfig: fake.TargetConfig{
+			Service: name, Slots: 3, Connections: 110, MeanWork: 500 * time.Microsecond, ChecksTerms: true,
 		}})
 	}
-	s.farm = standin.NewFarm(groups, []place.Zone{"zone-a"})
+	s.farm = fake.NewTargetSet(groups, []place.Zone{"zone-a"})
 	assert.NilError(t, s.farm.Start())
 	t.Cleanup(func() { s.farm.Stop(context.Background()) })
 	cfg := someSettings()
@@ -118,7 +118,7 @@
 	s.board.putSettings(cfg)
 	for _, name := range []key.Service{balance, plan} {
 		for shard := range key.Shard(soakShards) {
-			s.rows[name] = append(s.rows[name], table.Row{Shard: shard, Epoch: 1, Owner: table.Index(shard % soakTargets)})
+			s.rows[name] = append(s.rows[name], table.Row{Shard: shard, Epoch: 1, Owner: table.TargetIndex(shard % soakTargets)})
 		}
 		s.grantAll(name)
 		s.publish(name)
@@ -138,18 +138,18 @@
 		links[i] = newLink(s, dir, hostName(i))
 		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
 	}
-	list, err := spread.EncodeFleet(fleet)
+	list, err := docsync.EncodeFleet(fleet)
 	assert.NilError(s, err)
-	s.board.Publish(spread.Document{Name: spread.Fleet, Version: spread.Version{Major: 1}, Body: list})
+	s.board.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
 	for i := range links {
-		s.startEntry(hostName(i), &lossyLink{Link: links[i], rand: rand.New(rand.NewPCG(*soakSeed, uint64(1<<33+i)))})
+		s.startEntry(hostName(i), &lossyLink{Transport: links[i], rand: rand.New(rand.NewPCG(*soakSeed, uint64(1<<33+i)))})
 	}
 }
 
 // lossyLink loses one in 200 messages before, and one in 200 answers after
 // the other side got them.
 type lossyLink struct {
-	peer.Link
+	peer.Transport
 	mu   sync.Mutex
 	rand *rand.Rand
 }
@@ -163,17 +163,17 @@
 	if dice == 0 {
 		return nil, peer.ErrUnreachable
 	}
-	answer, err := l.Link.Call(ctx, to, kind, body)
+	answer, err := l.Transport.Call(ctx, to, kind, body)
 	if dice == 1 {
-		return nil, peer.ErrLost
+		return nil, peer.ErrNoResponse
 	}
 	return answer, err
 }
 
-func (s *soak) startEntry(host place.Host, link peer.Link) {
+func (s *soak) startEntry(host place.Host, link peer.Transport) {
 	e := entry.New(entry.Config{
 		Board: s.board, DecodeSettings: s.board.decodeSettings, DecodeTable: s.board.decodeTable,
-		Log: journal.Nop(), Registry: metric.New("test"), Host: host, Link: link, Sharing: entry.ShareAdaptive, Hosts: soakEntries, Queue: queue.DefaultConfig(),
+		Log: logging.Nop(), Registry: metric.New("test"), Host: host, Link: link, Sharing: entry.ShareAdaptive, Hosts: soakEntries, Queue: queue.DefaultConfig(),
 		Park: time.Second, Parked: 1000, Memory: 16 << 20, Tick: 5 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -193,7 +193,7 @@
 }
 
 // targetOf returns a target by its index in a service's tables.
-func (s *soak) targetOf(name key.Service, i table.Index) *standin.Target {
+func (s *soak) targetOf(name key.Service, i table.TargetIndex) *fake.Target {
 	t, _ := s.farm.Target(place.Target(fmt.Sprintf("%s-%d", name, i+1)))
 	return t
 }
@@ -212,7 +212,7 @@
 // grantAll gives each target what the rows say; a target in a new life gets
 // its shards at a higher epoch.
 func (s *soak) grantAll(name key.Service) {
-	for i := range table.Index(soakTargets) {
+	for i := range table.TargetIndex(soakTargets) {
 		t := s.targetOf(name, i)
 		probe, err := s.control.Order(context.Background(), t.Addr(), grant.Order{Service: name, Zone: "zone-a", Term: 1})
 		if err != nil {
@@ -238,9 +238,9 @@
 
 func (s *soak) publish(name key.Service) {
 	t := &table.Table{Service: name, Zone: "zone-a", Shards: soakShards}
-	for i := range table.Index(soakTargets) {
+	for i := range table.TargetIndex(soakTargets) {
 		one := s.targetOf(name, i)
-		t.Targets = append(t.Targets, table.Target{Target: one.Name(), Addr: one.Addr()})
+		t.Targets = append(t.Targets, table.Target{Name: one.Name(), Addr: one.Addr()})
 	}
 	t.Rows = append(t.Rows, s.rows[name]...)
 	s.board.putTable(t)
@@ -269,8 +269,8 @@
 	}
 }
 
-func (s *soak) any(name key.Service) *standin.Target {
-	return s.targetOf(name, table.Index(s.rand.IntN(soakTargets)))
+func (s *soak) any(name key.Service) *fake.Target {
+	return s.targetOf(name, table.TargetIndex(s.rand.IntN(soakTargets)))
 }
 
 func (s *soak) restart(name key.Service) {
@@ -288,9 +288,9 @@
 }
 
 func (s *soak) setFaults(name key.Service) {
-	s.any(name).SetFaults(standin.TargetFaults{
-		Cut: s.chance(), Truncated: s.chance(), Crossed: s.chance(), Oversized: s.chance() / 10,
-		Shed: s.chance(), Late: s.chance() / 100,
+	s.any(name).SetFaults(fake.TargetFaults{
+		Reset: s.chance(), Truncated: s.chance(), SwapResponse: s.chance(), Oversized: s.chance() / 10,
+		Shed: s.chance(), DelayResponse: s.chance() / 100,
 	})
 }
 
@@ -304,7 +304,7 @@
 	for range 100 {
 		a, err := s.order(name, old.Addr(), grant.Order{Release: []grant.ShardEpoch{{Shard: row.Shard, Epoch: row.Epoch}}})
 		if err == nil && !holds(a, row.Shard) {
-			row.Owner = table.Index(s.rand.IntN(soakTargets))
+			row.Owner = table.TargetIndex(s.rand.IntN(soakTargets))
 			row.Epoch++
 			return
 		}
@@ -401,7 +401,7 @@
 	}
 	switch outcome.Outcome(resp.Header.Get(outcome.Header)) {
 	case outcome.Done:
-		if !standin.CheckAnswer(body, uri, []byte(payload)) {
+		if !fake.CheckResponse(body, uri, []byte(payload)) {
 			s.wrong.Add(1)
 			s.Logf("wrong answer to %s: status %d, %d bytes", uri, resp.StatusCode, len(body))
 		}
@@ -444,7 +444,7 @@
 		assert.Check(s, !strings.HasPrefix(name, "BROKEN"), name)
 	}
 	assert.Equal(s, s.wrong.Load(), int64(0), "wrong answers")
-	assert.Equal(s, l.DoubledRun, uint64(0))
-	assert.Equal(s, l.DoubledOwner, uint64(0))
-	assert.Equal(s, l.Refused, uint64(0), "connections over the limit")
+	assert.Equal(s, l.DuplicateRuns, uint64(0))
+	assert.Equal(s, l.DuplicateOwners, uint64(0))
+	assert.Equal(s, l.RefusedConns, uint64(0), "connections over the limit")
 }
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -108,7 +108,7 @@
 		}
 	})
 	s := someTable(plan, owner.addr())
-	s.Targets = append(s.Targets, table.Target{Target: "gone", Addr: gone})
+	s.Targets = append(s.Targets, table.Target{Name: "gone", Addr: gone})
 	s.Rows[0].Owner = 1
 	f.board.putTable(s)
 	var wg sync.WaitGroup
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -5,12 +5,12 @@
 	"strings"
 	"time"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/grant"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/route"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/table"
 )
 
@@ -93,7 +93,7 @@
 // readSettings takes the newest settings; it reports false while there are
 // none yet.
 func (e *Entry) readSettings(v *view) bool {
-	doc, ok := e.cfg.Board.Get(spread.Settings)
+	doc, ok := e.cfg.Board.Get(docsync.Settings)
 	if !ok {
 		return v.settings != nil
 	}
@@ -117,7 +117,7 @@
 // readTables decodes the newest table of each cell, sorted by document name.
 func (e *Entry) readTables() []*table.Table {
 	var out []*table.Table
-	for _, doc := range e.cfg.Board.List(spread.TablePrefix) {
+	for _, doc := range e.cfg.Board.List(docsync.TablePrefix) {
 		known, ok := e.tableCache[doc.Name]
 		if !ok || known.version != doc.Version {
 			t, err := e.cfg.DecodeTable(doc.Body)
@@ -135,7 +135,7 @@
 
 // cachedTable is a decoded table document.
 type cachedTable struct {
-	version spread.Version
+	version docsync.Version
 	table   *table.Table
 }
 
@@ -156,7 +156,7 @@
 	lanes := make([]*lane, len(t.Targets))
 	for i := range t.Targets {
 		lanes[i] = e.laneOf(t, &t.Targets[i], cfg, now)
-		homes := rankHomes(v.hosts, t.Zone, t.Targets[i].Target)
+		homes := rankHomes(v.hosts, t.Zone, t.Targets[i].Name)
 		lanes[i].homes.Store(&homes)
 	}
 	for _, row := range t.Rows {
@@ -197,7 +197,7 @@
 // A zone that was cut off while its shards were taken away still publishes its
 // solo keys; the keys went with their shards.
 func (s *service) addSolos(t *table.Table) {
-	for _, solo := range t.Solos {
+	for _, solo := range t.SingleKeys {
 		parent := solo.Hash.Shard(s.shards)
 		if int(parent) < len(s.origin) && s.origin[parent] == t {
 			s.solos[solo.Hash] = solo.Shard
@@ -214,7 +214,7 @@
 
 // laneOf returns the lane of a target, made on first sight.
 func (e *Entry) laneOf(t *table.Table, row *table.Target, cfg *settings.Service, now time.Time) *lane {
-	id := laneID{t.Service, row.Target, row.Addr.String()}
+	id := laneID{t.Service, row.Name, row.Addr.String()}
 	l := e.lanes[id]
 	if l == nil {
 		l = newLane(e, t.Zone, row, cfg)
@@ -255,7 +255,7 @@
 			continue
 		}
 		for i := range t.Targets {
-			if t.Targets[i].Target == l.target && strings.EqualFold(t.Targets[i].Addr.String(), l.addr) {
+			if t.Targets[i].Name == l.target && strings.EqualFold(t.Targets[i].Addr.String(), l.addr) {
 				return true
 			}
 		}
--- a/internal/entry/view_test.go
+++ b/internal/entry/view_test.go
@@ -18,8 +18,8 @@
 	solo := key.Shard(shards) + parent
 	lost := &table.Table{
 		Zone: "a", Shards: shards,
-		Rows:  []table.Row{{Shard: parent, Epoch: 5, Owner: 0}, {Shard: solo, Epoch: 5, Owner: 0}},
-		Solos: []table.Solo{{Hash: hash, Shard: solo}},
+		Rows:       []table.Row{{Shard: parent, Epoch: 5, Owner: 0}, {Shard: solo, Epoch: 5, Owner: 0}},
+		SingleKeys: []table.SingleKey{{Hash: hash, Shard: solo}},
 	}
 	taker := &table.Table{
 		Zone: "b", Shards: shards,
--- a/internal/standin/admin.go
+++ b/internal/fake/admin.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -37,13 +37,13 @@
 
 // wireFault is PlatformFaults in JSON; durations are in milliseconds.
 type wireFault struct {
-	Down        bool     `json:"down"`
-	SlowMin     int64    `json:"slow_min"`
-	SlowMax     int64    `json:"slow_max"`
-	LoseAnswers float64  `json:"lose_answers"`
-	OldValues   bool     `json:"old_values"`
-	CutHosts    []string `json:"cut_hosts"`
-	CutZones    []string `json:"cut_zones"`
+	Down             bool     `json:"down"`
+	SlowMin          int64    `json:"slow_min"`
+	SlowMax          int64    `json:"slow_max"`
+	LoseResponses    float64  `json:"lose_answers"`
+	StaleReads       bool     `json:"old_values"`
+	PartitionedHosts []string `json:"cut_hosts"`
+	PartitionedZones []string `json:"cut_zones"`
 }
 
 // wireAct asks for a verb on one target.
@@ -54,20 +54,20 @@
 
 // wireLedger is what the ledger holds, in JSON.
 type wireLedger struct {
-	Counts   wireCounts `json:"counts"`
-	Findings []string   `json:"findings"`
+	Counts     wireCounts `json:"counts"`
+	Violations []string   `json:"findings"`
 }
 
 // wireCounts is LedgerCounts in JSON.
 type wireCounts struct {
-	DoubledOwner uint64 `json:"doubled_owner"`
-	DoubledRun   uint64 `json:"doubled_run"`
-	Moves        uint64 `json:"moves"`
-	Runs         uint64 `json:"runs"`
-	Sheds        uint64 `json:"sheds"`
-	Misrouted    uint64 `json:"misrouted"`
-	Late         uint64 `json:"late"`
-	Refused      uint64 `json:"refused"`
+	DuplicateOwners  uint64 `json:"doubled_owner"`
+	DuplicateRuns    uint64 `json:"doubled_run"`
+	Moves            uint64 `json:"moves"`
+	Runs             uint64 `json:"runs"`
+	Sheds            uint64 `json:"sheds"`
+	Misrouted        uint64 `json:"misrouted"`
+	DeadlineExceeded uint64 `json:"late"`
+	RefusedConns     uint64 `json:"refused"`
 }
 
 // NewPlatformAdmin serves the admin pages of a platform's stand-in.
@@ -108,23 +108,23 @@
 
 func (f wireFault) faults() PlatformFaults {
 	out := PlatformFaults{
-		Down:        f.Down,
-		SlowMin:     time.Duration(f.SlowMin) * time.Millisecond,
-		SlowMax:     time.Duration(f.SlowMax) * time.Millisecond,
-		LoseAnswers: f.LoseAnswers,
-		OldValues:   f.OldValues,
+		Down:          f.Down,
+		SlowMin:       time.Duration(f.SlowMin) * time.Millisecond,
+		SlowMax:       time.Duration(f.SlowMax) * time.Millisecond,
+		LoseResponses: f.LoseResponses,
+		StaleReads:    f.StaleReads,
 	}
-	for _, host := range f.CutHosts {
-		out.CutHosts = append(out.CutHosts, place.Host(host))
+	for _, host := range f.PartitionedHosts {
+		out.PartitionedHosts = append(out.PartitionedHosts, place.Host(host))
 	}
-	for _, zone := range f.CutZones {
-		out.CutZones = append(out.CutZones, place.Zone(zone))
+	for _, zone := range f.PartitionedZones {
+		out.PartitionedZones = append(out.PartitionedZones, place.Zone(zone))
 	}
 	return out
 }
 
-// NewFarmAdmin serves the admin pages of a farm.
-func NewFarmAdmin(f *Farm) http.Handler {
+// NewTargetAdmin serves the admin pages of a farm.
+func NewTargetAdmin(f *TargetSet) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(pathRuns, func(w http.ResponseWriter, r *http.Request) {
 		var operations []string
@@ -134,19 +134,19 @@
 	}).Methods(http.MethodPost)
 	r.HandleFunc(pathLedger, func(w http.ResponseWriter, _ *http.Request) {
 		c := f.Ledger.Counts()
-		writeAdmin(w, wireLedger{Findings: f.Ledger.Findings(), Counts: wireCounts(c)})
+		writeAdmin(w, wireLedger{Violations: f.Ledger.Violations(), Counts: wireCounts(c)})
 	})
 	r.HandleFunc(pathAct, func(w http.ResponseWriter, r *http.Request) {
 		var act wireAct
 		if readAdmin(w, r, &act) {
-			w.WriteHeader(f.act(act))
+			w.WriteHeader(f.runVerb(act))
 		}
 	}).Methods(http.MethodPost)
 	return r
 }
 
-// act carries out a verb and returns the status to answer with.
-func (f *Farm) act(act wireAct) int {
+// runVerb carries out a verb and returns the status to answer with.
+func (f *TargetSet) runVerb(act wireAct) int {
 	t, ok := f.Target(place.Target(act.Target))
 	if !ok {
 		return http.StatusNotFound
--- a/internal/standin/remote.go
+++ b/internal/fake/adminclient.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bytes"
@@ -13,22 +13,22 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// remoteTimeout bounds an admin call.
-const remoteTimeout = 10 * time.Second
+// adminTimeout bounds an admin call.
+const adminTimeout = 10 * time.Second
 
-// Remote reaches the admin pages of a stand-in in another process.
-type Remote struct {
+// AdminClient reaches the admin pages of a stand-in in another process.
+type AdminClient struct {
 	addr   netip.AddrPort
 	client *http.Client
 }
 
-// NewRemote returns a remote for the admin pages at addr.
-func NewRemote(addr netip.AddrPort) *Remote {
-	return &Remote{addr: addr, client: &http.Client{Timeout: remoteTimeout}}
+// NewAdminClient returns a remote for the admin pages at addr.
+func NewAdminClient(addr netip.AddrPort) *AdminClient {
+	return &AdminClient{addr: addr, client: &http.Client{Timeout: adminTimeout}}
 }
 
 // SetTargets enters targets in the platform's list.
-func (r *Remote) SetTargets(ctx context.Context, rows []place.TargetRow) error {
+func (r *AdminClient) SetTargets(ctx context.Context, rows []place.TargetRow) error {
 	out := make([]wireRow, len(rows))
 	for i, row := range rows {
 		out[i] = wireRow{
@@ -40,7 +40,7 @@
 }
 
 // SetHosts enters entry hosts in the platform's list.
-func (r *Remote) SetHosts(ctx context.Context, rows []place.HostRow) error {
+func (r *AdminClient) SetHosts(ctx context.Context, rows []place.HostRow) error {
 	out := make([]wireRow, len(rows))
 	for i, row := range rows {
 		out[i] = wireRow{
@@ -52,7 +52,7 @@
 }
 
 // RunsOf returns how often each of the operations ran, in their order.
-func (r *Remote) RunsOf(ctx context.Context, operations []string) ([]uint32, error) {
+func (r *AdminClient) RunsOf(ctx context.Context, operations []string) ([]uint32, error) {
 	var out []uint32
 	if err := r.call(ctx, pathRuns, operations, &out); err != nil {
 		return nil, err
@@ -64,18 +64,18 @@
 }
 
 // Ledger returns the counts of a farm and what broke.
-func (r *Remote) Ledger(ctx context.Context) (LedgerCounts, []string, error) {
+func (r *AdminClient) Ledger(ctx context.Context) (LedgerCounts, []string, error) {
 	var out wireLedger
 	err := r.call(ctx, pathLedger, nil, &out)
-	return LedgerCounts(out.Counts), out.Findings, err
+	return LedgerCounts(out.Counts), out.Violations, err
 }
 
 // Act has a target do something: kill, start, freeze, thaw, drain or heal.
-func (r *Remote) Act(ctx context.Context, target place.Target, verb string) error {
+func (r *AdminClient) Act(ctx context.Context, target place.Target, verb string) error {
 	return r.call(ctx, pathAct, wireAct{Target: string(target), Verb: verb}, nil)
 }
 
-func (r *Remote) call(ctx context.Context, path string, in, out any) error {
+func (r *AdminClient) call(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
--- a/internal/standin/remote_test.go
+++ b/internal/fake/adminclient_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package fake_test
 
 import (
 	"context"
@@ -9,23 +9,23 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/standin"
 )
 
-func remoteOf(t *testing.T, handler http.Handler) *standin.Remote {
+func newAdminClient(t *testing.T, handler http.Handler) *fake.AdminClient {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	return standin.NewRemote(netip.MustParseAddrPort(server.Listener.Addr().String()))
+	return fake.NewAdminClient(netip.MustParseAddrPort(server.Listener.Addr().String()))
 }
 
-func TestRemoteReachesTheTargets(t *testing.T) {
-	farm := newFarm(t)
-	remote := remoteOf(t, standin.NewFarmAdmin(farm))
+func TestAdminClientReachesTargets(t *testing.T) {
+	farm := newTargetSet(t)
+	remote := newAdminClient(t, fake.NewTargetAdmin(farm))
 	ctx := context.Background()
-	give(t, farm.Targets()[0], 3)
-	_, _, err := ask(t, farm.Targets()[0], "3", "/balance/k?operation=op1", "")
+	grantShard(t, farm.Targets()[0], 3)
+	_, _, err := sendRequest(t, farm.Targets()[0], "3", "/balance/k?operation=op1", "")
 	assert.NilError(t, err)
 
 	runs, err := remote.RunsOf(ctx, []string{"op1", "op2"})
@@ -37,17 +37,17 @@
 	assert.Equal(t, len(findings), 0)
 
 	assert.NilError(t, remote.Act(ctx, "balance-1", "kill"))
-	_, _, err = ask(t, farm.Targets()[0], "3", "/balance/k?operation=op3", "")
+	_, _, err = sendRequest(t, farm.Targets()[0], "3", "/balance/k?operation=op3", "")
 	assert.Assert(t, err != nil)
 	assert.NilError(t, remote.Act(ctx, "balance-1", "start"))
 	assert.ErrorContains(t, remote.Act(ctx, "balance-1", "fly"), "400")
 	assert.ErrorContains(t, remote.Act(ctx, "balance-9", "kill"), "404")
 }
 
-func TestRemoteFillsTheFleetList(t *testing.T) {
-	p := standin.NewPlatform()
+func TestAdminClientSetsFleet(t *testing.T) {
+	p := fake.NewPlatform()
 	p.SetFleetLag(0)
-	remote := remoteOf(t, standin.NewPlatformAdmin(p))
+	remote := newAdminClient(t, fake.NewPlatformAdmin(p))
 	ctx := context.Background()
 	addr := netip.MustParseAddrPort("127.0.0.1:9")
 	host := place.HostRow{Host: "host-1", Zone: "zone-a", LeadAddr: addr, EntryAddr: addr}
--- a/internal/standin/kill_test.go
+++ b/internal/fake/kill_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package fake_test
 
 import (
 	"bufio"
@@ -12,23 +12,23 @@
 
 	"gotest.tools/v3/assert"
 
-	"citrontray.example/citrontray/internal/standin"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/target"
 )
 
-// TestKilledTargetAnswersNothing sends requests while the target is killed: a
+// TestKilledTargetSendsNoResponse sends requests while the target is killed: a
 // dead process sends no answer, whole or empty, for work that did not run.
-func TestKilledTargetAnswersNothing(t *testing.T) {
+func TestKilledTargetSendsNoResponse(t *testing.T) {
 	const rounds, callers = 150, 8
-	ledger := standin.NewLedger()
-	config := standin.TargetConfig{
+	ledger := fake.NewLedger()
+	config := fake.TargetConfig{
 		Name: "plan-1", Service: "plan", Slots: 3, Connections: 100,
 		Addr: netip.MustParseAddrPort("127.0.0.1:0"),
 	}
 	var empty int
 	var mu sync.Mutex
 	for range rounds {
-		one := standin.NewTarget(config, ledger)
+		one := fake.NewTarget(config, ledger)
 		assert.NilError(t, one.Start())
 		addr := one.Addr().String()
 		one.Freeze()
--- a/internal/standin/ledger.go
+++ b/internal/fake/ledger.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// maxFindings bounds the descriptions of broken invariants that are kept.
-const maxFindings = 32
+// maxViolations bounds the descriptions of broken invariants that are kept.
+const maxViolations = 32
 
 // maxRuns bounds the operations whose runs are counted.
 const maxRuns = 4 << 20
@@ -20,64 +20,64 @@
 // A shard that two targets hold at one instant is found when the second one
 // takes or lengthens its grant. Safe for concurrent use.
 type Ledger struct {
-	mu       sync.Mutex
-	owners   map[ownedShard]map[place.Target]ownership
-	runs     map[string]uint32 // by the caller's own id of the operation
-	keyed    map[string]uint32 // by idempotency key
-	counts   LedgerCounts
-	findings []string
+	mu         sync.Mutex
+	owners     map[serviceShard]map[place.Target]ownership
+	runs       map[string]uint32 // by the caller's own id of the operation
+	keyed      map[string]uint32 // by idempotency key
+	counts     LedgerCounts
+	violations []string
 }
 
 // LedgerCounts is what the targets saw since the start.
 type LedgerCounts struct {
-	// DoubledOwner counts the shards found with two owners at one instant.
-	DoubledOwner uint64
-	// DoubledRun counts runs after the first of one idempotency key.
-	DoubledRun uint64
+	// DuplicateOwners counts the shards found with two owners at one instant.
+	DuplicateOwners uint64
+	// DuplicateRuns counts runs after the first of one idempotency key.
+	DuplicateRuns uint64
 	// Moves counts the changes of owner of a shard.
 	Moves uint64
 	// Runs counts all runs; Sheds, Misrouted and Late count refusals.
-	Runs, Sheds, Misrouted, Late uint64
-	// Refused counts connections beyond a target's limit.
-	Refused uint64
+	Runs, Sheds, Misrouted, DeadlineExceeded uint64
+	// RefusedConns counts connections beyond a target's limit.
+	RefusedConns uint64
 }
 
-// ownedShard names one shard of one service.
-type ownedShard struct {
+// serviceShard names one shard of one service.
+type serviceShard struct {
 	service key.Service
 	shard   key.Shard
 }
 
 // ownership is a target's hold of a shard until end.
 type ownership struct {
-	epoch grant.Epoch
-	end   time.Time
+	epoch  grant.Epoch
+	expiry time.Time
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{
-		owners: make(map[ownedShard]map[place.Target]ownership),
+		owners: make(map[serviceShard]map[place.Target]ownership),
 		runs:   make(map[string]uint32),
 		keyed:  make(map[string]uint32),
 	}
 }
 
-// hold records that target holds the shard at epoch until end.
-func (l *Ledger) hold(now time.Time, service key.Service, target place.Target, held grant.ShardEpoch, end time.Time) {
+// recordHold records that target holds the shard at epoch until end.
+func (l *Ledger) recordHold(now time.Time, service key.Service, target place.Target, held grant.ShardEpoch, end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := ownedShard{service: service, shard: held.Shard}
+	at := serviceShard{service: service, shard: held.Shard}
 	row := l.owners[at]
 	if row == nil {
 		row = make(map[place.Target]ownership)
 		l.owners[at] = row
 	}
 	for other, o := range row {
-		if other != target && now.Before(o.end) {
-			l.counts.DoubledOwner++
-			l.find("doubled owner: %s shard %d: %s at epoch %d for another %s, and %s at epoch %d",
-				service, held.Shard, other, o.epoch, o.end.Sub(now), target, held.Epoch)
+		if other != target && now.Before(o.expiry) {
+			l.counts.DuplicateOwners++
+			l.addViolation("doubled owner: %s shard %d: %s at epoch %d for another %s, and %s at epoch %d",
+				service, held.Shard, other, o.epoch, o.expiry.Sub(now), target, held.Epoch)
 		}
 	}
 	if _, known := row[target]; !known {
@@ -86,23 +86,23 @@
 		}
 		clear(row)
 	}
-	row[target] = ownership{epoch: held.Epoch, end: end}
+	row[target] = ownership{epoch: held.Epoch, expiry: end}
 }
 
-// drop records that target holds the shard no longer.
-func (l *Ledger) drop(now time.Time, service key.Service, target place.Target, shard key.Shard) {
+// recordRelease records that target holds the shard no longer.
+func (l *Ledger) recordRelease(now time.Time, service key.Service, target place.Target, shard key.Shard) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	row := l.owners[ownedShard{service: service, shard: shard}]
-	if o, ok := row[target]; ok && now.Before(o.end) {
-		o.end = now
+	row := l.owners[serviceShard{service: service, shard: shard}]
+	if o, ok := row[target]; ok && now.Before(o.expiry) {
+		o.expiry = now
 		row[target] = o
 	}
 }
 
-// run records that one piece of work starts. Operation is the caller's own id
+// recordRun records that one piece of work starts. Operation is the caller's own id
 // of it; idempotency may be empty.
-func (l *Ledger) run(operation, idempotency string) {
+func (l *Ledger) recordRun(operation, idempotency string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Runs++
@@ -114,8 +114,8 @@
 	}
 	l.keyed[idempotency]++
 	if l.keyed[idempotency] > 1 {
-		l.counts.DoubledRun++
-		l.find("doubled run: idempotency key %s ran %d times", idempotency, l.keyed[idempotency])
+		l.counts.DuplicateRuns++
+		l.addViolation("doubled run: idempotency key %s ran %d times", idempotency, l.keyed[idempotency])
 	}
 }
 
@@ -133,11 +133,11 @@
 	return l.counts
 }
 
-// Findings describes the first broken invariants.
-func (l *Ledger) Findings() []string {
+// Violations describes the first broken invariants.
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.findings...)
+	return append([]string(nil), l.violations...)
 }
 
 // RunsOf returns how often each of the operations ran, in their order.
@@ -151,10 +151,10 @@
 	return out
 }
 
-// find keeps one description. The caller holds mu.
-func (l *Ledger) find(format string, args ...any) {
-	if len(l.findings) < maxFindings {
-		l.findings = append(l.findings, fmt.Sprintf(format, args...))
+// addViolation keeps one description. The caller holds mu.
+func (l *Ledger) addViolation(format string, args ...any) {
+	if len(l.violations) < maxViolations {
+		l.violations = append(l.violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -173,7 +173,7 @@
 
 func anyOwner(now time.Time, row map[place.Target]ownership) bool {
 	for _, o := range row {
-		if now.Before(o.end) {
+		if now.Before(o.expiry) {
 			return true
 		}
 	}
--- a/internal/standin/network.go
+++ b/internal/fake/network.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"errors"
@@ -20,18 +20,18 @@
 // address in it that passes packets on, unless the zones are cut. Replies take
 // the same way back. Safe for concurrent use.
 type Network struct {
-	mu    sync.Mutex
-	zones map[netip.AddrPort]place.Zone // by the processes' own addresses
-	cut   []place.Zone
-	nodes []*node
+	mu          sync.Mutex
+	zones       map[netip.AddrPort]place.Zone // by the processes' own addresses
+	partitioned []place.Zone
+	proxies     []*proxy
 }
 
-// node is the address of one process in the network.
-type node struct {
-	network *Network
-	zone    place.Zone
-	own     *net.UDPAddr // where the process itself listens
-	conn    *net.UDPConn // where others reach it
+// proxy is the address of one process in the network.
+type proxy struct {
+	network  *Network
+	zone     place.Zone
+	upstream *net.UDPAddr // where the process itself listens
+	conn     *net.UDPConn // where others reach it
 
 	mu    sync.Mutex
 	flows map[netip.AddrPort]*flow
@@ -39,7 +39,7 @@
 
 // flow is one sender's way to a node.
 type flow struct {
-	node   *node
+	proxy  *proxy
 	sender netip.AddrPort
 	conn   *net.UDPConn
 }
@@ -56,48 +56,48 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	next := &node{
-		network: n, zone: zone, own: net.UDPAddrFromAddrPort(own), conn: conn,
+	next := &proxy{
+		network: n, zone: zone, upstream: net.UDPAddrFromAddrPort(own), conn: conn,
 		flows: make(map[netip.AddrPort]*flow),
 	}
 	n.mu.Lock()
 	n.zones[own] = zone
-	n.nodes = append(n.nodes, next)
+	n.proxies = append(n.proxies, next)
 	n.mu.Unlock()
 	go next.run()
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-// Cut drops all packets between the zones and all others, from now on; no
+// Partition drops all packets between the zones and all others, from now on; no
 // zones join all again.
-func (n *Network) Cut(zones ...place.Zone) {
+func (n *Network) Partition(zones ...place.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = zones
+	n.partitioned = zones
 }
 
 // Close ends the network.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, each := range n.nodes {
+	for _, each := range n.proxies {
 		each.close()
 	}
 }
 
-// passes reports whether packets go between a sender and a zone.
-func (n *Network) passes(sender netip.AddrPort, zone place.Zone) bool {
+// allows reports whether packets go between a sender and a zone.
+func (n *Network) allows(sender netip.AddrPort, zone place.Zone) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	from, known := n.zones[sender]
 	if !known || from == zone {
 		return true
 	}
-	return !slices.Contains(n.cut, from) && !slices.Contains(n.cut, zone)
+	return !slices.Contains(n.partitioned, from) && !slices.Contains(n.partitioned, zone)
 }
 
 // run passes packets on to the process until the network is closed.
-func (d *node) run() {
+func (d *proxy) run() {
 	packet := make([]byte, maxPacketBytes)
 	for {
 		size, sender, err := d.conn.ReadFromUDPAddrPort(packet)
@@ -105,7 +105,7 @@
 			return
 		}
 		sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
-		if !d.network.passes(sender, d.zone) {
+		if !d.network.allows(sender, d.zone) {
 			continue
 		}
 		if f := d.flow(sender); f != nil {
@@ -115,7 +115,7 @@
 }
 
 // flow returns the sender's way, or nil where there are too many.
-func (d *node) flow(sender netip.AddrPort) *flow {
+func (d *proxy) flow(sender netip.AddrPort) *flow {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f, ok := d.flows[sender]; ok {
@@ -124,11 +124,11 @@
 	if len(d.flows) >= maxFlows {
 		return nil
 	}
-	conn, err := net.DialUDP("udp", nil, d.own)
+	conn, err := net.DialUDP("udp", nil, d.upstream)
 	if err != nil {
 		return nil
 	}
-	f := &flow{node: d, sender: sender, conn: conn}
+	f := &flow{proxy: d, sender: sender, conn: conn}
 	d.flows[sender] = f
 	go f.run()
 	return f
@@ -145,13 +145,13 @@
 			}
 			continue // the process is not there now
 		}
-		if f.node.network.passes(f.sender, f.node.zone) {
-			_, _ = f.node.conn.WriteToUDPAddrPort(packet[:size], f.sender)
+		if f.proxy.network.allows(f.sender, f.proxy.zone) {
+			_, _ = f.proxy.conn.WriteToUDPAddrPort(packet[:size], f.sender)
 		}
 	}
 }
 
-func (d *node) close() {
+func (d *proxy) close() {
 	_ = d.conn.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/network_test.go
+++ b/internal/fake/network_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package fake_test
 
 import (
 	"net"
@@ -8,17 +8,17 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // process is a UDP socket in a zone.
 type process struct {
 	*net.UDPConn
-	inside *net.UDPAddr
+	proxied *net.UDPAddr
 }
 
-func newProcess(t *testing.T, network *standin.Network, zone place.Zone) process {
+func newProcess(t *testing.T, network *fake.Network, zone place.Zone) process {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
@@ -26,14 +26,14 @@
 	own := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	inside, err := network.Add(netip.AddrPortFrom(own.Addr().Unmap(), own.Port()), zone)
 	assert.NilError(t, err)
-	return process{UDPConn: conn, inside: net.UDPAddrFromAddrPort(inside)}
+	return process{UDPConn: conn, proxied: net.UDPAddrFromAddrPort(inside)}
 }
 
 // reaches reports whether a packet goes from one process to the other and an
 // answer comes back. A packet that was not dropped needs no time to wait for.
 func reaches(t *testing.T, from, to process, wait time.Duration) bool {
 	t.Helper()
-	_, err := from.WriteTo([]byte("ask"), to.inside)
+	_, err := from.WriteTo([]byte("ask"), to.proxied)
 	assert.NilError(t, err)
 	packet := make([]byte, 16)
 	assert.NilError(t, to.SetReadDeadline(time.Now().Add(wait)))
@@ -48,18 +48,18 @@
 	return err == nil
 }
 
-func TestNetworkCutsZones(t *testing.T) {
-	network := standin.NewNetwork()
+func TestNetworkPartitionsZones(t *testing.T) {
+	network := fake.NewNetwork()
 	defer network.Close()
 	a1, a2 := newProcess(t, network, "zone-a"), newProcess(t, network, "zone-a")
 	b1 := newProcess(t, network, "zone-b")
 	const long, short = 10 * time.Second, 50 * time.Millisecond
 	assert.Assert(t, reaches(t, a1, a2, long))
 	assert.Assert(t, reaches(t, a1, b1, long))
-	network.Cut("zone-b")
+	network.Partition("zone-b")
 	assert.Assert(t, reaches(t, a1, a2, long))
 	assert.Assert(t, !reaches(t, a1, b1, short))
 	assert.Assert(t, !reaches(t, b1, a1, short))
-	network.Cut()
+	network.Partition()
 	assert.Assert(t, reaches(t, b1, a1, long))
 }
--- a/internal/standin/platform.go
+++ b/internal/fake/platform.go
@@ -1,7 +1,7 @@
-// Package standin takes the place of the platform and of the targets in tests
+// Package fake takes the place of the platform and of the targets in tests
 // and measurements: in one process, over real sockets, with faults on demand
 // and counts of all that happened.
-package standin
+package fake
 
 import (
 	"cmp"
@@ -30,17 +30,17 @@
 // It implements platform.Store; calls pass the faults first. Safe for
 // concurrent use.
 type Platform struct {
-	mu       sync.Mutex
-	revision platform.Revision
-	values   map[platform.Path]platform.Entry
-	previous map[platform.Path]platform.Entry // for answers with old values
-	written  map[platform.Path]time.Time
-	changes  []platform.Change
-	changed  chan struct{} // closed at the next change
-	leases   map[string]lease
+	mu        sync.Mutex
+	revision  platform.Revision
+	values    map[platform.Path]platform.Entry
+	previous  map[platform.Path]platform.Entry // for answers with old values
+	writtenAt map[platform.Path]time.Time
+	changes   []platform.Change
+	changed   chan struct{} // closed at the next change
+	leases    map[string]lease
 
-	hosts   map[place.Host]lagging[place.HostRow]
-	targets map[place.Target]lagging[place.TargetRow]
+	hosts   map[place.Host]delayedRow[place.HostRow]
+	targets map[place.Target]delayedRow[place.TargetRow]
 	lag     time.Duration
 
 	faults PlatformFaults
@@ -52,41 +52,41 @@
 // lease is one named lease.
 type lease struct {
 	holder string
-	end    time.Time
+	expiry time.Time
 }
 
-// lagging is a row whose newest state shows only from at on.
-type lagging[T any] struct {
-	old, new T
-	known    bool // old is in the list
-	at       time.Time
+// delayedRow is a row whose newest state shows only from at on.
+type delayedRow[T any] struct {
+	current, pending T
+	listed           bool // old is in the list
+	visibleAt        time.Time
 }
 
 // NewPlatform returns an empty platform without faults.
 func NewPlatform() *Platform {
 	return &Platform{
-		values:   make(map[platform.Path]platform.Entry),
-		previous: make(map[platform.Path]platform.Entry),
-		written:  make(map[platform.Path]time.Time),
-		changed:  make(chan struct{}),
-		leases:   make(map[string]lease),
-		hosts:    make(map[place.Host]lagging[place.HostRow]),
-		targets:  make(map[place.Target]lagging[place.TargetRow]),
-		lag:      defaultFleetLag,
-		calls:    make(map[platform.Caller]uint64),
-		down:     make(chan struct{}),
+		values:    make(map[platform.Path]platform.Entry),
+		previous:  make(map[platform.Path]platform.Entry),
+		writtenAt: make(map[platform.Path]time.Time),
+		changed:   make(chan struct{}),
+		leases:    make(map[string]lease),
+		hosts:     make(map[place.Host]delayedRow[place.HostRow]),
+		targets:   make(map[place.Target]delayedRow[place.TargetRow]),
+		lag:       defaultFleetLag,
+		calls:     make(map[platform.Caller]uint64),
+		down:      make(chan struct{}),
 	}
 }
 
 // Get implements platform.Store.
 func (p *Platform) Get(ctx context.Context, path platform.Path) (platform.Entry, error) {
-	done, err := p.enter(ctx, readCall)
+	done, err := p.beginCall(ctx, readCall)
 	if err != nil {
 		return platform.Entry{}, err
 	}
 	p.mu.Lock()
 	entry, ok := p.values[path]
-	if p.faults.OldValues {
+	if p.faults.StaleReads {
 		if old, found := p.previous[path]; found {
 			entry, ok = old, true
 		}
@@ -100,12 +100,12 @@
 
 // List implements platform.Store.
 func (p *Platform) List(ctx context.Context, prefix platform.Path) ([]platform.Entry, platform.Revision, error) {
-	done, err := p.enter(ctx, readCall)
+	done, err := p.beginCall(ctx, readCall)
 	if err != nil {
 		return nil, 0, err
 	}
 	p.mu.Lock()
-	entries := p.below(prefix)
+	entries := p.withPrefix(prefix)
 	revision := p.revision
 	p.mu.Unlock()
 	return entries, revision, done()
@@ -116,18 +116,18 @@
 	if len(value) > maxValueBytes {
 		return 0, fmt.Errorf("%w: value has %d bytes", platform.ErrUnavailable, len(value))
 	}
-	return p.change(ctx, platform.Change{Entry: platform.Entry{Path: path, Value: slices.Clone(value)}}, expect)
+	return p.compareAndSwap(ctx, platform.Change{Entry: platform.Entry{Path: path, Value: slices.Clone(value)}}, expect)
 }
 
 // Delete implements platform.Store.
 func (p *Platform) Delete(ctx context.Context, path platform.Path, expect platform.Revision) error {
-	_, err := p.change(ctx, platform.Change{Entry: platform.Entry{Path: path}, Deleted: true}, expect)
+	_, err := p.compareAndSwap(ctx, platform.Change{Entry: platform.Entry{Path: path}, Deleted: true}, expect)
 	return err
 }
 
-// change is the compare-and-swap below Write and Delete.
-func (p *Platform) change(ctx context.Context, change platform.Change, expect platform.Revision) (platform.Revision, error) {
-	done, err := p.enter(ctx, writeCall)
+// compareAndSwap is the compare-and-swap below Write and Delete.
+func (p *Platform) compareAndSwap(ctx context.Context, change platform.Change, expect platform.Revision) (platform.Revision, error) {
+	done, err := p.beginCall(ctx, writeCall)
 	if err != nil {
 		return 0, err
 	}
@@ -155,7 +155,7 @@
 	} else {
 		p.values[change.Path] = change.Entry
 	}
-	p.written[change.Path] = time.Now()
+	p.writtenAt[change.Path] = time.Now()
 	p.changes = append(p.changes, change)
 	if len(p.changes) > maxChanges {
 		p.changes = slices.Clone(p.changes[len(p.changes)-maxChanges/2:])
@@ -166,7 +166,7 @@
 
 // Watch implements platform.Store.
 func (p *Platform) Watch(ctx context.Context, prefix platform.Path, from platform.Revision) ([]platform.Change, platform.Revision, error) {
-	done, err := p.enter(ctx, readCall)
+	done, err := p.beginCall(ctx, readCall)
 	if err != nil {
 		return nil, from, err
 	}
@@ -174,7 +174,7 @@
 	defer timeout.Stop()
 	for {
 		p.mu.Lock()
-		changes, revision := p.since(prefix, from), p.revision
+		changes, revision := p.changesSince(prefix, from), p.revision
 		changed, down := p.changed, p.down
 		p.mu.Unlock()
 		if len(changes) > 0 {
@@ -192,11 +192,11 @@
 	}
 }
 
-// since returns the changes below prefix after from. The caller holds mu.
-func (p *Platform) since(prefix platform.Path, from platform.Revision) []platform.Change {
+// changesSince returns the changes below prefix after from. The caller holds mu.
+func (p *Platform) changesSince(prefix platform.Path, from platform.Revision) []platform.Change {
 	var out []platform.Change
 	if len(p.changes) > 0 && p.changes[0].Revision > from+1 {
-		for _, entry := range p.below(prefix) {
+		for _, entry := range p.withPrefix(prefix) {
 			if entry.Revision > from {
 				out = append(out, platform.Change{Entry: entry})
 			}
@@ -211,8 +211,8 @@
 	return out
 }
 
-// below returns the values below prefix, sorted. The caller holds mu.
-func (p *Platform) below(prefix platform.Path) []platform.Entry {
+// withPrefix returns the values below prefix, sorted. The caller holds mu.
+func (p *Platform) withPrefix(prefix platform.Path) []platform.Entry {
 	var out []platform.Entry
 	for path, entry := range p.values {
 		if strings.HasPrefix(string(path), string(prefix)) {
@@ -225,28 +225,28 @@
 
 // Acquire implements platform.Store.
 func (p *Platform) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (platform.Lease, error) {
-	done, err := p.enter(ctx, writeCall)
+	done, err := p.beginCall(ctx, writeCall)
 	if err != nil {
 		return platform.Lease{}, err
 	}
 	now := time.Now()
 	p.mu.Lock()
 	current, ok := p.leases[name]
-	if !ok || current.holder == holder || !now.Before(current.end) {
-		current = lease{holder: holder, end: now.Add(ttl)}
+	if !ok || current.holder == holder || !now.Before(current.expiry) {
+		current = lease{holder: holder, expiry: now.Add(ttl)}
 		p.leases[name] = current
 	}
 	p.mu.Unlock()
 	return platform.Lease{
 		Holder: current.holder,
 		Held:   current.holder == holder,
-		TTL:    current.end.Sub(now),
+		TTL:    current.expiry.Sub(now),
 	}, done()
 }
 
 // Release implements platform.Store.
 func (p *Platform) Release(ctx context.Context, name, holder string) error {
-	done, err := p.enter(ctx, writeCall)
+	done, err := p.beginCall(ctx, writeCall)
 	if err != nil {
 		return err
 	}
@@ -260,7 +260,7 @@
 
 // Fleet implements platform.Store.
 func (p *Platform) Fleet(ctx context.Context) (platform.Fleet, error) {
-	done, err := p.enter(ctx, readCall)
+	done, err := p.beginCall(ctx, readCall)
 	if err != nil {
 		return platform.Fleet{}, err
 	}
@@ -268,12 +268,12 @@
 	var fleet platform.Fleet
 	p.mu.Lock()
 	for _, row := range p.hosts {
-		if host, ok := row.seen(now); ok && host.State != place.Absent {
+		if host, ok := row.visible(now); ok && host.State != place.Absent {
 			fleet.Hosts = append(fleet.Hosts, host)
 		}
 	}
 	for _, row := range p.targets {
-		if target, ok := row.seen(now); ok && target.State != place.Absent {
+		if target, ok := row.visible(now); ok && target.State != place.Absent {
 			fleet.Targets = append(fleet.Targets, target)
 		}
 	}
@@ -287,14 +287,14 @@
 func (p *Platform) SetHost(now time.Time, row place.HostRow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hosts[row.Host] = p.hosts[row.Host].next(row, now, p.lag)
+	p.hosts[row.Host] = p.hosts[row.Host].withPending(row, now, p.lag)
 }
 
 // SetTarget changes a row of the list; it shows after the lag.
 func (p *Platform) SetTarget(now time.Time, row place.TargetRow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.targets[row.Target] = p.targets[row.Target].next(row, now, p.lag)
+	p.targets[row.Target] = p.targets[row.Target].withPending(row, now, p.lag)
 }
 
 // SetFleetLag sets how long later changes take to show.
@@ -304,18 +304,18 @@
 	p.lag = lag
 }
 
-// next returns the row with a new state that shows after lag.
-func (l lagging[T]) next(row T, now time.Time, lag time.Duration) lagging[T] {
-	old, known := l.seen(now)
-	return lagging[T]{old: old, known: known, new: row, at: now.Add(lag)}
+// withPending returns the row with a new state that shows after lag.
+func (l delayedRow[T]) withPending(row T, now time.Time, lag time.Duration) delayedRow[T] {
+	old, known := l.visible(now)
+	return delayedRow[T]{current: old, listed: known, pending: row, visibleAt: now.Add(lag)}
 }
 
-// seen returns what the list shows at now.
-func (l lagging[T]) seen(now time.Time) (T, bool) {
-	if !l.at.IsZero() && !now.Before(l.at) {
-		return l.new, true
+// visible returns what the list shows at now.
+func (l delayedRow[T]) visible(now time.Time) (T, bool) {
+	if !l.visibleAt.IsZero() && !now.Before(l.visibleAt) {
+		return l.pending, true
 	}
-	return l.old, l.known
+	return l.current, l.listed
 }
 
 // LastHolder returns who held a lease last, also where it has lapsed since, or
@@ -330,5 +330,5 @@
 func (p *Platform) RevisionOf(path platform.Path) (platform.Revision, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.values[path].Revision, p.written[path]
+	return p.values[path].Revision, p.writtenAt[path]
 }
--- a/internal/standin/platform_test.go
+++ b/internal/fake/platform_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package fake_test
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // newStore returns a client of a platform stand-in over a real socket.
-func newStore(t *testing.T) (*standin.Platform, *platform.Client) {
+func newStore(t *testing.T) (*fake.Platform, *platform.Client) {
 	t.Helper()
-	p := standin.NewPlatform()
+	p := fake.NewPlatform()
 	server := httptest.NewServer(platform.NewHandler(p))
 	client := platform.NewClient(platform.ClientConfig{
 		Addrs:   []netip.AddrPort{netip.MustParseAddrPort(server.Listener.Addr().String())},
@@ -32,7 +32,7 @@
 	return p, client
 }
 
-func TestPlatformComparesAndSwaps(t *testing.T) {
+func TestPlatformCompareAndSwap(t *testing.T) {
 	_, store := newStore(t)
 	ctx := context.Background()
 	first, err := store.Write(ctx, "a/1", []byte("one"), 0)
@@ -88,17 +88,17 @@
 
 func TestPlatformFaults(t *testing.T) {
 	tests := map[string]struct {
-		faults standin.PlatformFaults
+		faults fake.PlatformFaults
 		err    error
 		wrote  bool
 	}{
 		"none":            {wrote: true},
-		"down":            {faults: standin.PlatformFaults{Down: true}, err: platform.ErrUnavailable},
-		"answer lost":     {faults: standin.PlatformFaults{LoseAnswers: 1}, err: platform.ErrUnknown, wrote: true},
-		"host cut":        {faults: standin.PlatformFaults{CutHosts: []place.Host{"host-1"}}, err: platform.ErrUnavailable},
-		"other host cut":  {faults: standin.PlatformFaults{CutHosts: []place.Host{"host-2"}}, wrote: true},
-		"zone cut":        {faults: standin.PlatformFaults{CutZones: []place.Zone{"zone-a"}}, err: platform.ErrUnavailable},
-		"slow, yet taken": {faults: standin.PlatformFaults{SlowMin: time.Millisecond, SlowMax: 2 * time.Millisecond}, wrote: true},
+		"down":            {faults: fake.PlatformFaults{Down: true}, err: platform.ErrUnavailable},
+		"answer lost":     {faults: fake.PlatformFaults{LoseResponses: 1}, err: platform.ErrOutcomeUnknown, wrote: true},
+		"host cut":        {faults: fake.PlatformFaults{PartitionedHosts: []place.Host{"host-1"}}, err: platform.ErrUnavailable},
+		"other host cut":  {faults: fake.PlatformFaults{PartitionedHosts: []place.Host{"host-2"}}, wrote: true},
+		"zone cut":        {faults: fake.PlatformFaults{PartitionedZones: []place.Zone{"zone-a"}}, err: platform.ErrUnavailable},
+		"slow, yet taken": {faults: fake.PlatformFaults{SlowMin: time.Millisecond, SlowMax: 2 * time.Millisecond}, wrote: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 			} else {
 				assert.ErrorIs(t, err, tt.err)
 			}
-			p.SetFaults(standin.PlatformFaults{})
+			p.SetFaults(fake.PlatformFaults{})
 			_, err = store.Get(ctx, "a/1")
 			assert.Equal(t, err == nil, tt.wrote)
 		})
@@ -128,18 +128,18 @@
 	for p.Counts().Reads == 0 { // until the watch waits
 		time.Sleep(time.Millisecond)
 	}
-	p.SetFaults(standin.PlatformFaults{Down: true})
+	p.SetFaults(fake.PlatformFaults{Down: true})
 	assert.ErrorIs(t, <-ended, platform.ErrUnavailable)
 }
 
-func TestPlatformOldValues(t *testing.T) {
+func TestPlatformStaleReads(t *testing.T) {
 	p, store := newStore(t)
 	ctx := context.Background()
 	first, err := store.Write(ctx, "a/1", []byte("one"), 0)
 	assert.NilError(t, err)
 	_, err = store.Write(ctx, "a/1", []byte("two"), first)
 	assert.NilError(t, err)
-	p.SetFaults(standin.PlatformFaults{OldValues: true})
+	p.SetFaults(fake.PlatformFaults{StaleReads: true})
 	entry, err := store.Get(ctx, "a/1")
 	assert.NilError(t, err)
 	assert.Equal(t, string(entry.Value), "one")
--- a/internal/standin/platformfaults.go
+++ b/internal/fake/platformfaults.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// errLost makes the handler answer in a way that leaves the outcome open.
-var errLost = errors.New("standin: answer lost after the call took effect")
+// errResponseLost makes the handler answer in a way that leaves the outcome open.
+var errResponseLost = errors.New("standin: answer lost after the call took effect")
 
 // PlatformFaults is what goes wrong at the platform. The zero value: nothing.
 type PlatformFaults struct {
@@ -21,20 +21,20 @@
 	Down bool
 	// SlowMin and SlowMax bound the delay of each call before it takes effect.
 	SlowMin, SlowMax time.Duration
-	// LoseAnswers is the part of the calls, 0 to 1, that take effect and
+	// LoseResponses is the part of the calls, 0 to 1, that take effect and
 	// whose answer is then lost.
-	LoseAnswers float64
-	// OldValues answers reads with the value before the newest one.
-	OldValues bool
-	// CutHosts and CutZones are the callers that are refused.
-	CutHosts []place.Host
-	CutZones []place.Zone
+	LoseResponses float64
+	// StaleReads answers reads with the value before the newest one.
+	StaleReads bool
+	// PartitionedHosts and CutZones are the callers that are refused.
+	PartitionedHosts []place.Host
+	PartitionedZones []place.Zone
 }
 
 // PlatformCounts counts what callers did since the start. A waiting watch is
 // one read.
 type PlatformCounts struct {
-	Reads, Writes, Conflicts, Refused, LostAnswers uint64
+	Reads, Writes, Conflicts, Refused, LostResponses uint64
 }
 
 // callKind tells a read from a write.
@@ -79,9 +79,9 @@
 	return maps.Clone(p.calls)
 }
 
-// enter counts a call and lets the faults act on it. The function that it
+// beginCall counts a call and lets the faults act on it. The function that it
 // returns gives the error to answer with after the call took effect.
-func (p *Platform) enter(ctx context.Context, kind callKind) (func() error, error) {
+func (p *Platform) beginCall(ctx context.Context, kind callKind) (func() error, error) {
 	caller := platform.CallerOf(ctx)
 	p.mu.Lock()
 	p.calls[caller]++
@@ -100,22 +100,22 @@
 	if err := sleep(ctx, faults.delay()); err != nil {
 		return nil, err
 	}
-	return p.leave, nil
+	return p.endCall, nil
 }
 
-// leave decides whether the answer is lost.
-func (p *Platform) leave() error {
+// endCall decides whether the answer is lost.
+func (p *Platform) endCall() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.faults.LoseAnswers > 0 && rand.Float64() < p.faults.LoseAnswers {
-		p.counts.LostAnswers++
-		return errLost
+	if p.faults.LoseResponses > 0 && rand.Float64() < p.faults.LoseResponses {
+		p.counts.LostResponses++
+		return errResponseLost
 	}
 	return nil
 }
 
 func (f PlatformFaults) refuses(caller platform.Caller) bool {
-	return f.Down || slices.Contains(f.CutHosts, caller.Host) || slices.Contains(f.CutZones, caller.Zone)
+	return f.Down || slices.Contains(f.PartitionedHosts, caller.Host) || slices.Contains(f.PartitionedZones, caller.Zone)
 }
 
 func (f PlatformFaults) delay() time.Duration {
--- a/internal/standin/ranged.go
+++ b/internal/fake/rangetarget.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -16,28 +16,28 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// RangedFaults is what goes wrong with a Ranged now.
-type RangedFaults struct {
+// RangeTargetFaults is what goes wrong with a Ranged now.
+type RangeTargetFaults struct {
 	// Work is how long a request takes.
 	Work time.Duration
 	// Fail, Refuse and Cut are the shares of requests that end with the
 	// target's own failure, that it refuses, and whose connection breaks after
 	// they have run.
-	Fail, Refuse, Cut float64
-	// Deaf: orders are neither answered nor carried out.
-	Deaf bool
-	// Gone: no connection for orders can be had.
-	Gone bool
+	Fail, Refuse, Reset float64
+	// DropOrders: orders are neither answered nor carried out.
+	DropOrders bool
+	// Unreachable: no connection for orders can be had.
+	Unreachable bool
 	// Leaving: all answers say that the target stops soon.
 	Leaving bool
-	// Pause is what refusals ask for, in seconds, zero for nothing.
-	Pause time.Duration
+	// RetryAfter is what refusals ask for, in seconds, zero for nothing.
+	RetryAfter time.Duration
 }
 
-// Ranged is the stand-in of a target that owns ranges of keys, or of one of a
+// RangeTarget is the stand-in of a target that owns ranges of keys, or of one of a
 // keyless service. It serves requests over real sockets, in the product's own
 // header names, and takes orders by method calls. Safe for concurrent use.
-type Ranged struct {
+type RangeTarget struct {
 	Name  place.Target
 	Addr  netip.AddrPort
 	Slots int
@@ -48,14 +48,14 @@
 
 	server *http.Server
 	names  *target.HeaderNames
-	runs   *RunLedger
+	runs   *RunCounter
 
 	mu     sync.Mutex
-	faults RangedFaults
+	faults RangeTargetFaults
 	held   []heldRange
-	// seen is the highest fence of each point that a grant has brought; it
+	// fences is the highest fence of each point that a grant has brought; it
 	// stays when the grant has ended.
-	seen    map[key.Point]target.FencingToken
+	fences  map[key.Point]target.FencingToken
 	running int
 	arrived int
 	counter int
@@ -64,99 +64,99 @@
 type heldRange struct {
 	key.Range
 
-	fence target.FencingToken
-	end   time.Time
+	fence  target.FencingToken
+	expiry time.Time
 }
 
-// RunLedger counts the runs of each request over all targets. Safe for
+// RunCounter counts the runs of each request over all targets. Safe for
 // concurrent use.
-type RunLedger struct {
+type RunCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewRunLedger returns an empty ledger.
-func NewRunLedger() *RunLedger { return &RunLedger{runs: make(map[string]int)} }
+// NewRunCounter returns an empty ledger.
+func NewRunCounter() *RunCounter { return &RunCounter{runs: make(map[string]int)} }
 
-func (l *RunLedger) add(id string) {
+func (l *RunCounter) add(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
 }
 
 // Runs returns how often a request ran.
-func (l *RunLedger) Runs(id string) int {
+func (l *RunCounter) Runs(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
-// NewRanged returns a target that somebody else serves at addr.
-func NewRanged(name place.Target, addr netip.AddrPort, slots int, names *target.HeaderNames, runs *RunLedger) *Ranged {
-	return &Ranged{
-		Name: name, Addr: addr, Slots: slots, names: names, runs: runs, faults: RangedFaults{Work: 10 * time.Millisecond},
+// NewRangeTarget returns a target that somebody else serves at addr.
+func NewRangeTarget(name place.Target, addr netip.AddrPort, slots int, names *target.HeaderNames, runs *RunCounter) *RangeTarget {
+	return &RangeTarget{
+		Name: name, Addr: addr, Slots: slots, names: names, runs: runs, faults: RangeTargetFaults{Work: 10 * time.Millisecond},
 	}
 }
 
-// StartRanged starts a target on a free loopback port.
-func StartRanged(name place.Target, slots int, names *target.HeaderNames, runs *RunLedger) (*Ranged, error) {
+// StartRangeTarget starts a target on a free loopback port.
+func StartRangeTarget(name place.Target, slots int, names *target.HeaderNames, runs *RunCounter) (*RangeTarget, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	r := NewRanged(name, netip.MustParseAddrPort(l.Addr().String()), slots, names, runs)
+	r := NewRangeTarget(name, netip.MustParseAddrPort(l.Addr().String()), slots, names, runs)
 	r.server = &http.Server{Handler: r}
 	go r.run(l)
 	return r, nil
 }
 
-func (r *Ranged) run(l net.Listener) { _ = r.server.Serve(l) }
+func (r *RangeTarget) run(l net.Listener) { _ = r.server.Serve(l) }
 
 // Close ends the target at once.
-func (r *Ranged) Close() { _ = r.server.Close() }
+func (r *RangeTarget) Close() { _ = r.server.Close() }
 
 // SetFaults replaces the faults.
-func (r *Ranged) SetFaults(f RangedFaults) {
+func (r *RangeTarget) SetFaults(f RangeTargetFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-func (r *Ranged) gone() bool {
+func (r *RangeTarget) unreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.faults.Gone
+	return r.faults.Unreachable
 }
 
 // Arrived returns how many requests arrived.
-func (r *Ranged) Arrived() int {
+func (r *RangeTarget) Arrived() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.arrived
 }
 
 // Holds reports whether the target holds a point now.
-func (r *Ranged) Holds(now time.Time, p key.Point) bool {
+func (r *RangeTarget) Holds(now time.Time, p key.Point) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holds(now, p)
 }
 
-// Meets reports whether the target holds any point of a range now.
-func (r *Ranged) Meets(now time.Time, span key.Range) bool {
+// HoldsAny reports whether the target holds any point of a range now.
+func (r *RangeTarget) HoldsAny(now time.Time, span key.Range) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range r.held {
-		if h.Overlaps(span) && now.Before(h.end) {
+		if h.Overlaps(span) && now.Before(h.expiry) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Ranged) holds(now time.Time, p key.Point) bool {
+func (r *RangeTarget) holds(now time.Time, p key.Point) bool {
 	for _, h := range r.held {
-		if h.Contains(p) && now.Before(h.end) {
+		if h.Contains(p) && now.Before(h.expiry) {
 			return true
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 // admit decides on a request; the returned status is 0 where it runs.
-func (r *Ranged) admit(req *http.Request) (status int, f RangedFaults, draw float64) {
+func (r *RangeTarget) admit(req *http.Request) (status int, f RangeTargetFaults, draw float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrived++
@@ -189,7 +189,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (r *Ranged) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *RangeTarget) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	id := req.Header.Get(r.names.Request)
 	w.Header().Set(r.names.Request, id)
 	w.Header().Set(r.names.Target, string(r.Name))
@@ -203,8 +203,8 @@
 	}
 	if status != 0 {
 		w.Header().Set(r.names.NotRun, "1")
-		if f.Pause > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(f.Pause.Seconds(), 'f', -1, 64))
+		if f.RetryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', -1, 64))
 		}
 		w.WriteHeader(status)
 		return
@@ -215,9 +215,9 @@
 	r.running--
 	r.mu.Unlock()
 	switch {
-	case draw < f.Refuse+f.Cut:
+	case draw < f.Refuse+f.Reset:
 		panic(http.ErrAbortHandler) // resets the connection
-	case draw < f.Refuse+f.Cut+f.Fail:
+	case draw < f.Refuse+f.Reset+f.Fail:
 		w.WriteHeader(http.StatusInternalServerError)
 	default:
 		if r.names.Stamp != "" {
@@ -227,92 +227,92 @@
 	}
 }
 
-// RangedOrders carries orders to targets by their addresses.
-type RangedOrders struct {
+// RangeOrderDialer carries orders to targets by their addresses.
+type RangeOrderDialer struct {
 	mu      sync.Mutex
-	targets map[netip.AddrPort]*Ranged
+	targets map[netip.AddrPort]*RangeTarget
 }
 
-// NewRangedOrders returns orders that reach nobody yet.
-func NewRangedOrders() *RangedOrders {
-	return &RangedOrders{targets: make(map[netip.AddrPort]*Ranged)}
+// NewRangeOrderDialer returns orders that reach nobody yet.
+func NewRangeOrderDialer() *RangeOrderDialer {
+	return &RangeOrderDialer{targets: make(map[netip.AddrPort]*RangeTarget)}
 }
 
 // Add lets orders reach a target.
-func (o *RangedOrders) Add(r *Ranged) {
+func (o *RangeOrderDialer) Add(r *RangeTarget) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.targets[r.Addr] = r
 }
 
 // Dial implements target.Orders.
-func (o *RangedOrders) Dial(_ context.Context, addr netip.AddrPort, to place.Target) (target.OrderConn, error) {
+func (o *RangeOrderDialer) Dial(_ context.Context, addr netip.AddrPort, to place.Target) (target.OrderConn, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := o.targets[addr]
-	if r == nil || r.gone() {
+	if r == nil || r.unreachable() {
 		return nil, target.ErrNotSent
 	}
-	return &rangedConn{to: to, ranged: r}, nil
+	return &rangeOrderConn{targetName: to, rangeTarget: r}, nil
 }
 
-type rangedConn struct {
-	to     place.Target
-	ranged *Ranged
+type rangeOrderConn struct {
+	targetName  place.Target
+	rangeTarget *RangeTarget
 }
 
 // Leaving implements target.OrderConn.
-func (c *rangedConn) Leaving() bool {
-	c.ranged.mu.Lock()
-	defer c.ranged.mu.Unlock()
-	return c.ranged.faults.Leaving
+func (c *rangeOrderConn) Leaving() bool {
+	c.rangeTarget.mu.Lock()
+	defer c.rangeTarget.mu.Unlock()
+	return c.rangeTarget.faults.Leaving
 }
 
-func (c *rangedConn) Close() error { return nil }
+func (c *rangeOrderConn) Close() error { return nil }
 
-func (c *rangedConn) enter(ctx context.Context) error {
-	c.ranged.mu.Lock()
-	f := c.ranged.faults
-	c.ranged.mu.Unlock()
-	if f.Gone {
+func (c *rangeOrderConn) beginOrder(ctx context.Context) error {
+	c.rangeTarget.mu.Lock()
+	f := c.rangeTarget.faults
+	c.rangeTarget.mu.Unlock()
+	if f.Unreachable {
 		return target.ErrNotSent
 	}
-	if f.Deaf {
+	if f.DropOrders {
 		<-ctx.Done()
 		return target.ErrUnanswered
 	}
-	if c.to != c.ranged.Name {
+	if c.targetName != c.rangeTarget.Name {
 		return target.ErrMisdirected
 	}
 	return nil
 }
 
 // Grant implements target.OrderConn.
-func (c *rangedConn) Grant(ctx context.Context, g target.Grant) error {
-	if err := c.enter(ctx); err != nil {
+func (c *rangeOrderConn) Grant(ctx context.Context, g target.Grant) error {
+	if err := c.beginOrder(ctx); err != nil {
 		return err
 	}
-	r := c.ranged
+	r := c.rangeTarget
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := g.Range.First; p <= g.Range.Last; p++ {
-		if r.seen[p] > g.FencingToken {
+		if r.fences[p] > g.FencingToken {
 			return target.ErrFenced
 		}
 	}
-	if r.seen == nil {
-		r.seen = make(map[key.Point]target.FencingToken)
+	if r.fences == nil {
+		r.fences = make(map[key.Point]target.FencingToken)
 	}
 	for p := g.Range.First; p <= g.Range.Last; p++ {
-		r.seen[p] = g.FencingToken
+		r.fences[p] = g.FencingToken
 	}
-	r.drop(g.Range)
+	r.release(g.Range)
 	r.held = append(r.held, heldRange{g.Range, g.FencingToken, time.Now().Add(time.Duration(float64(g.Duration) * (1 + r.SlowClock)))})
 	return nil
 }
 
-// drop takes a range out of what is held. The caller holds mu.
-func (r *Ranged) drop(out key.Range) {
+// release takes a range out of what is held. The caller holds mu.
+func (r *RangeTarget) release(out key.Range) {
 	var next []heldRange
 	for _, h := range r.held {
 		if !h.Overlaps(out) {
@@ -334,12 +334,12 @@
 }
 
 // Release implements target.OrderConn.
-func (c *rangedConn) Release(ctx context.Context, rel target.Release) (target.Handover, error) {
-	if err := c.enter(ctx); err != nil {
+func (c *rangeOrderConn) Release(ctx context.Context, rel target.Release) (target.Handover, error) {
+	if err := c.beginOrder(ctx); err != nil {
 		return "", err
 	}
-	c.ranged.mu.Lock()
-	defer c.ranged.mu.Unlock()
-	c.ranged.drop(rel.Range)
-	return target.Handover("from " + string(c.ranged.Name)), nil
+	c.rangeTarget.mu.Lock()
+	defer c.rangeTarget.mu.Unlock()
+	c.rangeTarget.release(rel.Range)
+	return target.Handover("from " + string(c.rangeTarget.Name)), nil
 }
