--- a/internal/standin/sessions.go
+++ b/internal/fake/sessionstore.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -16,32 +16,32 @@
 	Down bool
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseEvery: every so many writes take effect without an answer, LateBy
+	// LoseEveryNth: every so many writes take effect without an answer, LateBy
 	// after they came.
-	LoseEvery int
-	LateBy    time.Duration
-	// Lapse: all sessions end.
-	Lapse bool
+	LoseEveryNth int
+	CommitDelay  time.Duration
+	// ExpireSessions: all sessions end.
+	ExpireSessions bool
 }
 
-// Sessions is the stand-in of a platform's service with sessions and
+// SessionStore is the stand-in of a platform's service with sessions and
 // transactions, in memory. It implements platform.SessionStore. Safe for
 // concurrent use.
-type Sessions struct {
+type SessionStore struct {
 	mu       sync.Mutex
 	era      platform.Era
 	revision uint64
 	values   map[platform.Path]sessionValue
 	sessions map[int64]*openSession
-	last     int64
-	// copies are those that were taken, oldest first, while copying is set.
-	copies  []sessionsCopy
-	copying bool
-	changes []platform.Change
-	changed chan struct{} // closed at the next change
-	faults  SessionFaults
-	writes  int
-	calls   int
+	lastID   int64
+	// snapshots are those that were taken, oldest first, while copying is set.
+	snapshots    []snapshot
+	snapshotting bool
+	changes      []platform.Change
+	changed      chan struct{} // closed at the next change
+	faults       SessionFaults
+	writes       int
+	calls        int
 }
 
 type sessionValue struct {
@@ -51,15 +51,15 @@
 }
 
 type openSession struct {
-	ttl time.Duration
-	end time.Time
+	ttl    time.Duration
+	expiry time.Time
 }
 
-var _ platform.SessionStore = (*Sessions)(nil)
+var _ platform.SessionStore = (*SessionStore)(nil)
 
-// NewSessions returns an empty service without faults.
-func NewSessions() *Sessions {
-	return &Sessions{
+// NewSessionStore returns an empty service without faults.
+func NewSessionStore() *SessionStore {
+	return &SessionStore{
 		values:   make(map[platform.Path]sessionValue),
 		sessions: make(map[int64]*openSession),
 		changed:  make(chan struct{}),
@@ -67,11 +67,11 @@
 }
 
 // SetFaults replaces the faults.
-func (s *Sessions) SetFaults(f SessionFaults) {
+func (s *SessionStore) SetFaults(f SessionFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	if f.Lapse {
+	if f.ExpireSessions {
 		for id := range s.sessions {
 			s.end(id)
 		}
@@ -79,14 +79,14 @@
 }
 
 // Calls returns how many calls were made.
-func (s *Sessions) Calls() int {
+func (s *SessionStore) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// enter passes the faults of a call.
-func (s *Sessions) enter(ctx context.Context) error {
+// beginCall passes the faults of a call.
+func (s *SessionStore) beginCall(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
 	f := s.faults
@@ -105,16 +105,16 @@
 }
 
 // expire ends the sessions whose time is over. The caller holds mu.
-func (s *Sessions) expire(now time.Time) {
+func (s *SessionStore) expire(now time.Time) {
 	for id, session := range s.sessions {
-		if now.After(session.end) {
+		if now.After(session.expiry) {
 			s.end(id)
 		}
 	}
 }
 
 // end removes a session and its values. The caller holds mu.
-func (s *Sessions) end(id int64) {
+func (s *SessionStore) end(id int64) {
 	delete(s.sessions, id)
 	for path, value := range s.values {
 		if value.session == id {
@@ -123,47 +123,47 @@
 	}
 }
 
-func (s *Sessions) remove(path platform.Path) {
+func (s *SessionStore) remove(path platform.Path) {
 	if _, ok := s.values[path]; !ok {
 		return
 	}
-	s.copy(time.Now())
+	s.takeSnapshot(time.Now())
 	s.revision++
 	delete(s.values, path)
-	s.note(platform.Change{Entry: platform.Entry{Path: path, Revision: s.era.Revision(s.revision)}, Deleted: true})
+	s.appendChange(platform.Change{Entry: platform.Entry{Path: path, Revision: s.era.Revision(s.revision)}, Deleted: true})
 }
 
-func (s *Sessions) note(c platform.Change) {
+func (s *SessionStore) appendChange(c platform.Change) {
 	s.changes = append(s.changes, c)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Set writes a value as somebody else, such as an operator or a target.
-func (s *Sessions) Set(path platform.Path, value []byte) {
+func (s *SessionStore) Set(path platform.Path, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(platform.Put{Path: path, Value: value})
 }
 
 // Remove removes a value as somebody else.
-func (s *Sessions) Remove(path platform.Path) {
+func (s *SessionStore) Remove(path platform.Path) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(path)
 }
 
-func (s *Sessions) put(p platform.Put) {
-	s.copy(time.Now())
+func (s *SessionStore) put(p platform.Put) {
+	s.takeSnapshot(time.Now())
 	s.revision++
 	e := platform.Entry{Path: p.Path, Value: slices.Clone(p.Value), Revision: s.era.Revision(s.revision)}
 	s.values[p.Path] = sessionValue{e, p.Session.Number}
-	s.note(platform.Change{Entry: e})
+	s.appendChange(platform.Change{Entry: e})
 }
 
 // Get implements platform.SessionStore.
-func (s *Sessions) Get(ctx context.Context, path platform.Path) (platform.Entry, error) {
-	if err := s.enter(ctx); err != nil {
+func (s *SessionStore) Get(ctx context.Context, path platform.Path) (platform.Entry, error) {
+	if err := s.beginCall(ctx); err != nil {
 		return platform.Entry{}, err
 	}
 	s.mu.Lock()
@@ -177,8 +177,8 @@
 }
 
 // List implements platform.SessionStore.
-func (s *Sessions) List(ctx context.Context, prefix platform.Path) ([]platform.Entry, platform.Revision, error) {
-	if err := s.enter(ctx); err != nil {
+func (s *SessionStore) List(ctx context.Context, prefix platform.Path) ([]platform.Entry, platform.Revision, error) {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
@@ -195,8 +195,8 @@
 }
 
 // Watch implements platform.SessionStore.
-func (s *Sessions) Watch(ctx context.Context, prefix platform.Path, from platform.Revision, wait time.Duration) ([]platform.Change, platform.Revision, error) {
-	if err := s.enter(ctx); err != nil {
+func (s *SessionStore) Watch(ctx context.Context, prefix platform.Path, from platform.Revision, wait time.Duration) ([]platform.Change, platform.Revision, error) {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, from, err
 	}
 	timer := time.NewTimer(wait)
@@ -229,28 +229,28 @@
 }
 
 // Commit implements platform.SessionStore.
-func (s *Sessions) Commit(ctx context.Context, txn platform.Txn) (platform.Revision, error) {
-	if err := s.enter(ctx); err != nil {
+func (s *SessionStore) Commit(ctx context.Context, txn platform.Txn) (platform.Revision, error) {
+	if err := s.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
 	s.writes++
 	f := s.faults
-	lost := f.LoseEvery > 0 && s.writes%f.LoseEvery == 0
+	lost := f.LoseEveryNth > 0 && s.writes%f.LoseEveryNth == 0
 	s.mu.Unlock()
 	if !lost {
 		return s.commit(txn)
 	}
 	// Its outcome is nobody's to see.
-	if f.LateBy > 0 {
-		time.AfterFunc(f.LateBy, func() { _, _ = s.commit(txn) })
+	if f.CommitDelay > 0 {
+		time.AfterFunc(f.CommitDelay, func() { _, _ = s.commit(txn) })
 	} else {
 		_, _ = s.commit(txn)
 	}
-	return 0, platform.ErrUnknown
+	return 0, platform.ErrOutcomeUnknown
 }
 
-func (s *Sessions) commit(txn platform.Txn) (platform.Revision, error) {
+func (s *SessionStore) commit(txn platform.Txn) (platform.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(time.Now())
@@ -295,21 +295,21 @@
 }
 
 // Open implements platform.SessionStore.
-func (s *Sessions) Open(ctx context.Context, ttl time.Duration) (platform.SessionID, error) {
-	if err := s.enter(ctx); err != nil {
+func (s *SessionStore) Open(ctx context.Context, ttl time.Duration) (platform.SessionID, error) {
+	if err := s.beginCall(ctx); err != nil {
 		return platform.SessionID{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	s.sessions[s.last] = &openSession{ttl: ttl, end: time.Now().Add(ttl)}
-	return platform.SessionID{Era: s.era, Number: s.last}, nil
+	s.lastID++
+	s.sessions[s.lastID] = &openSession{ttl: ttl, expiry: time.Now().Add(ttl)}
+	return platform.SessionID{Era: s.era, Number: s.lastID}, nil
 }
 
-// Keep implements platform.SessionStore. The store knows a session by its number
+// KeepAlive implements platform.SessionStore. The store knows a session by its number
 // alone; that the answer is of another era is the caller's to see.
-func (s *Sessions) Keep(ctx context.Context, id platform.SessionID) error {
-	if err := s.enter(ctx); err != nil {
+func (s *SessionStore) KeepAlive(ctx context.Context, id platform.SessionID) error {
+	if err := s.beginCall(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -317,21 +317,21 @@
 	s.expire(time.Now())
 	session := s.sessions[id.Number]
 	if session == nil && id.Era != s.era {
-		return platform.ErrSessionForgotten
+		return platform.ErrSessionLost
 	}
 	if session == nil {
 		return platform.ErrSessionEnded
 	}
-	session.end = time.Now().Add(session.ttl)
+	session.expiry = time.Now().Add(session.ttl)
 	if id.Era != s.era {
-		return platform.ErrSessionForgotten
+		return platform.ErrSessionLost
 	}
 	return nil
 }
 
 // End implements platform.SessionStore.
-func (s *Sessions) End(ctx context.Context, id platform.SessionID) error {
-	if err := s.enter(ctx); err != nil {
+func (s *SessionStore) End(ctx context.Context, id platform.SessionID) error {
+	if err := s.beginCall(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
--- a/internal/standin/target.go
+++ b/internal/fake/target.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -42,12 +42,12 @@
 	// Slots is how many requests run at once, Connections how many
 	// connections are taken.
 	Slots, Connections int
-	// Work is the mean time of one run; single runs vary by a third.
-	Work time.Duration
-	// Connect is what each new connection costs.
-	Connect time.Duration
-	// Cold is how long work takes longer after a restart.
-	Cold        time.Duration
+	// MeanWork is the mean time of one run; single runs vary by a third.
+	MeanWork time.Duration
+	// ConnectDelay is what each new connection costs.
+	ConnectDelay time.Duration
+	// ColdPeriod is how long work takes longer after a restart.
+	ColdPeriod  time.Duration
 	ChecksTerms bool
 }
 
@@ -56,19 +56,19 @@
 	config TargetConfig
 	ledger *Ledger
 
-	mu          sync.Mutex
-	life        *life
-	incarnation place.Incarnation
-	addr        netip.AddrPort
-	faults      TargetFaults
-	gate        chan struct{} // closed while the target is not frozen
-	previous    answered      // for crossed answers
-	served      uint64
-	lastStart   time.Time // of a run
+	mu           sync.Mutex
+	process      *targetProcess
+	incarnation  place.Incarnation
+	addr         netip.AddrPort
+	faults       TargetFaults
+	thawed       chan struct{} // closed while the target is not frozen
+	lastResponse response      // for crossed answers
+	served       uint64
+	lastStart    time.Time // of a run
 }
 
-// life is one life of the target's process: from its start until it is killed.
-type life struct {
+// targetProcess is one life of the target's process: from its start until it is killed.
+type targetProcess struct {
 	started  time.Time
 	holdings *target.Holdings
 	held     map[key.Shard]bool // what the ledger knows
@@ -78,8 +78,8 @@
 	open     int
 }
 
-// answered is one answer that was given.
-type answered struct {
+// response is one answer that was given.
+type response struct {
 	request string
 	body    []byte
 }
@@ -88,7 +88,7 @@
 func NewTarget(config TargetConfig, ledger *Ledger) *Target {
 	gate := make(chan struct{})
 	close(gate)
-	return &Target{config: config, ledger: ledger, addr: config.Addr, gate: gate}
+	return &Target{config: config, ledger: ledger, addr: config.Addr, thawed: gate}
 }
 
 // Start listens and serves: a new life that holds nothing.
@@ -101,7 +101,7 @@
 	defer t.mu.Unlock()
 	t.incarnation = place.Incarnation(rand.Uint64N(1<<53)) + 1
 	t.addr = listener.Addr().(*net.TCPAddr).AddrPort()
-	l := &life{
+	l := &targetProcess{
 		started: time.Now(),
 		held:    make(map[key.Shard]bool),
 		done:    make(chan struct{}),
@@ -111,13 +111,13 @@
 		}),
 	}
 	l.server = &http.Server{Handler: t.handler(l), ConnState: t.connState(l), ReadHeaderTimeout: time.Minute}
-	t.life = l
-	go l.run(&slowListener{Listener: listener, delay: t.config.Connect})
+	t.process = l
+	go l.run(&slowListener{Listener: listener, delay: t.config.ConnectDelay})
 	return nil
 }
 
 // run serves until the life ends.
-func (l *life) run(listener net.Listener) {
+func (l *targetProcess) run(listener net.Listener) {
 	defer close(l.done)
 	_ = l.server.Serve(listener) // always ends with ErrServerClosed or a dead listener
 }
@@ -152,7 +152,7 @@
 }
 
 // handler serves orders, health and requests of one life.
-func (t *Target) handler(l *life) http.Handler {
+func (t *Target) handler(l *targetProcess) http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	r.HandleFunc(target.OrderPath, func(w http.ResponseWriter, r *http.Request) { t.order(l, w, r) }).Methods(http.MethodPost)
 	r.HandleFunc(HealthPath, func(w http.ResponseWriter, r *http.Request) { t.health(l, w, r) })
@@ -161,10 +161,10 @@
 }
 
 // stamp reads the clock of one life.
-func (l *life) stamp(now time.Time) grant.Stamp { return grant.Stamp(now.Sub(l.started)) }
+func (l *targetProcess) stamp(now time.Time) grant.Stamp { return grant.Stamp(now.Sub(l.started)) }
 
 // order takes one order of ownership.
-func (t *Target) order(l *life, w http.ResponseWriter, r *http.Request) {
+func (t *Target) order(l *targetProcess, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -175,9 +175,9 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	t.survive(l)
+	t.abortIfKilled(l)
 	answer := t.apply(l, order)
-	t.survive(l)
+	t.abortIfKilled(l)
 	body, err = target.EncodeAnswer(answer)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -188,35 +188,35 @@
 }
 
 // apply gives the order to the holdings and records what came of it.
-func (t *Target) apply(l *life, order grant.Order) grant.Response {
+func (t *Target) apply(l *targetProcess, order grant.Order) grant.Response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	l.holdings.SetDraining(t.faults.Draining)
 	answer := l.holdings.Apply(l.stamp(now), order)
-	if t.life == l {
+	if t.process == l {
 		t.record(now, l)
 	}
 	return answer
 }
 
 // record tells the ledger what the target holds. The caller holds mu.
-func (t *Target) record(now time.Time, l *life) {
+func (t *Target) record(now time.Time, l *targetProcess) {
 	held := make(map[key.Shard]bool)
 	for _, h := range l.holdings.List(l.stamp(now)) {
 		held[h.Shard] = true
-		t.ledger.hold(now, t.config.Service, t.config.Name, h.ShardEpoch, l.started.Add(time.Duration(h.End)))
+		t.ledger.recordHold(now, t.config.Service, t.config.Name, h.ShardEpoch, l.started.Add(time.Duration(h.End)))
 	}
 	for shard := range l.held {
 		if !held[shard] {
-			t.ledger.drop(now, t.config.Service, t.config.Name, shard)
+			t.ledger.recordRelease(now, t.config.Service, t.config.Name, shard)
 		}
 	}
 	l.held = held
 }
 
 // request runs one forwarded request, or refuses it.
-func (t *Target) request(l *life, w http.ResponseWriter, r *http.Request) {
+func (t *Target) request(l *targetProcess, w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(target.HeaderRequest)
 	w.Header().Set(target.HeaderRequest, id)
 	arrived := time.Now()
@@ -225,9 +225,9 @@
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
-	t.survive(l)
-	faults := t.faultsNow()
-	if faults.hits(faults.Shed) {
+	t.abortIfKilled(l)
+	faults := t.currentFaults()
+	if faults.occurs(faults.Shed) {
 		t.refuse(w, target.RefusalBusy)
 		return
 	}
@@ -235,23 +235,23 @@
 		t.refuse(w, target.RefusalDeadline)
 		return
 	}
-	shard, refusal := t.begin(l, r)
+	shard, refusal := t.beginRun(l, r)
 	if refusal != "" {
 		t.refuse(w, refusal)
 		return
 	}
-	defer t.end(l, shard)
-	t.survive(l)
-	t.ledger.run(r.URL.Query().Get(OperationParameter), r.Header.Get(target.HeaderIdempotency))
+	defer t.endRun(l, shard)
+	t.abortIfKilled(l)
+	t.ledger.recordRun(r.URL.Query().Get(OperationParameter), r.Header.Get(target.HeaderIdempotency))
 	if sleep(r.Context(), t.workTime(l, faults)) != nil {
 		return // cancelled: the work stops, nobody waits for an answer
 	}
-	t.survive(l)
-	t.answer(w, faults, answered{request: id, body: AnswerBody(r.URL.RequestURI(), payload, faults.AnswerBytes)})
+	t.abortIfKilled(l)
+	t.respond(w, faults, response{request: id, body: ResponseBody(r.URL.RequestURI(), payload, faults.PaddingBytes)})
 }
 
-// begin checks that the target owns the shard and has a free slot.
-func (t *Target) begin(l *life, r *http.Request) (key.Shard, target.Refusal) {
+// beginRun checks that the target owns the shard and has a free slot.
+func (t *Target) beginRun(l *targetProcess, r *http.Request) (key.Shard, target.Refusal) {
 	shard, errShard := strconv.ParseUint(r.Header.Get(target.HeaderShard), 10, 32)
 	epoch, errEpoch := strconv.ParseUint(r.Header.Get(target.HeaderEpoch), 10, 64)
 	if errShard != nil || errEpoch != nil {
@@ -271,7 +271,7 @@
 	return key.Shard(shard), ""
 }
 
-func (t *Target) end(l *life, shard key.Shard) {
+func (t *Target) endRun(l *targetProcess, shard key.Shard) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.running--
@@ -287,7 +287,7 @@
 			c.Misrouted++
 			status = http.StatusMisdirectedRequest
 		case target.RefusalDeadline:
-			c.Late++
+			c.DeadlineExceeded++
 			status = http.StatusGatewayTimeout
 		default:
 			c.Sheds++
@@ -298,20 +298,20 @@
 }
 
 // workTime is the time of one run.
-func (t *Target) workTime(l *life, faults TargetFaults) time.Duration {
-	work := t.config.Work
+func (t *Target) workTime(l *targetProcess, faults TargetFaults) time.Duration {
+	work := t.config.MeanWork
 	work += time.Duration((rand.Float64()*2 - 1) / 3 * float64(work))
-	if time.Since(l.started) < t.config.Cold {
+	if time.Since(l.started) < t.config.ColdPeriod {
 		work *= coldFactor
 	}
 	return work + faults.Slow
 }
 
 // health tells the number of running requests; a lying target says it is idle.
-func (t *Target) health(l *life, w http.ResponseWriter, _ *http.Request) {
-	t.survive(l)
+func (t *Target) health(l *targetProcess, w http.ResponseWriter, _ *http.Request) {
+	t.abortIfKilled(l)
 	t.mu.Lock()
-	running, lies := l.running, t.faults.LyingHealth
+	running, lies := l.running, t.faults.ReportIdle
 	t.mu.Unlock()
 	if lies {
 		running = 0
@@ -326,7 +326,7 @@
 }
 
 // connState closes the connections beyond the target's limit.
-func (t *Target) connState(l *life) func(net.Conn, http.ConnState) {
+func (t *Target) connState(l *targetProcess) func(net.Conn, http.ConnState) {
 	return func(conn net.Conn, state http.ConnState) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -334,7 +334,7 @@
 		case http.StateNew:
 			l.open++
 			if t.config.Connections > 0 && l.open > t.config.Connections {
-				t.ledger.count(func(c *LedgerCounts) { c.Refused++ })
+				t.ledger.count(func(c *LedgerCounts) { c.RefusedConns++ })
 				_ = conn.Close()
 			}
 		case http.StateClosed, http.StateHijacked:
--- a/internal/standin/target_test.go
+++ b/internal/fake/target_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package fake_test
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/grant"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/standin"
 	"citrontray.example/citrontray/internal/target"
 )
 
@@ -22,12 +22,12 @@
 	return errors.As(err, conflict)
 }
 
-// newFarm returns two started targets of one service.
-func newFarm(t *testing.T) *standin.Farm {
+// newTargetSet returns two started targets of one service.
+func newTargetSet(t *testing.T) *fake.TargetSet {
 	t.Helper()
-	farm := standin.NewFarm([]standin.Group{{
+	farm := fake.NewTargetSet([]fake.TargetGroup{{
 		Count: 2,
-		TargetConfig: standin.TargetConfig{
+		TargetConfig: fake.TargetConfig{
 			Service: "balance", Slots: 2, Connections: 10, ChecksTerms: true,
 		},
 	}}, []place.Zone{"zone-a"})
@@ -40,8 +40,8 @@
 	return farm
 }
 
-// give grants shard 1 at the epoch to a target for an hour.
-func give(t *testing.T, to *standin.Target, epoch grant.Epoch) {
+// grantShard grants shard 1 at the epoch to a target for an hour.
+func grantShard(t *testing.T, to *fake.Target, epoch grant.Epoch) {
 	t.Helper()
 	control := target.NewControl(5 * time.Second)
 	defer control.Close()
@@ -57,8 +57,8 @@
 	assert.Equal(t, len(answer.Held), 1)
 }
 
-// ask sends one request for shard 1.
-func ask(t *testing.T, to *standin.Target, epoch, uri, body string) (http.Header, []byte, error) {
+// sendRequest sends one request for shard 1.
+func sendRequest(t *testing.T, to *fake.Target, epoch, uri, body string) (http.Header, []byte, error) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+to.Addr().String()+uri, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -76,90 +76,90 @@
 }
 
 func TestTargetRunsWhatItOwns(t *testing.T) {
-	farm := newFarm(t)
+	farm := newTargetSet(t)
 	first := farm.Targets()[0]
-	give(t, first, 3)
+	grantShard(t, first, 3)
 	const uri = "/balance/k?operation=op1"
-	header, body, err := ask(t, first, "3", uri, "hello")
+	header, body, err := sendRequest(t, first, "3", uri, "hello")
 	assert.NilError(t, err)
 	assert.Equal(t, header.Get(target.HeaderRequest), "r1")
-	assert.Assert(t, standin.CheckAnswer(body, uri, []byte("hello")))
-	assert.Assert(t, !standin.CheckAnswer(body, uri, []byte("other")))
-	assert.Assert(t, !standin.CheckAnswer(body[:len(body)-1], uri, []byte("hello")))
+	assert.Assert(t, fake.CheckResponse(body, uri, []byte("hello")))
+	assert.Assert(t, !fake.CheckResponse(body, uri, []byte("other")))
+	assert.Assert(t, !fake.CheckResponse(body[:len(body)-1], uri, []byte("hello")))
 
-	header, _, err = ask(t, first, "2", uri, "hello")
+	header, _, err = sendRequest(t, first, "2", uri, "hello")
 	assert.NilError(t, err)
 	assert.Equal(t, header.Get(target.HeaderNotRun), string(target.RefusalOwner))
 	assert.DeepEqual(t, farm.Ledger.RunsOf([]string{"op1", "op2"}), []uint32{1, 0})
 }
 
-func TestLedgerFindsADoubledOwner(t *testing.T) {
-	farm := newFarm(t)
-	give(t, farm.Targets()[0], 3)
-	assert.Equal(t, farm.Ledger.Counts().DoubledOwner, uint64(0))
-	give(t, farm.Targets()[1], 4)
-	assert.Equal(t, farm.Ledger.Counts().DoubledOwner, uint64(1))
+func TestLedgerDetectsDuplicateOwner(t *testing.T) {
+	farm := newTargetSet(t)
+	grantShard(t, farm.Targets()[0], 3)
+	assert.Equal(t, farm.Ledger.Counts().DuplicateOwners, uint64(0))
+	grantShard(t, farm.Targets()[1], 4)
+	assert.Equal(t, farm.Ledger.Counts().DuplicateOwners, uint64(1))
 }
 
-func TestLedgerFindsNoDoubledOwnerAfterAKill(t *testing.T) {
-	farm := newFarm(t)
-	give(t, farm.Targets()[0], 3)
+func TestLedgerNoDuplicateOwnerAfterKill(t *testing.T) {
+	farm := newTargetSet(t)
+	grantShard(t, farm.Targets()[0], 3)
 	farm.Targets()[0].Kill()
-	give(t, farm.Targets()[1], 4)
+	grantShard(t, farm.Targets()[1], 4)
 	counts := farm.Ledger.Counts()
-	assert.Equal(t, counts.DoubledOwner, uint64(0))
+	assert.Equal(t, counts.DuplicateOwners, uint64(0))
 	assert.Equal(t, counts.Moves, uint64(1))
 }
 
-func TestLedgerFindsADoubledRun(t *testing.T) {
-	farm := newFarm(t)
-	give(t, farm.Targets()[0], 3)
+func TestLedgerDetectsDuplicateRun(t *testing.T) {
+	farm := newTargetSet(t)
+	grantShard(t, farm.Targets()[0], 3)
 	for range 2 {
-		_, _, err := ask(t, farm.Targets()[0], "3", "/plans/k?operation=op1", "")
+		_, _, err := sendRequest(t, farm.Targets()[0], "3", "/plans/k?operation=op1", "")
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, farm.Ledger.Counts().DoubledRun, uint64(1))
+	assert.Equal(t, farm.Ledger.Counts().DuplicateRuns, uint64(1))
 }
 
 func TestTargetFaults(t *testing.T) {
 	tests := map[string]struct {
-		faults standin.TargetFaults
+		faults fake.TargetFaults
 		check  func(t *testing.T, header http.Header, body []byte, err error)
 	}{
-		"cut": {standin.TargetFaults{Cut: 1}, func(t *testing.T, _ http.Header, _ []byte, err error) {
+		"cut": {fake.TargetFaults{Reset: 1}, func(t *testing.T, _ http.Header, _ []byte, err error) {
 			assert.Assert(t, err != nil)
 		}},
-		"truncated": {standin.TargetFaults{Truncated: 1}, func(t *testing.T, _ http.Header, _ []byte, err error) {
+		"truncated": {fake.TargetFaults{Truncated: 1}, func(t *testing.T, _ http.Header, _ []byte, err error) {
 			assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 		}},
-		"shed": {standin.TargetFaults{Shed: 1}, func(t *testing.T, header http.Header, _ []byte, err error) {
+		"shed": {fake.TargetFaults{Shed: 1}, func(t *testing.T, header http.Header, _ []byte, err error) {
 			assert.NilError(t, err)
 			assert.Equal(t, header.Get(target.HeaderNotRun), string(target.RefusalBusy))
 		}},
-		"oversized": {standin.TargetFaults{Oversized: 1}, func(t *testing.T, _ http.Header, body []byte, err error) {
+		"oversized": {fake.TargetFaults{Oversized: 1}, func(t *testing.T, _ http.Header, body []byte, err error) {
 			assert.NilError(t, err)
 			assert.Assert(t, len(body) > 16<<20)
 		}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			farm := newFarm(t)
-			give(t, farm.Targets()[0], 3)
+			farm := newTargetSet(t)
+			grantShard(t, farm.Targets()[0], 3)
 			farm.Targets()[0].SetFaults(tt.faults)
-			header, body, err := ask(t, farm.Targets()[0], "3", "/balance/k?operation=op1", "")
+			header, body, err := sendRequest(t, farm.Targets()[0], "3", "/balance/k?operation=op1", "")
 			tt.check(t, header, body, err)
 		})
 	}
 }
 
-func TestTargetFrozenRunsAfterItsThaw(t *testing.T) {
-	farm := newFarm(t)
+func TestFrozenTargetRunsAfterThaw(t *testing.T) {
+	farm := newTargetSet(t)
 	first := farm.Targets()[0]
-	give(t, first, 3)
+	grantShard(t, first, 3)
 	first.Freeze()
 	ended := make(chan error, 1)
 	go func() {
-		_, _, err := ask(t, first, "3", "/balance/k?operation=op1", "")
+		_, _, err := sendRequest(t, first, "3", "/balance/k?operation=op1", "")
 		ended <- err
 	}()
 	assert.DeepEqual(t, farm.Ledger.RunsOf([]string{"op1"}), []uint32{0})
--- a/internal/standin/targetfaults.go
+++ b/internal/fake/targetfaults.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bytes"
@@ -17,28 +17,28 @@
 // operation; runs are counted by it.
 const OperationParameter = "operation"
 
-// oversizedBytes is the length of an oversized answer.
-const oversizedBytes = 16 << 20
+// oversizedPadding is the length of an oversized answer.
+const oversizedPadding = 16 << 20
 
-// lateBy is how long a late answer is held back.
-const lateBy = 3 * time.Second
+// responseDelay is how long a late answer is held back.
+const responseDelay = 3 * time.Second
 
 // TargetFaults is what goes wrong at one target. The probabilities are from 0
 // to 1, for each request.
 type TargetFaults struct {
-	// Cut closes the connection before the answer, Truncated within it.
-	Cut, Truncated float64
-	// Late holds the answer back for 3 s; Crossed gives the answer of an
+	// Reset closes the connection before the answer, Truncated within it.
+	Reset, Truncated float64
+	// DelayResponse holds the answer back for 3 s; Crossed gives the answer of an
 	// earlier request; Oversized gives 16 MiB.
-	Late, Crossed, Oversized float64
+	DelayResponse, SwapResponse, Oversized float64
 	// Shed refuses as busy.
 	Shed float64
 	// Slow is added to each run.
 	Slow time.Duration
-	// AnswerBytes pads each answer.
-	AnswerBytes int
-	// LyingHealth makes the health endpoint always tell that it is idle.
-	LyingHealth bool
+	// PaddingBytes pads each answer.
+	PaddingBytes int
+	// ReportIdle makes the health endpoint always tell that it is idle.
+	ReportIdle bool
 	// Draining makes the target ask to leave in its answers to orders.
 	Draining bool
 }
@@ -50,14 +50,14 @@
 	t.faults = faults
 }
 
-func (t *Target) faultsNow() TargetFaults {
+func (t *Target) currentFaults() TargetFaults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.faults
 }
 
-// hits decides a probability.
-func (TargetFaults) hits(probability float64) bool {
+// occurs decides a probability.
+func (TargetFaults) occurs(probability float64) bool {
 	return probability > 0 && rand.Float64() < probability
 }
 
@@ -67,8 +67,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
-	case <-t.gate:
-		t.gate = make(chan struct{})
+	case <-t.thawed:
+		t.thawed = make(chan struct{})
 	default:
 	}
 }
@@ -78,17 +78,17 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
-	case <-t.gate:
+	case <-t.thawed:
 	default:
-		close(t.gate)
+		close(t.thawed)
 	}
 }
 
-// pass waits while the target is frozen; it reports false where its life has
+// waitThawed waits while the target is frozen; it reports false where its life has
 // ended.
-func (t *Target) pass(l *life) bool {
+func (t *Target) waitThawed(l *targetProcess) bool {
 	t.mu.Lock()
-	gate := t.gate
+	gate := t.thawed
 	t.mu.Unlock()
 	select {
 	case <-gate:
@@ -105,15 +105,15 @@
 // Kill ends the target's process: connections are cut, holdings are gone.
 func (t *Target) Kill() {
 	t.mu.Lock()
-	l := t.life
-	t.life = nil
+	l := t.process
+	t.process = nil
 	if l == nil {
 		t.mu.Unlock()
 		return
 	}
 	now := time.Now()
 	for shard := range l.held {
-		t.ledger.drop(now, t.config.Service, t.config.Name, shard)
+		t.ledger.recordRelease(now, t.config.Service, t.config.Name, shard)
 	}
 	t.mu.Unlock()
 	_ = l.server.Close()
@@ -123,7 +123,7 @@
 // Stop ends the target after the work in flight, or at the end of ctx.
 func (t *Target) Stop(ctx context.Context) {
 	t.mu.Lock()
-	l := t.life
+	l := t.process
 	t.mu.Unlock()
 	if l != nil {
 		_ = l.server.Shutdown(ctx)
@@ -131,32 +131,32 @@
 	t.Kill()
 }
 
-// survive waits while the target is frozen. A process that was killed sends no
+// abortIfKilled waits while the target is frozen. A process that was killed sends no
 // answer: returning from the handler would send an empty one with status 200.
-func (t *Target) survive(l *life) {
-	if !t.pass(l) {
+func (t *Target) abortIfKilled(l *targetProcess) {
+	if !t.waitThawed(l) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// answer writes an answer, or what the faults make of it.
-func (t *Target) answer(w http.ResponseWriter, faults TargetFaults, answer answered) {
-	if faults.hits(faults.Late) {
-		time.Sleep(lateBy)
+// respond writes an answer, or what the faults make of it.
+func (t *Target) respond(w http.ResponseWriter, faults TargetFaults, answer response) {
+	if faults.occurs(faults.DelayResponse) {
+		time.Sleep(responseDelay)
 	}
-	if faults.hits(faults.Cut) {
+	if faults.occurs(faults.Reset) {
 		panic(http.ErrAbortHandler)
 	}
-	if faults.hits(faults.Crossed) {
-		answer = t.swap(answer)
+	if faults.occurs(faults.SwapResponse) {
+		answer = t.swapResponse(answer)
 		w.Header().Set(target.HeaderRequest, answer.request)
 	}
-	if faults.hits(faults.Oversized) {
-		answer.body = append(answer.body, make([]byte, oversizedBytes)...)
+	if faults.occurs(faults.Oversized) {
+		answer.body = append(answer.body, make([]byte, oversizedPadding)...)
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
-	if faults.hits(faults.Truncated) {
+	if faults.occurs(faults.Truncated) {
 		w.Write(answer.body[:len(answer.body)/2])
 		_ = http.NewResponseController(w).Flush() // else nothing would go out
 		panic(http.ErrAbortHandler)
@@ -164,21 +164,21 @@
 	w.Write(answer.body)
 }
 
-// swap returns the answer given before and keeps this one for the next.
-func (t *Target) swap(answer answered) answered {
+// swapResponse returns the answer given before and keeps this one for the next.
+func (t *Target) swapResponse(answer response) response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	previous := t.previous
-	t.previous = answer
+	previous := t.lastResponse
+	t.lastResponse = answer
 	if previous.body == nil {
 		return answer
 	}
 	return previous
 }
 
-// AnswerBody is the answer to a request: its path and query, the checksum of
+// ResponseBody is the answer to a request: its path and query, the checksum of
 // its body, padding, and the checksum of all that. CheckAnswer knows it again.
-func AnswerBody(uri string, payload []byte, padding int) []byte {
+func ResponseBody(uri string, payload []byte, padding int) []byte {
 	var out bytes.Buffer
 	out.WriteString(uri)
 	out.WriteByte('\n')
@@ -188,8 +188,8 @@
 	return out.Bytes()
 }
 
-// CheckAnswer reports whether body is the whole answer to that request.
-func CheckAnswer(body []byte, uri string, payload []byte) bool {
+// CheckResponse reports whether body is the whole answer to that request.
+func CheckResponse(body []byte, uri string, payload []byte) bool {
 	cut := len(body) - checksumBytes
 	if cut < 0 || !bytes.Equal(checksum(body[:cut]), body[cut:]) {
 		return false
--- a/internal/standin/farm.go
+++ b/internal/fake/targetset.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -11,23 +11,23 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Farm is all targets of one process, with one ledger.
-type Farm struct {
+// TargetSet is all targets of one process, with one ledger.
+type TargetSet struct {
 	Ledger  *Ledger
 	targets []*Target
 	byName  map[place.Target]*Target
 }
 
-// Group is a number of like targets, spread over the zones in turn.
-type Group struct {
+// TargetGroup is a number of like targets, spread over the zones in turn.
+type TargetGroup struct {
 	TargetConfig
 	Count int
 }
 
-// NewFarm returns the targets of the groups, not started yet. Their names are
+// NewTargetSet returns the targets of the groups, not started yet. Their names are
 // those of the services with a number.
-func NewFarm(groups []Group, zones []place.Zone) *Farm {
-	f := &Farm{Ledger: NewLedger(), byName: make(map[place.Target]*Target)}
+func NewTargetSet(groups []TargetGroup, zones []place.Zone) *TargetSet {
+	f := &TargetSet{Ledger: NewLedger(), byName: make(map[place.Target]*Target)}
 	for _, group := range groups {
 		for i := range group.Count {
 			config := group.TargetConfig
@@ -43,7 +43,7 @@
 }
 
 // Start starts all targets.
-func (f *Farm) Start() error {
+func (f *TargetSet) Start() error {
 	for _, t := range f.targets {
 		if err := t.Start(); err != nil {
 			return err
@@ -53,7 +53,7 @@
 }
 
 // Stop ends all targets at the same time, after the work in flight.
-func (f *Farm) Stop(ctx context.Context) {
+func (f *TargetSet) Stop(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, t := range f.targets {
 		wg.Go(func() { t.Stop(ctx) })
@@ -62,23 +62,23 @@
 }
 
 // Targets returns all targets, service by service.
-func (f *Farm) Targets() []*Target { return f.targets }
+func (f *TargetSet) Targets() []*Target { return f.targets }
 
 // Target returns one target by name.
-func (f *Farm) Target(name place.Target) (*Target, bool) {
+func (f *TargetSet) Target(name place.Target) (*Target, bool) {
 	t, ok := f.byName[name]
 	return t, ok
 }
 
 // Register enters all targets in the platform's list.
-func (f *Farm) Register(now time.Time, p *Platform) {
+func (f *TargetSet) Register(now time.Time, p *Platform) {
 	for _, t := range f.targets {
 		p.SetTarget(now, t.Row(place.Live))
 	}
 }
 
 // Served returns how many requests ran on each target, service by service.
-func (f *Farm) Served() map[key.Service][]uint64 {
+func (f *TargetSet) Served() map[key.Service][]uint64 {
 	out := make(map[key.Service][]uint64)
 	for _, t := range f.targets {
 		out[t.config.Service] = append(out[t.config.Service], t.Served())
--- a/internal/host/campaign.go
+++ b/internal/host/campaign.go
@@ -326,7 +326,7 @@
 				}
 			}
 			return 0, errWriteConflict
-		case errors.Is(err, platform.ErrUnknown):
+		case errors.Is(err, platform.ErrOutcomeUnknown):
 			if !unknown {
 				log.Warn("Write not answered, asking until its outcome is known.", slog.Uint64("write", write), slog.Any("error", err))
 			}
--- a/internal/host/controller.go
+++ b/internal/host/controller.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"citrontray.example/citrontray/internal/clock"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/owner"
 	"citrontray.example/citrontray/internal/partition"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 const (
@@ -452,9 +452,9 @@
 		r.log.Error("Table not written.", slog.Any("error", err))
 		return
 	}
-	r.host.replica.Publish(spread.Document{
-		Name:    docRanges + spread.Name(r.service),
-		Version: spread.Version{Major: uint64(t.Version.Term), Minor: t.Version.Sequence},
+	r.host.replica.Publish(docsync.Document{
+		Name:    docRanges + docsync.Name(r.service),
+		Version: docsync.Version{Major: uint64(t.Version.Term), Minor: t.Version.Sequence},
 		Body:    body,
 	})
 }
--- a/internal/host/digest.go
+++ b/internal/host/digest.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // wireDigest is a reading in a datagram.
@@ -36,7 +36,7 @@
 			continue
 		}
 		told[row.Zone] = true
-		for _, watcher := range spread.Watchers(row.Zone, rows) {
+		for _, watcher := range docsync.Watchers(row.Zone, rows) {
 			if m, ok := members.Host(watcher.Host); ok && m.Name != h.site.Host {
 				h.dispatcher.write(m.TicketAddr, datagramDigest, body)
 			}
@@ -51,9 +51,9 @@
 		h.log.Warn("Reading not readable, dropped.", slog.Any("error", err))
 		return
 	}
-	r := digest{receivedAt: time.Now(), versions: make(map[spread.Name]uint64, len(w.Versions))}
+	r := digest{receivedAt: time.Now(), versions: make(map[docsync.Name]uint64, len(w.Versions))}
 	for name, version := range w.Versions {
-		r.versions[spread.Name(name)] = version
+		r.versions[docsync.Name(name)] = version
 	}
 	h.watcher.receive(r)
 }
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -19,15 +19,15 @@
 
 	"gotest.tools/v3/assert"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/keys"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/loopback"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/site"
-	"citrontray.example/citrontray/internal/standin"
 	"citrontray.example/citrontray/internal/target"
 	"citrontray.example/citrontray/internal/traffic"
 )
@@ -36,11 +36,11 @@
 // sockets.
 type deployment struct {
 	t       testing.TB
-	store   *standin.Sessions
-	orders  *standin.RangedOrders
-	runs    *standin.RunLedger
+	store   *fake.SessionStore
+	orders  *fake.RangeOrderDialer
+	runs    *fake.RunCounter
 	names   *target.HeaderNames
-	targets map[place.Target]*standin.Ranged
+	targets map[place.Target]*fake.RangeTarget
 	hosts   []*testHost
 	client  *http.Client
 
@@ -100,8 +100,8 @@
 func deploy(t testing.TB, hosts, ranged, keyless int) *deployment {
 	t.Helper()
 	d := &deployment{
-		t: t, store: standin.NewSessions(), orders: standin.NewRangedOrders(), runs: standin.NewRunLedger(),
-		names: target.DefaultHeaderNames(), targets: make(map[place.Target]*standin.Ranged),
+		t: t, store: fake.NewSessionStore(), orders: fake.NewRangeOrderDialer(), runs: fake.NewRunCounter(),
+		names: target.DefaultHeaderNames(), targets: make(map[place.Target]*fake.RangeTarget),
 		configs: make(map[string]*traffic.Config),
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
@@ -160,9 +160,9 @@
 	return row, err
 }
 
-func (d *deployment) addTarget(name place.Target, service string) *standin.Ranged {
+func (d *deployment) addTarget(name place.Target, service string) *fake.RangeTarget {
 	d.t.Helper()
-	r, err := standin.StartRanged(name, 3, d.names, d.runs)
+	r, err := fake.StartRangeTarget(name, 3, d.names, d.runs)
 	assert.NilError(d.t, err)
 	r.Keyless = service == "desk"
 	d.targets[name] = r
@@ -171,7 +171,7 @@
 	return r
 }
 
-func (d *deployment) listTarget(r *standin.Ranged, service string, state place.Liveness) {
+func (d *deployment) listTarget(r *fake.RangeTarget, service string, state place.Liveness) {
 	d.t.Helper()
 	body, err := json.Marshal(place.TargetRow{
 		Target: r.Name, Service: service, Zone: "z", State: state, Addr: r.Addr, Incarnation: 1, Slots: r.Slots,
@@ -213,7 +213,7 @@
 		},
 		DecodeConfig: d.decodeConfig, DecodeTarget: decodeRow, Keys: credentials,
 		ReadSite: func() (site.Site, error) { return s, nil },
-		Journal:  journal.NewBounded(logs, slog.LevelDebug),
+		Journal:  logging.NewBoundedHandler(logs, slog.LevelDebug),
 	})
 	assert.NilError(d.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -21,16 +21,16 @@
 
 	"citrontray.example/citrontray/internal/admin"
 	"citrontray.example/citrontray/internal/dispatch"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/forward"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/member"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/site"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/status"
 	"citrontray.example/citrontray/internal/target"
 	"citrontray.example/citrontray/internal/traffic"
@@ -51,7 +51,7 @@
 	Keys         peer.Credentials
 	// ReadSite reads the site again, after its file changed.
 	ReadSite func() (site.Site, error)
-	Journal  *journal.Bounded
+	Journal  *logging.BoundedHandler
 }
 
 // Host is one process. It is an http.Handler for clients.
@@ -63,9 +63,9 @@
 	incarnation place.Incarnation
 
 	store          *instrumentedStore
-	replica        *spread.Memory
+	replica        *docsync.MemoryReplica
 	link           *peer.Peer
-	node           *spread.Node
+	node           *docsync.Node
 	views          *viewBuilder
 	registrar      *registrar
 	watcher        *watcher
@@ -99,7 +99,7 @@
 	h := &Host{
 		env: env, site: env.Site, names: env.Names, log: slog.New(env.Journal),
 		incarnation:    place.Incarnation(time.Now().UnixNano()),
-		replica:        spread.New(),
+		replica:        docsync.New(),
 		connPools:      newConnPools(env.Dial),
 		retryBudget:    newRetryBudget(),
 		clientTimeouts: newClientTimeouts(),
@@ -169,9 +169,9 @@
 	for _, seed := range h.site.Seeds {
 		seeds = append(seeds, seed.Peer)
 	}
-	h.node = spread.NewNode(h.replica, h.link, spread.Config{
+	h.node = docsync.NewNode(h.replica, h.link, docsync.Config{
 		Self: h.env.Keys.Self(), Addr: h.site.Peer, Seeds: seeds, Watch: h.watcher.run, Log: h.log,
-		Processor: h.site.CPUShare, Listed: docMembers,
+		CPUShare: h.site.CPUShare, HostsDocument: docMembers,
 		Hosts: func() []place.HostRow { return h.views.view().members.HostRows() },
 	})
 	return nil
@@ -225,7 +225,7 @@
 	defer cancel()
 	group, background := errgroup.WithContext(background)
 	for _, part := range []func(context.Context) error{
-		h.link.Run, h.node.Run, h.registrar.run, h.dispatcher.run, h.dispatcher.loop, h.loopViews, h.loopReports, h.loopConnPools, h.loopSettings, h.env.Journal.Loop,
+		h.link.Run, h.node.Run, h.registrar.run, h.dispatcher.run, h.dispatcher.loop, h.loopViews, h.loopReports, h.loopConnPools, h.loopSettings, h.env.Journal.Run,
 	} {
 		group.Go(func() error { return part(background) })
 	}
@@ -271,7 +271,7 @@
 // was doing.
 func (h *Host) panicked(part string, cause any) {
 	h.metrics.countPanic(part)
-	journal.Panicked(h.log, part, cause)
+	logging.LogPanic(h.log, part, cause)
 }
 
 // loopViews puts newer views in force.
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -10,9 +10,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // TestServesBothKinds serves both kinds of service from three hosts.
@@ -90,13 +90,13 @@
 func TestTargetLost(t *testing.T) {
 	t.Parallel()
 	tests := map[string]struct {
-		faults standin.RangedFaults
+		faults fake.RangeTargetFaults
 		within time.Duration
 	}{
 		// The end of its last grant, and a second.
-		"takes no connection": {standin.RangedFaults{Gone: true}, grantDuration + time.Second},
+		"takes no connection": {fake.RangeTargetFaults{Unreachable: true}, grantDuration + time.Second},
 		// An order without an answer may lengthen a grant once more.
-		"answers nothing": {standin.RangedFaults{Deaf: true}, 2*grantDuration + orderTimeout + time.Second},
+		"answers nothing": {fake.RangeTargetFaults{DropOrders: true}, 2*grantDuration + orderTimeout + time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 	d := deploy(t, 2, 1, 2)
 	d.awaitServed()
 	for _, r := range d.targets {
-		r.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Cut: 0.5})
+		r.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Reset: 0.5})
 	}
 	cut := 0
 	for i := range 60 {
@@ -179,7 +179,7 @@
 	t.Parallel()
 	d := deploy(t, 2, 2, 1)
 	d.awaitServed()
-	d.store.SetFaults(standin.SessionFaults{Down: true})
+	d.store.SetFaults(fake.SessionFaults{Down: true})
 	late := d.addHost(7)
 	d.eventually("a host that starts now serves", 5*time.Second, func() bool {
 		return d.send(late, "POST", "/free/x", 0).status == http.StatusOK
@@ -190,7 +190,7 @@
 			d.expectStatus(h, "POST", "/free/x", 0, http.StatusOK)
 		}
 	}
-	d.store.SetFaults(standin.SessionFaults{})
+	d.store.SetFaults(fake.SessionFaults{})
 	d.awaitServed()
 }
 
@@ -231,8 +231,8 @@
 			d := deploy(t, 3, 2, 1)
 			d.awaitServed()
 			lead := d.leader()
-			d.store.SetFaults(standin.SessionFaults{Down: true})
-			back := time.AfterFunc(test.out, func() { d.store.SetFaults(standin.SessionFaults{}) })
+			d.store.SetFaults(fake.SessionFaults{Down: true})
+			back := time.AfterFunc(test.out, func() { d.store.SetFaults(fake.SessionFaults{}) })
 			defer back.Stop()
 			d.hosts = slices.DeleteFunc(d.hosts, func(h *testHost) bool { return h == lead })
 			stopped := make(chan struct{})
@@ -256,7 +256,7 @@
 	d := deploy(t, 1, 2, 0)
 	d.eventually("all keys are served", 15*time.Second, func() bool { return d.send(d.hosts[0], "GET", "/keys/x", 30000).status == http.StatusOK })
 	for _, r := range d.targets {
-		r.SetFaults(standin.RangedFaults{Work: 10 * time.Millisecond, Refuse: 0.5})
+		r.SetFaults(fake.RangeTargetFaults{Work: 10 * time.Millisecond, Refuse: 0.5})
 	}
 	aim := testConfig(1).Routes[0].LatencyObjective
 	back, inAim := 0, 0
--- a/internal/host/metrics.go
+++ b/internal/host/metrics.go
@@ -112,6 +112,6 @@
 }
 
 func (m *metrics) scope(service key.Service, labels map[string]string) tally.Scope {
-	labels["service"] = m.registry.Value("service", string(service))
+	labels["service"] = m.registry.LabelValue("service", string(service))
 	return m.registry.Tagged(labels)
 }
--- a/internal/host/path_bench_test.go
+++ b/internal/host/path_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // BenchmarkPath sends requests from 16 clients through three hosts.
@@ -15,7 +15,7 @@
 	d := deploy(b, 3, 6, 6)
 	d.awaitServed()
 	for _, r := range d.targets {
-		r.SetFaults(standin.RangedFaults{Work: 2 * time.Millisecond})
+		r.SetFaults(fake.RangeTargetFaults{Work: 2 * time.Millisecond})
 	}
 	b.ResetTimer()
 	var clients sync.WaitGroup
--- a/internal/host/registrar.go
+++ b/internal/host/registrar.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/member"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 const (
@@ -141,7 +141,7 @@
 // first.
 func (r *registrar) registrars(list *member.List) []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, w := range spread.Watchers(r.self.Zone, list.HostRows()) {
+	for _, w := range docsync.Watchers(r.self.Zone, list.HostRows()) {
 		if m, ok := list.Host(w.Host); ok {
 			out = append(out, m.TicketAddr)
 		}
@@ -152,7 +152,7 @@
 	for _, seed := range r.host.site.Seeds {
 		out = append(out, seed.Ticket)
 	}
-	spread.Shuffle(r.self.Name, out)
+	docsync.SortByHostHash(r.self.Name, out)
 	if len(out) == 0 {
 		out = append(out, r.self.TicketAddr)
 	}
--- a/internal/host/restore_test.go
+++ b/internal/host/restore_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/standin"
 	"citrontray.example/citrontray/internal/traffic"
 )
 
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t, 3, 3, 2)
-			d.store.StartCopying()
+			d.store.StartSnapshots()
 			d.awaitServed()
 			d.watchSingleOwner(points...)
 			left := d.targets["desk-1"]
@@ -85,14 +85,14 @@
 			})
 			time.Sleep(500 * time.Millisecond)
 			if test.away > 0 {
-				d.store.SetFaults(standin.SessionFaults{Down: true})
+				d.store.SetFaults(fake.SessionFaults{Down: true})
 				time.Sleep(test.away)
 			}
-			d.store.RestoreAll(test.age)
-			d.store.SetFaults(standin.SessionFaults{})
+			d.store.RollBack(test.age)
+			d.store.SetFaults(fake.SessionFaults{})
 			if test.twice {
 				time.Sleep(300 * time.Millisecond)
-				d.store.RestoreAll(test.age)
+				d.store.RollBack(test.age)
 			}
 			served, refused := 0, 0
 			late := d.addHost(7)
--- a/internal/host/scale_bench_test.go
+++ b/internal/host/scale_bench_test.go
@@ -8,13 +8,13 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/fleet"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/member"
 	"citrontray.example/citrontray/internal/owner"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // largeTable returns a table of a service whose targets own two ranges each.
@@ -51,12 +51,12 @@
 func BenchmarkTable(b *testing.B) {
 	for _, targets := range []int{37, 164, 575, 1200} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
-			board := spread.New()
-			v := newViewBuilder(board, journal.Nop(), nil)
+			board := docsync.New()
+			v := newViewBuilder(board, logging.Nop(), nil)
 			members := largeMembers(295)
 			body, err := members.Encode()
 			assert.NilError(b, err)
-			board.Publish(spread.Document{Name: docMembers, Version: spread.Version{Major: 1}, Body: body})
+			board.Publish(docsync.Document{Name: docMembers, Version: docsync.Version{Major: 1}, Body: body})
 			var d fleet.List
 			for i := range targets {
 				d.Targets = append(d.Targets, place.TargetRow{
@@ -66,7 +66,7 @@
 			}
 			body, err = d.Encode()
 			assert.NilError(b, err)
-			board.Publish(spread.Document{Name: docTargets, Version: spread.Version{Major: 1}, Body: body})
+			board.Publish(docsync.Document{Name: docTargets, Version: docsync.Version{Major: 1}, Body: body})
 			bodies := make([][]byte, 16)
 			for i := range bodies {
 				bodies[i], err = largeTable(targets, uint64(i)).Encode()
@@ -76,7 +76,7 @@
 			now := time.Unix(1000, 0)
 			b.ResetTimer()
 			for i := range b.N {
-				board.Publish(spread.Document{Name: docRanges + "s", Version: spread.Version{Major: 1, Minor: uint64(i + 1)}, Body: bodies[i%16]})
+				board.Publish(docsync.Document{Name: docRanges + "s", Version: docsync.Version{Major: 1, Minor: uint64(i + 1)}, Body: bodies[i%16]})
 				v.refresh(now)
 			}
 		})
--- a/internal/host/session.go
+++ b/internal/host/session.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	s, sent := k.current(), clock.Now()
-	err := k.store.Keep(ctx, s.id)
+	err := k.store.KeepAlive(ctx, s.id)
 	switch {
 	case err == nil:
 		s.end = sent.Add(k.ttl)
--- a/internal/host/store.go
+++ b/internal/host/store.go
@@ -70,7 +70,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calledAt = now
-	if !errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrUnknown) {
+	if !errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrOutcomeUnknown) {
 		s.answered = now
 	}
 }
@@ -111,8 +111,8 @@
 	return id, err
 }
 
-func (s *instrumentedStore) Keep(ctx context.Context, id platform.SessionID) error {
-	err := s.SessionStore.Keep(ctx, id)
+func (s *instrumentedStore) KeepAlive(ctx context.Context, id platform.SessionID) error {
+	err := s.SessionStore.KeepAlive(ctx, id)
 	s.recordCall("keep", err)
 	return err
 }
--- a/internal/host/store_test.go
+++ b/internal/host/store_test.go
@@ -20,7 +20,7 @@
 		"conflict":    {&platform.TxnConflictError{}, "conflict"},
 		"ended":       {platform.ErrSessionEnded, "ended"},
 		"unavailable": {fmt.Errorf("%w: status 503", platform.ErrUnavailable), "unavailable"},
-		"unknown":     {platform.ErrUnknown, "unknown"},
+		"unknown":     {platform.ErrOutcomeUnknown, "unknown"},
 		"any other":   {errors.New("other"), "unknown"},
 	}
 	for name, test := range tests {
--- a/internal/host/targetsignal_test.go
+++ b/internal/host/targetsignal_test.go
@@ -8,13 +8,13 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/place"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // arrivalsDuring returns how many requests a target gets while f runs.
-func arrivalsDuring(r *standin.Ranged, f func()) int {
+func arrivalsDuring(r *fake.RangeTarget, f func()) int {
 	before := r.Arrived()
 	f()
 	return r.Arrived() - before
@@ -55,7 +55,7 @@
 		d := deploy(t, 2, 1, 2)
 		d.awaitServed()
 		leaver := d.targets["desk-0"]
-		leaver.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Leaving: true})
+		leaver.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
 		d.eventually("a host has heard it, which tells the home", 5*time.Second, func() bool {
 			heard := false
 			for _, h := range d.hosts {
@@ -78,7 +78,7 @@
 		d := deploy(t, 2, 2, 1)
 		d.awaitServed()
 		leaver := d.targets["span-0"]
-		leaver.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Leaving: true})
+		leaver.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
 		points := []key.Point{100, 20000, 40000, key.Points - 1}
 		drain := d.hosts[0].bounds.Load().Drain
 		d.sendFor(drain, "GET", "/keys/x", points...)
@@ -94,7 +94,7 @@
 		d := deploy(t, 1, 1, 0)
 		d.eventually("all keys are served", 15*time.Second, func() bool { return d.send(d.hosts[0], "GET", "/keys/x", 30000).status == http.StatusOK })
 		leaver := d.targets["span-0"]
-		leaver.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Leaving: true})
+		leaver.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
 		d.sendFor(d.hosts[0].bounds.Load().Drain, "GET", "/keys/x", 30000)
 		n := arrivalsDuring(leaver, func() {
 			for range 5 {
@@ -124,7 +124,7 @@
 			d := deploy(t, 1, 1, 2)
 			d.awaitServed()
 			r := d.targets[test.paused]
-			r.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond, Refuse: 1, Pause: pause})
+			r.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Refuse: 1, RetryAfter: pause})
 			d.eventually("it has turned one away", 5*time.Second, func() bool {
 				d.burst(d.hosts[0], test.method, test.path, 30000)
 				_, left := d.hosts[0].dispatcher.backoff(time.Now(), d.hosts[0].views.view().targets[test.paused])
@@ -146,7 +146,7 @@
 				}
 			})
 			assert.Equal(t, n, 0, "requests reached the target")
-			r.SetFaults(standin.RangedFaults{Work: 5 * time.Millisecond})
+			r.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond})
 			d.eventually("it gets requests again", pause, func() bool {
 				return arrivalsDuring(r, func() { d.burst(d.hosts[0], test.method, test.path, 30000) }) > 0
 			})
--- a/internal/host/view.go
+++ b/internal/host/view.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"citrontray.example/citrontray/internal/dispatch"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/fleet"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/member"
 	"citrontray.example/citrontray/internal/owner"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/traffic"
 )
 
@@ -147,14 +147,14 @@
 
 // viewBuilder makes views of the board's documents.
 type viewBuilder struct {
-	replica      *spread.Memory
+	replica      *docsync.MemoryReplica
 	log          *slog.Logger
 	decodeConfig func([]byte) (*traffic.Config, error)
 
 	mu           sync.Mutex
 	current      *view
 	tracker      *fleet.Tracker
-	readVersions map[spread.Name]spread.Version
+	readVersions map[docsync.Name]docsync.Version
 	// published are the tables of leads, with the time of each.
 	published map[key.Service]publishedTable
 	// stored are the store's documents of owners.
@@ -164,7 +164,7 @@
 // storedOwners is a document of a service's owners, as the store holds it. It
 // changes with each move, and is read where no lead has been heard for a while.
 type storedOwners struct {
-	spread.Document
+	docsync.Document
 
 	// table is what follows from it, once it was read; where it is not readable,
 	// from the one before.
@@ -186,11 +186,11 @@
 // new: leads publish one every second.
 const maxTableAge = 2500 * time.Millisecond
 
-func newViewBuilder(board *spread.Memory, log *slog.Logger, decode func([]byte) (*traffic.Config, error)) *viewBuilder {
+func newViewBuilder(board *docsync.MemoryReplica, log *slog.Logger, decode func([]byte) (*traffic.Config, error)) *viewBuilder {
 	return &viewBuilder{
 		replica: board, log: log, decodeConfig: decode,
 		tracker:      fleet.NewTracker(),
-		readVersions: make(map[spread.Name]spread.Version),
+		readVersions: make(map[docsync.Name]docsync.Version),
 		published:    make(map[key.Service]publishedTable),
 		stored:       make(map[key.Service]*storedOwners),
 		current: &view{
@@ -245,7 +245,7 @@
 }
 
 // newer returns a document if it is newer than what was read of it last.
-func (v *viewBuilder) newer(name spread.Name) (spread.Document, bool) {
+func (v *viewBuilder) newer(name docsync.Name) (docsync.Document, bool) {
 	doc, ok := v.replica.Get(name)
 	if !ok || !v.readVersions[name].Less(doc.Version) {
 		return doc, false
--- a/internal/host/view_test.go
+++ b/internal/host/view_test.go
@@ -8,13 +8,13 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/fleet"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/owner"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // TestChooseTable: a lead's table is used while it is fresh, and after that
@@ -42,12 +42,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			v := newViewBuilder(spread.New(), journal.Nop(), nil)
+			v := newViewBuilder(docsync.New(), logging.Nop(), nil)
 			if test.heard > 0 {
 				v.published[key.Service("s")] = publishedTable{table(test.heard), now.Add(-test.age)}
 			}
 			if test.stored > 0 {
-				v.stored["s"] = &storedOwners{Document: spread.Document{Version: spread.Version{Major: uint64(test.stored)}, Body: body}}
+				v.stored["s"] = &storedOwners{Document: docsync.Document{Version: docsync.Version{Major: uint64(test.stored)}, Body: body}}
 			}
 			got, _ := v.chooseTable(now, "s")
 			assert.Equal(t, test.stored > 0 && got == v.stored["s"].table && got != nil, test.wantStored)
@@ -75,15 +75,15 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			board := spread.New()
-			v := newViewBuilder(board, journal.Nop(), nil)
+			board := docsync.New()
+			v := newViewBuilder(board, logging.Nop(), nil)
 			for i, rows := range test.lists {
 				// Lists differ, or they are not read again.
 				other := place.TargetRow{Target: place.Target(fmt.Sprint("other-", i)), Incarnation: 1}
 				doc := fleet.List{Targets: append([]place.TargetRow{other}, rows...)}
 				body, err := doc.Encode()
 				assert.NilError(t, err)
-				board.PublishRead(spread.Document{Name: docTargets, Version: spread.Version{Major: uint64(i + 1)}, Body: body})
+				board.PublishFromStore(docsync.Document{Name: docTargets, Version: docsync.Version{Major: uint64(i + 1)}, Body: body})
 				v.refresh(now)
 				now = now.Add(time.Second)
 			}
--- a/internal/host/watcher.go
+++ b/internal/host/watcher.go
@@ -9,23 +9,23 @@
 	"sync"
 	"time"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/fleet"
 	"citrontray.example/citrontray/internal/member"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/traffic"
 )
 
 // The documents that watchers read from the store and hosts pass on.
 const (
-	docTraffic spread.Name = "traffic"
-	docTargets spread.Name = "targets"
-	docMembers spread.Name = "members"
+	docTraffic docsync.Name = "traffic"
+	docTargets docsync.Name = "targets"
+	docMembers docsync.Name = "members"
 	// docRanges and docOwners are followed by the name of a service: the table
 	// that its lead published, and what the store holds.
-	docRanges spread.Name = "ranges/"
-	docOwners spread.Name = "owners/"
+	docRanges docsync.Name = "ranges/"
+	docOwners docsync.Name = "owners/"
 )
 
 const (
@@ -66,7 +66,7 @@
 // reads that make up for that are as many.
 type watcher struct {
 	store        platform.SessionStore
-	replica      *spread.Memory
+	replica      *docsync.MemoryReplica
 	log          *slog.Logger
 	decodeTarget func(place.Target, []byte) (place.TargetRow, error)
 	// configVersion reads the version of a configuration, if it is readable.
@@ -231,7 +231,7 @@
 		case strings.HasPrefix(string(e.Path), string(member.Prefix)):
 			members = append(members, e)
 		case strings.HasPrefix(string(e.Path), string(rangesPrefix)):
-			w.publish(docOwners+spread.Name(e.Path[len(rangesPrefix):]), e.Revision, e.Value, nil)
+			w.publish(docOwners+docsync.Name(e.Path[len(rangesPrefix):]), e.Revision, e.Value, nil)
 		}
 	}
 	body, err := w.encodeTargets(now, targets)
@@ -254,7 +254,7 @@
 
 // publish offers a document at the store's revision. One that has not changed
 // is not sent round again.
-func (w *watcher) publish(name spread.Name, revision platform.Revision, body []byte, err error) {
+func (w *watcher) publish(name docsync.Name, revision platform.Revision, body []byte, err error) {
 	if err != nil {
 		w.log.Error("Document not written, the last one stays.", slog.String("document", string(name)), slog.Any("error", err))
 		return
@@ -262,7 +262,7 @@
 	if last, ok := w.replica.Get(name); ok && bytes.Equal(last.Body, body) {
 		return
 	}
-	w.replica.PublishRead(spread.Document{Name: name, Version: spread.Version{Major: uint64(revision)}, Body: body})
+	w.replica.PublishFromStore(docsync.Document{Name: name, Version: docsync.Version{Major: uint64(revision)}, Body: body})
 }
 
 // publishConfig offers the configuration. Its own version orders it: a store that
@@ -274,7 +274,7 @@
 	if there && bytes.Equal(last.Body, e.Value) {
 		return
 	}
-	v := spread.Version{Major: last.Version.Major, Minor: uint64(e.Revision)}
+	v := docsync.Version{Major: last.Version.Major, Minor: uint64(e.Revision)}
 	if version, ok := w.configVersion(e.Value); ok {
 		v.Major = uint64(version)
 	}
@@ -286,7 +286,7 @@
 		}
 		return
 	}
-	w.replica.PublishRead(spread.Document{Name: docTraffic, Version: v, Body: e.Value})
+	w.replica.PublishFromStore(docsync.Document{Name: docTraffic, Version: v, Body: e.Value})
 }
 
 func (w *watcher) encodeTargets(now time.Time, entries []platform.Entry) ([]byte, error) {
@@ -324,13 +324,13 @@
 // digest is what a watcher has read: the versions of its documents.
 type digest struct {
 	receivedAt time.Time
-	versions   map[spread.Name]uint64
+	versions   map[docsync.Name]uint64
 }
 
 // digest returns what stands on the board of what watchers read.
 func (w *watcher) digest() digest {
-	r := digest{versions: make(map[spread.Name]uint64)}
-	for _, prefix := range []spread.Name{docTraffic, docTargets, docMembers, docOwners} {
+	r := digest{versions: make(map[docsync.Name]uint64)}
+	for _, prefix := range []docsync.Name{docTraffic, docTargets, docMembers, docOwners} {
 		for _, doc := range w.replica.List(prefix) {
 			r.versions[doc.Name] = doc.Version.Major
 		}
--- a/internal/host/watcher_test.go
+++ b/internal/host/watcher_test.go
@@ -8,12 +8,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/docsync"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/fleet"
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/spread"
-	"citrontray.example/citrontray/internal/standin"
 	"citrontray.example/citrontray/internal/traffic"
 )
 
@@ -21,10 +21,10 @@
 // another one has read it, if what that one found is here.
 func TestWatcherHandlesDigests(t *testing.T) {
 	const here = 7
-	versions := func(traffic uint64) map[spread.Name]uint64 { return map[spread.Name]uint64{docTraffic: traffic} }
+	versions := func(traffic uint64) map[docsync.Name]uint64 { return map[docsync.Name]uint64{docTraffic: traffic} }
 	for name, test := range map[string]struct {
 		own   time.Duration // ago
-		heard map[spread.Name]uint64
+		heard map[docsync.Name]uint64
 		at    time.Duration // ago
 		rests bool
 	}{
@@ -33,14 +33,14 @@
 		"another one has":                   {own: time.Hour, heard: versions(here), at: time.Millisecond, rests: true},
 		"another one, what it found is old": {own: time.Hour, heard: versions(here - 1), at: time.Millisecond, rests: true},
 		"another one, not here yet":         {own: time.Hour, heard: versions(here + 1), at: time.Millisecond},
-		"another one, owners not here yet":  {own: time.Hour, heard: map[spread.Name]uint64{docTraffic: here, docOwners + "s": 9}, at: time.Millisecond, rests: true},
+		"another one, owners not here yet":  {own: time.Hour, heard: map[docsync.Name]uint64{docTraffic: here, docOwners + "s": 9}, at: time.Millisecond, rests: true},
 		"another one, too long ago":         {own: time.Hour, heard: versions(here), at: pollInterval},
 		"another one, before this one":      {own: time.Millisecond, heard: versions(here), at: time.Hour, rests: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			board := spread.New()
-			board.PublishRead(spread.Document{Name: docTraffic, Version: spread.Version{Major: here}, Body: []byte("x")})
+			board := docsync.New()
+			board.PublishFromStore(docsync.Document{Name: docTraffic, Version: docsync.Version{Major: here}, Body: []byte("x")})
 			w := &watcher{replica: board, readAt: now.Add(-test.own)}
 			if test.heard != nil {
 				w.receive(digest{receivedAt: now.Add(-test.at), versions: test.heard})
@@ -54,7 +54,7 @@
 // comes sooner than usual, but not at once again.
 func TestTriggeredRead(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := &watcher{replica: spread.New(), readAt: now, triggered: make(chan struct{}, 1)}
+	w := &watcher{replica: docsync.New(), readAt: now, triggered: make(chan struct{}, 1)}
 	assert.Assert(t, w.untilNextRead(now) > minPollInterval)
 	w.trigger(now.Add(time.Millisecond))
 	assert.Equal(t, w.untilNextRead(now), minPollInterval)
@@ -66,11 +66,11 @@
 // same configuration the same version. It is large, and would go to every host
 // once for each of them.
 func TestConfigVersionIsStable(t *testing.T) {
-	store := standin.NewSessions()
+	store := fake.NewSessionStore()
 	store.Set(platform.PathConfig, []byte("one"))
-	version := func() spread.Version {
-		board := spread.New()
-		w := &watcher{store: store, replica: board, log: journal.Nop(), configVersion: noVersion}
+	version := func() docsync.Version {
+		board := docsync.New()
+		w := &watcher{store: store, replica: board, log: logging.Nop(), configVersion: noVersion}
 		assert.NilError(t, w.read(context.Background()))
 		doc, ok := board.Get(docTraffic)
 		assert.Assert(t, ok)
@@ -86,10 +86,10 @@
 // TestUnsureWatcherSendsNoDigest: what a watcher reads right after the store turned it away
 // does not keep others from reading for themselves.
 func TestUnsureWatcherSendsNoDigest(t *testing.T) {
-	store, board := standin.NewSessions(), spread.New()
+	store, board := fake.NewSessionStore(), docsync.New()
 	var told atomic.Int32
 	w := &watcher{
-		store: store, replica: board, log: journal.Nop(), broadcast: func(digest) { told.Add(1) }, configVersion: noVersion,
+		store: store, replica: board, log: logging.Nop(), broadcast: func(digest) { told.Add(1) }, configVersion: noVersion,
 		decodeTarget: func(place.Target, []byte) (place.TargetRow, error) { return place.TargetRow{}, nil },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -110,10 +110,10 @@
 			assert.Assert(t, time.Now().Before(end), "never: %s", what)
 		}
 	}
-	store.SetFaults(standin.SessionFaults{Down: true})
+	store.SetFaults(fake.SessionFaults{Down: true})
 	start()
 	until("a second try", func() bool { return store.Calls() > 1 })
-	store.SetFaults(standin.SessionFaults{})
+	store.SetFaults(fake.SessionFaults{})
 	until("a list", func() bool { _, ok := listed(); return ok })
 	calls := store.Calls()
 	until("another read", func() bool { return store.Calls() > calls })
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -17,7 +17,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 )
 
 // testServer serves with a handler that waits for the test where a path says so.
@@ -46,7 +46,7 @@
 	s := &testServer{t: t, served: make(chan error, 1), entered: make(chan string, 1024), gates: make(map[string]chan struct{})}
 	s.Server = New(Config{
 		Handler: s, Concurrent: func(r *http.Request) bool { return !strings.HasPrefix(r.URL.Path, "/alone") },
-		IdleTimeout: func() time.Duration { return idle }, MaxHeaderBytes: 16 << 10, HeaderTimeout: head, Log: journal.Nop(),
+		IdleTimeout: func() time.Duration { return idle }, MaxHeaderBytes: 16 << 10, HeaderTimeout: head, Log: logging.Nop(),
 		OnPanic: func(string, any) {},
 	})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -12,7 +12,7 @@
 
 	"citrontray.example/citrontray/internal/bench"
 	"citrontray.example/citrontray/internal/finding"
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 )
 
 // The files that the script hands over: requests go out on one, answers come
@@ -111,6 +111,6 @@
 		Director:  bench.NewDirector(os.NewFile(requestsFile, "requests"), os.NewFile(answersFile, "answers")),
 		Processes: c.processes,
 		Seed:      c.seed,
-		Log:       journal.Part(journal.New(o.errOut, slog.LevelInfo, false), "bench"),
+		Log:       logging.Component(logging.New(o.errOut, slog.LevelInfo, false), "bench"),
 	}, findings.Err()
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"citrontray.example/citrontray/internal/bench"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/finding"
 	"citrontray.example/citrontray/internal/load"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // readyTime bounds the wait for the first entry host to be ready.
@@ -78,7 +78,7 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	remote := standin.NewRemote(targets)
+	remote := fake.NewAdminClient(targets)
 	summary, err := g.Result().Summarize(time.Now(), func(operations []string) ([]uint32, error) {
 		return remote.RunsOf(ctx, operations)
 	})
@@ -130,16 +130,16 @@
 	if err := found.Err(); err != nil {
 		return o.exit(err)
 	}
-	counts, findings, err := standin.NewRemote(addr).Ledger(ctx)
+	counts, findings, err := fake.NewAdminClient(addr).Ledger(ctx)
 	if err != nil {
 		return o.exit(err)
 	}
 	fmt.Fprintf(o.out, "runs %d 1\nmoves %d 1\nsheds %d 1\nmisrouted %d 1\ndoubled_owner %d 1\ndoubled_run %d 1\n",
-		counts.Runs, counts.Moves, counts.Sheds, counts.Misrouted, counts.DoubledOwner, counts.DoubledRun)
+		counts.Runs, counts.Moves, counts.Sheds, counts.Misrouted, counts.DuplicateOwners, counts.DuplicateRuns)
 	for _, text := range findings {
 		fmt.Fprintln(o.out, "broken:", text)
 	}
-	if counts.DoubledOwner+counts.DoubledRun > 0 {
+	if counts.DuplicateOwners+counts.DuplicateRuns > 0 {
 		return o.exit(errBroken)
 	}
 	return o.exit(nil)
--- a/internal/lab/standin.go
+++ b/internal/lab/standin.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"citrontray.example/citrontray/internal/bench"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/finding"
 	"citrontray.example/citrontray/internal/load"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 const (
@@ -65,11 +65,11 @@
 	if err := findings.Err(); err != nil {
 		return o.exit(err)
 	}
-	p := standin.NewPlatform()
+	p := fake.NewPlatform()
 	for _, host := range hosts {
 		p.SetHost(time.Now(), host.Row(place.Live))
 	}
-	store, admin := platform.NewHandler(p), standin.NewPlatformAdmin(p)
+	store, admin := platform.NewHandler(p), fake.NewPlatformAdmin(p)
 	return o.exit(serve(ctx, addr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, adminPrefix) {
 			admin.ServeHTTP(w, r)
@@ -113,7 +113,7 @@
 	if err := findings.Err(); err != nil {
 		return err
 	}
-	farm := standin.NewFarm(load.Groups(p, s, 1), p.Zones)
+	farm := fake.NewTargetSet(load.Groups(p, s, 1), p.Zones)
 	if err := farm.Start(); err != nil {
 		return err
 	}
@@ -121,10 +121,10 @@
 	for _, t := range farm.Targets() {
 		rows = append(rows, t.Row(place.Live))
 	}
-	if err := standin.NewRemote(store).SetTargets(ctx, rows); err != nil {
+	if err := fake.NewAdminClient(store).SetTargets(ctx, rows); err != nil {
 		return err
 	}
-	err := serve(ctx, admin, standin.NewFarmAdmin(farm))
+	err := serve(ctx, admin, fake.NewTargetAdmin(farm))
 	stop, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	farm.Stop(stop)
--- a/internal/lead/daemon.go
+++ b/internal/lead/daemon.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"citrontray.example/citrontray/internal/cell"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/target"
 )
 
@@ -37,8 +37,8 @@
 // Parts are the outside interfaces of a lead process.
 type Parts struct {
 	Store   platform.Store
-	Link    peer.Link
-	Board   spread.Board
+	Link    peer.Transport
+	Board   docsync.Replica
 	Control target.Control
 	Log     *slog.Logger
 }
@@ -47,8 +47,8 @@
 type Daemon struct {
 	cfg     Config
 	store   platform.Store
-	link    peer.Link
-	board   spread.Board
+	link    peer.Transport
+	board   docsync.Replica
 	control target.Control
 	log     *slog.Logger
 	started time.Time
--- a/internal/lead/evict_test.go
+++ b/internal/lead/evict_test.go
@@ -11,15 +11,15 @@
 
 	"citrontray.example/citrontray/internal/cell"
 	"citrontray.example/citrontray/internal/custody"
+	"citrontray.example/citrontray/internal/docsync"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/grant"
-	"citrontray.example/citrontray/internal/journal"
 	"citrontray.example/citrontray/internal/key"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // fakeLink is a peer link on which some addresses answer.
@@ -37,7 +37,7 @@
 // zones is a deployment of zones a and b, seen by the keeper of b's lead.
 type zones struct {
 	*keeper
-	platform *standin.Platform
+	platform *fake.Platform
 	link     *fakeLink
 	view     *view
 	service  settings.Service
@@ -53,13 +53,13 @@
 func newZones(t *testing.T, hold time.Duration) *zones {
 	t.Helper()
 	z := &zones{
-		platform: standin.NewPlatform(),
+		platform: fake.NewPlatform(),
 		link:     &fakeLink{answering: make(map[netip.AddrPort]bool)},
 		service:  settings.Service{Name: "balance", Shards: 16, Zones: []place.Zone{"a", "b"}, Hold: hold},
 		now:      time.Now(),
 	}
 	d := New(Config{Host: "host-b", Zone: "b", Timing: cell.DefaultTiming()}, Parts{
-		Store: z.platform, Link: z.link, Board: spread.New(), Log: journal.Nop(),
+		Store: z.platform, Link: z.link, Board: docsync.New(), Log: logging.Nop(),
 	})
 	r := newRunner(d, d.cellConfig(&view{}, z.service))
 	r.state.store(cell.Status{ID: cellB, LeaseHeld: true})
@@ -169,7 +169,7 @@
 			assert.NilError(t, err)
 		}},
 		"the store is down": {time.Second, func(_ *testing.T, z *zones) {
-			z.platform.SetFaults(standin.PlatformFaults{Down: true})
+			z.platform.SetFaults(fake.PlatformFaults{Down: true})
 		}},
 		"this host leads nothing": {time.Second, func(_ *testing.T, z *zones) {
 			z.runners[cellB].state.store(cell.Status{ID: cellB})
--- a/internal/lead/keeper.go
+++ b/internal/lead/keeper.go
@@ -11,11 +11,11 @@
 
 	"citrontray.example/citrontray/internal/cell"
 	"citrontray.example/citrontray/internal/custody"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 const (
@@ -173,9 +173,9 @@
 		k.log.Info("Custody not written.", slog.Any("error", err))
 		return
 	}
-	k.board.Publish(spread.Document{
-		Name:    spread.CustodyPrefix + spread.Name(doc.Service),
-		Version: spread.Version{Major: uint64(revision)},
+	k.board.Publish(docsync.Document{
+		Name:    docsync.CustodyPrefix + docsync.Name(doc.Service),
+		Version: docsync.Version{Major: uint64(revision)},
 		Body:    body,
 	})
 }
--- a/internal/lead/library.go
+++ b/internal/lead/library.go
@@ -6,30 +6,30 @@
 	"time"
 
 	"citrontray.example/citrontray/internal/custody"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // library keeps the decoded documents of the board, so that a document is
 // decoded once a version and not once a look. Safe for concurrent use.
 type library struct {
-	board spread.Board
+	board docsync.Replica
 	log   *slog.Logger
 
 	mu      sync.Mutex
 	view    *view
-	seen    map[spread.Name]spread.Version
+	seen    map[docsync.Name]docsync.Version
 	changes uint64
 }
 
-func newLibrary(board spread.Board, log *slog.Logger) *library {
+func newLibrary(board docsync.Replica, log *slog.Logger) *library {
 	return &library{
 		board: board,
 		log:   log,
 		view:  &view{custody: make(map[key.Service]custodyDoc)},
-		seen:  make(map[spread.Name]spread.Version),
+		seen:  make(map[docsync.Name]docsync.Version),
 	}
 }
 
@@ -53,9 +53,9 @@
 }
 
 // unseen returns the documents that the view does not reflect yet.
-func (l *library) unseen() []spread.Document {
-	docs := l.board.List(spread.CustodyPrefix)
-	for _, name := range []spread.Name{spread.Settings, spread.Fleet} {
+func (l *library) unseen() []docsync.Document {
+	docs := l.board.List(docsync.CustodyPrefix)
+	for _, name := range []docsync.Name{docsync.Settings, docsync.Fleet} {
 		if doc, ok := l.board.Get(name); ok {
 			docs = append(docs, doc)
 		}
@@ -70,10 +70,10 @@
 }
 
 // with returns a copy of the view that reflects the document as well.
-func (v *view) with(now time.Time, doc spread.Document) (*view, error) {
+func (v *view) with(now time.Time, doc docsync.Document) (*view, error) {
 	next := *v
 	switch doc.Name {
-	case spread.Settings:
+	case docsync.Settings:
 		decoded, err := settings.Decode(doc.Body)
 		if err != nil {
 			return nil, err
@@ -81,8 +81,8 @@
 		decoded.Revision = platform.Revision(doc.Version.Major)
 		next.settings = decoded
 		next.settingsSince = now
-	case spread.Fleet:
-		fleet, err := spread.DecodeFleet(doc.Body)
+	case docsync.Fleet:
+		fleet, err := docsync.DecodeFleet(doc.Body)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lead/main.go
+++ b/internal/lead/main.go
@@ -14,8 +14,9 @@
 
 	"citrontray.example/citrontray/internal/admin"
 	"citrontray.example/citrontray/internal/cell"
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/keys"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/operator"
 	"citrontray.example/citrontray/internal/option"
@@ -23,7 +24,6 @@
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/program"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/status"
 	"citrontray.example/citrontray/internal/target"
 )
@@ -126,7 +126,7 @@
 	p.store = platform.NewClient(platform.ClientConfig{
 		Addrs: o.Platform, Timeout: storeTimeout, Host: o.Host, Zone: o.Zone,
 	})
-	board := spread.New()
+	board := docsync.New()
 	p.daemon = o.daemon(p, board, log)
 	pages, err := admin.Listen(o.Admin, p.metrics.Handler(), status.Handler(p.daemon))
 	if err != nil {
@@ -134,12 +134,12 @@
 	}
 	pages.SetReady(true)
 	operators, err := operator.Listen(o.Operator, material.OperatorTLS(), operator.NewServer(operator.ServerConfig{
-		Store: p.store, Board: board, Bootstrap: o.Bootstrap, Log: journal.Part(log, "operator"),
+		Store: p.store, Board: board, Bootstrap: o.Bootstrap, Log: logging.Component(log, "operator"),
 	}))
 	if err != nil {
 		return nil, fmt.Errorf("--operator-address: %w", err)
 	}
-	spreading := spread.NewNode(board, p.link, spread.Config{
+	spreading := docsync.NewNode(board, p.link, docsync.Config{
 		Self: material.Self(), Addr: o.Peer, Seeds: o.Peers, Store: p.store, Log: log,
 	})
 	p.others = []part{p.link, pages, spreading, operators, status.NewMeter(p.daemon, p.metrics)}
@@ -147,7 +147,7 @@
 }
 
 // daemon returns the part that leads.
-func (o *Options) daemon(p *process, board spread.Board, log *slog.Logger) *Daemon {
+func (o *Options) daemon(p *process, board docsync.Replica, log *slog.Logger) *Daemon {
 	return New(Config{
 		Host: o.Host, Zone: o.Zone, PeerAddr: o.Peer,
 		Incarnation: place.Incarnation(rand.Uint64() | 1),
--- a/internal/lead/runner.go
+++ b/internal/lead/runner.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"citrontray.example/citrontray/internal/cell"
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/placement"
-	"citrontray.example/citrontray/internal/spread"
 	"citrontray.example/citrontray/internal/table"
 )
 
@@ -211,9 +211,9 @@
 		r.log.Error("Table not encoded.", slog.Any("error", err))
 		return
 	}
-	r.daemon.board.Publish(spread.Document{
+	r.daemon.board.Publish(docsync.Document{
 		Name:    tableName(r.id),
-		Version: spread.Version{Major: uint64(t.Version.Term), Minor: t.Version.Sequence},
+		Version: docsync.Version{Major: uint64(t.Version.Term), Minor: t.Version.Sequence},
 		Body:    body,
 	})
 }
@@ -243,6 +243,6 @@
 }
 
 // tableName is the board's name of a cell's routing table.
-func tableName(id cell.ID) spread.Name {
-	return spread.TablePrefix + spread.Name(id.Service) + "/" + spread.Name(id.Zone)
+func tableName(id cell.ID) docsync.Name {
+	return docsync.TablePrefix + docsync.Name(id.Service) + "/" + docsync.Name(id.Zone)
 }
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -93,7 +93,7 @@
 	}
 	n := 0
 	for _, row := range t.Rows {
-		if row.Owner != table.None {
+		if row.Owner != table.NoOwner {
 			n++
 		}
 	}
@@ -142,10 +142,10 @@
 		Service: string(q.Service), Key: q.Key, Zone: string(id.Zone),
 		Shard: uint32(shard), Solo: solo, Epoch: uint64(row.Epoch), Term: uint64(t.Version.Term),
 	}
-	if row.Owner == table.None {
+	if row.Owner == table.NoOwner {
 		out.Why = "its owner's grant has not ended, or no target is there"
 	} else {
-		out.Owner = string(t.Targets[row.Owner].Target)
+		out.Owner = string(t.Targets[row.Owner].Name)
 	}
 	out.Moves = d.shardMoves(id, shard)
 	return out
@@ -153,7 +153,7 @@
 
 // soloOf returns the shard of a key: its own, if it is a solo key.
 func soloOf(t table.Table, hash key.Hash) (key.Shard, bool) {
-	for _, s := range t.Solos {
+	for _, s := range t.SingleKeys {
 		if s.Hash == hash {
 			return s.Shard, true
 		}
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"citrontray.example/citrontray/internal/standin"
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/target"
 )
 
@@ -169,7 +169,7 @@
 	switch response.Header.Get(headerOutcome) {
 	case outcomeDone:
 		end.ending = endDone
-		if !standin.CheckAnswer(body, c.uri(), c.payload) {
+		if !fake.CheckResponse(body, c.uri(), c.payload) {
 			end.ending = endWrong
 		}
 	case outcomeNotRun:
--- a/internal/load/generator_test.go
+++ b/internal/load/generator_test.go
@@ -12,10 +12,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/load"
 	"citrontray.example/citrontray/internal/preset"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // entryFake answers as an entry host would, in the way that a test wants.
@@ -34,7 +34,7 @@
 	e.how(w, r.URL.RequestURI(), payload, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.runs[r.URL.Query().Get(standin.OperationParameter)]++
+		e.runs[r.URL.Query().Get(fake.OperationParameter)]++
 	})
 }
 
@@ -50,7 +50,7 @@
 
 func done(w http.ResponseWriter, uri string, payload []byte) {
 	w.Header().Set("Citrontray-Outcome", "done")
-	w.Write(standin.AnswerBody(uri, payload, 0))
+	w.Write(fake.ResponseBody(uri, payload, 0))
 }
 
 func TestGeneratorJudgesAnswers(t *testing.T) {
@@ -168,7 +168,7 @@
 				rate[stream.Service] += stream.PerSecond
 			}
 			for _, group := range load.Groups(p, s, 2) {
-				capacity := float64(group.Count*group.Slots) / group.Work.Seconds()
+				capacity := float64(group.Count*group.Slots) / group.MeanWork.Seconds()
 				assert.Assert(t, rate[group.Service] > 0.49*capacity && rate[group.Service] < 0.51*capacity, "%s", group.Service)
 				assert.Assert(t, group.Slots == 3 && group.Connections >= 110, "%s", group.Service)
 			}
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/preset"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // keyParameter stands for the key in a route's path.
@@ -68,20 +68,20 @@
 
 // Groups returns the targets of a preset at today's sizes. One run takes
 // slowdown times as long as usual.
-func Groups(p preset.Preset, s *settings.Settings, slowdown int) []standin.Group {
-	groups := make([]standin.Group, 0, len(p.Services))
+func Groups(p preset.Preset, s *settings.Settings, slowdown int) []fake.TargetGroup {
+	groups := make([]fake.TargetGroup, 0, len(p.Services))
 	for _, service := range p.Services {
 		row, _ := s.Service(service.Name)
-		groups = append(groups, standin.Group{
+		groups = append(groups, fake.TargetGroup{
 			Count: service.Targets,
-			TargetConfig: standin.TargetConfig{
-				Service:     service.Name,
-				Slots:       row.Slots,
-				Connections: row.Connections,
-				Work:        workOf(s, service.Name) * time.Duration(slowdown),
-				Connect:     connectCost,
-				Cold:        coldTime,
-				ChecksTerms: row.ChecksTerms,
+			TargetConfig: fake.TargetConfig{
+				Service:      service.Name,
+				Slots:        row.Slots,
+				Connections:  row.Connections,
+				MeanWork:     workOf(s, service.Name) * time.Duration(slowdown),
+				ConnectDelay: connectCost,
+				ColdPeriod:   coldTime,
+				ChecksTerms:  row.ChecksTerms,
 			},
 		})
 	}
@@ -158,7 +158,7 @@
 
 // uri returns the path for a key, with the caller's own id of the operation.
 func (s *Stream) uri(k, operation string) string {
-	return strings.Replace(s.Path, keyParameter, k, 1) + "?" + standin.OperationParameter + "=" + operation
+	return strings.Replace(s.Path, keyParameter, k, 1) + "?" + fake.OperationParameter + "=" + operation
 }
 
 func methodOf(route settings.Route) string {
--- a/internal/journal/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -1,4 +1,4 @@
-package journal_test
+package logging_test
 
 import (
 	"bytes"
@@ -10,18 +10,18 @@
 
 	"gotest.tools/v3/assert"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 )
 
-// stuck is a writer that nobody reads.
-type stuck struct{}
+// blockedWriter is a writer that nobody reads.
+type blockedWriter struct{}
 
-func (s *stuck) Write([]byte) (int, error) { select {} }
+func (s *blockedWriter) Write([]byte) (int, error) { select {} }
 
-// TestStuckReader: an output that is not read stops nothing, and what is lost
+// TestBlockedOutput: an output that is not read stops nothing, and what is lost
 // is counted.
-func TestStuckReader(t *testing.T) {
-	h := journal.NewBounded(&stuck{}, slog.LevelInfo)
+func TestBlockedOutput(t *testing.T) {
+	h := logging.NewBoundedHandler(&blockedWriter{}, slog.LevelInfo)
 	log := slog.New(h)
 	start := time.Now()
 	for i := range 20000 {
@@ -32,10 +32,10 @@
 	assert.Assert(t, h.Dropped() > 10000, "%d dropped", h.Dropped())
 }
 
-// TestRate: of one text that comes too often only so many lines are written.
-func TestRate(t *testing.T) {
+// TestRateLimit: of one text that comes too often only so many lines are written.
+func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
-	h := journal.NewBounded(&out, slog.LevelInfo)
+	h := logging.NewBoundedHandler(&out, slog.LevelInfo)
 	log := slog.New(h)
 	for range 50000 {
 		log.Info("often")
@@ -51,7 +51,7 @@
 
 // TestAfterClose: a line after the end is dropped.
 func TestAfterClose(t *testing.T) {
-	h := journal.NewBounded(io.Discard, slog.LevelInfo)
+	h := logging.NewBoundedHandler(io.Discard, slog.LevelInfo)
 	h.Close(time.Second)
 	slog.New(h).Info("late")
 }
--- a/internal/journal/journal.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package journal makes the structured logs of all programs: short sentences,
+// Package logging makes the structured logs of all programs: short sentences,
 // a fixed prefix for each part.
-package journal
+package logging
 
 import (
 	"io"
@@ -16,9 +16,9 @@
 	return slog.New(slog.NewTextHandler(w, opts))
 }
 
-// Part returns a logger whose lines carry the fixed prefix of one part of the
+// Component returns a logger whose lines carry the fixed prefix of one part of the
 // program, such as "lead" or "entry".
-func Part(l *slog.Logger, name string) *slog.Logger {
+func Component(l *slog.Logger, name string) *slog.Logger {
 	return l.With(slog.String("part", name))
 }
 
--- a/internal/journal/panic.go
+++ b/internal/logging/panic.go
@@ -1,4 +1,4 @@
-package journal
+package logging
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"runtime/debug"
 )
 
-// Panicked logs what recover returned, with the stack, in the part of a process
+// LogPanic logs what recover returned, with the stack, in the part of a process
 // that goes on without what it was doing.
-func Panicked(log *slog.Logger, part string, cause any) {
+func LogPanic(log *slog.Logger, part string, cause any) {
 	log.Error("Part panicked, what it was doing ends.", slog.String("panicked", part), slog.String("cause", fmt.Sprint(cause)),
 		slog.String("stack", string(debug.Stack())))
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -14,7 +14,7 @@
 // 127.254.0.0/16, until it ends.
 const claimPort = 9999
 
-var own struct {
+var claimed struct {
 	sync.Mutex
 
 	network byte // second byte of the claimed addresses, zero for none yet
@@ -24,15 +24,15 @@
 
 // IP returns an address that no other caller and no other process has.
 func IP() (netip.Addr, error) {
-	own.Lock()
-	defer own.Unlock()
-	if own.network == 0 {
-		if err := claim(); err != nil {
+	claimed.Lock()
+	defer claimed.Unlock()
+	if claimed.network == 0 {
+		if err := claimNetwork(); err != nil {
 			return netip.Addr{}, err
 		}
 	}
-	own.last++
-	return netip.AddrFrom4([4]byte{127, own.network, byte(own.last >> 8), byte(own.last)}), nil
+	claimed.last++
+	return netip.AddrFrom4([4]byte{127, claimed.network, byte(claimed.last >> 8), byte(claimed.last)}), nil
 }
 
 // Addr returns an address with a port that is free for TCP and UDP.
@@ -42,13 +42,13 @@
 	return netip.AddrPortFrom(ip, port), err
 }
 
-func claim() error {
+func claimNetwork() error {
 	const networks = 254
 	for n := byte(1); n <= networks; n++ {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 254}), claimPort)
 		hold, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(at))
 		if err == nil {
-			own.network, own.hold = n, hold
+			claimed.network, claimed.hold = n, hold
 			return nil
 		}
 	}
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -19,18 +19,18 @@
 // maxLabelValues bounds the values of one label; later ones count as Other.
 const maxLabelValues = 256
 
-// Other stands for all label values past the bound.
-const Other = "other"
+// OtherValue stands for all label values past the bound.
+const OtherValue = "other"
 
 // Registry is the root of a program's metrics.
 type Registry struct {
 	tally.Scope
 
-	page   http.Handler
-	closer io.Closer
+	handler http.Handler
+	closer  io.Closer
 
-	mu     sync.Mutex
-	values map[string]map[string]struct{}
+	mu          sync.Mutex
+	labelValues map[string]map[string]struct{}
 }
 
 // New returns a registry whose names start with prefix.
@@ -43,33 +43,33 @@
 		Separator:      prometheus.DefaultSeparator,
 	}, reportInterval)
 	return &Registry{
-		Scope:  scope,
-		page:   reporter.HTTPHandler(),
-		closer: closer,
-		values: make(map[string]map[string]struct{}),
+		Scope:       scope,
+		handler:     reporter.HTTPHandler(),
+		closer:      closer,
+		labelValues: make(map[string]map[string]struct{}),
 	}
 }
 
 // Handler serves the page /metrics.
-func (r *Registry) Handler() http.Handler { return r.page }
+func (r *Registry) Handler() http.Handler { return r.handler }
 
 // Close stops reporting.
 func (r *Registry) Close() error { return r.closer.Close() }
 
-// Value returns value, or Other once the label has too many values.
-func (r *Registry) Value(label, value string) string {
+// LabelValue returns value, or Other once the label has too many values.
+func (r *Registry) LabelValue(label, value string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.values[label]
+	known := r.labelValues[label]
 	if known == nil {
 		known = make(map[string]struct{})
-		r.values[label] = known
+		r.labelValues[label] = known
 	}
 	if _, ok := known[value]; ok {
 		return value
 	}
 	if len(known) >= maxLabelValues {
-		return Other
+		return OtherValue
 	}
 	known[value] = struct{}{}
 	return value
--- a/internal/metric/page_test.go
+++ b/internal/metric/page_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// makers are the methods of a scope that make a metric by its name.
-var makers = []string{"Counter", "Gauge", "Histogram", "Timer"}
+// constructors are the methods of a scope that make a metric by its name.
+var constructors = []string{"Counter", "Gauge", "Histogram", "Timer"}
 
 // namesInCode returns the names of all metrics that the sources make.
 func namesInCode(t *testing.T, root string) map[string]bool {
@@ -51,7 +51,7 @@
 		return "", false
 	}
 	method, ok := call.Fun.(*ast.SelectorExpr)
-	if !ok || !slices.Contains(makers, method.Sel.Name) {
+	if !ok || !slices.Contains(constructors, method.Sel.Name) {
 		return "", false
 	}
 	literal, ok := call.Args[0].(*ast.BasicLit)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/fake"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/operator"
 	"citrontray.example/citrontray/internal/preset"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // host is one entry host's operators' API; it may lose answers.
@@ -40,18 +40,18 @@
 
 // deployment has two hosts on one store.
 type deployment struct {
-	store *standin.Platform
+	store *fake.Platform
 	hosts [2]*host
 	addrs []netip.AddrPort
 }
 
 func deploy(t *testing.T) *deployment {
 	t.Helper()
-	d := &deployment{store: standin.NewPlatform()}
+	d := &deployment{store: fake.NewPlatform()}
 	for i := range d.hosts {
 		router := mux.NewRouter()
 		operator.NewServer(operator.ServerConfig{
-			Store: d.store, Bootstrap: settings.HashCredential("first"), Log: journal.Nop(),
+			Store: d.store, Bootstrap: settings.HashCredential("first"), Log: logging.Nop(),
 		}).Register(router)
 		d.hosts[i] = &host{next: router}
 		server := httptest.NewServer(d.hosts[i])
@@ -149,8 +149,8 @@
 	d := deploy(t)
 	d.hosts[0].lose.Store(1)
 	d.hosts[1].next = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.store.SetFaults(standin.PlatformFaults{Down: true})
-		defer d.store.SetFaults(standin.PlatformFaults{})
+		d.store.SetFaults(fake.PlatformFaults{Down: true})
+		defer d.store.SetFaults(fake.PlatformFaults{})
 		d.hosts[0].next.ServeHTTP(w, r)
 	})
 	_, err := d.client("first").Write(t.Context(), operator.Order{File: []byte(consortium(t))})
@@ -159,7 +159,7 @@
 
 func TestStoreOut(t *testing.T) {
 	d := deploy(t)
-	d.store.SetFaults(standin.PlatformFaults{Down: true})
+	d.store.SetFaults(fake.PlatformFaults{Down: true})
 	_, err := d.client("first").Write(t.Context(), operator.Order{File: []byte(consortium(t))})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
 }
@@ -168,7 +168,7 @@
 // others go to the next host.
 func TestBusyHost(t *testing.T) {
 	d := deploy(t)
-	d.store.SetFaults(standin.PlatformFaults{SlowMin: 50 * time.Millisecond, SlowMax: 50 * time.Millisecond})
+	d.store.SetFaults(fake.PlatformFaults{SlowMin: 50 * time.Millisecond, SlowMax: 50 * time.Millisecond})
 	var group errgroup.Group
 	const operators = 100 // above what one host answers, below what both do
 	for range operators {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -14,9 +14,9 @@
 
 	"github.com/gorilla/mux"
 
+	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
 )
 
 // writeTimeout bounds how long a write waits for a lost answer to be resolved.
@@ -29,7 +29,7 @@
 type ServerConfig struct {
 	Store platform.Store
 	// Board gives the settings where the store is out; it may be nil.
-	Board spread.Board
+	Board docsync.Replica
 	// Bootstrap is the hash of the credential that may write everything for
 	// as long as the settings hold no delegation below platform. Zero: none.
 	Bootstrap [32]byte
@@ -103,7 +103,7 @@
 	if s.config.Board == nil {
 		return nil
 	}
-	doc, ok := s.config.Board.Get(spread.Settings)
+	doc, ok := s.config.Board.Get(docsync.Settings)
 	if !ok {
 		return nil
 	}
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -20,13 +20,13 @@
 
 // remote is one address that this process calls, with its connection.
 type remote struct {
-	owner *Peer
-	addr  netip.AddrPort
+	peer *Peer
+	addr netip.AddrPort
 
 	mu       sync.Mutex
-	session  *session
-	calls    int
-	used     time.Time
+	conn     *connection
+	inFlight int
+	lastUsed time.Time
 	dialing  chan struct{} // closed once the dial has ended
 	failures int
 	retryAt  time.Time
@@ -45,7 +45,7 @@
 		defer cancel()
 		ctx = bounded
 	}
-	if p.cut != nil && p.cut(to) {
+	if p.partitioned != nil && p.partitioned(to) {
 		return nil, fmt.Errorf("%w: cut off from %s", ErrUnreachable, to)
 	}
 	r, err := p.remote(to)
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	defer r.release()
-	if !answers(s.identity.Role, kind) {
+	if !mayServe(s.identity.Role, kind) {
 		return nil, ErrRefused
 	}
 	return s.call(ctx, kind, body)
@@ -71,7 +71,7 @@
 	}
 	r := p.remotes[to]
 	if r == nil {
-		r = &remote{owner: p, addr: to, used: time.Now()}
+		r = &remote{peer: p, addr: to, lastUsed: time.Now()}
 		p.remotes[to] = r
 	}
 	return r, nil
@@ -79,9 +79,9 @@
 
 // connect returns an open connection and counts a call on it; release ends
 // the call. It dials where there is none and the backoff has passed.
-func (r *remote) connect(ctx context.Context) (*session, error) {
+func (r *remote) connect(ctx context.Context) (*connection, error) {
 	for {
-		s, wait, err := r.pick(time.Now())
+		s, wait, err := r.tryConnect(time.Now())
 		if s != nil || err != nil {
 			return s, err
 		}
@@ -93,13 +93,13 @@
 	}
 }
 
-func (r *remote) pick(now time.Time) (*session, <-chan struct{}, error) {
+func (r *remote) tryConnect(now time.Time) (*connection, <-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.used = now
-	if r.session != nil && r.session.alive() {
-		r.calls++
-		return r.session, nil, nil
+	r.lastUsed = now
+	if r.conn != nil && r.conn.alive() {
+		r.inFlight++
+		return r.conn, nil, nil
 	}
 	if r.dialing != nil {
 		return nil, r.dialing, nil
@@ -107,21 +107,21 @@
 	if now.Before(r.retryAt) {
 		return nil, nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, r.addr, r.lastErr)
 	}
-	r.session = nil
+	r.conn = nil
 	r.dialing = make(chan struct{})
-	go r.run()
+	go r.runDial()
 	return nil, r.dialing, nil
 }
 
 func (r *remote) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls--
-	r.used = time.Now()
+	r.inFlight--
+	r.lastUsed = time.Now()
 }
 
-// run dials once, for all calls that wait.
-func (r *remote) run() {
+// runDial dials once, for all calls that wait.
+func (r *remote) runDial() {
 	s, err := r.dial()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,7 +134,7 @@
 		return
 	}
 	r.failures = 0
-	r.session = s
+	r.conn = s
 }
 
 // backoff returns the time before the next attempt: doubling from
@@ -145,16 +145,16 @@
 	return full/2 + rand.N(full/2)
 }
 
-func (r *remote) dial() (*session, error) {
-	ctx, cancel := context.WithTimeout(r.owner.ctx, handshakeTimeout)
+func (r *remote) dial() (*connection, error) {
+	ctx, cancel := context.WithTimeout(r.peer.ctx, handshakeTimeout)
 	defer cancel()
-	config := r.owner.keys.ClientTLS(Protocol)
+	config := r.peer.keys.ClientTLS(Protocol)
 	config.ServerName = r.addr.Addr().String()
-	conn, err := r.owner.transport.Dial(ctx, net.UDPAddrFromAddrPort(r.addr), config, settings(keepAlive))
+	conn, err := r.peer.transport.Dial(ctx, net.UDPAddrFromAddrPort(r.addr), config, quicConfig(keepAlivePeriod))
 	if err != nil {
 		return nil, err
 	}
-	s, err := newSession(r.owner, conn, time.Now())
+	s, err := newConnection(r.peer, conn, time.Now())
 	if err != nil {
 		_ = conn.CloseWithError(codeDenied, "")
 		return nil, err
@@ -167,13 +167,13 @@
 func (r *remote) upkeep(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	unused := r.calls == 0 && now.Sub(r.used) > unusedTimeout
-	if r.session == nil {
+	unused := r.inFlight == 0 && now.Sub(r.lastUsed) > unusedTimeout
+	if r.conn == nil {
 		return !unused || r.dialing != nil
 	}
 	if unused {
-		r.session.close(codeUnused)
-		r.session = nil
+		r.conn.close(codeUnused)
+		r.conn = nil
 	}
 	return !unused
 }
@@ -182,52 +182,52 @@
 func (r *remote) verify(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.session == nil {
+	if r.conn == nil {
 		return
 	}
-	if _, err := r.owner.keys.Verify(now, r.session.chain); err != nil {
-		r.session.close(codeDenied)
-		r.session = nil
+	if _, err := r.peer.keys.Verify(now, r.conn.chain); err != nil {
+		r.conn.close(codeDenied)
+		r.conn = nil
 	}
 }
 
 func (r *remote) close(code quic.ApplicationErrorCode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.session != nil {
-		r.session.close(code)
+	if r.conn != nil {
+		r.conn.close(code)
 	}
 }
 
 // call sends one message on a stream of its own.
-func (s *session) call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
+func (s *connection) call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
 	stream, err := s.conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	stop := context.AfterFunc(ctx, func() {
-		stream.CancelWrite(streamStale)
-		stream.CancelRead(streamStale)
+		stream.CancelWrite(streamExpired)
+		stream.CancelRead(streamExpired)
 	})
 	defer stop()
 	deadline, _ := ctx.Deadline()
 	header := appendRequestHeader(make([]byte, 0, requestHeaderSize+len(body)), kind, time.Until(deadline))
 	if _, err := stream.Write(append(header, body...)); err != nil {
-		return nil, lost(ctx, err)
+		return nil, noResponse(ctx, err)
 	}
 	if err := stream.Close(); err != nil {
-		return nil, lost(ctx, err)
+		return nil, noResponse(ctx, err)
 	}
-	answer, err := readAnswer(stream)
-	if errors.Is(err, ErrLost) {
-		return nil, lost(ctx, err)
+	answer, err := readResponse(stream)
+	if errors.Is(err, ErrNoResponse) {
+		return nil, noResponse(ctx, err)
 	}
 	return answer, err
 }
 
-func lost(ctx context.Context, err error) error {
+func noResponse(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return fmt.Errorf("%w: %w", ErrLost, ctx.Err())
+		return fmt.Errorf("%w: %w", ErrNoResponse, ctx.Err())
 	}
-	return fmt.Errorf("%w: %w", ErrLost, err)
+	return fmt.Errorf("%w: %w", ErrNoResponse, err)
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -23,8 +23,8 @@
 	requestHeaderSize = 24
 	// usedHeaderSize is the part of the header that is not zero.
 	usedHeaderSize = 5
-	// answerHeaderSize: one byte for the status.
-	answerHeaderSize = 1
+	// responseHeaderSize: one byte for the status.
+	responseHeaderSize = 1
 	// maxErrorText bounds the text of a RemoteError, in bytes.
 	maxErrorText = 1 << 10
 )
@@ -82,7 +82,7 @@
 	return request{kind: Kind(header[0]), timeout: min(timeout, maxTimeout), body: body}, nil
 }
 
-func encodeAnswer(body []byte, err error) []byte {
+func encodeResponse(body []byte, err error) []byte {
 	var refused bool
 	switch {
 	case err == nil && len(body) <= MaxMessage:
@@ -100,10 +100,10 @@
 	return append([]byte{byte(statusFailed)}, text...)
 }
 
-func readAnswer(r io.Reader) ([]byte, error) {
-	var header [answerHeaderSize]byte
+func readResponse(r io.Reader) ([]byte, error) {
+	var header [responseHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrLost, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	body, err := readBounded(r)
 	if err != nil {
@@ -124,7 +124,7 @@
 func readBounded(r io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, MaxMessage+1))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrLost, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	if len(body) > MaxMessage {
 		return nil, ErrTooLarge
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -9,21 +9,21 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAnswersRoundTrip(t *testing.T) {
+func TestResponsesRoundTrip(t *testing.T) {
 	var remote *RemoteError
-	body, err := readAnswer(bytes.NewReader(encodeAnswer([]byte("yes"), nil)))
+	body, err := readResponse(bytes.NewReader(encodeResponse([]byte("yes"), nil)))
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "yes")
-	_, err = readAnswer(bytes.NewReader(encodeAnswer(nil, ErrRefused)))
+	_, err = readResponse(bytes.NewReader(encodeResponse(nil, ErrRefused)))
 	assert.ErrorIs(t, err, ErrRefused)
-	_, err = readAnswer(bytes.NewReader(encodeAnswer(nil, errors.New("no"))))
+	_, err = readResponse(bytes.NewReader(encodeResponse(nil, errors.New("no"))))
 	assert.Assert(t, errors.As(err, &remote))
-	_, err = readAnswer(bytes.NewReader(nil))
-	assert.ErrorIs(t, err, ErrLost)
+	_, err = readResponse(bytes.NewReader(nil))
+	assert.ErrorIs(t, err, ErrNoResponse)
 }
 
 func FuzzReadRequest(f *testing.F) {
-	f.Add(append(appendRequestHeader(nil, KindSpread, time.Second), "body"...))
+	f.Add(append(appendRequestHeader(nil, KindSync, time.Second), "body"...))
 	f.Add([]byte{1, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		req, err := readRequest(bytes.NewReader(data))
@@ -36,10 +36,10 @@
 }
 
 func FuzzReadAnswer(f *testing.F) {
-	f.Add(encodeAnswer([]byte("yes"), nil))
-	f.Add(encodeAnswer(nil, errors.New("no")))
+	f.Add(encodeResponse([]byte("yes"), nil))
+	f.Add(encodeResponse(nil, errors.New("no")))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		body, err := readAnswer(bytes.NewReader(data))
+		body, err := readResponse(bytes.NewReader(data))
 		assert.Assert(t, err == nil || body == nil)
 	})
 }
--- a/internal/peer/loss_test.go
+++ b/internal/peer/loss_test.go
@@ -16,8 +16,8 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-// lossy is a socket that drops a part of what is sent.
-type lossy struct {
+// lossyConn is a socket that drops a part of what is sent.
+type lossyConn struct {
 	net.PacketConn
 
 	percent atomic.Int64
@@ -25,16 +25,16 @@
 	random  *rand.Rand
 }
 
-func newLossy(t *testing.T, at netip.AddrPort, percent int64) *lossy {
+func newLossyConn(t *testing.T, at netip.AddrPort, percent int64) *lossyConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	assert.NilError(t, err)
-	l := &lossy{PacketConn: conn, random: rand.New(rand.NewPCG(1, 2))}
+	l := &lossyConn{PacketConn: conn, random: rand.New(rand.NewPCG(1, 2))}
 	l.percent.Store(percent)
 	return l
 }
 
-func (l *lossy) WriteTo(p []byte, addr net.Addr) (int, error) {
+func (l *lossyConn) WriteTo(p []byte, addr net.Addr) (int, error) {
 	const all = 100
 	l.mu.Lock()
 	drop := l.random.Int64N(all) < l.percent.Load()
@@ -49,7 +49,7 @@
 	t.Helper()
 	p, err := peer.New(peer.Config{Conn: conn, Keys: m})
 	assert.NilError(t, err)
-	p.Handle(peer.KindSpread, echo)
+	p.Handle(peer.KindSync, echo)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -66,19 +66,19 @@
 		calls   = 100
 		timeout = 30 * time.Second
 	)
-	dir := authority(t)
-	server := startOn(t, material(t, dir, "h1", peer.RoleLead), newLossy(t, anyPort(), percent))
-	client := startOn(t, material(t, dir, "h2", peer.RoleEntry), newLossy(t, anyPort(), percent))
+	dir := newAuthority(t)
+	server := startOn(t, newCredentials(t, dir, "h1", peer.RoleLead), newLossyConn(t, anyPort(), percent))
+	client := startOn(t, newCredentials(t, dir, "h2", peer.RoleEntry), newLossyConn(t, anyPort(), percent))
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	eventually(t, "connected", func() bool {
-		_, err := client.Call(ctx, server.Addr(), peer.KindSpread, nil)
+		_, err := client.Call(ctx, server.Addr(), peer.KindSync, nil)
 		return err == nil
 	})
 	slowest := time.Duration(0)
 	for range calls {
 		sent := time.Now()
-		answer, err := client.Call(ctx, server.Addr(), peer.KindSpread, make([]byte, 10_000))
+		answer, err := client.Call(ctx, server.Addr(), peer.KindSync, make([]byte, 10_000))
 		assert.NilError(t, err)
 		assert.Equal(t, len(answer), 10_000+len("h2/entry:"))
 		slowest = max(slowest, time.Since(sent))
@@ -90,35 +90,35 @@
 // another at its address: the new one's resets end the old connection.
 func TestCrashAndRestartAtSameAddress(t *testing.T) {
 	const silent = 100
-	dir := authority(t)
-	m := material(t, dir, "h1", peer.RoleLead)
-	socket := newLossy(t, anyPort(), 0)
+	dir := newAuthority(t)
+	m := newCredentials(t, dir, "h1", peer.RoleLead)
+	socket := newLossyConn(t, anyPort(), 0)
 	first := startOn(t, m, socket)
 	at := first.Addr()
-	client := startOn(t, material(t, dir, "h2", peer.RoleEntry), newLossy(t, anyPort(), 0))
-	_, err := client.Call(t.Context(), at, peer.KindSpread, nil)
+	client := startOn(t, newCredentials(t, dir, "h2", peer.RoleEntry), newLossyConn(t, anyPort(), 0))
+	_, err := client.Call(t.Context(), at, peer.KindSync, nil)
 	assert.NilError(t, err)
 	socket.percent.Store(silent)
 	_ = first.Close()
-	startOn(t, m, newLossy(t, at, 0))
+	startOn(t, m, newLossyConn(t, at, 0))
 	begin := time.Now()
 	eventually(t, "the new process answers", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		defer cancel()
-		_, err := client.Call(ctx, at, peer.KindSpread, nil)
+		_, err := client.Call(ctx, at, peer.KindSync, nil)
 		return err == nil
 	})
 	t.Logf("answered after %v", time.Since(begin))
 }
 
-// slowSocket takes its time to close.
-type slowSocket struct {
+// slowCloseConn takes its time to close.
+type slowCloseConn struct {
 	net.PacketConn
 
 	closing, closed atomic.Bool
 }
 
-func (s *slowSocket) Close() error {
+func (s *slowCloseConn) Close() error {
 	if !s.closing.CompareAndSwap(false, true) {
 		return net.ErrClosed
 	}
@@ -127,13 +127,13 @@
 	return s.PacketConn.Close()
 }
 
-// TestCloseTwice: whoever closes a peer finds its address free afterwards, also
+// TestConcurrentClose: whoever closes a peer finds its address free afterwards, also
 // while another closes it.
-func TestCloseTwice(t *testing.T) {
+func TestConcurrentClose(t *testing.T) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(anyPort()))
 	assert.NilError(t, err)
-	socket := &slowSocket{PacketConn: conn}
-	p := startOn(t, material(t, authority(t), "h1", peer.RoleLead), socket)
+	socket := &slowCloseConn{PacketConn: conn}
+	p := startOn(t, newCredentials(t, newAuthority(t), "h1", peer.RoleLead), socket)
 	var group errgroup.Group
 	for range 2 {
 		group.Go(func() error {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -32,18 +32,18 @@
 
 // The kinds of messages.
 const (
-	KindCell   Kind = iota + 1 // between leads and roster hosts of a cell
-	KindSpread                 // documents by revision
-	KindLoad                   // load reports from entries to leads
-	KindStatus                 // status of a process
-	KindWork                   // a request handed to another entry host
+	KindCell    Kind = iota + 1 // between leads and roster hosts of a cell
+	KindSync                    // documents by revision
+	KindLoad                    // load reports from entries to leads
+	KindStatus                  // status of a process
+	KindForward                 // a request handed to another entry host
 )
 
 // Handler answers one message.
 type Handler func(ctx context.Context, from Identity, body []byte) ([]byte, error)
 
-// Link sends messages to peers and serves theirs. Safe for concurrent use.
-type Link interface {
+// Transport sends messages to peers and serves theirs. Safe for concurrent use.
+type Transport interface {
 	// Call sends one message and waits for the answer.
 	Call(ctx context.Context, to netip.AddrPort, kind Kind, body []byte) ([]byte, error)
 	// Handle sets the handler of a kind; call it before serving.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,14 +20,14 @@
 
 var loopback = netip.MustParseAddr("127.0.0.1")
 
-func authority(t *testing.T) string {
+func newAuthority(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	assert.NilError(t, keys.MakeAuthority(time.Now(), dir))
 	return dir
 }
 
-func material(t *testing.T, dir string, host place.Host, role peer.Role) *keys.Material {
+func newCredentials(t *testing.T, dir string, host place.Host, role peer.Role) *keys.Material {
 	t.Helper()
 	err := keys.MakeHost(time.Now(), dir, host, "z1", []peer.Role{role}, []netip.Addr{loopback})
 	assert.NilError(t, err)
@@ -60,20 +60,20 @@
 }
 
 func TestCallCarriesIdentityAndBody(t *testing.T) {
-	dir := authority(t)
-	server := start(t, material(t, dir, "h1", peer.RoleLead), anyPort())
-	server.Handle(peer.KindSpread, echo)
-	client := start(t, material(t, dir, "h2", peer.RoleEntry), anyPort())
+	dir := newAuthority(t)
+	server := start(t, newCredentials(t, dir, "h1", peer.RoleLead), anyPort())
+	server.Handle(peer.KindSync, echo)
+	client := start(t, newCredentials(t, dir, "h2", peer.RoleEntry), anyPort())
 	body := bytes.Repeat([]byte("x"), 3<<20)
-	got, err := client.Call(t.Context(), server.Addr(), peer.KindSpread, body)
+	got, err := client.Call(t.Context(), server.Addr(), peer.KindSync, body)
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(got, append([]byte("h2/entry:"), body...)))
 }
 
 func TestCallFailures(t *testing.T) {
-	dir := authority(t)
-	server := start(t, material(t, dir, "h1", peer.RoleLead), anyPort())
-	server.Handle(peer.KindSpread, func(context.Context, peer.Identity, []byte) ([]byte, error) {
+	dir := newAuthority(t)
+	server := start(t, newCredentials(t, dir, "h1", peer.RoleLead), anyPort())
+	server.Handle(peer.KindSync, func(context.Context, peer.Identity, []byte) ([]byte, error) {
 		return nil, errors.New("no such document")
 	})
 	server.Handle(peer.KindCell, echo)
@@ -84,8 +84,8 @@
 	server.Handle(peer.KindStatus, func(context.Context, peer.Identity, []byte) ([]byte, error) {
 		return make([]byte, peer.MaxMessage+1), nil
 	})
-	client := start(t, material(t, dir, "h2", peer.RoleEntry), anyPort())
-	nobody := start(t, material(t, dir, "h3", peer.RoleEntry), anyPort())
+	client := start(t, newCredentials(t, dir, "h2", peer.RoleEntry), anyPort())
+	nobody := start(t, newCredentials(t, dir, "h3", peer.RoleEntry), anyPort())
 	gone := nobody.Addr()
 	assert.NilError(t, nobody.Close())
 	eventually(t, "connected", func() bool {
@@ -100,11 +100,11 @@
 		// timeout is set where the call has to run into it.
 		timeout time.Duration
 	}{
-		"no such process":         {to: gone, kind: peer.KindSpread, want: peer.ErrUnreachable},
+		"no such process":         {to: gone, kind: peer.KindSync, want: peer.ErrUnreachable},
 		"role may not ask":        {to: server.Addr(), kind: peer.KindCell, want: peer.ErrRefused},
-		"role does not answer":    {to: server.Addr(), kind: peer.KindWork, want: peer.ErrRefused},
-		"no answer in time":       {to: server.Addr(), kind: peer.KindLoad, want: peer.ErrLost, timeout: time.Second},
-		"message too large":       {to: server.Addr(), kind: peer.KindSpread, body: make([]byte, peer.MaxMessage+1), want: peer.ErrTooLarge},
+		"role does not answer":    {to: server.Addr(), kind: peer.KindForward, want: peer.ErrRefused},
+		"no answer in time":       {to: server.Addr(), kind: peer.KindLoad, want: peer.ErrNoResponse, timeout: time.Second},
+		"message too large":       {to: server.Addr(), kind: peer.KindSync, body: make([]byte, peer.MaxMessage+1), want: peer.ErrTooLarge},
 		"unknown kind of message": {to: server.Addr(), kind: 99, want: peer.ErrRefused},
 	}
 	for name, tt := range tests {
@@ -116,7 +116,7 @@
 		})
 	}
 	t.Run("handler fails", func(t *testing.T) {
-		_, err := client.Call(t.Context(), server.Addr(), peer.KindSpread, nil)
+		_, err := client.Call(t.Context(), server.Addr(), peer.KindSync, nil)
 		var remote *peer.RemoteError
 		assert.Assert(t, errors.As(err, &remote))
 		assert.Equal(t, remote.Text, "no such document")
@@ -131,41 +131,41 @@
 // TestRestartAtSameAddress ends a process and starts another at its address:
 // the caller's old connection must not stand in the way.
 func TestRestartAtSameAddress(t *testing.T) {
-	dir := authority(t)
-	m := material(t, dir, "h1", peer.RoleLead)
+	dir := newAuthority(t)
+	m := newCredentials(t, dir, "h1", peer.RoleLead)
 	first := start(t, m, anyPort())
-	first.Handle(peer.KindSpread, echo)
+	first.Handle(peer.KindSync, echo)
 	at := first.Addr()
-	client := start(t, material(t, dir, "h2", peer.RoleEntry), anyPort())
-	_, err := client.Call(t.Context(), at, peer.KindSpread, nil)
+	client := start(t, newCredentials(t, dir, "h2", peer.RoleEntry), anyPort())
+	_, err := client.Call(t.Context(), at, peer.KindSync, nil)
 	assert.NilError(t, err)
 	assert.NilError(t, first.Close())
 	second := start(t, m, at)
-	second.Handle(peer.KindSpread, echo)
+	second.Handle(peer.KindSync, echo)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, err := client.Call(t.Context(), at, peer.KindSpread, nil); err != nil {
+		if _, err := client.Call(t.Context(), at, peer.KindSync, nil); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// TestPlannedStopTellsCallers: a process that had stopped as planned left some
+// TestCloseNotifiesCallers: a process that had stopped as planned left some
 // callers with connections that they took for alive. What they sent on them
 // reached the next process at the address, and ended as lost.
-func TestPlannedStopTellsCallers(t *testing.T) {
-	dir := authority(t)
-	server, err := peer.New(peer.Config{Listen: anyPort(), Keys: material(t, dir, "host-2", peer.RoleLead)})
+func TestCloseNotifiesCallers(t *testing.T) {
+	dir := newAuthority(t)
+	server, err := peer.New(peer.Config{Listen: anyPort(), Keys: newCredentials(t, dir, "host-2", peer.RoleLead)})
 	assert.NilError(t, err)
-	server.Handle(peer.KindSpread, echo)
+	server.Handle(peer.KindSync, echo)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- server.Run(ctx) }()
 	at := server.Addr()
 	var callers [16]*peer.Peer
 	for i := range callers {
-		callers[i] = start(t, material(t, dir, "host-1", peer.RoleLead), anyPort())
-		_, err = callers[i].Call(t.Context(), at, peer.KindSpread, nil)
+		callers[i] = start(t, newCredentials(t, dir, "host-1", peer.RoleLead), anyPort())
+		_, err = callers[i].Call(t.Context(), at, peer.KindSync, nil)
 		assert.NilError(t, err)
 	}
 
@@ -180,7 +180,7 @@
 					open = false
 				default:
 				}
-				_, errs[i] = callers[i].Call(t.Context(), at, peer.KindSpread, nil)
+				_, errs[i] = callers[i].Call(t.Context(), at, peer.KindSync, nil)
 			}
 		})
 	}
--- a/internal/peer/policy.go
+++ b/internal/peer/policy.go
@@ -1,14 +1,14 @@
 package peer
 
-// asks reports whether a process of role may send a message of kind to
+// maySend reports whether a process of role may send a message of kind to
 // another process.
-func asks(role Role, kind Kind) bool {
+func maySend(role Role, kind Kind) bool {
 	switch kind {
 	case KindCell:
 		return role == RoleLead
-	case KindSpread:
+	case KindSync:
 		return role == RoleLead || role == RoleEntry || role == RoleOperator
-	case KindLoad, KindWork:
+	case KindLoad, KindForward:
 		return role == RoleEntry
 	case KindStatus:
 		return true
@@ -16,14 +16,14 @@
 	return false
 }
 
-// answers reports whether a process of role may answer a message of kind. The
+// mayServe reports whether a process of role may answer a message of kind. The
 // caller checks it before it sends: an entry whose address was given to a lead
 // by mistake can't hand out documents.
-func answers(role Role, kind Kind) bool {
+func mayServe(role Role, kind Kind) bool {
 	switch kind {
-	case KindCell, KindSpread, KindLoad:
+	case KindCell, KindSync, KindLoad:
 		return role == RoleLead
-	case KindWork:
+	case KindForward:
 		return role == RoleEntry
 	case KindStatus:
 		return role == RoleLead || role == RoleEntry
--- a/internal/peer/quic.go
+++ b/internal/peer/quic.go
@@ -16,25 +16,25 @@
 
 	"github.com/quic-go/quic-go"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 )
 
 const (
 	// maxTimeout bounds how long a message may be worked on.
 	maxTimeout = time.Minute
 	// defaultTimeout holds for a call whose context has no deadline.
-	defaultTimeout   = 5 * time.Second
-	handshakeTimeout = 2 * time.Second
-	idleTimeout      = 6 * time.Second
-	keepAlive        = 2 * time.Second
-	defaultUpkeep    = 2 * time.Second
+	defaultTimeout        = 5 * time.Second
+	handshakeTimeout      = 2 * time.Second
+	idleTimeout           = 6 * time.Second
+	keepAlivePeriod       = 2 * time.Second
+	defaultUpkeepInterval = 2 * time.Second
 	// verifyInterval is the time between two checks that the certificates of
 	// open connections are still in their period; new keys check them at once.
 	verifyInterval = 30 * time.Second
 	// unusedTimeout is how long a connection without calls is kept.
 	unusedTimeout = time.Minute
-	// maxSessions bounds the connections that others opened.
-	maxSessions = 4096
+	// maxInbound bounds the connections that others opened.
+	maxInbound = 4096
 	// maxStreams bounds the messages at once on one connection.
 	maxStreams = 256
 	// windowBytes is the first flow-control window of a stream; it grows to
@@ -49,20 +49,20 @@
 
 // The codes with which connections and streams are closed.
 const (
-	codeStop    quic.ApplicationErrorCode = 0
-	codeDenied  quic.ApplicationErrorCode = 1
-	codeUnused  quic.ApplicationErrorCode = 2
-	codeFull    quic.ApplicationErrorCode = 3
-	streamGone  quic.StreamErrorCode      = 1
-	streamStale quic.StreamErrorCode      = 2
+	codeClosed    quic.ApplicationErrorCode = 0
+	codeDenied    quic.ApplicationErrorCode = 1
+	codeUnused    quic.ApplicationErrorCode = 2
+	codeTooMany   quic.ApplicationErrorCode = 3
+	streamClosed  quic.StreamErrorCode      = 1
+	streamExpired quic.StreamErrorCode      = 2
 )
 
 // ErrUnreachable is returned where nothing was sent: there is no connection.
 var ErrUnreachable = errors.New("peer: unreachable")
 
-// ErrLost is returned where the message may have arrived but no whole answer
+// ErrNoResponse is returned where the message may have arrived but no whole answer
 // came back.
-var ErrLost = errors.New("peer: answer lost")
+var ErrNoResponse = errors.New("peer: answer lost")
 
 // ErrClosed is returned after Close.
 var ErrClosed = errors.New("peer: closed")
@@ -86,41 +86,41 @@
 	Conn net.PacketConn
 	Keys Credentials
 	Log  *slog.Logger
-	// Upkeep is the time between two looks at key files and connections;
+	// UpkeepInterval is the time between two looks at key files and connections;
 	// zero stands for 2 s.
-	Upkeep time.Duration
-	// Cut, where set, reports whether this process is cut off from an
+	UpkeepInterval time.Duration
+	// Partitioned, where set, reports whether this process is cut off from an
 	// address. Tests and the lab use it.
-	Cut func(to netip.AddrPort) bool
+	Partitioned func(to netip.AddrPort) bool
 }
 
 // Peer is the link of one process to all others. It implements Link.
 type Peer struct {
-	keys      Credentials
-	log       *slog.Logger
-	cut       func(netip.AddrPort) bool
-	every     time.Duration
-	transport *quic.Transport
-	listener  *quic.Listener
-	ctx       context.Context
-	cancel    context.CancelFunc
+	keys           Credentials
+	log            *slog.Logger
+	partitioned    func(netip.AddrPort) bool
+	upkeepInterval time.Duration
+	transport      *quic.Transport
+	listener       *quic.Listener
+	ctx            context.Context
+	cancel         context.CancelFunc
 	// accepting is the loop that takes connections, serving the loops over
 	// connections of others, work all that answers messages.
-	accepting sync.WaitGroup
-	serving   sync.WaitGroup
-	work      sync.WaitGroup
+	accepting   sync.WaitGroup
+	connections sync.WaitGroup
+	handling    sync.WaitGroup
 
-	closing sync.Once
-	closed  error // the result, once closing is done
+	closeOnce sync.Once
+	closeErr  error // the result, once closing is done
 
-	mu       sync.Mutex
-	handlers map[Kind]Handler
-	remotes  map[netip.AddrPort]*remote
-	sessions map[*session]struct{}
-	verified time.Time
+	mu         sync.Mutex
+	handlers   map[Kind]Handler
+	remotes    map[netip.AddrPort]*remote
+	inbound    map[*connection]struct{}
+	lastVerify time.Time
 }
 
-var _ Link = (*Peer)(nil)
+var _ Transport = (*Peer)(nil)
 
 // New binds the socket. Calls work from then on; Run serves those of others.
 func New(cfg Config) (*Peer, error) {
@@ -133,24 +133,24 @@
 		conn = bound
 	}
 	if cfg.Log == nil {
-		cfg.Log = journal.Nop()
+		cfg.Log = logging.Nop()
 	}
 	reset := quic.StatelessResetKey(cfg.Keys.ResetSecret())
 	p := &Peer{
-		keys:      cfg.Keys,
-		log:       journal.Part(cfg.Log, "peer"),
-		cut:       cfg.Cut,
-		every:     cmp.Or(cfg.Upkeep, defaultUpkeep),
-		transport: &quic.Transport{Conn: conn, StatelessResetKey: &reset},
-		handlers:  make(map[Kind]Handler),
-		remotes:   make(map[netip.AddrPort]*remote),
-		sessions:  make(map[*session]struct{}),
+		keys:           cfg.Keys,
+		log:            logging.Component(cfg.Log, "peer"),
+		partitioned:    cfg.Partitioned,
+		upkeepInterval: cmp.Or(cfg.UpkeepInterval, defaultUpkeepInterval),
+		transport:      &quic.Transport{Conn: conn, StatelessResetKey: &reset},
+		handlers:       make(map[Kind]Handler),
+		remotes:        make(map[netip.AddrPort]*remote),
+		inbound:        make(map[*connection]struct{}),
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	if p.keys.Self().Role == RoleOperator {
 		return p, nil
 	}
-	listener, err := p.transport.Listen(p.keys.ServerTLS(Protocol), settings(0))
+	listener, err := p.transport.Listen(p.keys.ServerTLS(Protocol), quicConfig(0))
 	if err != nil {
 		return nil, fmt.Errorf("peer: listen: %w", errors.Join(err, conn.Close()))
 	}
@@ -170,9 +170,9 @@
 	return conn, nil
 }
 
-// settings returns the QUIC configuration; only the side that dialled keeps a
+// quicConfig returns the QUIC configuration; only the side that dialled keeps a
 // connection alive.
-func settings(keepAlivePeriod time.Duration) *quic.Config {
+func quicConfig(keepAlivePeriod time.Duration) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           handshakeTimeout,
 		MaxIdleTimeout:                 idleTimeout,
@@ -211,9 +211,9 @@
 // Run serves messages and follows the key files until ctx ends or Close.
 func (p *Peer) Run(ctx context.Context) error {
 	if p.listener != nil {
-		p.accepting.Go(p.run)
+		p.accepting.Go(p.acceptLoop)
 	}
-	p.loop(ctx)
+	p.upkeepLoop(ctx)
 	return p.Close()
 }
 
@@ -227,8 +227,8 @@
 // Run closes as well, once Close has told it to end; who comes second waits for
 // the first, so that the address is free when either returns.
 func (p *Peer) Close() error {
-	p.closing.Do(func() { p.closed = p.close() })
-	return p.closed
+	p.closeOnce.Do(func() { p.closeErr = p.close() })
+	return p.closeErr
 }
 
 func (p *Peer) close() error {
@@ -239,9 +239,9 @@
 	p.accepting.Wait()
 	p.cancel()
 	p.closeRemotes()
-	p.serving.Wait()
+	p.connections.Wait()
 	errs = append(errs, p.transport.Close())
-	p.work.Wait()
+	p.handling.Wait()
 	errs = append(errs, p.transport.Conn.Close())
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("peer: close: %w", err)
@@ -254,13 +254,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.remotes {
-		r.close(codeStop)
+		r.close(codeClosed)
 	}
 }
 
-// loop looks after keys and connections until the end.
-func (p *Peer) loop(ctx context.Context) {
-	ticker := time.NewTicker(p.every)
+// upkeepLoop looks after keys and connections until the end.
+func (p *Peer) upkeepLoop(ctx context.Context) {
+	ticker := time.NewTicker(p.upkeepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -286,9 +286,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if changed || now.Sub(p.verified) >= verifyInterval {
-		p.verified = now
-		p.verify(now)
+	if changed || now.Sub(p.lastVerify) >= verifyInterval {
+		p.lastVerify = now
+		p.verifyAll(now)
 	}
 	for addr, r := range p.remotes {
 		if !r.upkeep(now) {
@@ -297,10 +297,10 @@
 	}
 }
 
-// verify ends the connections whose certificates are no longer valid. The
+// verifyAll ends the connections whose certificates are no longer valid. The
 // caller holds mu.
-func (p *Peer) verify(now time.Time) {
-	for s := range p.sessions {
+func (p *Peer) verifyAll(now time.Time) {
+	for s := range p.inbound {
 		if _, err := p.keys.Verify(now, s.chain); err != nil {
 			p.log.Warn("Connection ended, its certificate is no longer valid.", slog.String("host", string(s.identity.Host)))
 			s.close(codeDenied)
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -9,35 +9,35 @@
 
 	"github.com/quic-go/quic-go"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 )
 
-// session is one open connection.
-type session struct {
-	owner    *Peer
+// connection is one open connection.
+type connection struct {
+	peer     *Peer
 	conn     *quic.Conn
 	identity Identity
 	chain    []*x509.Certificate
 }
 
-func newSession(owner *Peer, conn *quic.Conn, now time.Time) (*session, error) {
+func newConnection(owner *Peer, conn *quic.Conn, now time.Time) (*connection, error) {
 	chain := conn.ConnectionState().TLS.PeerCertificates
 	identity, err := owner.keys.Verify(now, chain)
 	if err != nil {
 		return nil, err
 	}
-	return &session{owner: owner, conn: conn, identity: identity, chain: chain}, nil
+	return &connection{peer: owner, conn: conn, identity: identity, chain: chain}, nil
 }
 
-func (s *session) alive() bool { return s.conn.Context().Err() == nil }
+func (s *connection) alive() bool { return s.conn.Context().Err() == nil }
 
-func (s *session) close(code quic.ApplicationErrorCode) {
+func (s *connection) close(code quic.ApplicationErrorCode) {
 	// Closing reports only that the connection had ended already.
 	_ = s.conn.CloseWithError(code, "")
 }
 
-// run accepts connections until the end.
-func (p *Peer) run() {
+// acceptLoop accepts connections until the end.
+func (p *Peer) acceptLoop() {
 	for {
 		conn, err := p.listener.Accept(p.ctx)
 		if err != nil {
@@ -48,7 +48,7 @@
 }
 
 func (p *Peer) accept(conn *quic.Conn) {
-	s, err := newSession(p, conn, time.Now())
+	s, err := newConnection(p, conn, time.Now())
 	if err != nil {
 		p.log.Warn("Connection refused.", slog.String("from", conn.RemoteAddr().String()), slog.Any("error", err))
 		_ = conn.CloseWithError(codeDenied, "")
@@ -56,102 +56,102 @@
 	}
 	if !p.admit(s) {
 		p.log.Warn("Connection refused, too many are open.", slog.String("from", conn.RemoteAddr().String()))
-		s.close(codeFull)
+		s.close(codeTooMany)
 		return
 	}
-	p.serving.Go(s.loop)
+	p.connections.Go(s.serve)
 }
 
 // admit enters a session unless too many are open or the peer has ended.
-func (p *Peer) admit(s *session) bool {
+func (p *Peer) admit(s *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ctx.Err() != nil || len(p.sessions) >= maxSessions {
+	if p.ctx.Err() != nil || len(p.inbound) >= maxInbound {
 		return false
 	}
-	p.sessions[s] = struct{}{}
+	p.inbound[s] = struct{}{}
 	return true
 }
 
-// loop takes the messages of one connection until it ends, or this process.
-func (s *session) loop() {
-	defer s.owner.forget(s)
-	defer s.close(codeStop)
+// serve takes the messages of one connection until it ends, or this process.
+func (s *connection) serve() {
+	defer s.peer.forget(s)
+	defer s.close(codeClosed)
 	for {
-		stream, err := s.conn.AcceptStream(s.owner.ctx)
+		stream, err := s.conn.AcceptStream(s.peer.ctx)
 		if err != nil {
 			return
 		}
-		m := &message{session: s, stream: stream}
-		s.owner.work.Add(1)
-		go m.run()
+		m := &message{conn: s, stream: stream}
+		s.peer.handling.Add(1)
+		go m.serve()
 	}
 }
 
-func (p *Peer) forget(s *session) {
+func (p *Peer) forget(s *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.sessions, s)
+	delete(p.inbound, s)
 }
 
 // message is one message of another process while it is answered.
 type message struct {
-	session *session
-	stream  *quic.Stream
+	conn   *connection
+	stream *quic.Stream
 }
 
-// run reads the message, lets its handler answer and sends that back.
-func (m *message) run() {
-	defer m.session.owner.work.Done()
-	defer m.stream.CancelRead(streamGone)
+// serve reads the message, lets its handler answer and sends that back.
+func (m *message) serve() {
+	defer m.conn.peer.handling.Done()
+	defer m.stream.CancelRead(streamClosed)
 	if err := m.stream.SetReadDeadline(time.Now().Add(maxTimeout)); err != nil {
 		return
 	}
 	req, err := readRequest(m.stream)
 	if err != nil {
-		m.stream.CancelWrite(streamGone)
+		m.stream.CancelWrite(streamClosed)
 		return
 	}
 	ctx, cancel := context.WithTimeout(m.stream.Context(), req.timeout)
 	defer cancel()
-	body, err := m.answer(ctx, req)
+	body, err := m.handle(ctx, req)
 	if err != nil && ctx.Err() != nil {
 		// The caller is about to give up too: an error text that wins that
 		// race by a moment would look like a decision of the handler.
-		m.stream.CancelWrite(streamStale)
+		m.stream.CancelWrite(streamExpired)
 		return
 	}
 	if err := m.stream.SetWriteDeadline(time.Now().Add(req.timeout)); err != nil {
 		return
 	}
-	if _, err := m.stream.Write(encodeAnswer(body, err)); err != nil {
-		m.stream.CancelWrite(streamGone)
+	if _, err := m.stream.Write(encodeResponse(body, err)); err != nil {
+		m.stream.CancelWrite(streamClosed)
 		return
 	}
 	if err := m.stream.Close(); err != nil {
-		m.stream.CancelWrite(streamGone)
+		m.stream.CancelWrite(streamClosed)
 	}
 }
 
-// answer runs the handler. One that panics ends its message alone.
-func (m *message) answer(ctx context.Context, req request) (body []byte, err error) {
+// handle runs the handler. One that panics ends its message alone.
+func (m *message) handle(ctx context.Context, req request) (body []byte, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			journal.Panicked(m.session.owner.log, "message", cause)
+			logging.LogPanic(m.conn.peer.log, "message", cause)
 			body, err = nil, errPanicked
 		}
 	}()
-	return m.session.owner.answer(ctx, m.session.identity, req)
+	return m.conn.peer.dispatch(ctx, m.conn.identity, req)
 }
 
 // errPanicked is the answer to a message whose handler panicked.
 var errPanicked = errors.New("peer: handler failed")
 
-func (p *Peer) answer(ctx context.Context, from Identity, req request) ([]byte, error) {
+func (p *Peer) dispatch(ctx context.Context, from Identity, req request) ([]byte, error) {
 	p.mu.Lock()
 	handler := p.handlers[req.kind]
 	p.mu.Unlock()
-	if handler == nil || !asks(from.Role, req.kind) {
+	if handler == nil || !maySend(from.Role, req.kind) {
 		return nil, ErrRefused
 	}
 	return handler(ctx, from, req.body)
--- a/internal/peer/trust_test.go
+++ b/internal/peer/trust_test.go
@@ -20,21 +20,21 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-// spoiled shows another certificate than its material's own.
-type spoiled struct {
+// wrongCertificate shows another certificate than its material's own.
+type wrongCertificate struct {
 	*keys.Material
 
-	shown []tls.Certificate
+	presented []tls.Certificate
 }
 
-func (s spoiled) ClientTLS(protocol string) *tls.Config {
+func (s wrongCertificate) ClientTLS(protocol string) *tls.Config {
 	config := s.Material.ClientTLS(protocol)
-	config.Certificates = s.shown
+	config.Certificates = s.presented
 	return config
 }
 
-// nameless makes a certificate of the authority in dir that names no process.
-func nameless(t *testing.T, dir string) tls.Certificate {
+// certificateWithoutIdentity makes a certificate of the authority in dir that names no process.
+func certificateWithoutIdentity(t *testing.T, dir string) tls.Certificate {
 	t.Helper()
 	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, keys.AuthorityFile), filepath.Join(dir, keys.AuthorityKeyFile))
 	assert.NilError(t, err)
@@ -51,7 +51,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}
 }
 
-func expired(t *testing.T, dir string) *keys.Material {
+func expiredCredentials(t *testing.T, dir string) *keys.Material {
 	t.Helper()
 	const age = 2 * 365 * 24 * time.Hour
 	past := time.Now().Add(-age)
@@ -69,34 +69,34 @@
 	return m
 }
 
-// TestStrangersGetInNowhere calls a lead's process with wrong certificates.
-func TestStrangersGetInNowhere(t *testing.T) {
+// TestInvalidClientCertificatesRejected calls a lead's process with wrong certificates.
+func TestInvalidClientCertificatesRejected(t *testing.T) {
 	tests := map[string]func(t *testing.T, dir string) peer.Credentials{
 		"of another authority": func(t *testing.T, dir string) peer.Credentials {
-			own, other := material(t, dir, "h2", peer.RoleLead), material(t, authority(t), "h2", peer.RoleLead)
-			return spoiled{Material: own, shown: other.ClientTLS("").Certificates}
+			own, other := newCredentials(t, dir, "h2", peer.RoleLead), newCredentials(t, newAuthority(t), "h2", peer.RoleLead)
+			return wrongCertificate{Material: own, presented: other.ClientTLS("").Certificates}
 		},
 		"without a certificate": func(t *testing.T, dir string) peer.Credentials {
-			return spoiled{Material: material(t, dir, "h2", peer.RoleLead)}
+			return wrongCertificate{Material: newCredentials(t, dir, "h2", peer.RoleLead)}
 		},
 		"that names no process": func(t *testing.T, dir string) peer.Credentials {
-			return spoiled{Material: material(t, dir, "h2", peer.RoleLead), shown: []tls.Certificate{nameless(t, dir)}}
+			return wrongCertificate{Material: newCredentials(t, dir, "h2", peer.RoleLead), presented: []tls.Certificate{certificateWithoutIdentity(t, dir)}}
 		},
 		"that has expired": func(t *testing.T, dir string) peer.Credentials {
-			old := expired(t, dir)
-			return spoiled{Material: material(t, dir, "h2", peer.RoleLead), shown: old.ClientTLS("").Certificates}
+			old := expiredCredentials(t, dir)
+			return wrongCertificate{Material: newCredentials(t, dir, "h2", peer.RoleLead), presented: old.ClientTLS("").Certificates}
 		},
 	}
 	for name, stranger := range tests {
 		t.Run(name, func(t *testing.T) {
-			dir := authority(t)
+			dir := newAuthority(t)
 			credentials := stranger(t, dir)
-			server := start(t, material(t, dir, "h1", peer.RoleLead), anyPort())
-			for kind := peer.KindCell; kind <= peer.KindWork; kind++ {
+			server := start(t, newCredentials(t, dir, "h1", peer.RoleLead), anyPort())
+			for kind := peer.KindCell; kind <= peer.KindForward; kind++ {
 				server.Handle(kind, echo)
 			}
 			client := start(t, credentials, anyPort())
-			for kind := peer.KindCell; kind <= peer.KindWork; kind++ {
+			for kind := peer.KindCell; kind <= peer.KindForward; kind++ {
 				_, err := client.Call(t.Context(), server.Addr(), kind, nil)
 				assert.Assert(t, err != nil, "kind %d was answered", kind)
 			}
@@ -104,10 +104,10 @@
 	}
 }
 
-// TestImpostorsAreNotAsked calls processes that are not what they should be.
-func TestImpostorsAreNotAsked(t *testing.T) {
-	dir := authority(t)
-	other := authority(t)
+// TestInvalidServersNotCalled calls processes that are not what they should be.
+func TestInvalidServersNotCalled(t *testing.T) {
+	dir := newAuthority(t)
+	other := newAuthority(t)
 	elsewhere := func(t *testing.T) peer.Credentials {
 		t.Helper()
 		ips := []netip.Addr{netip.MustParseAddr("10.9.9.9")}
@@ -120,28 +120,28 @@
 		server peer.Credentials
 		want   error
 	}{
-		"of another authority":     {server: material(t, other, "h1", peer.RoleLead), want: peer.ErrUnreachable},
+		"of another authority":     {server: newCredentials(t, other, "h1", peer.RoleLead), want: peer.ErrUnreachable},
 		"with another IP number":   {server: elsewhere(t), want: peer.ErrUnreachable},
-		"an entry asked as a lead": {server: material(t, dir, "h1", peer.RoleEntry), want: peer.ErrRefused},
+		"an entry asked as a lead": {server: newCredentials(t, dir, "h1", peer.RoleEntry), want: peer.ErrRefused},
 	}
-	client := start(t, material(t, dir, "h2", peer.RoleLead), anyPort())
+	client := start(t, newCredentials(t, dir, "h2", peer.RoleLead), anyPort())
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			server := start(t, tt.server, anyPort())
-			server.Handle(peer.KindSpread, echo)
-			_, err := client.Call(t.Context(), server.Addr(), peer.KindSpread, nil)
+			server.Handle(peer.KindSync, echo)
+			_, err := client.Call(t.Context(), server.Addr(), peer.KindSync, nil)
 			assert.ErrorIs(t, err, tt.want)
 		})
 	}
 }
 
-// startQuick is start with frequent looks at the key files.
-func startQuick(t *testing.T, m peer.Credentials) *peer.Peer {
+// startFastUpkeep is start with frequent looks at the key files.
+func startFastUpkeep(t *testing.T, m peer.Credentials) *peer.Peer {
 	t.Helper()
 	const upkeep = 10 * time.Millisecond
-	p, err := peer.New(peer.Config{Listen: anyPort(), Keys: m, Upkeep: upkeep})
+	p, err := peer.New(peer.Config{Listen: anyPort(), Keys: m, UpkeepInterval: upkeep})
 	assert.NilError(t, err)
-	p.Handle(peer.KindSpread, echo)
+	p.Handle(peer.KindSync, echo)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -164,17 +164,17 @@
 // TestRotationWithoutRestart replaces the authority and all certificates under
 // running processes, then takes the old authority out.
 func TestRotationWithoutRestart(t *testing.T) {
-	dir := authority(t)
-	first, second := material(t, dir, "h1", peer.RoleLead), material(t, dir, "h2", peer.RoleLead)
+	dir := newAuthority(t)
+	first, second := newCredentials(t, dir, "h1", peer.RoleLead), newCredentials(t, dir, "h2", peer.RoleLead)
 	left := t.TempDir()
 	assert.NilError(t, os.CopyFS(left, os.DirFS(dir)))
-	a, b := startQuick(t, first), startQuick(t, second)
+	a, b := startFastUpkeep(t, first), startFastUpkeep(t, second)
 	assert.NilError(t, keys.MakeHost(time.Now(), left, "h3", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
 	third, err := keys.Load(time.Now(), left, "h3", peer.RoleLead)
 	assert.NilError(t, err)
-	stale := startQuick(t, third)
+	stale := startFastUpkeep(t, third)
 	works := func(from, to *peer.Peer) bool {
-		_, err := from.Call(t.Context(), to.Addr(), peer.KindSpread, nil)
+		_, err := from.Call(t.Context(), to.Addr(), peer.KindSync, nil)
 		return err == nil
 	}
 	assert.Assert(t, works(a, b) && works(b, a) && works(stale, a) && works(a, stale))
@@ -182,11 +182,11 @@
 	assert.NilError(t, keys.MakeAuthority(time.Now(), dir))
 	assert.Assert(t, works(a, b) && works(b, a), "with both authorities")
 	oldLeaf := leafOf(t, dir, "h1")
-	material(t, dir, "h1", peer.RoleLead)
-	material(t, dir, "h2", peer.RoleLead)
+	newCredentials(t, dir, "h1", peer.RoleLead)
+	newCredentials(t, dir, "h2", peer.RoleLead)
 	assert.Assert(t, string(oldLeaf) != string(leafOf(t, dir, "h1")))
 	eventually(t, "new certificates are in use", func() bool {
-		return shows(first, leafOf(t, dir, "h1")) && shows(second, leafOf(t, dir, "h2"))
+		return presents(first, leafOf(t, dir, "h1")) && presents(second, leafOf(t, dir, "h2"))
 	})
 	assert.Assert(t, works(a, b) && works(b, a), "with new certificates")
 
@@ -204,6 +204,6 @@
 	return block.Bytes
 }
 
-func shows(m *keys.Material, leaf []byte) bool {
+func presents(m *keys.Material, leaf []byte) bool {
 	return string(m.ClientTLS("").Certificates[0].Certificate[0]) == string(leaf)
 }
--- a/internal/placement/layout.go
+++ b/internal/placement/layout.go
@@ -40,14 +40,14 @@
 func LayoutOf(now time.Time, t *table.Table, warmUp time.Duration) Layout {
 	var l Layout
 	for _, target := range t.Targets {
-		weight := WarmWeight(now, target.Since, warmUp)
+		weight := WarmWeight(now, target.WarmupStart, warmUp)
 		if target.Leaving {
 			weight = 0
 		}
-		l.Targets = append(l.Targets, TargetRow{Target: target.Target, Weight: weight})
+		l.Targets = append(l.Targets, TargetRow{Target: target.Name, Weight: weight})
 	}
-	solos := make(map[key.Shard]key.Hash, len(t.Solos))
-	for _, s := range t.Solos {
+	solos := make(map[key.Shard]key.Hash, len(t.SingleKeys))
+	for _, s := range t.SingleKeys {
 		solos[s.Shard] = s.Hash
 	}
 	for _, r := range t.Rows {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -19,8 +19,8 @@
 // WatchTimeout is the service's own bound on a waiting watch.
 const WatchTimeout = 10 * time.Second
 
-// clientConnections bounds the connections of one client to one address.
-const clientConnections = 16
+// maxClientConns bounds the connections of one client to one address.
+const maxClientConns = 16
 
 // ClientConfig names the platform and the caller.
 type ClientConfig struct {
@@ -35,17 +35,17 @@
 
 // Client reaches the platform over HTTP and JSON. It implements Store.
 type Client struct {
-	config ClientConfig
-	client *http.Client
-	next   atomic.Uint64 // index into Addrs of the address in use
+	config    ClientConfig
+	client    *http.Client
+	addrIndex atomic.Uint64 // index into Addrs of the address in use
 }
 
 // NewClient returns a client; it connects at the first call.
 func NewClient(config ClientConfig) *Client {
 	return &Client{config: config, client: &http.Client{
 		Transport: &http.Transport{
-			MaxConnsPerHost:     clientConnections,
-			MaxIdleConnsPerHost: clientConnections,
+			MaxConnsPerHost:     maxClientConns,
+			MaxIdleConnsPerHost: maxClientConns,
 			DisableCompression:  true,
 		},
 	}}
@@ -79,13 +79,13 @@
 	in := wireWrite{Path: string(path), Value: value, Expect: uint64(expect)}
 	var out wireRevision
 	err := c.call(ctx, pathWrite, in, &out, c.config.Timeout)
-	return Revision(out.Revision), at(path, err)
+	return Revision(out.Revision), withPath(path, err)
 }
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, path Path, expect Revision) error {
 	in := wireWrite{Path: string(path), Expect: uint64(expect)}
-	return at(path, c.call(ctx, pathDelete, in, nil, c.config.Timeout))
+	return withPath(path, c.call(ctx, pathDelete, in, nil, c.config.Timeout))
 }
 
 // Watch implements Store.
@@ -94,7 +94,7 @@
 	var out wireList
 	err := c.call(ctx, pathWatch, in, &out, c.config.Timeout+WatchTimeout)
 	if err != nil {
-		return nil, from, unavailable(err)
+		return nil, from, unknownAsUnavailable(err)
 	}
 	changes := make([]Change, len(out.Entries))
 	for i, w := range out.Entries {
@@ -125,7 +125,7 @@
 // read makes a call that changes nothing: a lost answer is no more than an
 // unavailable store.
 func (c *Client) read(ctx context.Context, path string, in, out any) error {
-	return unavailable(c.call(ctx, path, in, out, c.config.Timeout))
+	return unknownAsUnavailable(c.call(ctx, path, in, out, c.config.Timeout))
 }
 
 // call tries the addresses in turn for as long as nothing was sent.
@@ -138,13 +138,13 @@
 	defer cancel()
 	err = fmt.Errorf("%w: no address", ErrUnavailable)
 	for range c.config.Addrs {
-		index := c.next.Load()
+		index := c.addrIndex.Load()
 		addr := c.config.Addrs[index%uint64(len(c.config.Addrs))]
 		err = c.send(ctx, addr, path, body, out)
 		if !errors.Is(err, ErrUnavailable) {
 			return err
 		}
-		c.next.CompareAndSwap(index, index+1)
+		c.addrIndex.CompareAndSwap(index, index+1)
 	}
 	return err
 }
@@ -165,7 +165,7 @@
 	response, err := c.client.Do(request)
 	if err != nil {
 		if sent.Load() {
-			return fmt.Errorf("%w: %w", ErrUnknown, err)
+			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -176,7 +176,7 @@
 func decodeResponse(response *http.Response, out any) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -192,7 +192,7 @@
 	case http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: refused", ErrUnavailable)
 	}
-	return fmt.Errorf("%w: status %d", ErrUnknown, response.StatusCode)
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, response.StatusCode)
 }
 
 func decodeBody(body []byte, out any) error {
@@ -200,22 +200,22 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
 }
 
-// unavailable turns ErrUnknown into ErrUnavailable, for calls that change
+// unknownAsUnavailable turns ErrUnknown into ErrUnavailable, for calls that change
 // nothing.
-func unavailable(err error) error {
-	if errors.Is(err, ErrUnknown) {
+func unknownAsUnavailable(err error) error {
+	if errors.Is(err, ErrOutcomeUnknown) {
 		return fmt.Errorf("%w: %s", ErrUnavailable, err.Error())
 	}
 	return err
 }
 
-// at names the path in a conflict.
-func at(path Path, err error) error {
+// withPath names the path in a conflict.
+func withPath(path Path, err error) error {
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
 		conflict.Path = path
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -32,7 +32,7 @@
 	return l.Addr().String()
 }
 
-func TestClientTellsUnknownFromUnavailable(t *testing.T) {
+func TestClientDistinguishesUnknownFromUnavailable(t *testing.T) {
 	lost := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		panic(http.ErrAbortHandler) // the call was taken, the answer is lost
@@ -47,7 +47,7 @@
 		addr  string
 		write error
 	}{
-		"answer lost": {addr: lost.Listener.Addr().String(), write: platform.ErrUnknown},
+		"answer lost": {addr: lost.Listener.Addr().String(), write: platform.ErrOutcomeUnknown},
 		"refused":     {addr: refusing.Listener.Addr().String(), write: platform.ErrUnavailable},
 		"nobody":      {addr: closedAddr(t), write: platform.ErrUnavailable},
 	}
--- a/internal/platform/era.go
+++ b/internal/platform/era.go
@@ -18,8 +18,8 @@
 	revisionBits = 64 - eraBits
 )
 
-// Eras is how many there are before they begin anew.
-const Eras = 1 << eraBits
+// EraCount is how many there are before they begin anew.
+const EraCount = 1 << eraBits
 
 // Revision returns the revision of that number in the era. Those of a later era are
 // higher than all of an earlier one.
@@ -39,5 +39,5 @@
 // been carried out is not known.
 var ErrRestored = errors.New("platform: store has come back from an older copy")
 
-// ErrSessionForgotten is ErrSessionEnded where that is why.
-var ErrSessionForgotten = fmt.Errorf("%w: %w", ErrSessionEnded, ErrRestored)
+// ErrSessionLost is ErrSessionEnded where that is why.
+var ErrSessionLost = fmt.Errorf("%w: %w", ErrSessionEnded, ErrRestored)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -50,9 +50,9 @@
 // ErrNotFound is returned by Get for a path without a value.
 var ErrNotFound = errors.New("platform: no value at this path")
 
-// ErrUnknown is returned where a write may or may not have taken effect: the
+// ErrOutcomeUnknown is returned where a write may or may not have taken effect: the
 // answer was lost. The caller reads back and compares.
-var ErrUnknown = errors.New("platform: answer lost, the write may have taken effect")
+var ErrOutcomeUnknown = errors.New("platform: answer lost, the write may have taken effect")
 
 // ErrUnavailable is returned where the store did certainly not take the call.
 var ErrUnavailable = errors.New("platform: store unavailable")
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -66,8 +66,8 @@
 	// Open starts a session that lapses ttl after the arrival of this call
 	// or of the last Keep.
 	Open(ctx context.Context, ttl time.Duration) (SessionID, error)
-	// Keep renews a session, or returns ErrSessionEnded.
-	Keep(ctx context.Context, id SessionID) error
+	// KeepAlive renews a session, or returns ErrSessionEnded.
+	KeepAlive(ctx context.Context, id SessionID) error
 	// End ends a session and removes its values.
 	End(ctx context.Context, id SessionID) error
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/option"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/version"
@@ -112,7 +112,7 @@
 	if o.Verbose {
 		level = slog.LevelDebug
 	}
-	log := journal.Part(journal.New(errOut, level, o.LogJSON), part)
+	log := logging.Component(logging.New(errOut, level, o.LogJSON), part)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	daemon, err := opener.Open(log)
--- a/internal/settings/commit_test.go
+++ b/internal/settings/commit_test.go
@@ -11,19 +11,19 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/preset"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 var at = time.Unix(1_800_000_000, 0).UTC()
 
 // start returns a store with the agency's settings as revision 1.
-func start(t *testing.T) (*standin.Platform, *settings.Committer) {
+func start(t *testing.T) (*fake.Platform, *settings.Committer) {
 	t.Helper()
-	store := standin.NewPlatform()
+	store := fake.NewPlatform()
 	c := settings.NewCommitter(store)
 	p, err := preset.Get(preset.Agency)
 	assert.NilError(t, err)
@@ -111,15 +111,15 @@
 		assert.Assert(t, ok)
 		assert.Equal(t, service.MovesPerMinute%10, i, "%s was written last by %s", path, by)
 	}
-	assert.Equal(t, store.Counts().LostAnswers, uint64(0))
+	assert.Equal(t, store.Counts().LostResponses, uint64(0))
 }
 
 func TestStoreOutIsNotAccepted(t *testing.T) {
 	store, c := start(t)
-	store.SetFaults(standin.PlatformFaults{Down: true})
+	store.SetFaults(fake.PlatformFaults{Down: true})
 	_, err := c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 7))})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
-	store.SetFaults(standin.PlatformFaults{})
+	store.SetFaults(fake.PlatformFaults{})
 	now, err := c.Load(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, now.Number, uint64(1))
@@ -128,7 +128,7 @@
 // losingStore loses the answer of the next write, after or before its effect,
 // and may then go down.
 type losingStore struct {
-	*standin.Platform
+	*fake.Platform
 	before, down bool
 	lost         bool
 }
@@ -143,8 +143,8 @@
 			return 0, err
 		}
 	}
-	s.SetFaults(standin.PlatformFaults{Down: s.down})
-	return 0, platform.ErrUnknown
+	s.SetFaults(fake.PlatformFaults{Down: s.down})
+	return 0, platform.ErrOutcomeUnknown
 }
 
 func TestLostAnswer(t *testing.T) {
@@ -168,7 +168,7 @@
 			assert.ErrorIs(t, err, c.want)
 
 			// The same write again, once the store answers, is applied once.
-			store.SetFaults(standin.PlatformFaults{})
+			store.SetFaults(fake.PlatformFaults{})
 			done, err := committer.Commit(t.Context(), at, req)
 			assert.NilError(t, err)
 			assert.Equal(t, done.Write.Number, uint64(2))
@@ -260,7 +260,7 @@
 	_, err := c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 7))})
 	assert.NilError(t, err)
 	offer()
-	store.SetFaults(standin.PlatformFaults{OldValues: true})
+	store.SetFaults(fake.PlatformFaults{StaleReads: true})
 	offer()
 	_, number, since := applied.InForce()
 	assert.Equal(t, number, uint64(2))
@@ -269,7 +269,7 @@
 	// A write on top of an old value loses, whatever its writer saw.
 	_, err = c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 9))})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
-	store.SetFaults(standin.PlatformFaults{})
+	store.SetFaults(fake.PlatformFaults{})
 	now, err := c.Load(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, now.Number, uint64(2))
--- a/internal/settings/converge_bench_test.go
+++ b/internal/settings/converge_bench_test.go
@@ -12,14 +12,14 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"citrontray.example/citrontray/internal/journal"
+	"citrontray.example/citrontray/internal/docsync"
+	"citrontray.example/citrontray/internal/fake"
+	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
 	"citrontray.example/citrontray/internal/preset"
 	"citrontray.example/citrontray/internal/settings"
-	"citrontray.example/citrontray/internal/spread"
-	"citrontray.example/citrontray/internal/standin"
 )
 
 // The users' network: one way between two availability zones, and a call of
@@ -61,19 +61,19 @@
 // holder is one host: its board and what it has in force.
 type holder struct {
 	settings.Applied
-	board *spread.Memory
+	board *docsync.MemoryReplica
 }
 
 // loop applies what comes onto the board.
 func (h *holder) loop(ctx context.Context, at func(number uint64)) error {
-	news := h.board.Subscribe(spread.Settings)
+	news := h.board.Subscribe(docsync.Settings)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-news:
 		}
-		doc, ok := h.board.Get(spread.Settings)
+		doc, ok := h.board.Get(docsync.Settings)
 		if !ok {
 			continue
 		}
@@ -87,7 +87,7 @@
 
 // spreading is a deployment of holders on one store.
 type spreading struct {
-	store   *standin.Platform
+	store   *fake.Platform
 	holders []*holder
 	mu      sync.Mutex
 	reached map[uint64]time.Time // when all holders had a number
@@ -107,8 +107,8 @@
 
 // startHolders starts count holders in three zones.
 func startHolders(ctx context.Context, group *errgroup.Group, count int) *spreading {
-	s := &spreading{store: standin.NewPlatform(), behind: make([]uint64, count), reached: make(map[uint64]time.Time)}
-	s.store.SetFaults(standin.PlatformFaults{SlowMin: storeDelay, SlowMax: storeDelay})
+	s := &spreading{store: fake.NewPlatform(), behind: make([]uint64, count), reached: make(map[uint64]time.Time)}
+	s.store.SetFaults(fake.PlatformFaults{SlowMin: storeDelay, SlowMax: storeDelay})
 	s.store.SetFleetLag(0)
 	net := &wire{links: make(map[netip.AddrPort]*link)}
 	address := func(i int) netip.AddrPort {
@@ -119,9 +119,9 @@
 		id := peer.Identity{Host: place.Host(fmt.Sprintf("h%d", i)), Zone: place.Zone(fmt.Sprintf("z%d", i%3)), Role: peer.RoleLead}
 		l := &link{wire: net, self: id, handlers: make(map[peer.Kind]peer.Handler)}
 		s.store.SetHost(time.Now(), place.HostRow{Host: id.Host, Zone: id.Zone, LeadAddr: address(i)})
-		h := &holder{board: spread.New()}
+		h := &holder{board: docsync.New()}
 		s.holders = append(s.holders, h)
-		node := spread.NewNode(h.board, l, spread.Config{Self: id, Addr: address(i), Seeds: seeds, Store: s.store, Log: journal.Nop()})
+		node := docsync.NewNode(h.board, l, docsync.Config{Self: id, Addr: address(i), Seeds: seeds, Store: s.store, Log: logging.Nop()})
 		net.mu.Lock()
 		net.links[address(i)] = l
 		net.mu.Unlock()
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -146,7 +146,7 @@
 	case "late":
 		d.late = append(d.late, c)
 	}
-	return storeAnswer{err: platform.ErrUnknown}
+	return storeAnswer{err: platform.ErrOutcomeUnknown}
 }
 
 // serve lets one waiting call through.
--- a/internal/status/meter.go
+++ b/internal/status/meter.go
@@ -72,5 +72,5 @@
 
 // scope returns the metrics with one label, whose values are bounded.
 func (m *Meter) scope(label, value string) tally.Scope {
-	return m.registry.Tagged(map[string]string{label: m.registry.Value(label, value)})
+	return m.registry.Tagged(map[string]string{label: m.registry.LabelValue(label, value)})
 }
--- a/internal/table/codec.go
+++ b/internal/table/codec.go
@@ -11,19 +11,19 @@
 )
 
 type wireTable struct {
-	_        struct{} `cbor:",toarray"`
-	Service  string
-	Zone     string
-	Term     uint64
-	Sequence uint64
-	Lead     string
-	LeadAddr string
-	Shards   uint32
-	Targets  []wireTarget
+	_          struct{} `cbor:",toarray"`
+	Service    string
+	Zone       string
+	Term       uint64
+	Sequence   uint64
+	Leader     string
+	LeaderAddr string
+	Shards     uint32
+	Targets    []wireTarget
 	// Rows holds shard, epoch and owner of each row, one after the other;
 	// shards as the difference to the row before.
-	Rows  []uint64
-	Solos []uint64 // hash and shard of each solo key, one after the other
+	Rows       []uint64
+	SingleKeys []uint64 // hash and shard of each solo key, one after the other
 }
 
 type wireTarget struct {
@@ -36,8 +36,8 @@
 
 // The numbers per entry of wireTable.Rows and wireTable.Solos.
 const (
-	rowNumbers  = 3
-	soloNumbers = 2
+	rowWidth       = 3
+	singleKeyWidth = 2
 )
 
 // Encode returns the table as it travels between hosts.
@@ -45,8 +45,8 @@
 	w := wireTable{
 		Service: string(t.Service), Zone: string(t.Zone),
 		Term: uint64(t.Version.Term), Sequence: t.Version.Sequence,
-		Lead: string(t.Lead), LeadAddr: wire.AddrText(t.LeadAddr), Shards: uint32(t.Shards),
-		Rows: make([]uint64, 0, rowNumbers*len(t.Rows)),
+		Leader: string(t.Leader), LeaderAddr: wire.FormatAddr(t.LeaderAddr), Shards: uint32(t.Shards),
+		Rows: make([]uint64, 0, rowWidth*len(t.Rows)),
 	}
 	for _, target := range t.Targets {
 		w.Targets = append(w.Targets, targetToWire(target))
@@ -56,8 +56,8 @@
 		w.Rows = append(w.Rows, uint64(r.Shard-last), uint64(r.Epoch), uint64(r.Owner))
 		last = r.Shard
 	}
-	for _, s := range t.Solos {
-		w.Solos = append(w.Solos, uint64(s.Hash), uint64(s.Shard))
+	for _, s := range t.SingleKeys {
+		w.SingleKeys = append(w.SingleKeys, uint64(s.Hash), uint64(s.Shard))
 	}
 	data, err := cbor.Marshal(w)
 	return data, oops.Wrapf(err, "encode table")
@@ -70,29 +70,29 @@
 	if err := cbor.Unmarshal(data, &w); err != nil {
 		return Table{}, oops.Wrapf(err, "decode table")
 	}
-	if len(w.Rows)%rowNumbers != 0 || len(w.Solos)%soloNumbers != 0 {
+	if len(w.Rows)%rowWidth != 0 || len(w.SingleKeys)%singleKeyWidth != 0 {
 		return Table{}, oops.Errorf("decode table: cut rows")
 	}
 	t := Table{
 		Service: key.Service(w.Service), Zone: place.Zone(w.Zone),
 		Version: Version{Term: grant.Term(w.Term), Sequence: w.Sequence},
-		Lead:    place.Host(w.Lead), LeadAddr: wire.Addr(w.LeadAddr), Shards: key.ShardCount(w.Shards),
+		Leader:  place.Host(w.Leader), LeaderAddr: wire.ParseAddr(w.LeaderAddr), Shards: key.ShardCount(w.Shards),
 	}
 	for _, target := range w.Targets {
 		t.Targets = append(t.Targets, targetFromWire(target))
 	}
-	for i := 0; i < len(w.Solos); i += soloNumbers {
-		t.Solos = append(t.Solos, Solo{Hash: key.Hash(w.Solos[i]), Shard: key.Shard(w.Solos[i+1])})
+	for i := 0; i < len(w.SingleKeys); i += singleKeyWidth {
+		t.SingleKeys = append(t.SingleKeys, SingleKey{Hash: key.Hash(w.SingleKeys[i]), Shard: key.Shard(w.SingleKeys[i+1])})
 	}
 	return t, t.rowsFromWire(w.Rows)
 }
 
 func (t *Table) rowsFromWire(rows []uint64) error {
 	last := key.Shard(0)
-	for i := 0; i < len(rows); i += rowNumbers {
+	for i := 0; i < len(rows); i += rowWidth {
 		last += key.Shard(rows[i])
-		owner := Index(rows[i+2])
-		if rows[i+2] > uint64(None) || owner != None && int(owner) >= len(t.Targets) {
+		owner := TargetIndex(rows[i+2])
+		if rows[i+2] > uint64(NoOwner) || owner != NoOwner && int(owner) >= len(t.Targets) {
 			return oops.Errorf("decode table: shard %d names an unknown target", last)
 		}
 		t.Rows = append(t.Rows, Row{Shard: last, Epoch: grant.Epoch(rows[i+1]), Owner: owner})
@@ -102,14 +102,14 @@
 
 func targetToWire(t Target) wireTarget {
 	return wireTarget{
-		Target: string(t.Target), Addr: wire.AddrText(t.Addr),
-		Leaving: t.Leaving, Since: wire.Nanos(t.Since),
+		Target: string(t.Name), Addr: wire.FormatAddr(t.Addr),
+		Leaving: t.Leaving, Since: wire.UnixNano(t.WarmupStart),
 	}
 }
 
 func targetFromWire(w wireTarget) Target {
 	return Target{
-		Target: place.Target(w.Target), Addr: wire.Addr(w.Addr),
-		Leaving: w.Leaving, Since: wire.Time(w.Since),
+		Name: place.Target(w.Target), Addr: wire.ParseAddr(w.Addr),
+		Leaving: w.Leaving, WarmupStart: wire.Time(w.Since),
 	}
 }
--- a/internal/table/codec_test.go
+++ b/internal/table/codec_test.go
@@ -14,11 +14,11 @@
 
 func TestCodec(t *testing.T) {
 	whole := Table{
-		Service: "balance", Zone: "a", Version: Version{Term: 3, Sequence: 9}, Lead: "h1",
-		LeadAddr: netip.MustParseAddrPort("127.0.0.1:4000"), Shards: 4,
-		Targets: []Target{{Target: "t1", Addr: netip.MustParseAddrPort("127.0.0.1:5000"), Leaving: true, Since: time.Unix(7, 0).UTC()}, {}},
-		Rows:    []Row{{Shard: 0, Epoch: 4, Owner: 1}, {Shard: 3, Epoch: 1 << 40, Owner: None}, {Shard: 900, Epoch: 1}},
-		Solos:   []Solo{{Hash: key.HashOf("k"), Shard: 900}},
+		Service: "balance", Zone: "a", Version: Version{Term: 3, Sequence: 9}, Leader: "h1",
+		LeaderAddr: netip.MustParseAddrPort("127.0.0.1:4000"), Shards: 4,
+		Targets:    []Target{{Name: "t1", Addr: netip.MustParseAddrPort("127.0.0.1:5000"), Leaving: true, WarmupStart: time.Unix(7, 0).UTC()}, {}},
+		Rows:       []Row{{Shard: 0, Epoch: 4, Owner: 1}, {Shard: 3, Epoch: 1 << 40, Owner: NoOwner}, {Shard: 900, Epoch: 1}},
+		SingleKeys: []SingleKey{{Hash: key.HashOf("k"), Shard: 900}},
 	}
 	tests := map[string]Table{"empty": {}, "whole": whole}
 	for name, want := range tests {
@@ -32,8 +32,8 @@
 	}
 }
 
-func TestDecodeOfAnything(t *testing.T) {
-	whole, err := Encode(Table{Targets: []Target{{Target: "t"}}, Rows: []Row{{Shard: 1}, {Shard: 2, Owner: None}}})
+func TestDecodeCorrupted(t *testing.T) {
+	whole, err := Encode(Table{Targets: []Target{{Name: "t"}}, Rows: []Row{{Shard: 1}, {Shard: 2, Owner: NoOwner}}})
 	assert.NilError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
 		data := append([]byte{}, whole...)
@@ -45,7 +45,7 @@
 			return
 		}
 		for _, r := range decoded.Rows {
-			if r.Owner != None && int(r.Owner) >= len(decoded.Targets) {
+			if r.Owner != NoOwner && int(r.Owner) >= len(decoded.Targets) {
 				t.Fatalf("row %v names no target", r)
 			}
 		}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -10,11 +10,11 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Index is an index into Table.Targets.
-type Index uint16
+// TargetIndex is an index into Table.Targets.
+type TargetIndex uint16
 
-// None stands for a shard that no target owns now.
-const None Index = 0xffff
+// NoOwner stands for a shard that no target owns now.
+const NoOwner TargetIndex = 0xffff
 
 // Version orders the tables of one cell; a higher one replaces a lower one.
 type Version struct {
@@ -35,33 +35,33 @@
 	Service key.Service
 	Zone    place.Zone
 	Version Version
-	// Lead is where load reports of this cell go.
-	Lead     place.Host
-	LeadAddr netip.AddrPort
-	Shards   key.ShardCount
-	Targets  []Target
-	Rows     []Row
-	Solos    []Solo
+	// Leader is where load reports of this cell go.
+	Leader     place.Host
+	LeaderAddr netip.AddrPort
+	Shards     key.ShardCount
+	Targets    []Target
+	Rows       []Row
+	SingleKeys []SingleKey
 }
 
 // Target is one target of the cell.
 type Target struct {
-	Target  place.Target
+	Name    place.Target
 	Addr    netip.AddrPort
 	Leaving bool
-	// Since is the start of the target's warm-up ramp.
-	Since time.Time
+	// WarmupStart is the start of the target's warm-up ramp.
+	WarmupStart time.Time
 }
 
 // Row is one shard in the custody of the cell, sorted by Shard.
 type Row struct {
 	Shard key.Shard
 	Epoch grant.Epoch
-	Owner Index
+	Owner TargetIndex
 }
 
-// Solo is one hot key with a shard of its own.
-type Solo struct {
+// SingleKey is one hot key with a shard of its own.
+type SingleKey struct {
 	Hash  key.Hash
 	Shard key.Shard
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// AddrText returns the text of an address, empty for the zero address.
-func AddrText(a netip.AddrPort) string {
+// FormatAddr returns the text of an address, empty for the zero address.
+func FormatAddr(a netip.AddrPort) string {
 	if !a.IsValid() {
 		return ""
 	}
 	return a.String()
 }
 
-// Addr returns the address of a text, the zero address where it is none.
-func Addr(text string) netip.AddrPort {
+// ParseAddr returns the address of a text, the zero address where it is none.
+func ParseAddr(text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return netip.AddrPort{}
@@ -23,8 +23,8 @@
 	return a
 }
 
-// Nanos returns nanoseconds since 1970 in UTC, zero for the zero time.
-func Nanos(t time.Time) int64 {
+// UnixNano returns nanoseconds since 1970 in UTC, zero for the zero time.
+func UnixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
