--- a/cmd/citrontray-host/main.go
+++ b/cmd/citrontray-host/main.go
@@ -13,8 +13,8 @@
 	"os"
 	"time"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/host"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/option"
 	"citrontray.example/citrontray/internal/peer"
@@ -53,7 +53,7 @@
 	if verbose {
 		level = slog.LevelDebug
 	}
-	credentials, err := keys.MakeUnchecked(time.Now(), peer.Identity{Host: s.Host, Zone: s.Zone, Role: peer.RoleLead})
+	credentials, err := certs.NewUnverified(time.Now(), peer.Identity{Host: s.Host, Zone: s.Zone, Role: peer.RoleLead})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return option.ExitUsage
--- a/cmd/citrontray/deploy_test.go
+++ b/cmd/citrontray/deploy_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/fake"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/outcome"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
@@ -58,13 +58,13 @@
 	for i := range deployHosts {
 		a, zone := addrs[6*i:], p.Zones[i]
 		host := place.Host(fmt.Sprintf("host-%d", i+1))
-		ts.Check(keys.MakeHost(time.Now(), dir, host, zone, []peer.Role{peer.RoleLead, peer.RoleEntry}, []netip.Addr{a[0].Addr()}))
+		ts.Check(certs.IssueHost(time.Now(), dir, host, zone, []peer.Role{peer.RoleLead, peer.RoleEntry}, []netip.Addr{a[0].Addr()}))
 		store.SetHost(time.Now(), place.HostRow{Host: host, Zone: zone, LeadAddr: a[0], EntryAddr: a[1]})
 		common := fmt.Sprintf("--host %s --zone %s --region %s --platform %s --peers %s --keys %s",
 			host, zone, p.Region, ts.Getenv("PLATFORM"), strings.Join(seeds, ","), dir)
 		ts.Setenv(fmt.Sprintf("LEAD%d", i+1), fmt.Sprintf(
 			"%s --peer-address %s --admin-address %s --operator-address %s --operator-bootstrap %s",
-			common, a[0], a[2], a[3], settings.HashText(settings.HashCredential(bootstrap))))
+			common, a[0], a[2], a[3], settings.FormatHash(settings.HashCredential(bootstrap))))
 		ts.Setenv(fmt.Sprintf("ENTRY%d", i+1), fmt.Sprintf(
 			"%s --peer-address %s --admin-address %s --lead %s --http-address %s --stop-notice 10ms",
 			common, a[1], a[4], a[0], a[5]))
@@ -145,9 +145,9 @@
 	}
 	want := strings.Join(args[3:], " ")
 	for _, addr := range strings.Split(ts.Getenv("ENTRIES"), ",") {
-		got, err := ask(addr, args[0], args[1], args[2])
-		for end := time.Now().Add(awaitBound); err == nil && got == busy && time.Now().Before(end); {
-			got, err = ask(addr, args[0], args[1], args[2])
+		got, err := sendRequest(addr, args[0], args[1], args[2])
+		for end := time.Now().Add(awaitTimeout); err == nil && got == deadlineOutcome && time.Now().Before(end); {
+			got, err = sendRequest(addr, args[0], args[1], args[2])
 		}
 		ts.Check(err)
 		if got != want {
@@ -156,12 +156,12 @@
 	}
 }
 
-// busy is the ending of a request that waited in vain.
-const busy = string(outcome.NotRun) + " " + string(outcome.Deadline)
+// deadlineOutcome is the ending of a request that waited in vain.
+const deadlineOutcome = string(outcome.NotRun) + " " + string(outcome.Deadline)
 
-// ask makes one request and returns its outcome and reason.
-func ask(addr, method, path, caller string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), awaitBound)
+// sendRequest makes one request and returns its outcome and reason.
+func sendRequest(addr, method, path, caller string) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, http.NoBody)
 	if err != nil {
--- a/cmd/citrontray/main.go
+++ b/cmd/citrontray/main.go
@@ -17,7 +17,7 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	shell := &command.Shell{
+	shell := &command.Env{
 		In: os.Stdin, Out: os.Stdout, Err: os.Stderr,
 		Getenv: os.Getenv, Now: time.Now, User: userName(),
 	}
--- a/cmd/citrontray/script_test.go
+++ b/cmd/citrontray/script_test.go
@@ -15,10 +15,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 	"golang.org/x/sync/errgroup"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/entry"
 	"citrontray.example/citrontray/internal/fake"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/lead"
 	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/operator"
@@ -32,8 +32,8 @@
 // bootstrap is the first operator's credential in the scripts.
 const bootstrap = "first-credential"
 
-// awaitBound ends a script that waits in vain.
-const awaitBound = 30 * time.Second
+// awaitTimeout ends a script that waits in vain.
+const awaitTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
@@ -49,7 +49,7 @@
 		RequireExplicitExec: true,
 		Setup:               setUp,
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"store":   storeFaults,
+			"store":   setStoreFault,
 			"await":   awaitSettings,
 			"deploy":  deploy,
 			"request": request,
@@ -78,7 +78,7 @@
 		}
 		select {
 		case <-news:
-		case <-time.After(awaitBound):
+		case <-time.After(awaitTimeout):
 			ts.Fatalf("the host has no settings from the store")
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	env.Setenv("CITRONTRAY_OPERATORS", api)
 	env.Setenv("CITRONTRAY_CREDENTIAL", bootstrap)
-	env.Setenv("CITRONTRAY_AUTHORITY", filepath.Join(env.WorkDir, "tls", keys.AuthorityFile))
+	env.Setenv("CITRONTRAY_AUTHORITY", filepath.Join(env.WorkDir, "tls", certs.AuthorityFile))
 	env.Setenv("CITRONTRAY_DAEMONS", pages)
 	env.Setenv("PLATFORM", platformAddr)
 	for _, name := range preset.All() {
@@ -128,13 +128,13 @@
 // faultyStore loses the answers of the next writes, after they took effect.
 type faultyStore struct {
 	*fake.Platform
-	lose atomic.Int64
+	loseResponses atomic.Int64
 }
 
 // Write implements platform.Store.
 func (s *faultyStore) Write(ctx context.Context, path platform.Path, value []byte, expect platform.Revision) (platform.Revision, error) {
 	revision, err := s.Platform.Write(ctx, path, value, expect)
-	if err == nil && s.lose.Add(-1) >= 0 {
+	if err == nil && s.loseResponses.Add(-1) >= 0 {
 		return 0, platform.ErrOutcomeUnknown
 	}
 	return revision, err
@@ -145,20 +145,20 @@
 func serveOperators(env *testscript.Env, store platform.Store) (string, error) {
 	dir := filepath.Join(env.WorkDir, "tls")
 	now, loopback := time.Now(), netip.MustParseAddr("127.0.0.1")
-	if err := keys.MakeAuthority(now, dir); err != nil {
+	if err := certs.CreateAuthority(now, dir); err != nil {
 		return "", err
 	}
-	if err := keys.MakeHost(now, dir, "entry-1", "a", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}); err != nil {
+	if err := certs.IssueHost(now, dir, "entry-1", "a", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}); err != nil {
 		return "", err
 	}
-	material, err := keys.Load(now, dir, "entry-1", peer.RoleLead)
+	material, err := certs.Load(now, dir, "entry-1", peer.RoleLead)
 	if err != nil {
 		return "", err
 	}
 	board := docsync.New()
 	env.Values[boardKey{}] = board
 	listener, err := operator.Listen(netip.AddrPortFrom(loopback, 0), material.OperatorTLS(), operator.NewServer(operator.ServerConfig{
-		Store: store, Board: board, Bootstrap: settings.HashCredential(bootstrap), Log: logging.Nop(),
+		Store: store, Replica: board, Bootstrap: settings.HashCredential(bootstrap), Log: logging.Nop(),
 	}))
 	if err != nil {
 		return "", err
@@ -190,9 +190,9 @@
 	return listener.Addr().String(), nil
 }
 
-// storeFaults is the script command: store on|out|old, or store lose for the
+// setStoreFault is the script command: store on|out|old, or store lose for the
 // answer of the next write.
-func storeFaults(ts *testscript.TestScript, neg bool, args []string) {
+func setStoreFault(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: store on|out|old|lose")
 	}
@@ -210,9 +210,9 @@
 		ts.Fatalf("store: no fault %s", args[0])
 	}
 	store.SetFaults(faults)
-	store.lose.Store(0)
+	store.loseResponses.Store(0)
 	if args[0] == "lose" {
-		store.lose.Store(1)
+		store.loseResponses.Store(1)
 	}
 }
 
@@ -220,20 +220,20 @@
 func report(now time.Time, q status.Query) status.Report {
 	r := status.Report{
 		Host: "entry-1", Zone: "anadolu-a", Role: "lead", Ready: true,
-		Settings: status.Settings{Number: 7, Revision: 90, Since: now.Add(-time.Hour)},
-		Store:    now.Add(-time.Second),
+		Settings:          status.Settings{Number: 7, Revision: 90, Since: now.Add(-time.Hour)},
+		LastStoreResponse: now.Add(-time.Second),
 		Cells: []status.Cell{{
 			Service: "balance", Zone: "anadolu-a", Lead: "entry-1", Leading: true, Term: 3,
-			Shards: 342, Owned: 341, Moving: 1, Solos: 2,
-			Doubts: []status.Doubt{{
+			Shards: 342, Owned: 341, Moving: 1, SingleKeys: 2,
+			Blocked: []status.BlockedShard{{
 				Shard: 12, Target: "balance-3", Since: now.Add(-time.Minute),
-				Why: "balance-3 does not answer and entry-2 may still renew",
+				Reason: "balance-3 does not answer and entry-2 may still renew",
 			}},
 		}},
 		Targets: []status.Target{{Service: "balance", Target: "balance-1", PerSecond: 120, Waiting: 2, Running: 3, P99: 8.5}},
 		Callers: []status.Caller{{Caller: "portal", Class: "interactive", PerSecond: 80, P99: 7}},
 	}
-	if q.Asked() && q.Service == "balance" {
+	if q.HasKey() && q.Service == "balance" {
 		r.Key = &status.Key{
 			Service: "balance", Key: q.Key, Zone: "anadolu-a", Shard: 12, Epoch: 5, Term: 3, Owner: "balance-1",
 			Moves: []status.Move{{At: now.Add(-time.Hour), Shard: 12, Epoch: 5, From: "balance-3", To: "balance-1", Evidence: "lapsed"}},
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -38,8 +38,8 @@
 	}
 	s := &Server{Router: mux.NewRouter(), listener: listener}
 	s.Handle("/metrics", metrics)
-	s.HandleFunc("/live", s.live)
-	s.HandleFunc("/ready", s.answerReady)
+	s.HandleFunc("/live", s.handleLive)
+	s.HandleFunc("/ready", s.handleReady)
 	if status != nil {
 		s.Handle("/status", status)
 	}
@@ -71,13 +71,13 @@
 	_ = s.http.Shutdown(ctx)
 }
 
-// live answers that the process runs.
-func (s *Server) live(w http.ResponseWriter, _ *http.Request) {
+// handleLive answers that the process runs.
+func (s *Server) handleLive(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write([]byte("live\n"))
 }
 
-// answerReady answers 200 while the balancer may send callers here.
-func (s *Server) answerReady(w http.ResponseWriter, _ *http.Request) {
+// handleReady answers 200 while the balancer may send callers here.
+func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.ready.Load() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
--- a/internal/bench/act.go
+++ b/internal/bench/action.go
@@ -11,12 +11,12 @@
 
 // The parts of answers that go wrong.
 const (
-	lostAnswers = 0.3
-	badAnswers  = 0.05
+	lostResponseRatio = 0.3
+	badResponseRatio  = 0.05
 )
 
-// act carries out one action.
-func (r *Run) act(action Action) error {
+// do carries out one action.
+func (r *Run) do(action Action) error {
 	switch a := action.(type) {
 	case KillTarget:
 		r.target(a.Target).Kill()
@@ -31,11 +31,11 @@
 	case StoreSlow:
 		r.platform.SetFaults(fake.PlatformFaults{SlowMin: slowMin, SlowMax: slowMax})
 	case StoreLosesAnswers:
-		r.platform.SetFaults(fake.PlatformFaults{LoseResponses: lostAnswers})
+		r.platform.SetFaults(fake.PlatformFaults{LoseResponses: lostResponseRatio})
 	case Misbehave:
 		r.target(a.Target).SetFaults(fake.TargetFaults{
-			Reset: badAnswers, SwapResponse: badAnswers, Truncated: badAnswers,
-			DelayResponse: badAnswers / 5, Oversized: badAnswers / 5,
+			Reset: badResponseRatio, SwapResponse: badResponseRatio, Truncated: badResponseRatio,
+			DelayResponse: badResponseRatio / 5, Oversized: badResponseRatio / 5,
 		})
 	case StoreUp:
 		r.platform.SetFaults(fake.PlatformFaults{})
@@ -48,43 +48,43 @@
 		r.network.Partition()
 		r.platform.SetFaults(fake.PlatformFaults{})
 	case SetLoad:
-		r.measured.SetFactor(a.Load / r.Scenario.Load)
+		r.generator.SetFactor(a.Load / r.Scenario.Load)
 	case SetHot:
-		r.measured.SetHot(a.Hot)
+		r.generator.SetHot(a.Hot)
 	default:
-		return r.actOnHosts(action)
+		return r.doOnHosts(action)
 	}
 	return nil
 }
 
-// actOnHosts carries out an action that the script has a part in.
-func (r *Run) actOnHosts(action Action) error {
+// doOnHosts carries out an action that the script has a part in.
+func (r *Run) doOnHosts(action Action) error {
 	switch a := action.(type) {
 	case KillLead:
 		if err := r.chooseLead(); err != nil {
 			return err
 		}
-		return r.Director.Signal("KILL", r.led, LeadPart)
+		return r.Supervisor.Signal("KILL", r.chosenLead, LeadProcess)
 	case StartLead:
-		return r.Director.Start(r.led, LeadPart)
+		return r.Supervisor.Start(r.chosenLead, LeadProcess)
 	case PauseLead:
 		if err := r.chooseLead(); err != nil {
 			return err
 		}
-		return r.Director.Signal("STOP", r.led, LeadPart)
+		return r.Supervisor.Signal("STOP", r.chosenLead, LeadProcess)
 	case ResumeLead:
-		return r.Director.Signal("CONT", r.led, LeadPart)
+		return r.Supervisor.Signal("CONT", r.chosenLead, LeadProcess)
 	case ReplaceHost:
 		if a.Host < len(r.Hosts) {
 			return r.replace(r.Hosts[a.Host])
 		}
 		return nil
 	case DrainTarget:
-		err := r.Director.Operate("drain", string(r.target(a.Target).Name()))
-		r.leaving = leaving{target: r.target(a.Target), since: time.Now()}
+		err := r.Supervisor.RunTask("drain", string(r.target(a.Target).Name()))
+		r.drained = drainedTarget{target: r.target(a.Target), since: time.Now()}
 		return err
 	case RaceSettings:
-		return r.Director.Operate("race")
+		return r.Supervisor.RunTask("race")
 	}
 	return fmt.Errorf("bench: no such action as %T", action)
 }
@@ -98,24 +98,24 @@
 	lease := fmt.Sprintf("lease/%s/%s", first.Service(), first.Zone())
 	// The holder is the host and its life, HOST/LIFE.
 	host, _, _ := strings.Cut(r.platform.LastHolder(lease), "/")
-	r.led = place.Host(host)
-	if r.led == "" {
+	r.chosenLead = place.Host(host)
+	if r.chosenLead == "" {
 		return fmt.Errorf("bench: nobody holds %s", lease)
 	}
-	r.Log.Info("lead chosen", "lease", lease, "host", r.led)
+	r.Log.Info("lead chosen", "lease", lease, "host", r.chosenLead)
 	return nil
 }
 
 // replace stops a host as planned and starts a new one in its place.
 func (r *Run) replace(host Host) error {
 	r.platform.SetHost(time.Now(), host.Row(place.Leaving))
-	for _, part := range []Part{EntryPart, LeadPart} {
-		if err := r.Director.Stop(host.Name, part); err != nil {
+	for _, part := range []Process{EntryProcess, LeadProcess} {
+		if err := r.Supervisor.Stop(host.Name, part); err != nil {
 			return err
 		}
 	}
-	for _, part := range []Part{LeadPart, EntryPart} {
-		if err := r.Director.Start(host.Name, part); err != nil {
+	for _, part := range []Process{LeadProcess, EntryProcess} {
+		if err := r.Supervisor.Start(host.Name, part); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -15,12 +15,12 @@
 	"citrontray.example/citrontray/internal/load"
 )
 
-func TestDirectorAsksALineAtATime(t *testing.T) {
+func TestSupervisorProtocol(t *testing.T) {
 	var asked bytes.Buffer
-	d := NewDirector(&asked, strings.NewReader("ok\nfailed\n"))
-	assert.NilError(t, d.Signal("KILL", "host-1", LeadPart))
-	assert.ErrorContains(t, d.Stop("host-2", EntryPart), "failed")
-	assert.ErrorContains(t, d.Ended(), "EOF")
+	d := NewSupervisor(&asked, strings.NewReader("ok\nfailed\n"))
+	assert.NilError(t, d.Signal("KILL", "host-1", LeadProcess))
+	assert.ErrorContains(t, d.Stop("host-2", EntryProcess), "failed")
+	assert.ErrorContains(t, d.StopAll(), "EOF")
 	assert.Equal(t, asked.String(), "signal KILL lead host-1\nstop entry host-2\nended\n")
 }
 
@@ -48,22 +48,22 @@
 	}
 }
 
-func TestUsageOfThisProcess(t *testing.T) {
-	ticks, err := ticksOf("42 (a name) with) S 1 2 3 4 5 6 7 8 9 10 250 50 0 0")
+func TestProcParsing(t *testing.T) {
+	ticks, err := cpuTicks("42 (a name) with) S 1 2 3 4 5 6 7 8 9 10 250 50 0 0")
 	assert.NilError(t, err)
 	assert.Equal(t, ticks, uint64(300))
-	_, err = ticksOf("nothing")
+	_, err = cpuTicks("nothing")
 	assert.ErrorContains(t, err, "unreadable")
-	assert.Equal(t, field("Name:\tx\nVmRSS:\t   2048 kB\n", "VmRSS:"), uint64(2048))
+	assert.Equal(t, procField("Name:\tx\nVmRSS:\t   2048 kB\n", "VmRSS:"), uint64(2048))
 }
 
-func TestImbalanceIsOfTheWorstService(t *testing.T) {
+func TestImbalanceTakesWorstService(t *testing.T) {
 	before := map[key.Service][]uint64{"balance": {100, 0}, "plan": {0, 0}}
 	after := map[key.Service][]uint64{"balance": {150, 50}, "plan": {30, 10}}
 	assert.Equal(t, imbalance(before, after), 1.5)
 }
 
-func TestScenariosFitTheirLength(t *testing.T) {
+func TestScenarioLengths(t *testing.T) {
 	const longest = 35 * time.Second // with start, warm-up and stop under 50 s
 	seen := make(map[Name]bool)
 	for _, s := range All() {
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestBrokenInvariants(t *testing.T) {
+func TestViolations(t *testing.T) {
 	cut := load.Summary{Counts: load.Counts{Done: 1}, Reasons: map[string]uint64{"answer-cut": 2}}
 	tests := map[string]struct {
 		scenario Scenario
@@ -88,11 +88,11 @@
 	}{
 		"all held":                    {summary: load.Summary{Counts: load.Counts{Done: 1}}},
 		"cut by a fault":              {summary: cut},
-		"cut though nothing failed":   {scenario: Scenario{Planned: true}, summary: cut, broken: "2 requests cut though nothing failed"},
+		"cut though nothing failed":   {scenario: Scenario{NoFailures: true}, summary: cut, broken: "2 requests cut though nothing failed"},
 		"doubled owner":               {ledger: fake.LedgerCounts{DuplicateOwners: 1}, summary: cut, broken: "1 doubled owners"},
 		"doubled run":                 {ledger: fake.LedgerCounts{DuplicateRuns: 1}, summary: cut, broken: "1 doubled runs"},
 		"false not-run":               {summary: load.Summary{FalseNotRun: 3, Counts: load.Counts{Done: 1}}, broken: "3 answers said not-run of what ran"},
-		"done, never ran":             {summary: load.Summary{Unrun: 1, Counts: load.Counts{Done: 1}}, broken: "1 answers said done of what did not run"},
+		"done, never ran":             {summary: load.Summary{FalseDone: 1, Counts: load.Counts{Done: 1}}, broken: "1 answers said done of what did not run"},
 		"no answer":                   {summary: load.Summary{Counts: load.Counts{Done: 1, Lost: 1}}, broken: "1 requests without an answer"},
 		"another's answer":            {summary: load.Summary{Counts: load.Counts{Done: 1, Wrong: 1}}, broken: "1 answers cut or not the request's own"},
 		"nothing done under any load": {scenario: Scenario{Load: 0.1}, broken: "nothing was done"},
@@ -100,7 +100,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := &Run{Config: Config{Scenario: tt.scenario}, farm: fake.NewTargetSet(nil, nil)}
-			got := r.broken(snapshot{ledger: tt.ledger}, tt.summary)
+			got := r.violations(snapshot{ledger: tt.ledger}, tt.summary)
 			assert.Equal(t, strings.Join(got, "; "), tt.broken)
 		})
 	}
--- a/internal/bench/watch.go
+++ b/internal/bench/convergence.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	watchInterval = 50 * time.Millisecond
-	watchTimeout  = time.Second
-	maxStatus     = 4 << 20
+	pollInterval   = 50 * time.Millisecond
+	pollTimeout    = time.Second
+	maxStatusBytes = 4 << 20
 )
 
 // Convergence measures how long an accepted revision of the settings takes to
@@ -45,7 +45,7 @@
 func NewConvergence(p *fake.Platform, daemons []netip.AddrPort) *Convergence {
 	return &Convergence{
 		platform: p,
-		client:   &http.Client{Timeout: watchTimeout},
+		client:   &http.Client{Timeout: pollTimeout},
 		daemons:  daemons,
 		seen:     make(map[netip.AddrPort]platform.Revision),
 	}
@@ -53,13 +53,13 @@
 
 // Run looks at the store and the daemons until ctx ends.
 func (c *Convergence) Run(ctx context.Context) error {
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		c.accept(time.Now())
+		c.recordRevision(time.Now())
 		var wg sync.WaitGroup
 		for _, daemon := range c.daemons {
-			wg.Go(func() { c.look(ctx, daemon) })
+			wg.Go(func() { c.poll(ctx, daemon) })
 		}
 		wg.Wait()
 		select {
@@ -70,8 +70,8 @@
 	}
 }
 
-// accept notes a new revision of the settings.
-func (c *Convergence) accept(now time.Time) {
+// recordRevision notes a new revision of the settings.
+func (c *Convergence) recordRevision(now time.Time) {
 	revision, at := c.platform.RevisionOf(settings.StorePath)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,9 +88,9 @@
 	c.accepted = append(c.accepted, next)
 }
 
-// look asks one daemon for the revision that it has in force.
-func (c *Convergence) look(ctx context.Context, daemon netip.AddrPort) {
-	revision, err := c.ask(ctx, daemon)
+// poll asks one daemon for the revision that it has in force.
+func (c *Convergence) poll(ctx context.Context, daemon netip.AddrPort) {
+	revision, err := c.fetchRevision(ctx, daemon)
 	if err != nil {
 		return
 	}
@@ -109,8 +109,8 @@
 	}
 }
 
-// ask reads the revision from a daemon's status page.
-func (c *Convergence) ask(ctx context.Context, daemon netip.AddrPort) (platform.Revision, error) {
+// fetchRevision reads the revision from a daemon's status page.
+func (c *Convergence) fetchRevision(ctx context.Context, daemon netip.AddrPort) (platform.Revision, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+daemon.String()+"/status", nil)
 	if err != nil {
 		return 0, err
@@ -126,14 +126,14 @@
 			Revision uint64 `json:"revision"`
 		} `json:"settings"`
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatus)).Decode(&page); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&page); err != nil {
 		return 0, err
 	}
 	return platform.Revision(max(page.Revision, page.Settings.Revision)), nil
 }
 
-// ConvergenceFigures is what a Convergence measured.
-type ConvergenceFigures struct {
+// ConvergenceResult is what a Convergence measured.
+type ConvergenceResult struct {
 	// Longest is the longest time until a revision was in force at a daemon.
 	Longest time.Duration
 	// Revisions counts those accepted, Missing those not in force everywhere
@@ -141,11 +141,11 @@
 	Revisions, Missing, Reverted int
 }
 
-// Figures returns the figures so far.
-func (c *Convergence) Figures() ConvergenceFigures {
+// Result returns the figures so far.
+func (c *Convergence) Result() ConvergenceResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	figures := ConvergenceFigures{Longest: c.longest, Revisions: len(c.accepted), Reverted: c.reverted}
+	figures := ConvergenceResult{Longest: c.longest, Revisions: len(c.accepted), Reverted: c.reverted}
 	for _, a := range c.accepted {
 		if len(a.missing) > 0 {
 			figures.Missing++
--- a/internal/bench/watch_test.go
+++ b/internal/bench/convergence_test.go
@@ -16,20 +16,20 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// daemonFake shows a revision on its status page.
-type daemonFake struct {
+// fakeDaemon shows a revision on its status page.
+type fakeDaemon struct {
 	form     string
 	revision atomic.Uint64
 }
 
 // ServeHTTP implements http.Handler.
-func (d *daemonFake) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (d *fakeDaemon) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	fmt.Fprintf(w, d.form, d.revision.Load())
 }
 
 func TestConvergence(t *testing.T) {
 	p := fake.NewPlatform()
-	daemons := []*daemonFake{{form: `{"revision":%d}`}, {form: `{"settings":{"revision":%d}}`}}
+	daemons := []*fakeDaemon{{form: `{"revision":%d}`}, {form: `{"settings":{"revision":%d}}`}}
 	addrs := make([]netip.AddrPort, len(daemons))
 	for i, daemon := range daemons {
 		server := httptest.NewServer(daemon)
@@ -39,25 +39,25 @@
 	c := NewConvergence(p, addrs)
 	ctx := context.Background()
 	look := func() {
-		c.accept(time.Now())
+		c.recordRevision(time.Now())
 		for _, addr := range addrs {
-			c.look(ctx, addr)
+			c.poll(ctx, addr)
 		}
 	}
 	first, err := p.Write(ctx, settings.StorePath, []byte("one"), 0)
 	assert.NilError(t, err)
 	look()
-	assert.Equal(t, c.Figures(), ConvergenceFigures{Revisions: 1, Missing: 1})
+	assert.Equal(t, c.Result(), ConvergenceResult{Revisions: 1, Missing: 1})
 
 	daemons[0].revision.Store(uint64(first))
 	look()
-	assert.Equal(t, c.Figures().Missing, 1)
+	assert.Equal(t, c.Result().Missing, 1)
 
 	daemons[1].revision.Store(uint64(first))
 	look()
-	assert.Equal(t, c.Figures().Missing, 0)
+	assert.Equal(t, c.Result().Missing, 0)
 
 	daemons[0].revision.Store(0)
 	look()
-	assert.Equal(t, c.Figures().Reverted, 1)
+	assert.Equal(t, c.Result().Reverted, 1)
 }
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -27,8 +27,8 @@
 	IOBytes uint64
 }
 
-// usageOf reads the usage of the process whose id is in a pid file.
-func usageOf(pidFile string) (Usage, error) {
+// readUsage reads the usage of the process whose id is in a pid file.
+func readUsage(pidFile string) (Usage, error) {
 	body, err := os.ReadFile(pidFile)
 	if err != nil {
 		return Usage{}, err
@@ -38,7 +38,7 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	ticks, err := ticksOf(string(stat))
+	ticks, err := cpuTicks(string(stat))
 	if err != nil {
 		return Usage{}, err
 	}
@@ -52,14 +52,14 @@
 	}
 	return Usage{
 		CPU:      time.Duration(ticks) * clockTick,
-		RSSBytes: field(string(status), "VmRSS:") << 10,
-		IOBytes:  field(string(io), "rchar:") + field(string(io), "wchar:"),
+		RSSBytes: procField(string(status), "VmRSS:") << 10,
+		IOBytes:  procField(string(io), "rchar:") + procField(string(io), "wchar:"),
 	}, nil
 }
 
-// ticksOf returns user and system time; the command's name stands in brackets
+// cpuTicks returns user and system time; the command's name stands in brackets
 // and may itself hold spaces and brackets, as in "(a name) with)".
-func ticksOf(stat string) (uint64, error) {
+func cpuTicks(stat string) (uint64, error) {
 	fields := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
 	if len(fields) <= systemField {
 		return 0, fmt.Errorf("bench: unreadable process state %q", stat)
@@ -72,8 +72,8 @@
 	return user + system, nil
 }
 
-// field returns the number in the line that starts with name, or zero.
-func field(text, name string) uint64 {
+// procField returns the number in the line that starts with name, or zero.
+func procField(text, name string) uint64 {
 	for line := range strings.Lines(text) {
 		if value, ok := strings.CutPrefix(line, name); ok {
 			n, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 10, 64)
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -12,8 +12,8 @@
 	"citrontray.example/citrontray/internal/load"
 )
 
-// leavingBound is for how long a leaving target may get new work.
-const leavingBound = 3 * time.Second
+// maxDrainWork is for how long a leaving target may get new work.
+const maxDrainWork = 3 * time.Second
 
 // The reasons that callers are told where a request was cut.
 const (
@@ -23,17 +23,17 @@
 
 // Report is what a run measured.
 type Report struct {
-	Values []Value
+	Metrics []Metric
 	load.Summary
-	// Broken describes the invariants that did not hold.
-	Broken []string
+	// Violations describes the invariants that did not hold.
+	Violations []string
 }
 
-// Value is one measured figure.
-type Value struct {
-	Name   string
-	Number float64
-	Unit   string
+// Metric is one measured figure.
+type Metric struct {
+	Name  string
+	Value float64
+	Unit  string
 }
 
 // snapshot is the state of all counts at one time.
@@ -42,7 +42,7 @@
 	platform fake.PlatformCounts
 	ledger   fake.LedgerCounts
 	served   map[key.Service][]uint64
-	usage    map[Part]map[string]Usage
+	usage    map[Process]map[string]Usage
 }
 
 func (r *Run) snapshot() snapshot {
@@ -51,11 +51,11 @@
 		platform: r.platform.Counts(),
 		ledger:   r.farm.Ledger.Counts(),
 		served:   r.farm.Served(),
-		usage:    map[Part]map[string]Usage{LeadPart: {}, EntryPart: {}},
+		usage:    map[Process]map[string]Usage{LeadProcess: {}, EntryProcess: {}},
 	}
 	for _, host := range r.Hosts {
 		for part, usage := range s.usage {
-			if u, err := usageOf(r.pidFile(host.Name, part)); err == nil {
+			if u, err := readUsage(r.pidFile(host.Name, part)); err == nil {
 				usage[string(host.Name)] = u
 			}
 		}
@@ -80,21 +80,21 @@
 	add("store_reads_s", perSecond(after.platform.Reads-before.platform.Reads), "1/s")
 	add("store_writes_s", perSecond(after.platform.Writes-before.platform.Writes), "1/s")
 	r.addUsage(add, before, after, span)
-	report.Broken = r.broken(after, summary)
-	r.addLeaving(&report)
+	report.Violations = r.violations(after, summary)
+	r.addDrained(&report)
 	r.addSettings(&report)
 	return report
 }
 
-// addLeaving adds for how long a leaving target went on getting new work.
-func (r *Run) addLeaving(report *Report) {
-	if r.leaving.target == nil {
+// addDrained adds for how long a leaving target went on getting new work.
+func (r *Run) addDrained(report *Report) {
+	if r.drained.target == nil {
 		return
 	}
-	late := max(0, r.leaving.target.LastStart().Sub(r.leaving.since))
+	late := max(0, r.drained.target.LastStart().Sub(r.drained.since))
 	report.add("leaving_work_ms", millis(late), "ms")
-	if late > leavingBound {
-		report.Broken = append(report.Broken, fmt.Sprintf("a leaving target got new work for %s", late))
+	if late > maxDrainWork {
+		report.Violations = append(report.Violations, fmt.Sprintf("a leaving target got new work for %s", late))
 	}
 }
 
@@ -103,19 +103,19 @@
 	if !r.Scenario.Settings {
 		return
 	}
-	f := r.settings.Figures()
+	f := r.settings.Result()
 	report.add("settings_revisions", float64(f.Revisions), "1")
 	report.add("settings_in_force_ms", millis(f.Longest), "ms")
 	report.add("settings_missing", float64(f.Missing), "1")
 	report.add("settings_reverted", float64(f.Reverted), "1")
 	if f.Missing > 0 || f.Reverted > 0 {
-		report.Broken = append(report.Broken, fmt.Sprintf("settings: %d revisions not in force everywhere, %d times one reverted", f.Missing, f.Reverted))
+		report.Violations = append(report.Violations, fmt.Sprintf("settings: %d revisions not in force everywhere, %d times one reverted", f.Missing, f.Reverted))
 	}
 }
 
 // add adds one figure.
 func (r *Report) add(name string, number float64, unit string) {
-	r.Values = append(r.Values, Value{Name: name, Number: number, Unit: unit})
+	r.Metrics = append(r.Metrics, Metric{Name: name, Value: number, Unit: unit})
 }
 
 // addLoad adds what callers saw.
@@ -133,7 +133,7 @@
 	r.add("unavailable_shards", float64(s.OutageShards), "1")
 	r.add("not_run", float64(s.NotRun), "1")
 	r.add("unknown", float64(s.Unknown), "1")
-	r.add("lost_answer", float64(s.Lost+s.Unrun), "1")
+	r.add("lost_answer", float64(s.Lost+s.FalseDone), "1")
 	r.add("wrong_answer", float64(s.Wrong), "1")
 	r.add("false_not_run", float64(s.FalseNotRun), "1")
 	r.add("dropped", float64(s.Dropped), "1")
@@ -149,8 +149,8 @@
 // addUsage adds the mean processor time and the largest memory of each part.
 // A process that started or ended in between is left out of the mean.
 func (r *Run) addUsage(add func(string, float64, string), before, after snapshot, span time.Duration) {
-	names := map[Part]string{LeadPart: "control", EntryPart: "entry"}
-	for _, part := range []Part{LeadPart, EntryPart} {
+	names := map[Process]string{LeadProcess: "control", EntryProcess: "entry"}
+	for _, part := range []Process{LeadProcess, EntryProcess} {
 		var cpu time.Duration
 		var rss, bytes uint64
 		n := 0
@@ -167,7 +167,7 @@
 			continue
 		}
 		add(names[part]+"_cpu", 100*cpu.Seconds()/span.Seconds()/float64(n), "%")
-		if part == LeadPart {
+		if part == LeadProcess {
 			add("rss_mb", float64(rss)/(1<<20), "MiB")
 			add("control_bytes_s", float64(bytes)/span.Seconds()/float64(n), "B/s")
 		} else {
@@ -176,8 +176,8 @@
 	}
 }
 
-// broken lists the invariants that did not hold.
-func (r *Run) broken(after snapshot, s load.Summary) []string {
+// violations lists the invariants that did not hold.
+func (r *Run) violations(after snapshot, s load.Summary) []string {
 	var out []string
 	check := func(n uint64, text string) {
 		if n > 0 {
@@ -187,10 +187,10 @@
 	check(after.ledger.DuplicateOwners, "doubled owners")
 	check(after.ledger.DuplicateRuns, "doubled runs")
 	check(s.FalseNotRun, "answers said not-run of what ran")
-	check(s.Unrun, "answers said done of what did not run")
+	check(s.FalseDone, "answers said done of what did not run")
 	check(s.Lost, "requests without an answer")
 	check(s.Wrong, "answers cut or not the request's own")
-	if r.Scenario.Planned {
+	if r.Scenario.NoFailures {
 		check(s.Reasons[reasonAnswerCut]+s.Reasons[reasonSendCut], "requests cut though nothing failed")
 	}
 	if s.Done == 0 && r.Scenario.Load > 0 {
@@ -221,13 +221,13 @@
 
 // Write prints the figures, one a line, then what was broken.
 func (r Report) Write(out io.Writer) {
-	for _, v := range r.Values {
-		fmt.Fprintf(out, "%s %s %s\n", v.Name, number(v.Number), v.Unit)
+	for _, v := range r.Metrics {
+		fmt.Fprintf(out, "%s %s %s\n", v.Name, number(v.Value), v.Unit)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
 		fmt.Fprintf(out, "reason_%s %d 1\n", reason, r.Reasons[reason])
 	}
-	for _, text := range r.Broken {
+	for _, text := range r.Violations {
 		fmt.Fprintf(out, "broken: %s\n", text)
 	}
 	for _, text := range r.Examples {
@@ -246,12 +246,12 @@
 // DemoLine is the last line of the demo.
 func (r Report) DemoLine() string {
 	var doubled, lost uint64
-	for _, v := range r.Values {
+	for _, v := range r.Metrics {
 		switch v.Name {
 		case "doubled_owner", "doubled_run":
-			doubled += uint64(v.Number)
+			doubled += uint64(v.Value)
 		case "lost_answer":
-			lost += uint64(v.Number)
+			lost += uint64(v.Value)
 		}
 	}
 	return fmt.Sprintf("demo: %d requests, %d doubled, %d lost, p99 %.1f ms", r.Requests, doubled, lost, millis(r.P99))
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// settleTime bounds the time until every shard has an owner and every
+	// settleTimeout bounds the time until every shard has an owner and every
 	// host is ready; settlePoll is how often that is looked at.
-	settleTime = 15 * time.Second
-	settlePoll = 100 * time.Millisecond
-	// warmUp is load before the measurement.
-	warmUp = 2 * time.Second
+	settleTimeout  = 15 * time.Second
+	settleInterval = 100 * time.Millisecond
+	// warmUpTime is load before the measurement.
+	warmUpTime = 2 * time.Second
 	// slowMin and slowMax bound the calls of a slow store.
 	slowMin = 2 * time.Second
 	slowMax = 10 * time.Second
-	// stopTime bounds the planned stop of the targets.
-	stopTime = 2 * time.Second
+	// stopTimeout bounds the planned stop of the targets.
+	stopTimeout = 2 * time.Second
 )
 
 // Config is what a run needs.
@@ -42,8 +42,8 @@
 	Settings *settings.Settings
 	Hosts    []Host
 	// Platform is where the stand-in of the platform listens.
-	Platform netip.AddrPort
-	Director *Director
+	Platform   netip.AddrPort
+	Supervisor *Supervisor
 	// Processes is the directory with the daemons' pid files, named
 	// <part>-<host>.pid.
 	Processes string
@@ -55,19 +55,19 @@
 type Run struct {
 	Config
 
-	platform *fake.Platform
-	farm     *fake.TargetSet
-	network  *fake.Network
-	balancer *load.Balancer
-	plan     load.Plan
-	measured *load.Generator
-	settings *Convergence
-	leaving  leaving
-	led      place.Host // the host that KillLead and PauseLead chose
+	platform   *fake.Platform
+	farm       *fake.TargetSet
+	network    *fake.Network
+	balancer   *load.Balancer
+	plan       load.Plan
+	generator  *load.Generator
+	settings   *Convergence
+	drained    drainedTarget
+	chosenLead place.Host // the host that KillLead and PauseLead chose
 }
 
-// leaving is a target that was told to leave.
-type leaving struct {
+// drainedTarget is a target that was told to leave.
+type drainedTarget struct {
 	target *fake.Target
 	since  time.Time
 }
@@ -75,7 +75,7 @@
 // New returns a run.
 func New(config Config) *Run {
 	r := &Run{Config: config, platform: fake.NewPlatform(), network: fake.NewNetwork()}
-	r.farm = fake.NewTargetSet(load.Groups(config.Preset, config.Settings, config.Scenario.slowdown()), config.Preset.Zones)
+	r.farm = fake.NewTargetSet(load.TargetGroups(config.Preset, config.Settings, config.Scenario.slowdown()), config.Preset.Zones)
 	r.balancer = load.NewBalancer(EntryHosts(config.Hosts))
 	r.plan = load.NewPlan(config.Preset, config.Settings, config.Scenario.Load, config.Scenario.slowdown())
 	r.plan.Hot = config.Scenario.Hot
@@ -99,7 +99,7 @@
 		return Report{}, err
 	}
 	defer r.network.Close()
-	if err := r.connect(); err != nil {
+	if err := r.insertNetwork(); err != nil {
 		return Report{}, err
 	}
 	r.register(time.Now())
@@ -112,7 +112,7 @@
 	group.Go(func() error {
 		defer server.Close() //nolint:errcheck // ends the group
 		defer cancel()
-		report, err = r.direct(ctx)
+		report, err = r.runScenario(ctx)
 		return err
 	})
 	return report, group.Wait()
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// connect puts the network between the hosts, where the scenario wants one:
+// insertNetwork puts the network between the hosts, where the scenario wants one:
 // the platform's list then names the addresses in the network.
-func (r *Run) connect() error {
+func (r *Run) insertNetwork() error {
 	if !r.Scenario.Network {
 		return nil
 	}
@@ -154,26 +154,26 @@
 	r.platform.SetFleetLag(time.Second)
 }
 
-// direct starts the daemons, loads them, steps through the scenario and
+// runScenario starts the daemons, loads them, steps through the scenario and
 // stops them.
-func (r *Run) direct(ctx context.Context) (Report, error) {
-	if err := r.Director.Started(r.seeds()); err != nil {
+func (r *Run) runScenario(ctx context.Context) (Report, error) {
+	if err := r.Supervisor.StartAll(r.seeds()); err != nil {
 		return Report{}, err
 	}
-	if err := r.settle(ctx); err != nil {
-		return Report{}, errors.Join(err, r.Director.Ended())
+	if err := r.waitSettled(ctx); err != nil {
+		return Report{}, errors.Join(err, r.Supervisor.StopAll())
 	}
-	if err := r.warm(ctx); err != nil {
+	if err := r.warmUp(ctx); err != nil {
 		return Report{}, err
 	}
 	report, err := r.measure(ctx)
 	if err != nil {
 		return Report{}, err
 	}
-	if err := r.Director.Ended(); err != nil {
-		report.Broken = append(report.Broken, err.Error())
+	if err := r.Supervisor.StopAll(); err != nil {
+		report.Violations = append(report.Violations, err.Error())
 	}
-	stop, cancel := context.WithTimeout(context.Background(), stopTime)
+	stop, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	r.farm.Stop(stop)
 	return report, nil
@@ -189,11 +189,11 @@
 	return seeds
 }
 
-// settle waits until every shard has an owner and every host is ready.
-func (r *Run) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+// waitSettled waits until every shard has an owner and every host is ready.
+func (r *Run) waitSettled(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	ticker := time.NewTicker(settlePoll)
+	ticker := time.NewTicker(settleInterval)
 	defer ticker.Stop()
 	for {
 		owned, shards := r.owned(time.Now())
@@ -205,7 +205,7 @@
 		case <-ticker.C:
 		case <-ctx.Done():
 			return fmt.Errorf("bench: not settled after %s: %d of %d shards owned, %d of %d hosts ready",
-				settleTime, owned, shards, ready, len(r.Hosts))
+				settleTimeout, owned, shards, ready, len(r.Hosts))
 		}
 	}
 }
@@ -219,22 +219,22 @@
 	return owned, shards
 }
 
-// warm loads the deployment without measuring.
-func (r *Run) warm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, warmUp)
+// warmUp loads the deployment without measuring.
+func (r *Run) warmUp(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, warmUpTime)
 	defer cancel()
 	return load.NewGenerator(r.plan, r.balancer, "w", r.Seed+1).Run(ctx)
 }
 
 // measure loads the deployment and steps through the scenario.
 func (r *Run) measure(ctx context.Context) (Report, error) {
-	r.measured = load.NewGenerator(r.plan, r.balancer, "m", r.Seed)
+	r.generator = load.NewGenerator(r.plan, r.balancer, "m", r.Seed)
 	before := r.snapshot()
 	loaded, cancel := context.WithTimeout(ctx, r.Scenario.Length)
 	defer cancel()
 	group, loaded := errgroup.WithContext(loaded)
-	group.Go(func() error { return r.measured.Run(loaded) })
-	group.Go(func() error { return r.steps(loaded) })
+	group.Go(func() error { return r.generator.Run(loaded) })
+	group.Go(func() error { return r.runSteps(loaded) })
 	if r.Scenario.Settings {
 		group.Go(func() error { return r.settings.Run(loaded) })
 	}
@@ -242,7 +242,7 @@
 		return Report{}, err
 	}
 	after := r.snapshot()
-	summary, err := r.measured.Result().Summarize(time.Now(), func(operations []string) ([]uint32, error) {
+	summary, err := r.generator.Result().Summarize(time.Now(), func(operations []string) ([]uint32, error) {
 		return r.farm.Ledger.RunsOf(operations), nil
 	})
 	if err != nil {
@@ -251,8 +251,8 @@
 	return r.report(before, after, summary), nil
 }
 
-// steps takes the steps at their times.
-func (r *Run) steps(ctx context.Context) error {
+// runSteps takes the steps at their times.
+func (r *Run) runSteps(ctx context.Context) error {
 	start := time.Now()
 	for _, step := range r.Scenario.Steps {
 		timer := time.NewTimer(time.Until(start.Add(step.At)))
@@ -263,7 +263,7 @@
 			return fmt.Errorf("bench: no time left for %T at %s", step.Action, step.At)
 		}
 		r.Log.Info("step", "at", step.At, "action", fmt.Sprintf("%T%v", step.Action, step.Action))
-		if err := r.act(step.Action); err != nil {
+		if err := r.do(step.Action); err != nil {
 			return err
 		}
 	}
@@ -271,6 +271,6 @@
 }
 
 // pidFile returns the file with the id of a process.
-func (r *Run) pidFile(host place.Host, part Part) string {
+func (r *Run) pidFile(host place.Host, part Process) string {
 	return filepath.Join(r.Processes, fmt.Sprintf("%s-%s.pid", part, host))
 }
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -17,17 +17,17 @@
 
 // Scenario is one run: the load goes on for Length, steps happen on the way.
 type Scenario struct {
-	Name   Name
-	About  string
-	Length time.Duration
+	Name        Name
+	Description string
+	Length      time.Duration
 	// Load is the part of the targets' capacity that the load takes.
 	Load float64
 	// Slowdown makes each run at a target take longer, so that one machine
 	// can make more load than the targets have capacity; zero stands for 1.
 	Slowdown int
 	Hot      load.HotSet
-	// Planned tells that nothing fails: no request may be cut then.
-	Planned bool
+	// NoFailures tells that nothing fails: no request may be cut then.
+	NoFailures bool
 	// Network puts a network that can be cut between the hosts' peers.
 	Network bool
 	// Settings tells to measure when settings are in force.
@@ -165,36 +165,36 @@
 func targetScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name: "demo", About: "a mixed load; one target is stopped half way",
+			Name: "demo", Description: "a mixed load; one target is stopped half way",
 			Length: 8 * time.Second, Load: 0.1,
 			Steps: []Step{{4 * time.Second, KillTarget{0}}},
 		},
 		{
-			Name: Idle, About: "no load: what control costs by itself",
+			Name: Idle, Description: "no load: what control costs by itself",
 			Length: 10 * time.Second,
 		},
 		{
-			Name: "steady", About: "an even load, no faults",
-			Length: 15 * time.Second, Load: baseLoad, Planned: true,
+			Name: "steady", Description: "an even load, no faults",
+			Length: 15 * time.Second, Load: baseLoad, NoFailures: true,
 		},
 		{
-			Name: "targetloss", About: "one target is killed and comes back 10 s later",
+			Name: "targetloss", Description: "one target is killed and comes back 10 s later",
 			Length: 20 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, KillTarget{0}}, {14 * time.Second, RestartTarget{0}}},
 		},
 		{
-			Name: "targetfreeze", About: "one target is frozen for 10 s and goes on as if nothing had happened",
+			Name: "targetfreeze", Description: "one target is frozen for 10 s and goes on as if nothing had happened",
 			Length: 20 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, FreezeTarget{0}}, {14 * time.Second, ThawTarget{0}}},
 		},
 		{
-			Name: "badanswers", About: "one target cuts, crosses, truncates, swells and delays answers",
+			Name: "badanswers", Description: "one target cuts, crosses, truncates, swells and delays answers",
 			Length: 15 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, Misbehave{0}}},
 		},
 		{
-			Name: "drain", About: "an operator drains one target",
-			Length: 15 * time.Second, Load: baseLoad, Planned: true,
+			Name: "drain", Description: "an operator drains one target",
+			Length: 15 * time.Second, Load: baseLoad, NoFailures: true,
 			Steps: []Step{{4 * time.Second, DrainTarget{0}}},
 		},
 	}
@@ -203,29 +203,29 @@
 func leadScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name: "leadloss", About: "the lead process of a cell is killed and comes back 10 s later",
+			Name: "leadloss", Description: "the lead process of a cell is killed and comes back 10 s later",
 			Length: 20 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, KillLead{}}, {14 * time.Second, StartLead{}}},
 		},
 		{
-			Name: "rackloss", About: "the lead process of a cell and a target of it are killed at once",
+			Name: "rackloss", Description: "the lead process of a cell and a target of it are killed at once",
 			Length: 20 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, KillLead{}}, {4 * time.Second, KillTarget{0}}, {14 * time.Second, StartLead{}}},
 		},
 		{
-			Name: "leadpause", About: "the lead process of a cell is paused for 6 s",
+			Name: "leadpause", Description: "the lead process of a cell is paused for 6 s",
 			Length: 18 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, PauseLead{}}, {10 * time.Second, ResumeLead{}}},
 		},
 		{
-			Name: "rolling", About: "the entry hosts are replaced one by one",
-			Length: 35 * time.Second, Load: baseLoad, Planned: true,
-			Steps: rolling(9, 3500*time.Millisecond),
+			Name: "rolling", Description: "the entry hosts are replaced one by one",
+			Length: 35 * time.Second, Load: baseLoad, NoFailures: true,
+			Steps: rollingSteps(9, 3500*time.Millisecond),
 		},
 	}
 }
 
-func rolling(hosts int, every time.Duration) []Step {
+func rollingSteps(hosts int, every time.Duration) []Step {
 	steps := make([]Step, hosts)
 	for i := range steps {
 		steps[i] = Step{time.Duration(i+1) * every, ReplaceHost{i}}
@@ -236,12 +236,12 @@
 func storeScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name: "storeout", About: "the platform's service is out for 12 s",
+			Name: "storeout", Description: "the platform's service is out for 12 s",
 			Length: 22 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, StoreDown{}}, {16 * time.Second, StoreUp{}}},
 		},
 		{
-			Name: "storeouttargetloss", About: "a target is killed while the platform's service is out",
+			Name: "storeouttargetloss", Description: "a target is killed while the platform's service is out",
 			Length: 25 * time.Second, Load: baseLoad,
 			Steps: []Step{
 				{4 * time.Second, StoreDown{}},
@@ -250,7 +250,7 @@
 			},
 		},
 		{
-			Name: "storeoutleadloss", About: "the lead process of a cell is killed while the platform's service is out",
+			Name: "storeoutleadloss", Description: "the lead process of a cell is killed while the platform's service is out",
 			Length: 25 * time.Second, Load: baseLoad,
 			Steps: []Step{
 				{4 * time.Second, StoreDown{}},
@@ -259,12 +259,12 @@
 			},
 		},
 		{
-			Name: "storeslow", About: "each call of the platform's service takes 2 to 10 s, for 14 s",
+			Name: "storeslow", Description: "each call of the platform's service takes 2 to 10 s, for 14 s",
 			Length: 22 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, StoreSlow{}}, {18 * time.Second, StoreUp{}}},
 		},
 		{
-			Name: "storelost", About: "the store loses 3 of 10 answers; a target and then a lead are killed",
+			Name: "storelost", Description: "the store loses 3 of 10 answers; a target and then a lead are killed",
 			Length: 22 * time.Second, Load: baseLoad,
 			Steps: []Step{
 				{3 * time.Second, StoreLosesAnswers{}},
@@ -274,12 +274,12 @@
 			},
 		},
 		{
-			Name: "zonecut", About: "one zone is cut off from the platform for 12 s",
+			Name: "zonecut", Description: "one zone is cut off from the platform for 12 s",
 			Length: 22 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, CutZone{2}}, {16 * time.Second, JoinZone{}}},
 		},
 		{
-			Name: "zonesplit", About: "one zone is cut off from the platform and the other zones for 14 s and loses a target",
+			Name: "zonesplit", Description: "one zone is cut off from the platform and the other zones for 14 s and loses a target",
 			Length: 24 * time.Second, Load: baseLoad, Network: true,
 			Steps: []Step{
 				{3 * time.Second, SplitZone{0}},
@@ -288,8 +288,8 @@
 			},
 		},
 		{
-			Name: "settingsrace", About: "ten operators write the same settings at once, three times",
-			Length: 15 * time.Second, Load: baseLoad, Planned: true, Settings: true,
+			Name: "settingsrace", Description: "ten operators write the same settings at once, three times",
+			Length: 15 * time.Second, Load: baseLoad, NoFailures: true, Settings: true,
 			Steps: []Step{
 				{2 * time.Second, RaceSettings{}},
 				{5 * time.Second, RaceSettings{}},
@@ -302,13 +302,13 @@
 func loadScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name: "overload", About: "the load is 1.5 times the capacity for 10 s",
+			Name: "overload", Description: "the load is 1.5 times the capacity for 10 s",
 			Length: 20 * time.Second, Load: baseLoad, Slowdown: 4,
 			Steps: []Step{{5 * time.Second, SetLoad{1.5}}, {15 * time.Second, SetLoad{baseLoad}}},
 		},
 		{
-			Name: "hotkeys", About: "74 keys take half of the load; they change every 8 s",
-			Length: 32 * time.Second, Load: baseLoad, Planned: true, Hot: hotSet(0),
+			Name: "hotkeys", Description: "74 keys take half of the load; they change every 8 s",
+			Length: 32 * time.Second, Load: baseLoad, NoFailures: true, Hot: hotSet(0),
 			Steps: []Step{
 				{8 * time.Second, SetHot{hotSet(1)}},
 				{16 * time.Second, SetHot{hotSet(2)}},
--- a/internal/keys/keys.go
+++ b/internal/certs/certs.go
@@ -1,7 +1,7 @@
-// Package keys makes and loads the certificates by which the processes of the
+// Package certs makes and loads the certificates by which the processes of the
 // system know each other: an authority of the operator's own, and a
 // certificate for each process that carries its host, zone and role.
-package keys
+package certs
 
 import (
 	"crypto/ed25519"
@@ -35,8 +35,8 @@
 	uriScheme         = "citrontray"
 	authorityLifetime = 10 * 365 * 24 * time.Hour
 	hostLifetime      = 365 * 24 * time.Hour
-	// clockMargin lets a host whose clock is behind accept a new certificate.
-	clockMargin = 10 * time.Minute
+	// clockSkew lets a host whose clock is behind accept a new certificate.
+	clockSkew   = 10 * time.Minute
 	serialBits  = 127
 	privateMode = 0o600
 	publicMode  = 0o644
@@ -46,8 +46,8 @@
 // ErrIdentity is returned for a certificate that names no process.
 var ErrIdentity = errors.New("keys: certificate names no process of the system")
 
-// nameForm bounds the names that stand in file names and certificates.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// namePattern bounds the names that stand in file names and certificates.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // CertificateFile returns the name of the certificate of one process.
 func CertificateFile(host place.Host, role peer.Role) string {
@@ -59,10 +59,10 @@
 	return fmt.Sprintf("%s.%s-key.pem", host, role)
 }
 
-// MakeAuthority makes a new authority in dir, valid from now. Certificates
+// CreateAuthority makes a new authority in dir, valid from now. Certificates
 // already in AuthorityFile stay behind the new one, so that hosts trust both
 // until the old one is taken out with Retire.
-func MakeAuthority(now time.Time, dir string) error {
+func CreateAuthority(now time.Time, dir string) error {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return fmt.Errorf("keys: make authority: %w", err)
@@ -89,8 +89,8 @@
 	return replaceFile(filepath.Join(dir, AuthorityFile), append(bundle, old...), publicMode)
 }
 
-// Retire takes all authorities but the newest out of dir's AuthorityFile.
-func Retire(dir string) error {
+// RemoveOldAuthorities takes all authorities but the newest out of dir's AuthorityFile.
+func RemoveOldAuthorities(dir string) error {
 	path := filepath.Join(dir, AuthorityFile)
 	bundle, err := os.ReadFile(path)
 	if err != nil {
@@ -103,9 +103,9 @@
 	return replaceFile(path, pem.EncodeToMemory(block), publicMode)
 }
 
-// MakeHost makes one certificate and key in dir for each role of a host, valid
+// IssueHost makes one certificate and key in dir for each role of a host, valid
 // at the given IP numbers.
-func MakeHost(now time.Time, dir string, host place.Host, zone place.Zone, roles []peer.Role, ips []netip.Addr) error {
+func IssueHost(now time.Time, dir string, host place.Host, zone place.Zone, roles []peer.Role, ips []netip.Addr) error {
 	authority, err := loadAuthority(dir)
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 	return &x509.Certificate{
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: fmt.Sprintf("citrontray authority %x", serial.Bytes()[:4])},
-		NotBefore:             now.Add(-clockMargin),
+		NotBefore:             now.Add(-clockSkew),
 		NotAfter:              now.Add(authorityLifetime),
 		IsCA:                  true,
 		MaxPathLenZero:        true,
@@ -185,7 +185,7 @@
 	template := &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: string(id.Host)},
-		NotBefore:    now.Add(-clockMargin),
+		NotBefore:    now.Add(-clockSkew),
 		NotAfter:     now.Add(hostLifetime),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
@@ -210,7 +210,7 @@
 // identityURI writes a process as citrontray:///zone/host/role.
 func identityURI(id peer.Identity) (*url.URL, error) {
 	for _, name := range []string{string(id.Host), string(id.Zone)} {
-		if !nameForm.MatchString(name) {
+		if !namePattern.MatchString(name) {
 			return nil, fmt.Errorf("keys: %q is no name of a host or zone", name)
 		}
 	}
--- a/internal/keys/file.go
+++ b/internal/certs/file.go
@@ -1,4 +1,4 @@
-package keys
+package certs
 
 import (
 	"crypto/ed25519"
@@ -14,7 +14,7 @@
 	keyBlock         = "PRIVATE KEY"
 )
 
-var errKeyForm = errors.New("not an Ed25519 private key in PEM")
+var errKeyFormat = errors.New("not an Ed25519 private key in PEM")
 
 func encodeCertificate(der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: der})
@@ -48,7 +48,7 @@
 	}
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return nil, fmt.Errorf("keys: %s: %w", path, errKeyForm)
+		return nil, fmt.Errorf("keys: %s: %w", path, errKeyFormat)
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	key, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
-		return nil, fmt.Errorf("keys: %s: %w", path, errKeyForm)
+		return nil, fmt.Errorf("keys: %s: %w", path, errKeyFormat)
 	}
 	return key, nil
 }
--- a/internal/keys/material.go
+++ b/internal/certs/material.go
@@ -1,4 +1,4 @@
-package keys
+package certs
 
 import (
 	"crypto/ed25519"
@@ -25,14 +25,14 @@
 // Material is the trusted authorities and the certificate of one process. It
 // follows the files on Reload. Safe for concurrent use.
 type Material struct {
-	dir  string
-	host place.Host
-	role peer.Role
-	now  atomic.Pointer[generation]
+	dir     string
+	host    place.Host
+	role    peer.Role
+	current atomic.Pointer[snapshot]
 }
 
-// generation is the state of the files at one reading.
-type generation struct {
+// snapshot is the state of the files at one reading.
+type snapshot struct {
 	identity    peer.Identity
 	roots       *x509.CertPool
 	certificate tls.Certificate
@@ -57,15 +57,15 @@
 	if err != nil {
 		return false, err
 	}
-	last := m.now.Load()
+	last := m.current.Load()
 	if last != nil && last.digest == next.digest {
 		return false, nil
 	}
-	m.now.Store(next)
+	m.current.Store(next)
 	return true, nil
 }
 
-func (m *Material) read(now time.Time) (*generation, error) {
+func (m *Material) read(now time.Time) (*snapshot, error) {
 	authorities, err := readCertificates(filepath.Join(m.dir, AuthorityFile))
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	next := &generation{roots: x509.NewCertPool()}
+	next := &snapshot{roots: x509.NewCertPool()}
 	sum := sha256.New()
 	for _, authority := range authorities {
 		next.roots.AddCert(authority)
@@ -105,18 +105,18 @@
 }
 
 // Self returns the identity that the process shows to others.
-func (m *Material) Self() peer.Identity { return m.now.Load().identity }
+func (m *Material) Self() peer.Identity { return m.current.Load().identity }
 
 // ResetSecret returns a secret that the process has again after a restart.
-func (m *Material) ResetSecret() [sha256.Size]byte { return m.now.Load().reset }
+func (m *Material) ResetSecret() [sha256.Size]byte { return m.current.Load().reset }
 
 // Verify checks a certificate chain against the authorities trusted now and
 // returns whom it names. The chain starts with the process's certificate.
 func (m *Material) Verify(now time.Time, chain []*x509.Certificate) (peer.Identity, error) {
-	return m.now.Load().verify(now, chain)
+	return m.current.Load().verify(now, chain)
 }
 
-func (g *generation) verify(now time.Time, chain []*x509.Certificate) (peer.Identity, error) {
+func (g *snapshot) verify(now time.Time, chain []*x509.Certificate) (peer.Identity, error) {
 	if len(chain) == 0 {
 		return peer.Identity{}, ErrIdentity
 	}
@@ -139,7 +139,7 @@
 // ClientTLS returns the configuration for one outgoing connection, made from
 // the files as they are now.
 func (m *Material) ClientTLS(protocol string) *tls.Config {
-	g := m.now.Load()
+	g := m.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
@@ -155,14 +155,14 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &m.now.Load().certificate, nil
+			return &m.current.Load().certificate, nil
 		},
 	}
 }
 
-// Authority reads the certificates of an AuthorityFile, for programs that have
+// AuthorityPool reads the certificates of an AuthorityFile, for programs that have
 // no certificate of their own.
-func Authority(path string) (*x509.CertPool, error) {
+func AuthorityPool(path string) (*x509.CertPool, error) {
 	authorities, err := readCertificates(path)
 	if err != nil {
 		return nil, err
@@ -181,7 +181,7 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocol},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			g := m.now.Load()
+			g := m.current.Load()
 			return &tls.Config{
 				MinVersion:             tls.VersionTLS13,
 				NextProtos:             []string{protocol},
--- a/internal/keys/unchecked.go
+++ b/internal/certs/unverified.go
@@ -1,4 +1,4 @@
-package keys
+package certs
 
 import (
 	"crypto/ed25519"
@@ -12,16 +12,16 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-// Unchecked is the certificate of a process in a deployment without an
+// Unverified is the certificate of a process in a deployment without an
 // authority: connections are encrypted, but anyone on the network may claim to
 // be a host. For networks that the platform keeps closed.
-type Unchecked struct {
+type Unverified struct {
 	self        peer.Identity
 	certificate tls.Certificate
 }
 
-// MakeUnchecked makes a certificate for this life of a process.
-func MakeUnchecked(now time.Time, self peer.Identity) (*Unchecked, error) {
+// NewUnverified makes a certificate for this life of a process.
+func NewUnverified(now time.Time, self peer.Identity) (*Unverified, error) {
 	uri, err := identityURI(self)
 	if err != nil {
 		return nil, err
@@ -38,17 +38,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("keys: make certificate: %w", err)
 	}
-	return &Unchecked{self: self, certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}}, nil
+	return &Unverified{self: self, certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}}, nil
 }
 
 // Self implements peer.Credentials.
-func (u *Unchecked) Self() peer.Identity { return u.self }
+func (u *Unverified) Self() peer.Identity { return u.self }
 
 // Reload implements peer.Credentials.
-func (u *Unchecked) Reload(time.Time) (bool, error) { return false, nil }
+func (u *Unverified) Reload(time.Time) (bool, error) { return false, nil }
 
 // Verify implements peer.Credentials: any process of the system will do.
-func (u *Unchecked) Verify(_ time.Time, chain []*x509.Certificate) (peer.Identity, error) {
+func (u *Unverified) Verify(_ time.Time, chain []*x509.Certificate) (peer.Identity, error) {
 	if len(chain) == 0 {
 		return peer.Identity{}, ErrIdentity
 	}
@@ -57,12 +57,12 @@
 
 // ResetSecret implements peer.Credentials. It is the same in the next life of
 // the process, so that others notice a restart at once.
-func (u *Unchecked) ResetSecret() [sha256.Size]byte {
+func (u *Unverified) ResetSecret() [sha256.Size]byte {
 	return sha256.Sum256([]byte(resetLabel + "\x00" + string(u.self.Host)))
 }
 
 // ClientTLS implements peer.Credentials.
-func (u *Unchecked) ClientTLS(protocol string) *tls.Config {
+func (u *Unverified) ClientTLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         []string{protocol},
@@ -72,7 +72,7 @@
 }
 
 // ServerTLS implements peer.Credentials.
-func (u *Unchecked) ServerTLS(protocol string) *tls.Config {
+func (u *Unverified) ServerTLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             []string{protocol},
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -30,8 +30,8 @@
 	ExitUnresolved  subcommands.ExitStatus = 5
 )
 
-// Shell is what the commands have of their surroundings.
-type Shell struct {
+// Env is what the commands have of their surroundings.
+type Env struct {
 	In       io.Reader
 	Out, Err io.Writer
 	// Getenv reads the environment; Now is the present time.
@@ -43,7 +43,7 @@
 
 // command is one command of the program. It implements subcommands.Command.
 type command struct {
-	*Shell
+	*Env
 	connection
 	name, synopsis, usage string
 	// flags adds the command's own flags; run gets the arguments.
@@ -101,9 +101,9 @@
 		err = c.run(ctx, c, args)
 	}
 	if err != nil {
-		c.explainError(err)
+		c.printError(err)
 	}
-	return exitOf(err)
+	return exitStatus(err)
 }
 
 // operands returns the arguments that are no flags. Flags may follow them, as
@@ -113,7 +113,7 @@
 	for args := f.Args(); len(args) > 0; {
 		if strings.HasPrefix(args[0], "-") && args[0] != "-" {
 			if err := f.Parse(args); err != nil {
-				return nil, inputf("flags", "%s", err.Error())
+				return nil, inputErrorf("flags", "%s", err.Error())
 			}
 			args = f.Args()
 			continue
@@ -124,23 +124,23 @@
 	return out, nil
 }
 
-// inputf returns a finding of what the person typed.
-func inputf(place, format string, args ...any) error {
+// inputErrorf returns a finding of what the person typed.
+func inputErrorf(place, format string, args ...any) error {
 	var found finding.List
 	found.Addf(place, format, args...)
 	return found.Err()
 }
 
-// want checks the number of arguments; high below zero stands for any.
-func want(args []string, low, high int, usage string) error {
+// checkArgs checks the number of arguments; high below zero stands for any.
+func checkArgs(args []string, low, high int, usage string) error {
 	if len(args) < low || high >= 0 && len(args) > high {
-		return inputf("arguments", "should be: %s", usage)
+		return inputErrorf("arguments", "should be: %s", usage)
 	}
 	return nil
 }
 
-// exitOf returns the exit code of an error.
-func exitOf(err error) subcommands.ExitStatus {
+// exitStatus returns the exit code of an error.
+func exitStatus(err error) subcommands.ExitStatus {
 	var found *finding.Error
 	var conflict *settings.ConflictError
 	switch {
@@ -158,8 +158,8 @@
 	return ExitFailed
 }
 
-// explainError prints an error for a person.
-func (c *command) explainError(err error) {
+// printError prints an error for a person.
+func (c *command) printError(err error) {
 	var found *finding.Error
 	var conflict *settings.ConflictError
 	var denied *operator.DeniedError
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -16,9 +16,9 @@
 	assert.Equal(t, string(page), reference(), "print it anew: citrontray reference >docs/operators/settings.md")
 }
 
-// TestPagesNameRealCommands looks up each command that the operators' pages
+// TestPagesUseExistingCommands looks up each command that the operators' pages
 // show.
-func TestPagesNameRealCommands(t *testing.T) {
+func TestPagesUseExistingCommands(t *testing.T) {
 	names := map[string]bool{"help": true, "--help": true, "--version": true}
 	for _, g := range commands() {
 		names[g.name] = true
--- a/internal/command/connection.go
+++ b/internal/command/connection.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/finding"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/operator"
 	"citrontray.example/citrontray/internal/platform"
 )
@@ -84,19 +84,19 @@
 // store returns a client of the platform's service.
 func (c *connection) store() (platform.Store, error) {
 	if len(c.platformAddrs) == 0 {
-		return nil, inputf("--platform", "is required here")
+		return nil, inputErrorf("--platform", "is required here")
 	}
 	return platform.NewClient(platform.ClientConfig{Addrs: c.platformAddrs, Timeout: c.timeout}), nil
 }
 
-// desk returns where settings are read and written: the operators' API, or the
+// api returns where settings are read and written: the operators' API, or the
 // platform's service where only that is given.
-func (c *command) desk() (operator.Desk, error) {
+func (c *command) api() (operator.API, error) {
 	if len(c.operatorAddrs) > 0 {
 		return c.client()
 	}
 	if len(c.platformAddrs) == 0 {
-		return nil, inputf("--operators", "is required, or --platform to reach the store directly")
+		return nil, inputErrorf("--operators", "is required, or --platform to reach the store directly")
 	}
 	store, err := c.store()
 	if err != nil {
@@ -109,9 +109,9 @@
 func (c *connection) client() (*operator.Client, error) {
 	config := operator.ClientConfig{Addrs: c.operatorAddrs, Credential: c.credential, Timeout: c.timeout}
 	if c.authority != "" {
-		pool, err := keys.Authority(c.authority)
+		pool, err := certs.AuthorityPool(c.authority)
 		if err != nil {
-			return nil, inputf("--authority", "%s", err.Error())
+			return nil, inputErrorf("--authority", "%s", err.Error())
 		}
 		config.Authority = pool
 	}
--- a/internal/command/local.go
+++ b/internal/command/local.go
@@ -8,8 +8,8 @@
 	"net/netip"
 	"strings"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/finding"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/settings"
@@ -20,11 +20,11 @@
 		name: "credential", local: true,
 		synopsis: "make a new bearer credential and the hash that stands in the settings",
 		run: func(_ context.Context, c *command, args []string) error {
-			if err := want(args, 0, 0, "no arguments"); err != nil {
+			if err := checkArgs(args, 0, 0, "no arguments"); err != nil {
 				return err
 			}
 			credential := rand.Text()
-			fmt.Fprintf(c.Out, "credential: %s\nhash: %s\n", credential, settings.HashText(settings.HashCredential(credential)))
+			fmt.Fprintf(c.Out, "credential: %s\nhash: %s\n", credential, settings.FormatHash(settings.HashCredential(credential)))
 			return nil
 		},
 	}
@@ -42,21 +42,21 @@
 			f.StringVar(&ips, "ips", "", "IP numbers of the host, with commas between")
 		},
 		run: func(_ context.Context, c *command, args []string) error {
-			if err := want(args, 1, 1, c.usage); err != nil {
+			if err := checkArgs(args, 1, 1, c.usage); err != nil {
 				return err
 			}
 			if dir == "" {
-				return inputf("--dir", "is required")
+				return inputErrorf("--dir", "is required")
 			}
 			switch args[0] {
 			case "authority":
-				return keys.MakeAuthority(c.Now(), dir)
+				return certs.CreateAuthority(c.Now(), dir)
 			case "host":
 				return makeHost(c, dir, host, zone, ips)
 			case "retire":
-				return keys.Retire(dir)
+				return certs.RemoveOldAuthorities(dir)
 			}
-			return inputf(args[0], "is none of authority, host, retire")
+			return inputErrorf(args[0], "is none of authority, host, retire")
 		},
 	}
 }
@@ -83,7 +83,7 @@
 		return err
 	}
 	roles := []peer.Role{peer.RoleEntry, peer.RoleLead}
-	return keys.MakeHost(c.Now(), dir, place.Host(host), place.Zone(zone), roles, addrs)
+	return certs.IssueHost(c.Now(), dir, place.Host(host), place.Zone(zone), roles, addrs)
 }
 
 func completionCommand() *command {
@@ -91,7 +91,7 @@
 		name: "completion", local: true, usage: "bash|zsh",
 		synopsis: "print a completion script for the shell",
 		run: func(_ context.Context, c *command, args []string) error {
-			if err := want(args, 1, 1, c.usage); err != nil {
+			if err := checkArgs(args, 1, 1, c.usage); err != nil {
 				return err
 			}
 			switch args[0] {
@@ -99,7 +99,7 @@
 			case "zsh":
 				fmt.Fprintln(c.Out, "autoload -U +X bashcompinit && bashcompinit")
 			default:
-				return inputf(args[0], "is neither bash nor zsh")
+				return inputErrorf(args[0], "is neither bash nor zsh")
 			}
 			fmt.Fprint(c.Out, completionScript())
 			return nil
@@ -119,7 +119,7 @@
 	b.WriteString("_citrontray() {\n  local word=${COMP_WORDS[COMP_CWORD]} words\n  case ${COMP_WORDS[1]} in\n")
 	for _, g := range all {
 		f := flag.NewFlagSet(g.name, flag.ContinueOnError)
-		g.Shell = &Shell{Getenv: func(string) string { return "" }}
+		g.Env = &Env{Getenv: func(string) string { return "" }}
 		g.SetFlags(f)
 		var flags []string
 		f.VisitAll(func(each *flag.Flag) { flags = append(flags, "--"+each.Name) })
--- a/internal/command/program.go
+++ b/internal/command/program.go
@@ -18,7 +18,7 @@
 	groupLocal    = "this machine alone"
 )
 
-const about = `citrontray: the operators' command line
+const helpText = `citrontray: the operators' command line
 
 Say where to go once, in the environment:
   export CITRONTRAY_OPERATORS=10.0.0.1:7003,10.0.0.2:7003
@@ -38,7 +38,7 @@
 
 // Run runs the program with its arguments, the program's name left out, and
 // returns the exit code.
-func Run(ctx context.Context, shell *Shell, args []string) int {
+func Run(ctx context.Context, shell *Env, args []string) int {
 	flags := flag.NewFlagSet("citrontray", flag.ContinueOnError)
 	flags.SetOutput(shell.Err)
 	showVersion := flags.Bool("version", false, "print the version")
@@ -46,7 +46,7 @@
 	commander.Output, commander.Error = shell.Out, shell.Err
 	register(commander, shell)
 	flags.Usage = func() {
-		fmt.Fprint(shell.Out, about)
+		fmt.Fprint(shell.Out, helpText)
 		commander.Explain(shell.Out)
 	}
 	switch err := flags.Parse(args); {
@@ -81,10 +81,10 @@
 		{historyCommand(), groupSettings},
 		{rollbackCommand(), groupSettings},
 		{watchCommand(), groupSettings},
-		{markCommand("drain", "give a target or zone no new work and move its shards away", "drains", false), groupHosts},
-		{markCommand("undrain", "end a drain", "drains", true), groupHosts},
-		{markCommand("lost", "declare a target, host or zone lost, after it was switched off", "losses", false), groupHosts},
-		{markCommand("found", "end a declaration of loss", "losses", true), groupHosts},
+		{declarationCommand("drain", "give a target or zone no new work and move its shards away", "drains", false), groupHosts},
+		{declarationCommand("undrain", "end a drain", "drains", true), groupHosts},
+		{declarationCommand("lost", "declare a target, host or zone lost, after it was switched off", "losses", false), groupHosts},
+		{declarationCommand("found", "end a declaration of loss", "losses", true), groupHosts},
 		{statusCommand(), groupHosts},
 		{explainCommand(), groupHosts},
 		{topCommand(), groupHosts},
@@ -95,12 +95,12 @@
 	}
 }
 
-func register(commander *subcommands.Commander, shell *Shell) {
+func register(commander *subcommands.Commander, shell *Env) {
 	commander.Register(commander.HelpCommand(), "")
 	commander.Register(commander.FlagsCommand(), "")
 	commander.Register(commander.CommandsCommand(), "")
 	for _, g := range commands() {
-		g.Shell = shell
+		g.Env = shell
 		commander.Register(g.command, g.group)
 	}
 }
--- a/internal/command/read.go
+++ b/internal/command/read.go
@@ -21,8 +21,8 @@
 	Settings map[string]map[string]any `json:"settings"`
 }
 
-// wireOutcome is the JSON of the commands that write.
-type wireOutcome struct {
+// wireWriteResult is the JSON of the commands that write.
+type wireWriteResult struct {
 	Accepted bool       `json:"accepted"`
 	Revision uint64     `json:"revision"`
 	Changes  []wireDiff `json:"changes"`
@@ -50,10 +50,10 @@
 	return e.Encode(v)
 }
 
-// printOutcome prints an accepted write or a dry run.
-func (c *command) printOutcome(out operator.Outcome, dryRun bool) error {
+// printResult prints an accepted write or a dry run.
+func (c *command) printResult(out operator.WriteResult, dryRun bool) error {
 	if c.output == outputJSON {
-		w := wireOutcome{Accepted: !dryRun, Revision: out.Number, Changes: []wireDiff{}}
+		w := wireWriteResult{Accepted: !dryRun, Revision: out.Number, Changes: []wireDiff{}}
 		for _, d := range out.Differences {
 			w.Changes = append(w.Changes, wireDiff{string(d.Path), d.Before, d.After})
 		}
@@ -103,7 +103,7 @@
 		name: "get", usage: "[PATH]",
 		synopsis: "print the settings in force, or those at and below a path, as a settings file",
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 0, 1, c.usage); err != nil {
+			if err := checkArgs(args, 0, 1, c.usage); err != nil {
 				return err
 			}
 			view, path, err := c.readAt(ctx, args)
@@ -127,7 +127,7 @@
 
 // read reads the settings in force.
 func (c *command) read(ctx context.Context) (operator.View, error) {
-	desk, err := c.desk()
+	desk, err := c.api()
 	if err != nil {
 		return operator.View{}, err
 	}
@@ -174,7 +174,7 @@
 		name: "history", usage: "[PATH]",
 		synopsis: "list the accepted writes, newest last: revision, time, who, reason, paths",
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 0, 1, c.usage); err != nil {
+			if err := checkArgs(args, 0, 1, c.usage); err != nil {
 				return err
 			}
 			view, path, err := c.readAt(ctx, args)
@@ -225,7 +225,7 @@
 		name: "watch", usage: "[PATH]",
 		synopsis: "print each accepted write as it comes, until interrupted",
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 0, 1, c.usage); err != nil {
+			if err := checkArgs(args, 0, 1, c.usage); err != nil {
 				return err
 			}
 			var path settings.Path
--- a/internal/command/reference.go
+++ b/internal/command/reference.go
@@ -38,16 +38,16 @@
 	var b strings.Builder
 	b.WriteString(referenceHead)
 	for _, k := range settings.Kinds() {
-		fmt.Fprintf(&b, "## `%s`\n\n%s\n\n| field | value | without it | meaning |\n|---|---|---|---|\n", k.Paths, k.About)
+		fmt.Fprintf(&b, "## `%s`\n\n%s\n\n| field | value | without it | meaning |\n|---|---|---|---|\n", k.Pattern, k.Description)
 		for _, f := range k.Fields {
-			fallback := f.Fallback
+			fallback := f.Default
 			switch {
 			case f.Required:
 				fallback = "required"
 			case fallback == "":
 				fallback = "none"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Name, f.Form, fallback, f.About)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Name, f.Type, fallback, f.Description)
 		}
 		b.WriteByte('\n')
 	}
@@ -59,7 +59,7 @@
 		name: "reference", local: true,
 		synopsis: "print the reference of all settings, in Markdown",
 		run: func(_ context.Context, c *command, args []string) error {
-			if err := want(args, 0, 0, "no arguments"); err != nil {
+			if err := checkArgs(args, 0, 0, "no arguments"); err != nil {
 				return err
 			}
 			fmt.Fprint(c.Out, reference())
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -16,24 +16,24 @@
 
 // maxDoubtLines and maxMoveLines bound what status and explain print; JSON has all.
 const (
-	maxDoubtLines = 10
-	maxMoveLines  = 10
+	maxBlockedLines = 10
+	maxMoveLines    = 10
 )
 
 // lineWidth is the width that tables and texts keep to.
 const lineWidth = 80
 
-// wireAnswer is the JSON of status: one daemon's report, or why there is none.
-type wireAnswer struct {
+// wireResponse is the JSON of status: one daemon's report, or why there is none.
+type wireResponse struct {
 	Addr   netip.AddrPort `json:"addr"`
 	Error  string         `json:"error,omitempty"`
 	Report *status.Report `json:"report,omitempty"`
 }
 
 // collect asks the daemons; it fails where none answers.
-func (c *command) collect(ctx context.Context, q status.Query) ([]status.Answer, error) {
+func (c *command) collect(ctx context.Context, q status.Query) ([]status.Response, error) {
 	if len(c.daemonAddrs) == 0 {
-		return nil, inputf("--daemons", "is required: the admin addresses of the daemons")
+		return nil, inputErrorf("--daemons", "is required: the admin addresses of the daemons")
 	}
 	answers := status.Collect(ctx, c.daemonAddrs, q, c.timeout)
 	for _, a := range answers {
@@ -44,10 +44,10 @@
 	return nil, fmt.Errorf("%w: no daemon answers: %w", platform.ErrUnavailable, answers[0].Err)
 }
 
-func toWireAnswers(answers []status.Answer) []wireAnswer {
-	out := make([]wireAnswer, 0, len(answers))
+func toWireResponses(answers []status.Response) []wireResponse {
+	out := make([]wireResponse, 0, len(answers))
 	for _, a := range answers {
-		w := wireAnswer{Addr: a.Addr}
+		w := wireResponse{Addr: a.Addr}
 		if a.Err != nil {
 			w.Error = a.Err.Error()
 		} else {
@@ -63,7 +63,7 @@
 		name: "status", usage: "",
 		synopsis: "show hosts, settings in force, cells with their leads, shards in doubt",
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 0, 0, "no arguments"); err != nil {
+			if err := checkArgs(args, 0, 0, "no arguments"); err != nil {
 				return err
 			}
 			answers, err := c.collect(ctx, status.Query{})
@@ -71,12 +71,12 @@
 				return err
 			}
 			if c.output == outputJSON {
-				return c.printJSON(toWireAnswers(answers))
+				return c.printJSON(toWireResponses(answers))
 			}
 			c.printHosts(answers)
-			cells := status.CellsOf(answers)
+			cells := status.MergeCells(answers)
 			c.printCells(cells)
-			c.printDoubts(cells)
+			c.printBlocked(cells)
 			return nil
 		},
 	}
@@ -89,7 +89,7 @@
 }
 
 // printHosts prints a line for each daemon.
-func (c *command) printHosts(answers []status.Answer) {
+func (c *command) printHosts(answers []status.Response) {
 	newest := uint64(0)
 	for _, a := range answers {
 		newest = max(newest, a.Report.Settings.Number)
@@ -111,13 +111,13 @@
 			state = "not ready"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Host, r.Zone, r.Role, number,
-			c.ago(r.Settings.Since), c.ago(r.Store), state)
+			c.formatAge(r.Settings.Since), c.formatAge(r.LastStoreResponse), state)
 	}
 	_ = t.Flush()
 }
 
-// ago prints how long ago a time was.
-func (c *command) ago(at time.Time) string {
+// formatAge prints how long ago a time was.
+func (c *command) formatAge(at time.Time) string {
 	if at.IsZero() {
 		return "-"
 	}
@@ -146,7 +146,7 @@
 			lead = "-"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", x.Service, x.Zone, lead, x.Term,
-			x.Shards, x.Owned, len(x.Doubts), x.Moving, x.Solos)
+			x.Shards, x.Owned, len(x.Blocked), x.Moving, x.SingleKeys)
 	}
 	_ = t.Flush()
 	for _, x := range cells {
@@ -158,11 +158,11 @@
 	}
 }
 
-// printDoubts prints the shards that can get no owner, and why.
-func (c *command) printDoubts(cells []status.Cell) {
-	left := maxDoubtLines
+// printBlocked prints the shards that can get no owner, and why.
+func (c *command) printBlocked(cells []status.Cell) {
+	left := maxBlockedLines
 	for _, x := range cells {
-		for _, d := range x.Doubts {
+		for _, d := range x.Blocked {
 			if left == 0 {
 				fmt.Fprintln(c.Out, "more in doubt: see --output json")
 				return
@@ -170,10 +170,10 @@
 			left--
 			fmt.Fprintf(c.Out, "in doubt: %s shard %d", x.Service, d.Shard)
 			if !d.Since.IsZero() {
-				fmt.Fprintf(c.Out, " for %s", c.ago(d.Since))
+				fmt.Fprintf(c.Out, " for %s", c.formatAge(d.Since))
 			}
 			fmt.Fprintln(c.Out)
-			c.printWrapped(d.Why)
+			c.printWrapped(d.Reason)
 		}
 	}
 }
@@ -196,19 +196,19 @@
 		name: "explain", usage: "SERVICE KEY",
 		synopsis: "tell where a key is, since when, and the last moves with their evidence",
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 2, 2, c.usage); err != nil {
+			if err := checkArgs(args, 2, 2, c.usage); err != nil {
 				return err
 			}
 			answers, err := c.collect(ctx, status.Query{Service: key.Service(args[0]), Key: args[1]})
 			if err != nil {
 				return err
 			}
-			found := explanations(answers)
+			found := responsesWithKey(answers)
 			if len(found) == 0 {
 				return errors.New("no daemon that answered knows a cell with this key")
 			}
 			if c.output == outputJSON {
-				return c.printJSON(toWireAnswers(found))
+				return c.printJSON(toWireResponses(found))
 			}
 			c.printKey(found)
 			return nil
@@ -216,9 +216,9 @@
 	}
 }
 
-// explanations keeps the answers that know the key, the newest first.
-func explanations(answers []status.Answer) []status.Answer {
-	var out []status.Answer
+// responsesWithKey keeps the answers that know the key, the newest first.
+func responsesWithKey(answers []status.Response) []status.Response {
+	var out []status.Response
 	for _, a := range answers {
 		if a.Err != nil || a.Report.Key == nil {
 			continue
@@ -242,13 +242,13 @@
 }
 
 // printKey prints the newest explanation and who sees it otherwise.
-func (c *command) printKey(found []status.Answer) {
+func (c *command) printKey(found []status.Response) {
 	k := found[0].Report.Key
 	what := fmt.Sprintf("shard %d", k.Shard)
 	if k.Range != "" {
 		what = "range " + k.Range
 	}
-	if k.Solo {
+	if k.SingleKey {
 		what += ", a shard of its own"
 	}
 	if k.Zone != "" {
@@ -257,7 +257,7 @@
 	fmt.Fprintf(c.Out, "%s %s: %s\n", k.Service, k.Key, what)
 	owner := k.Owner
 	if owner == "" {
-		owner = "none now: " + k.Why
+		owner = "none now: " + k.Reason
 	}
 	fmt.Fprintf(c.Out, "owner: %s\nepoch: %d, term %d\n", owner, k.Epoch, k.Term)
 	if k.Standby != "" {
@@ -265,17 +265,17 @@
 	}
 	moves := k.Moves[max(0, len(k.Moves)-maxMoveLines):]
 	for _, m := range moves {
-		fmt.Fprintf(c.Out, "moved %s ago: %s to %s, epoch %d, %s\n", c.ago(m.At), dash(m.From), dash(m.To), m.Epoch, m.Evidence)
+		fmt.Fprintf(c.Out, "moved %s ago: %s to %s, epoch %d, %s\n", c.formatAge(m.At), orNone(m.From), orNone(m.To), m.Epoch, m.Evidence)
 	}
 	for _, a := range found[1:] {
 		if o := a.Report.Key; o.Owner != k.Owner {
-			fmt.Fprintf(c.Out, "%s (%s) knows %s at epoch %d, term %d\n", a.Report.Host, a.Report.Role, dash(o.Owner), o.Epoch, o.Term)
+			fmt.Fprintf(c.Out, "%s (%s) knows %s at epoch %d, term %d\n", a.Report.Host, a.Report.Role, orNone(o.Owner), o.Epoch, o.Term)
 		}
 	}
 }
 
-// dash stands for a name that is not there.
-func dash(s string) string {
+// orNone stands for a name that is not there.
+func orNone(s string) string {
 	if s == "" {
 		return "none"
 	}
--- a/internal/command/top.go
+++ b/internal/command/top.go
@@ -28,11 +28,11 @@
 			f.IntVar(&rounds, "rounds", 0, "refreshes before it ends; 0: until interrupted")
 		},
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 0, 0, c.usage); err != nil {
+			if err := checkArgs(args, 0, 0, c.usage); err != nil {
 				return err
 			}
 			if interval <= 0 {
-				return inputf("--interval", "is not above zero")
+				return inputErrorf("--interval", "is not above zero")
 			}
 			return c.top(ctx, interval, rounds)
 		},
@@ -49,7 +49,7 @@
 			return err
 		}
 		if c.output == outputJSON {
-			err = c.printJSON(toWireAnswers(answers))
+			err = c.printJSON(toWireResponses(answers))
 		} else {
 			c.printTop(answers)
 		}
@@ -65,8 +65,8 @@
 }
 
 // printTop prints the busiest targets and callers over all hosts.
-func (c *command) printTop(answers []status.Answer) {
-	targets, callers := loads(answers)
+func (c *command) printTop(answers []status.Response) {
+	targets, callers := sumLoads(answers)
 	fmt.Fprint(c.Out, clearScreen)
 	t := c.table()
 	fmt.Fprintln(t, "TARGET\tSERVICE\tRATE/S\tWAITING\tRUNNING\tP99 MS")
@@ -82,9 +82,9 @@
 	_ = t.Flush()
 }
 
-// loads adds up the hosts' counts, busiest first. The p99 of several hosts is
+// sumLoads adds up the hosts' counts, busiest first. The p99 of several hosts is
 // the highest of theirs.
-func loads(answers []status.Answer) ([]status.Target, []status.Caller) {
+func sumLoads(answers []status.Response) ([]status.Target, []status.Caller) {
 	var targets []status.Target
 	var callers []status.Caller
 	for _, a := range answers {
--- a/internal/command/write.go
+++ b/internal/command/write.go
@@ -16,49 +16,49 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// writing holds the flags of commands that write.
-type writing struct {
+// writeFlags holds the flags of commands that write.
+type writeFlags struct {
 	reason string
 	dryRun bool
 	expect uint64
 	file   string
 }
 
-func (w *writing) setFlags(f *flag.FlagSet) {
+func (w *writeFlags) setFlags(f *flag.FlagSet) {
 	f.StringVar(&w.reason, "reason", "", "why, for the history")
 	f.BoolVar(&w.dryRun, "dry-run", false, "check and show the difference, write nothing")
 	f.Uint64Var(&w.expect, "expect", 0, "number of the revision that you saw; the write conflicts where a path of it changed since")
 }
 
-func (w *writing) setFile(f *flag.FlagSet) {
+func (w *writeFlags) setFile(f *flag.FlagSet) {
 	f.StringVar(&w.file, "f", "", "settings file, - for the standard input")
 }
 
 // readFile reads the settings file.
-func (w *writing) readFile(c *command) ([]byte, error) {
+func (w *writeFlags) readFile(c *command) ([]byte, error) {
 	switch w.file {
 	case "":
-		return nil, inputf("-f", "is required")
+		return nil, inputErrorf("-f", "is required")
 	case "-":
 		return io.ReadAll(io.LimitReader(c.In, settings.MaxFileBytes+1))
 	}
 	file, err := os.ReadFile(w.file)
 	if err != nil {
-		return nil, inputf("-f", "%s", err.Error())
+		return nil, inputErrorf("-f", "%s", err.Error())
 	}
 	return file, nil
 }
 
 // send sends an order and prints its outcome.
-func (w *writing) send(ctx context.Context, c *command, order operator.Order) error {
-	desk, err := c.desk()
+func (w *writeFlags) send(ctx context.Context, c *command, order operator.WriteRequest) error {
+	desk, err := c.api()
 	if err != nil {
 		return err
 	}
 	return w.sendTo(ctx, c, desk, order)
 }
 
-func (w *writing) sendTo(ctx context.Context, c *command, desk operator.Desk, order operator.Order) error {
+func (w *writeFlags) sendTo(ctx context.Context, c *command, desk operator.API, order operator.WriteRequest) error {
 	order.ID, order.Reason, order.DryRun = uuid.NewString(), w.reason, w.dryRun
 	if w.expect > 0 {
 		order.Expect = w.expect
@@ -69,17 +69,17 @@
 	if err != nil {
 		return err
 	}
-	return c.printOutcome(out, w.dryRun)
+	return c.printResult(out, w.dryRun)
 }
 
 func applyCommand() *command {
-	var w writing
+	var w writeFlags
 	return &command{
 		name: "apply", usage: "-f FILE [--dry-run] [--reason TEXT]",
 		synopsis: "make the settings of a file accepted, whole or not at all",
 		flags:    func(f *flag.FlagSet) { w.setFlags(f); w.setFile(f) },
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 0, 0, c.usage); err != nil {
+			if err := checkArgs(args, 0, 0, c.usage); err != nil {
 				return err
 			}
 			file, err := w.readFile(c)
@@ -90,41 +90,41 @@
 			if _, err := settings.Parse(file); err != nil {
 				return err
 			}
-			return w.send(ctx, c, operator.Order{File: file})
+			return w.send(ctx, c, operator.WriteRequest{File: file})
 		},
 	}
 }
 
 func diffCommand() *command {
-	w := writing{dryRun: true}
+	w := writeFlags{dryRun: true}
 	return &command{
 		name: "diff", usage: "-f FILE",
 		synopsis: "show what apply would change, and write nothing",
 		flags:    w.setFile,
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 0, 0, c.usage); err != nil {
+			if err := checkArgs(args, 0, 0, c.usage); err != nil {
 				return err
 			}
 			file, err := w.readFile(c)
 			if err != nil {
 				return err
 			}
-			return w.send(ctx, c, operator.Order{File: file})
+			return w.send(ctx, c, operator.WriteRequest{File: file})
 		},
 	}
 }
 
 func setCommand() *command {
-	var w writing
+	var w writeFlags
 	return &command{
 		name: "set", usage: "PATH FIELD=VALUE... [--reason TEXT]",
 		synopsis: "change fields of one setting, or make it; a list is written with commas, FIELD= takes a field out",
 		flags:    w.setFlags,
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 2, -1, c.usage); err != nil {
+			if err := checkArgs(args, 2, -1, c.usage); err != nil {
 				return err
 			}
-			desk, err := c.desk()
+			desk, err := c.api()
 			if err != nil {
 				return err
 			}
@@ -132,18 +132,18 @@
 			if err != nil {
 				return err
 			}
-			item, err := merged(view, settings.Path(args[0]), args[1:])
+			item, err := applyAssignments(view, settings.Path(args[0]), args[1:])
 			if err != nil {
 				return err
 			}
-			order := operator.Order{File: []byte(settings.Format([]settings.Item{item})), Expect: view.Number}
+			order := operator.WriteRequest{File: []byte(settings.Format([]settings.Item{item})), Expect: view.Number}
 			return w.sendTo(ctx, c, desk, order)
 		},
 	}
 }
 
-// merged returns the item at path with the assignments made.
-func merged(view operator.View, path settings.Path, assignments []string) (settings.Item, error) {
+// applyAssignments returns the item at path with the assignments made.
+func applyAssignments(view operator.View, path settings.Path, assignments []string) (settings.Item, error) {
 	item := settings.Item{Path: path}
 	if i := slices.IndexFunc(view.Items, func(i settings.Item) bool { return i.Path == path }); i >= 0 {
 		item.Fields = slices.Clone(view.Items[i].Fields)
@@ -151,7 +151,7 @@
 	for _, a := range assignments {
 		name, value, ok := strings.Cut(a, "=")
 		if !ok {
-			return item, inputf(a, "is not FIELD=VALUE")
+			return item, inputErrorf(a, "is not FIELD=VALUE")
 		}
 		item.Fields = slices.DeleteFunc(item.Fields, func(f settings.Field) bool { return f.Name == name })
 		if value == "" {
@@ -167,22 +167,22 @@
 }
 
 func deleteCommand() *command {
-	var w writing
+	var w writeFlags
 	return &command{
 		name: "delete", usage: "PATH... [--reason TEXT]",
 		synopsis: "take settings out, all of them or none",
 		flags:    w.setFlags,
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 1, -1, c.usage); err != nil {
+			if err := checkArgs(args, 1, -1, c.usage); err != nil {
 				return err
 			}
-			return w.send(ctx, c, operator.Order{File: deletions(args)})
+			return w.send(ctx, c, operator.WriteRequest{File: deletionFile(args)})
 		},
 	}
 }
 
-// deletions returns a settings file that deletes the paths.
-func deletions(paths []string) []byte {
+// deletionFile returns a settings file that deletes the paths.
+func deletionFile(paths []string) []byte {
 	var b strings.Builder
 	for _, p := range paths {
 		fmt.Fprintf(&b, "%s: null\n", strconv.Quote(p))
@@ -191,22 +191,22 @@
 }
 
 func rollbackCommand() *command {
-	var w writing
+	var w writeFlags
 	return &command{
 		name: "rollback", usage: "REVISION [PATH] [--dry-run] [--reason TEXT]",
 		synopsis: "make the values of an earlier revision accepted again, of all settings or those below a path, as a new revision",
 		flags:    w.setFlags,
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 1, 2, c.usage); err != nil {
+			if err := checkArgs(args, 1, 2, c.usage); err != nil {
 				return err
 			}
-			order := operator.Order{}
+			order := operator.WriteRequest{}
 			if len(args) > 1 {
 				order.Below = settings.Path(args[1])
 			}
 			number, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || number == 0 {
-				return inputf("REVISION", "%q is not the number of a revision", args[0])
+				return inputErrorf("REVISION", "%q is not the number of a revision", args[0])
 			}
 			if w.reason == "" {
 				w.reason = "rollback to " + args[0]
@@ -217,16 +217,16 @@
 	}
 }
 
-// mark is a command that sets or deletes one of the platform's declarations.
-type mark struct {
-	writing
-	kind   string // drains or losses
-	remove bool
+// declaration is a command that sets or deletes one of the platform's declarations.
+type declaration struct {
+	writeFlags
+	kind     string // drains or losses
+	withdraw bool
 }
 
-// markCommand makes drain, undrain, lost and found.
-func markCommand(name, synopsis, kind string, remove bool) *command {
-	m := mark{kind: kind, remove: remove}
+// declarationCommand makes drain, undrain, lost and found.
+func declarationCommand(name, synopsis, kind string, remove bool) *command {
+	m := declaration{kind: kind, withdraw: remove}
 	usage := "target|zone NAME"
 	if kind == "losses" {
 		usage = "target|host|zone NAME"
@@ -235,7 +235,7 @@
 		name: name, synopsis: synopsis, usage: usage + " --reason TEXT",
 		flags: m.setFlags,
 		run: func(ctx context.Context, c *command, args []string) error {
-			if err := want(args, 2, 2, c.usage); err != nil {
+			if err := checkArgs(args, 2, 2, c.usage); err != nil {
 				return err
 			}
 			return m.run(ctx, c, args[0], args[1])
@@ -243,18 +243,18 @@
 	}
 }
 
-func (m *mark) run(ctx context.Context, c *command, kind, name string) error {
+func (m *declaration) run(ctx context.Context, c *command, kind, name string) error {
 	path := "platform/" + m.kind + "/" + kind + "s/" + name
-	if m.remove {
-		return m.send(ctx, c, operator.Order{File: deletions([]string{path})})
+	if m.withdraw {
+		return m.send(ctx, c, operator.WriteRequest{File: deletionFile([]string{path})})
 	}
 	if m.reason == "" {
-		return inputf("--reason", "is required: others must know why")
+		return inputErrorf("--reason", "is required: others must know why")
 	}
 	item := settings.Item{Path: settings.Path(path)}
 	item.Fields = append(item.Fields, settings.Field{Name: "reason", Values: []string{m.reason}})
 	if m.kind == "losses" {
 		item.Fields = append(item.Fields, settings.Field{Name: "by", Values: []string{c.User}})
 	}
-	return m.send(ctx, c, operator.Order{File: []byte(settings.Format([]settings.Item{item}))})
+	return m.send(ctx, c, operator.WriteRequest{File: []byte(settings.Format([]settings.Item{item}))})
 }
--- a/internal/docsync/followers_bench_test.go
+++ b/internal/docsync/followers_bench_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/docsync"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 	"citrontray.example/citrontray/internal/platform"
@@ -59,7 +59,7 @@
 func startZone(b *testing.B, hosts int) *zone {
 	b.Helper()
 	dir := b.TempDir()
-	must(b, keys.MakeAuthority(time.Now(), dir))
+	must(b, certs.CreateAuthority(time.Now(), dir))
 	z := &zone{}
 	var fleet platform.Fleet
 	for i := range hosts {
@@ -79,8 +79,8 @@
 		work.Wait()
 	})
 	for i, row := range fleet.Hosts {
-		must(b, keys.MakeHost(time.Now(), dir, row.Host, row.Zone, []peer.Role{peer.RoleLead}, []netip.Addr{row.LeadAddr.Addr()}))
-		m, err := keys.Load(time.Now(), dir, row.Host, peer.RoleLead)
+		must(b, certs.IssueHost(time.Now(), dir, row.Host, row.Zone, []peer.Role{peer.RoleLead}, []netip.Addr{row.LeadAddr.Addr()}))
+		m, err := certs.Load(time.Now(), dir, row.Host, peer.RoleLead)
 		must(b, err)
 		p, err := peer.New(peer.Config{Conn: z.conns[i], Keys: m})
 		must(b, err)
--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"citrontray.example/citrontray/internal/admin"
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/docsync"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/option"
 	"citrontray.example/citrontray/internal/peer"
@@ -51,7 +51,7 @@
 func (o *Options) Read(args []string, out io.Writer) (program.Options, error) {
 	var leadAddr, httpAddr string
 	set := option.New("citrontray-entry", "takes callers' requests and forwards each to the one target that owns its key", out)
-	flags := program.Declare(set, &o.Options, program.Defaults{Admin: "127.0.0.1:9702", StopTimeout: 15 * time.Second})
+	flags := program.AddFlags(set, &o.Options, program.Defaults{Admin: "127.0.0.1:9702", StopTimeout: 15 * time.Second})
 	set.StringVar(&leadAddr, "lead", "", "peer address of this host's own lead process, IP:PORT")
 	set.StringVar(&httpAddr, "http-address", "", "address that callers reach this process at, IP:PORT")
 	set.IntVar(&o.Hosts, "hosts", DefaultHosts, "number of entry hosts that share each target's connections")
@@ -98,7 +98,7 @@
 
 // Open implements program.Opener: it reads the keys and binds all sockets.
 func (o *Options) Open(log *slog.Logger) (program.Daemon, error) {
-	material, err := keys.Load(time.Now(), o.Keys, o.Host, peer.RoleEntry)
+	material, err := certs.Load(time.Now(), o.Keys, o.Host, peer.RoleEntry)
 	if err != nil {
 		return nil, fmt.Errorf("--keys: %w (make them with: citrontray keys host)", err)
 	}
@@ -152,7 +152,7 @@
 	group.Go(func() error { return d.node.Run(outer) })
 	group.Go(func() error { return d.entry.Run(outer) })
 	group.Go(func() error { return d.pages.Run(outer) })
-	group.Go(func() error { return status.NewMeter(d.entry, d.metrics).Run(outer) })
+	group.Go(func() error { return status.NewExporter(d.entry, d.metrics).Run(outer) })
 	group.Go(func() error { return d.runReady(outer) })
 	group.Go(d.runServer)
 	group.Go(func() error {
--- a/internal/entry/slots_bench_test.go
+++ b/internal/entry/slots_bench_test.go
@@ -17,12 +17,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/entry"
 	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/grant"
 	"citrontray.example/citrontray/internal/key"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/outcome"
@@ -101,7 +101,7 @@
 	b.Cleanup(func() { c.farm.Stop(context.Background()) })
 	dir := b.TempDir()
 	now := time.Now()
-	assert.NilError(b, keys.MakeAuthority(now, dir))
+	assert.NilError(b, certs.CreateAuthority(now, dir))
 	links := make([]*peer.Peer, hosts)
 	fleet := platform.Fleet{}
 	for i := range hosts {
@@ -132,8 +132,8 @@
 func newLink(b testing.TB, dir string, host place.Host) *peer.Peer {
 	now := time.Now()
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
-	assert.NilError(b, keys.MakeHost(now, dir, host, "zone-a", []peer.Role{peer.RoleEntry}, []netip.Addr{loopback}))
-	material, err := keys.Load(now, dir, host, peer.RoleEntry)
+	assert.NilError(b, certs.IssueHost(now, dir, host, "zone-a", []peer.Role{peer.RoleEntry}, []netip.Addr{loopback}))
+	material, err := certs.Load(now, dir, host, peer.RoleEntry)
 	assert.NilError(b, err)
 	link, err := peer.New(peer.Config{Listen: netip.AddrPortFrom(loopback, 0), Keys: material, Log: logging.Nop()})
 	assert.NilError(b, err)
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -17,12 +17,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/docsync"
 	"citrontray.example/citrontray/internal/entry"
 	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/grant"
 	"citrontray.example/citrontray/internal/key"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/outcome"
@@ -131,7 +131,7 @@
 // messages and answers.
 func (s *soak) startEntries() {
 	dir := s.TempDir()
-	assert.NilError(s, keys.MakeAuthority(time.Now(), dir))
+	assert.NilError(s, certs.CreateAuthority(time.Now(), dir))
 	links := make([]*peer.Peer, soakEntries)
 	fleet := platform.Fleet{}
 	for i := range links {
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -24,7 +24,7 @@
 		Targets:  e.targets(now),
 		Callers:  e.meters.callers(now),
 	}
-	if q.Asked() {
+	if q.HasKey() {
 		out.Key = e.explain(q)
 	}
 	return out
@@ -75,10 +75,10 @@
 	shard, o := s.find(key.HashOf(q.Key))
 	out := &status.Key{
 		Service: string(q.Service), Key: q.Key, Shard: uint32(shard),
-		Solo: shard >= key.Shard(s.shards), Epoch: uint64(o.epoch),
+		SingleKey: shard >= key.Shard(s.shards), Epoch: uint64(o.epoch),
 	}
 	if o.lane == nil {
-		out.Why = "no table names an owner"
+		out.Reason = "no table names an owner"
 		return out
 	}
 	out.Zone, out.Owner = string(o.lane.zone), string(o.lane.target)
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -11,19 +11,19 @@
 
 // Finding is one problem in something that a person wrote.
 type Finding struct {
-	// Place is a flag, a settings path or a file:line:column.
-	Place string
+	// Location is a flag, a settings path or a file:line:column.
+	Location string
 	// Text says what is wrong, Mend how to put it right.
 	Text string
-	Mend string
+	Hint string
 }
 
 // String returns the finding as one line.
 func (f Finding) String() string {
-	if f.Mend == "" {
-		return f.Place + ": " + f.Text
+	if f.Hint == "" {
+		return f.Location + ": " + f.Text
 	}
-	return f.Place + ": " + f.Text + " (" + f.Mend + ")"
+	return f.Location + ": " + f.Text + " (" + f.Hint + ")"
 }
 
 // List collects findings. The zero value is ready for use.
@@ -31,7 +31,7 @@
 
 // Add records a problem; mend may be empty.
 func (l *List) Add(place, text, mend string) {
-	l.all = append(l.all, Finding{Place: place, Text: text, Mend: mend})
+	l.all = append(l.all, Finding{Location: place, Text: text, Hint: mend})
 }
 
 // Addf records a problem with a formatted text and no mend.
@@ -46,7 +46,7 @@
 // place keep the order in which they were added.
 func (l *List) Sorted() []Finding {
 	out := slices.Clone(l.all)
-	slices.SortStableFunc(out, func(a, b Finding) int { return cmp.Compare(a.Place, b.Place) })
+	slices.SortStableFunc(out, func(a, b Finding) int { return cmp.Compare(a.Location, b.Location) })
 	return out
 }
 
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -19,9 +19,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/fake"
 	"citrontray.example/citrontray/internal/key"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/loopback"
 	"citrontray.example/citrontray/internal/peer"
@@ -202,7 +202,7 @@
 	for _, h := range d.hosts {
 		s.Seeds = append(s.Seeds, site.Seed{Peer: h.site.Peer, Ticket: h.site.Ticket})
 	}
-	credentials, err := keys.MakeUnchecked(time.Now(), peer.Identity{Host: s.Host, Zone: s.Zone, Role: peer.RoleLead})
+	credentials, err := certs.NewUnverified(time.Now(), peer.Identity{Host: s.Host, Zone: s.Zone, Role: peer.RoleLead})
 	assert.NilError(d.t, err)
 	logs := &syncBuffer{}
 	h, err := Open(Environment{
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -59,7 +59,7 @@
 	v := h.views.view()
 	out := status.Report{
 		Host: string(h.site.Host), Zone: string(h.site.Zone), Role: "host", Version: version.String(),
-		Started: time.Unix(0, int64(h.incarnation)), Ready: v.usable() && !h.stopping.Load(), Store: h.store.lastAnswer(now),
+		Started: time.Unix(0, int64(h.incarnation)), Ready: v.usable() && !h.stopping.Load(), LastStoreResponse: h.store.lastAnswer(now),
 	}
 	if v.routes == nil {
 		return out
@@ -75,7 +75,7 @@
 			Service: string(p.ID.Service), Target: string(p.ID.Target), Waiting: p.Waiting, Running: p.Running,
 		})
 	}
-	if q.Asked() {
+	if q.HasKey() {
 		out.Key = h.keyOf(now, v, q)
 	}
 	return out
@@ -127,7 +127,7 @@
 		Moves: h.movesOf(q.Service, key.Range{First: key.Point(point), Last: key.Point(point)}),
 	}
 	if span.Target == "" {
-		out.Why = fmt.Sprintf("on the move, back in about %v by a table %v old",
+		out.Reason = fmt.Sprintf("on the move, back in about %v by a table %v old",
 			span.AvailableIn.Round(time.Millisecond), now.Sub(v.tableAt[q.Service]).Round(time.Millisecond))
 	}
 	return out
--- a/internal/host/report_test.go
+++ b/internal/host/report_test.go
@@ -42,7 +42,7 @@
 	assert.Equal(t, r.Role, "host")
 	assert.Assert(t, r.Ready)
 	assert.Equal(t, r.Settings.Number, uint64(1))
-	assert.Assert(t, time.Since(r.Store) < time.Minute)
+	assert.Assert(t, time.Since(r.LastStoreResponse) < time.Minute)
 	assert.Equal(t, r.Cells[0].Owned, r.Cells[0].Shards)
 	for name, q := range map[string]status.Query{
 		"no number":    {Service: "span", Key: "pine"},
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -76,8 +76,8 @@
 	if config.Scenario.Name == demoScenario {
 		fmt.Fprintln(o.out, report.DemoLine())
 	}
-	if len(report.Broken) > 0 {
-		return o.exit(errBroken)
+	if len(report.Violations) > 0 {
+		return o.exit(errInvariant)
 	}
 	return o.exit(nil)
 }
@@ -103,14 +103,14 @@
 	}
 	p, s := readPreset(&findings, c.preset)
 	return bench.Config{
-		Scenario:  scenario,
-		Preset:    p,
-		Settings:  s,
-		Hosts:     hosts,
-		Platform:  addr,
-		Director:  bench.NewDirector(os.NewFile(requestsFile, "requests"), os.NewFile(answersFile, "answers")),
-		Processes: c.processes,
-		Seed:      c.seed,
-		Log:       logging.Component(logging.New(o.errOut, slog.LevelInfo, false), "bench"),
+		Scenario:   scenario,
+		Preset:     p,
+		Settings:   s,
+		Hosts:      hosts,
+		Platform:   addr,
+		Supervisor: bench.NewSupervisor(os.NewFile(requestsFile, "requests"), os.NewFile(answersFile, "answers")),
+		Processes:  c.processes,
+		Seed:       c.seed,
+		Log:        logging.Component(logging.New(o.errOut, slog.LevelInfo, false), "bench"),
 	}, findings.Err()
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -15,16 +15,16 @@
 	"citrontray.example/citrontray/internal/load"
 )
 
-// readyTime bounds the wait for the first entry host to be ready.
-const readyTime = 15 * time.Second
+// readyTimeout bounds the wait for the first entry host to be ready.
+const readyTimeout = 15 * time.Second
 
 // loadCommand loads a running deployment.
 type loadCommand struct {
 	hosts, targets, preset string
 
-	part   float64
-	length time.Duration
-	seed   uint64
+	fraction float64
+	length   time.Duration
+	seed     uint64
 }
 
 // Name implements subcommands.Command.
@@ -43,7 +43,7 @@
 	f.StringVar(&c.hosts, "hosts", "", "file with the entry hosts; see scripts/cluster.sh")
 	f.StringVar(&c.targets, "targets", "127.0.0.1:9710", "admin address of the targets")
 	f.StringVar(&c.preset, "preset", "agency", "preset, agency or consortium")
-	f.Float64Var(&c.part, "part", 0.25, "part of the targets' capacity to load")
+	f.Float64Var(&c.fraction, "part", 0.25, "part of the targets' capacity to load")
 	f.DurationVar(&c.length, "length", 10*time.Second, "length of the load")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the load")
 }
@@ -56,7 +56,7 @@
 
 func (c *loadCommand) run(ctx context.Context, o output) error {
 	var findings finding.List
-	targets := address(&findings, "--targets", c.targets)
+	targets := parseAddress(&findings, "--targets", c.targets)
 	p, s := readPreset(&findings, c.preset)
 	hosts, err := bench.ReadHosts(c.hosts)
 	if err != nil {
@@ -69,7 +69,7 @@
 	if err := waitReady(ctx, balancer, len(hosts)); err != nil {
 		return err
 	}
-	g := load.NewGenerator(load.NewPlan(p, s, c.part, 1), balancer, fmt.Sprintf("l%d-", time.Now().UnixNano()), c.seed)
+	g := load.NewGenerator(load.NewPlan(p, s, c.fraction, 1), balancer, fmt.Sprintf("l%d-", time.Now().UnixNano()), c.seed)
 	loaded, cancel := context.WithTimeout(ctx, c.length)
 	defer cancel()
 	group, loaded := errgroup.WithContext(loaded)
@@ -86,20 +86,20 @@
 		return err
 	}
 	bench.WriteSummary(o.out, summary)
-	if summary.FalseNotRun+summary.Unrun+summary.Lost+summary.Wrong > 0 {
-		return errBroken
+	if summary.FalseNotRun+summary.FalseDone+summary.Lost+summary.Wrong > 0 {
+		return errInvariant
 	}
 	return nil
 }
 
 func waitReady(ctx context.Context, balancer *load.Balancer, hosts int) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for balancer.Refresh(ctx) < hosts {
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("not all of %d entry hosts are ready after %s", hosts, readyTime)
+			return fmt.Errorf("not all of %d entry hosts are ready after %s", hosts, readyTimeout)
 		}
 	}
 	return nil
@@ -126,7 +126,7 @@
 func (c *checkCommand) Execute(ctx context.Context, _ *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	o := outputOf(args)
 	var found finding.List
-	addr := address(&found, "--targets", c.targets)
+	addr := parseAddress(&found, "--targets", c.targets)
 	if err := found.Err(); err != nil {
 		return o.exit(err)
 	}
@@ -140,7 +140,7 @@
 		fmt.Fprintln(o.out, "broken:", text)
 	}
 	if counts.DuplicateOwners+counts.DuplicateRuns > 0 {
-		return o.exit(errBroken)
+		return o.exit(errInvariant)
 	}
 	return o.exit(nil)
 }
--- a/internal/lab/main.go
+++ b/internal/lab/main.go
@@ -18,8 +18,8 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// errBroken is returned where a run went through and an invariant did not hold.
-var errBroken = errors.New("an invariant did not hold")
+// errInvariant is returned where a run went through and an invariant did not hold.
+var errInvariant = errors.New("an invariant did not hold")
 
 // Main runs the program and returns its exit code: 0 where all was well, 1
 // where a run failed or an invariant did not hold, 2 for bad input.
--- a/internal/lab/preset.go
+++ b/internal/lab/preset.go
@@ -19,8 +19,8 @@
 // maxPorts bounds the free ports that one call finds, portTries how many are
 // tried.
 const (
-	maxPorts  = 1000
-	portTries = 10 * maxPorts
+	maxPorts     = 1000
+	portAttempts = 10 * maxPorts
 )
 
 // Ports are taken from firstPort up to lastPort.
@@ -63,7 +63,7 @@
 // readPreset returns a preset, or a sized deployment, and its settings; what is
 // wrong with the name is a finding.
 func readPreset(findings *finding.List, name string) (preset.Preset, *settings.Settings) {
-	p, ok := sized(name)
+	p, ok := sizedPreset(name)
 	if !ok {
 		var err error
 		if p, err = preset.Get(preset.Name(name)); err != nil {
@@ -116,7 +116,7 @@
 // found, so that none comes twice.
 func freePorts(count int) ([]int, error) {
 	var ports []int
-	for range portTries {
+	for range portAttempts {
 		if len(ports) == count {
 			return ports, nil
 		}
@@ -156,7 +156,7 @@
 func (*scenariosCommand) Execute(_ context.Context, _ *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	o := outputOf(args)
 	for _, s := range bench.All() {
-		fmt.Fprintf(o.out, "%-20s %s\n", s.Name, s.About)
+		fmt.Fprintf(o.out, "%-20s %s\n", s.Name, s.Description)
 	}
 	return o.exit(nil)
 }
--- a/internal/lab/sized.go
+++ b/internal/lab/sized.go
@@ -15,9 +15,9 @@
 	maxTargets  = 1000
 )
 
-// sized returns a deployment of a size for measuring slopes. Its name is
+// sizedPreset returns a deployment of a size for measuring slopes. Its name is
 // SERVICESxTARGETSxSHARDS, each service with that many targets and shards.
-func sized(name string) (preset.Preset, bool) {
+func sizedPreset(name string) (preset.Preset, bool) {
 	var services, targets, shards int
 	n, err := fmt.Sscanf(name, "%dx%dx%d", &services, &targets, &shards)
 	if err != nil || n != 3 || services < 1 || services > maxServices || targets < 1 || targets > maxTargets {
@@ -33,14 +33,14 @@
 	for i := range services {
 		service := fmt.Sprintf("service%d", i+1)
 		p.Services = append(p.Services, preset.Service{Name: key.Service(service), Targets: targets})
-		fmt.Fprintf(&file, sizedService, service, shards)
+		fmt.Fprintf(&file, sizedServiceFile, service, shards)
 	}
 	p.File = []byte(file.String())
 	return p, true
 }
 
-// sizedService is the settings of one service: its name, its shards.
-const sizedService = `teams/sized/services/%s:
+// sizedServiceFile is the settings of one service: its name, its shards.
+const sizedServiceFile = `teams/sized/services/%s:
   zones: [region-a, region-b, region-c]
   shards: %d
   slots: 3
--- a/internal/lab/standin.go
+++ b/internal/lab/standin.go
@@ -54,7 +54,7 @@
 func (c *platformCommand) Execute(ctx context.Context, _ *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	o := outputOf(args)
 	var findings finding.List
-	addr := address(&findings, "--address", c.address)
+	addr := parseAddress(&findings, "--address", c.address)
 	var hosts []bench.Host
 	if c.hosts != "" {
 		var err error
@@ -107,13 +107,13 @@
 
 func (c *targetsCommand) run(ctx context.Context) error {
 	var findings finding.List
-	admin := address(&findings, "--address", c.address)
-	store := address(&findings, "--platform", c.platform)
+	admin := parseAddress(&findings, "--address", c.address)
+	store := parseAddress(&findings, "--platform", c.platform)
 	p, s := readPreset(&findings, c.preset)
 	if err := findings.Err(); err != nil {
 		return err
 	}
-	farm := fake.NewTargetSet(load.Groups(p, s, 1), p.Zones)
+	farm := fake.NewTargetSet(load.TargetGroups(p, s, 1), p.Zones)
 	if err := farm.Start(); err != nil {
 		return err
 	}
@@ -131,8 +131,8 @@
 	return err
 }
 
-// address parses the value of a flag.
-func address(findings *finding.List, name, value string) netip.AddrPort {
+// parseAddress parses the value of a flag.
+func parseAddress(findings *finding.List, name, value string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil {
 		findings.Add(name, fmt.Sprintf("%q is not an address", value), "write IP:PORT")
--- a/internal/lead/main.go
+++ b/internal/lead/main.go
@@ -14,8 +14,8 @@
 
 	"citrontray.example/citrontray/internal/admin"
 	"citrontray.example/citrontray/internal/cell"
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/docsync"
-	"citrontray.example/citrontray/internal/keys"
 	"citrontray.example/citrontray/internal/logging"
 	"citrontray.example/citrontray/internal/metric"
 	"citrontray.example/citrontray/internal/operator"
@@ -49,7 +49,7 @@
 func (o *Options) Read(args []string, out io.Writer) (program.Options, error) {
 	var operatorAddr, bootstrap string
 	set := option.New("citrontray-lead", "grants shards to targets and keeps who owns what; one runs on every entry host", out)
-	flags := program.Declare(set, &o.Options, program.Defaults{Admin: "127.0.0.1:9701", StopTimeout: 5 * time.Second})
+	flags := program.AddFlags(set, &o.Options, program.Defaults{Admin: "127.0.0.1:9701", StopTimeout: 5 * time.Second})
 	set.StringVar(&operatorAddr, "operator-address", "", "address of the operators' API, IP:PORT; empty for none")
 	set.StringVar(&bootstrap, "operator-bootstrap", "", "hash of the credential that may write until the settings name an operator of the platform")
 	o.Timing = cell.DefaultTiming()
@@ -115,7 +115,7 @@
 
 // Open implements program.Opener: it reads the keys and binds all sockets.
 func (o *Options) Open(log *slog.Logger) (program.Daemon, error) {
-	material, err := keys.Load(time.Now(), o.Keys, o.Host, peer.RoleLead)
+	material, err := certs.Load(time.Now(), o.Keys, o.Host, peer.RoleLead)
 	if err != nil {
 		return nil, fmt.Errorf("--keys: %w (make them with: citrontray keys host)", err)
 	}
@@ -134,7 +134,7 @@
 	}
 	pages.SetReady(true)
 	operators, err := operator.Listen(o.Operator, material.OperatorTLS(), operator.NewServer(operator.ServerConfig{
-		Store: p.store, Board: board, Bootstrap: o.Bootstrap, Log: logging.Component(log, "operator"),
+		Store: p.store, Replica: board, Bootstrap: o.Bootstrap, Log: logging.Component(log, "operator"),
 	}))
 	if err != nil {
 		return nil, fmt.Errorf("--operator-address: %w", err)
@@ -142,7 +142,7 @@
 	spreading := docsync.NewNode(board, p.link, docsync.Config{
 		Self: material.Self(), Addr: o.Peer, Seeds: o.Peers, Store: p.store, Log: log,
 	})
-	p.others = []part{p.link, pages, spreading, operators, status.NewMeter(p.daemon, p.metrics)}
+	p.others = []part{p.link, pages, spreading, operators, status.NewExporter(p.daemon, p.metrics)}
 	return p, nil
 }
 
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -26,12 +26,12 @@
 		Settings: d.inForce(),
 	}
 	for _, s := range d.statuses() {
-		if reached := now.Add(-s.StoreSilent); s.StoreSilent > 0 && reached.After(report.Store) {
-			report.Store = reached
+		if reached := now.Add(-s.StoreSilent); s.StoreSilent > 0 && reached.After(report.LastStoreResponse) {
+			report.LastStoreResponse = reached
 		}
 		report.Cells = append(report.Cells, d.cellReport(now, s))
 	}
-	if q.Asked() {
+	if q.HasKey() {
 		report.Key = d.explain(q)
 	}
 	return report
@@ -53,12 +53,12 @@
 	out := status.Cell{
 		Service: string(s.ID.Service), Zone: string(s.ID.Zone),
 		Term: uint64(s.Term), Lead: string(s.Lead), Leading: s.MayRenew,
-		Shards: s.Rows, Owned: d.owned(s.ID), Moving: len(s.Releasing), Solos: s.Solos,
+		Shards: s.Rows, Owned: d.owned(s.ID), Moving: len(s.Releasing), SingleKeys: s.Solos,
 		Moves: movesOf(s.Moves),
 	}
 	for _, doubt := range s.Doubts {
-		out.Doubts = append(out.Doubts, status.Doubt{
-			Shard: uint32(doubt.Shard), Target: string(doubt.Owner), Why: doubt.Reason,
+		out.Blocked = append(out.Blocked, status.BlockedShard{
+			Shard: uint32(doubt.Shard), Target: string(doubt.Owner), Reason: doubt.Reason,
 		})
 	}
 	for _, t := range s.Targets {
@@ -67,7 +67,7 @@
 		}
 		out.Members = append(out.Members, status.Member{
 			Target: string(t.Target), Shards: t.Rows, Leaving: t.Leaving,
-			Answered: now.Sub(t.Answered) < answeredWithin,
+			Responded: now.Sub(t.Answered) < answeredWithin,
 		})
 	}
 	return out
@@ -140,10 +140,10 @@
 	}
 	out := &status.Key{
 		Service: string(q.Service), Key: q.Key, Zone: string(id.Zone),
-		Shard: uint32(shard), Solo: solo, Epoch: uint64(row.Epoch), Term: uint64(t.Version.Term),
+		Shard: uint32(shard), SingleKey: solo, Epoch: uint64(row.Epoch), Term: uint64(t.Version.Term),
 	}
 	if row.Owner == table.NoOwner {
-		out.Why = "its owner's grant has not ended, or no target is there"
+		out.Reason = "its owner's grant has not ended, or no target is there"
 	} else {
 		out.Owner = string(t.Targets[row.Owner].Name)
 	}
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -15,15 +15,15 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// maxAnswerBytes bounds an answer that a caller reads.
-const maxAnswerBytes = 32 << 20
+// maxResponseBytes bounds an answer that a caller reads.
+const maxResponseBytes = 32 << 20
 
-// dialTries is how many entry hosts the balancer tries for one request, as
+// dialAttempts is how many entry hosts the balancer tries for one request, as
 // long as nothing of it was sent.
-const dialTries = 3
+const dialAttempts = 3
 
-// answerSlack is how long a caller waits past the route's timeout.
-const answerSlack = 3 * time.Second
+// responseGrace is how long a caller waits past the route's timeout.
+const responseGrace = 3 * time.Second
 
 // What a caller sees of the system, as docs/outcomes.md promises it. The load
 // stands outside and shares no code with the data path.
@@ -46,15 +46,15 @@
 // the first, which may have run.
 var errResent = errors.New("load: connection cut before the answer")
 
-// ending is how a call ended for its caller.
-type ending uint8
+// endState is how a call ended for its caller.
+type endState uint8
 
 const (
-	endDone    ending = iota // the whole answer to its own request
-	endNotRun                // refused, certainly not run
-	endUnknown               // told that it may have run
-	endLost                  // no answer, or one without an outcome
-	endWrong                 // an answer cut or another's
+	endDone    endState = iota // the whole answer to its own request
+	endNotRun                  // refused, certainly not run
+	endUnknown                 // told that it may have run
+	endLost                    // no answer, or one without an outcome
+	endWrong                   // an answer cut or another's
 )
 
 // call is one request of a caller.
@@ -68,9 +68,9 @@
 	probe bool
 }
 
-// ended is what a call came to.
-type ended struct {
-	ending ending
+// callResult is what a call came to.
+type callResult struct {
+	state  endState
 	reason string
 	status int
 	err    error // of the connection
@@ -91,12 +91,12 @@
 	}}
 }
 
-// make sends the call to a ready entry host. It goes to a second one only
+// do sends the call to a ready entry host. It goes to a second one only
 // where nothing was sent to the first.
-func (c *caller) make(ctx context.Context, call call) ended {
-	ctx, cancel := context.WithTimeout(ctx, call.stream.Timeout+answerSlack)
+func (c *caller) do(ctx context.Context, call call) callResult {
+	ctx, cancel := context.WithTimeout(ctx, call.stream.Timeout+responseGrace)
 	defer cancel()
-	for range dialTries {
+	for range dialAttempts {
 		addr, ok := c.balancer.Pick()
 		if !ok {
 			break
@@ -106,11 +106,11 @@
 			return end
 		}
 	}
-	return ended{ending: endLost, reason: "no entry host"}
+	return callResult{state: endLost, reason: "no entry host"}
 }
 
 // send makes one try; sent is false where not one byte went out.
-func (c *caller) send(ctx context.Context, addr netip.AddrPort, call call) (end ended, sent bool) {
+func (c *caller) send(ctx context.Context, addr netip.AddrPort, call call) (end callResult, sent bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wrote atomic.Bool
@@ -124,18 +124,18 @@
 	}
 	request, err := call.request(httptrace.WithClientTrace(ctx, trace), addr)
 	if err != nil {
-		return ended{ending: endLost, reason: "bad request"}, true
+		return callResult{state: endLost, reason: "bad request"}, true
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return ended{ending: endLost, reason: "connection", err: errors.Join(err, context.Cause(ctx))}, wrote.Load()
+		return callResult{state: endLost, reason: "connection", err: errors.Join(err, context.Cause(ctx))}, wrote.Load()
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return ended{ending: endWrong, reason: "cut", status: response.StatusCode, err: err}, true
+		return callResult{state: endWrong, reason: "cut", status: response.StatusCode, err: err}, true
 	}
-	return call.judge(response, body), true
+	return call.checkResponse(response, body), true
 }
 
 // request builds the call's request. The body can't be read twice, so that
@@ -160,24 +160,24 @@
 
 func (c call) uri() string { return c.stream.uri(c.key, c.operation) }
 
-// judge checks an answer against its call.
-func (c call) judge(response *http.Response, body []byte) ended {
-	end := ended{
+// checkResponse checks an answer against its call.
+func (c call) checkResponse(response *http.Response, body []byte) callResult {
+	end := callResult{
 		reason: response.Header.Get(headerReason),
 		status: response.StatusCode,
 	}
 	switch response.Header.Get(headerOutcome) {
 	case outcomeDone:
-		end.ending = endDone
+		end.state = endDone
 		if !fake.CheckResponse(body, c.uri(), c.payload) {
-			end.ending = endWrong
+			end.state = endWrong
 		}
 	case outcomeNotRun:
-		end.ending = endNotRun
+		end.state = endNotRun
 	case outcomeUnknown:
-		end.ending = endUnknown
+		end.state = endUnknown
 	default:
-		end.ending = endLost
+		end.state = endLost
 	}
 	return end
 }
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -14,17 +14,17 @@
 
 const (
 	arrivalTick = time.Millisecond
-	// maxOpen bounds the calls in flight; beyond it arrivals are dropped and
+	// maxInFlight bounds the calls in flight; beyond it arrivals are dropped and
 	// counted.
-	maxOpen      = 8000
+	maxInFlight  = 8000
 	payloadBytes = 64
 	// probeInterval is how often a shard that is not served is asked again,
 	// so that the end of its outage is seen; probeTries bounds that.
 	probeInterval = 200 * time.Millisecond
-	probeTries    = 150
-	// maxProbed bounds the shards that are probed at a time, so that probes
+	maxProbes     = 150
+	// maxProbedShards bounds the shards that are probed at a time, so that probes
 	// add little to an overload.
-	maxProbed = 64
+	maxProbedShards = 64
 )
 
 // Generator makes the load of a plan at random times, whether or not earlier
@@ -36,27 +36,27 @@
 	prefix string
 	random *rand.Rand
 
-	open    atomic.Int64
-	mu      sync.Mutex
-	hot     HotSet
-	factor  float64
-	made    atomic.Uint64
-	probed  map[shardOf]bool
-	waiting sync.WaitGroup
+	inFlight   atomic.Int64
+	mu         sync.Mutex
+	hot        HotSet
+	factor     float64
+	operations atomic.Uint64
+	probing    map[shardID]bool
+	calls      sync.WaitGroup
 }
 
 // NewGenerator returns a generator. Prefix starts the id of each operation; a
 // run and its seed make the same calls each time.
 func NewGenerator(plan Plan, balancer *Balancer, prefix string, seed uint64) *Generator {
 	return &Generator{
-		plan:   plan,
-		caller: newCaller(balancer),
-		result: NewResult(),
-		prefix: prefix,
-		random: rand.New(rand.NewPCG(seed, seed)),
-		hot:    plan.Hot,
-		factor: 1,
-		probed: make(map[shardOf]bool),
+		plan:    plan,
+		caller:  newCaller(balancer),
+		result:  NewResult(),
+		prefix:  prefix,
+		random:  rand.New(rand.NewPCG(seed, seed)),
+		hot:     plan.Hot,
+		factor:  1,
+		probing: make(map[shardID]bool),
 	}
 }
 
@@ -82,10 +82,10 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			g.arrive(ctx, now, now.Sub(last))
+			g.startDue(ctx, now, now.Sub(last))
 			last = now
 		case <-ctx.Done():
-			g.waiting.Wait()
+			g.calls.Wait()
 			return nil
 		}
 	}
@@ -94,30 +94,30 @@
 // Result returns the record of all calls.
 func (g *Generator) Result() *Result { return g.result }
 
-// arrive starts the calls that fell due in the time since the last tick.
-func (g *Generator) arrive(ctx context.Context, now time.Time, since time.Duration) {
+// startDue starts the calls that fell due in the time since the last tick.
+func (g *Generator) startDue(ctx context.Context, now time.Time, since time.Duration) {
 	g.mu.Lock()
 	hot, factor := g.hot, g.factor
 	g.mu.Unlock()
 	for range poisson(g.random, g.plan.PerSecond()*factor*since.Seconds()) {
 		due := now.Add(-time.Duration(g.random.Float64() * float64(since)))
-		if g.open.Load() >= maxOpen {
-			g.result.drop()
+		if g.inFlight.Load() >= maxInFlight {
+			g.result.countDropped()
 			continue
 		}
-		g.open.Add(1)
-		next := g.next(hot, due)
-		g.waiting.Go(func() { g.run(ctx, next) })
+		g.inFlight.Add(1)
+		next := g.newCall(hot, due)
+		g.calls.Go(func() { g.run(ctx, next) })
 	}
 }
 
-// next makes up one call.
-func (g *Generator) next(hot HotSet, due time.Time) call {
-	stream := g.plan.pick(g.random)
+// newCall makes up one call.
+func (g *Generator) newCall(hot HotSet, due time.Time) call {
+	stream := g.plan.randomStream(g.random)
 	c := call{
 		stream:    stream,
-		key:       g.plan.key(g.random, stream, hot),
-		operation: g.operation(),
+		key:       g.plan.randomKey(g.random, stream, hot),
+		operation: g.newOperation(),
 		due:       due,
 	}
 	if !stream.Idempotent {
@@ -129,19 +129,19 @@
 	return c
 }
 
-// operation returns a new id.
-func (g *Generator) operation() string {
-	return g.prefix + strconv.FormatUint(g.made.Add(1), 36)
+// newOperation returns a new id.
+func (g *Generator) newOperation() string {
+	return g.prefix + strconv.FormatUint(g.operations.Add(1), 36)
 }
 
 // run makes one call and records its end. Where the shard was not served it
 // is probed until it is, or ctx ends.
 func (g *Generator) run(ctx context.Context, c call) {
-	defer g.open.Add(-1)
-	end := g.caller.make(context.Background(), c)
+	defer g.inFlight.Add(-1)
+	end := g.caller.do(context.Background(), c)
 	at := g.shardOf(c)
 	g.result.record(c, at.shard, end, time.Now())
-	if end.ending != endDone && !shed(end.reason) && g.startProbe(at) {
+	if end.state != endDone && !isLoadShed(end.reason) && g.startProbe(at) {
 		defer g.endProbe(at)
 		g.probe(ctx, c, at)
 	}
@@ -149,54 +149,54 @@
 
 // probe asks for the same key with operations of its own until one is done. It
 // does not wait for one probe before the next: one may hang on a frozen target.
-func (g *Generator) probe(ctx context.Context, c call, at shardOf) {
+func (g *Generator) probe(ctx context.Context, c call, at shardID) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	var served atomic.Bool
-	for range probeTries {
+	for range maxProbes {
 		next := c // each probe is a call of its own
 		select {
 		case now := <-ticker.C:
-			next.operation, next.due, next.probe = g.operation(), now, true
+			next.operation, next.due, next.probe = g.newOperation(), now, true
 		case <-ctx.Done():
 			return
 		}
 		if served.Load() {
 			return
 		}
-		g.waiting.Go(func() { g.runProbe(next, at, &served) })
+		g.calls.Go(func() { g.runProbe(next, at, &served) })
 	}
 }
 
 // runProbe makes one probe and tells whether the shard was served.
-func (g *Generator) runProbe(c call, at shardOf, served *atomic.Bool) {
-	end := g.caller.make(context.Background(), c)
+func (g *Generator) runProbe(c call, at shardID, served *atomic.Bool) {
+	end := g.caller.do(context.Background(), c)
 	g.result.record(c, at.shard, end, time.Now())
-	if end.ending == endDone {
+	if end.state == endDone {
 		served.Store(true)
 	}
 }
 
-func (g *Generator) shardOf(c call) shardOf {
+func (g *Generator) shardOf(c call) shardID {
 	service := c.stream.Service
-	return shardOf{service: service, shard: key.HashOf(c.key).Shard(g.plan.Shards[service])}
+	return shardID{service: service, shard: key.HashOf(c.key).Shard(g.plan.Shards[service])}
 }
 
 // startProbe reports whether the shard is to be probed and no other call does.
-func (g *Generator) startProbe(at shardOf) bool {
+func (g *Generator) startProbe(at shardID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.probed[at] || len(g.probed) >= maxProbed {
+	if g.probing[at] || len(g.probing) >= maxProbedShards {
 		return false
 	}
-	g.probed[at] = true
+	g.probing[at] = true
 	return true
 }
 
-func (g *Generator) endProbe(at shardOf) {
+func (g *Generator) endProbe(at shardID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.probed, at)
+	delete(g.probing, at)
 }
 
 // poisson returns a Poisson-distributed number with the given mean.
--- a/internal/load/generator_test.go
+++ b/internal/load/generator_test.go
@@ -18,27 +18,27 @@
 	"citrontray.example/citrontray/internal/preset"
 )
 
-// entryFake answers as an entry host would, in the way that a test wants.
-type entryFake struct {
-	mu   sync.Mutex
-	runs map[string]uint32
-	how  func(w http.ResponseWriter, uri string, payload []byte, run func())
+// fakeEntry answers as an entry host would, in the way that a test wants.
+type fakeEntry struct {
+	mu      sync.Mutex
+	runs    map[string]uint32
+	respond func(w http.ResponseWriter, uri string, payload []byte, run func())
 }
 
 // ServeHTTP implements http.Handler.
-func (e *entryFake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ready" {
 		return
 	}
 	payload, _ := io.ReadAll(r.Body)
-	e.how(w, r.URL.RequestURI(), payload, func() {
+	e.respond(w, r.URL.RequestURI(), payload, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.runs[r.URL.Query().Get(fake.OperationParameter)]++
 	})
 }
 
-func (e *entryFake) runsOf(operations []string) ([]uint32, error) {
+func (e *fakeEntry) runsOf(operations []string) ([]uint32, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make([]uint32, len(operations))
@@ -48,26 +48,26 @@
 	return out, nil
 }
 
-func done(w http.ResponseWriter, uri string, payload []byte) {
+func writeDone(w http.ResponseWriter, uri string, payload []byte) {
 	w.Header().Set("Citrontray-Outcome", "done")
 	w.Write(fake.ResponseBody(uri, payload, 0))
 }
 
-func TestGeneratorJudgesAnswers(t *testing.T) {
+func TestGeneratorChecksResponses(t *testing.T) {
 	tests := map[string]struct {
 		how  func(w http.ResponseWriter, uri string, payload []byte, run func())
 		fits func(s load.Summary) bool
 	}{
 		"done": {func(w http.ResponseWriter, uri string, payload []byte, run func()) {
 			run()
-			done(w, uri, payload)
-		}, func(s load.Summary) bool { return s.Done == s.Requests && s.Unrun == 0 }},
+			writeDone(w, uri, payload)
+		}, func(s load.Summary) bool { return s.Done == s.Requests && s.FalseDone == 0 }},
 		"done without a run": {func(w http.ResponseWriter, uri string, payload []byte, _ func()) {
-			done(w, uri, payload)
-		}, func(s load.Summary) bool { return s.Unrun == s.Requests }},
+			writeDone(w, uri, payload)
+		}, func(s load.Summary) bool { return s.FalseDone == s.Requests }},
 		"another's answer": {func(w http.ResponseWriter, _ string, payload []byte, run func()) {
 			run()
-			done(w, "/balance/other", payload)
+			writeDone(w, "/balance/other", payload)
 		}, func(s load.Summary) bool { return s.Wrong == s.Requests }},
 		"not run": {func(w http.ResponseWriter, _ string, _ []byte, _ func()) {
 			w.Header().Set("Citrontray-Outcome", "not-run")
@@ -91,14 +91,14 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			entry := &entryFake{runs: make(map[string]uint32), how: tt.how}
+			entry := &fakeEntry{runs: make(map[string]uint32), respond: tt.how}
 			server := httptest.NewServer(entry)
 			defer server.Close()
 			addr := netip.MustParseAddrPort(server.Listener.Addr().String())
 			balancer := load.NewBalancer([]load.EntryHost{{Callers: addr, Admin: addr}})
 			assert.Equal(t, balancer.Refresh(context.Background()), 1)
 
-			g := load.NewGenerator(planOf(t, 0.01), balancer, "t", 1)
+			g := load.NewGenerator(agencyPlan(t, 0.01), balancer, "t", 1)
 			runUntil(t, g, 10)
 			summary, err := g.Result().Summarize(time.Now(), entry.runsOf)
 			assert.NilError(t, err)
@@ -111,9 +111,9 @@
 // Probes that shared one call sent the same operation twice: the first was
 // refused, the second ran, and the refusal was counted as false. Without the
 // race detector this shows on a starved machine only.
-func TestProbesAreCallsOfTheirOwn(t *testing.T) {
-	entry := &entryFake{runs: make(map[string]uint32)}
-	entry.how = func(w http.ResponseWriter, _ string, _ []byte, run func()) {
+func TestProbesAreSeparateCalls(t *testing.T) {
+	entry := &fakeEntry{runs: make(map[string]uint32)}
+	entry.respond = func(w http.ResponseWriter, _ string, _ []byte, run func()) {
 		run()
 		time.Sleep(2 * time.Second / 5) // the next probe starts meanwhile
 		w.Header().Set("Citrontray-Outcome", "unknown")
@@ -124,7 +124,7 @@
 	addr := netip.MustParseAddrPort(server.Listener.Addr().String())
 	balancer := load.NewBalancer([]load.EntryHost{{Callers: addr, Admin: addr}})
 	balancer.Refresh(context.Background())
-	runUntil(t, load.NewGenerator(planOf(t, 0.002), balancer, "t", 1), 200)
+	runUntil(t, load.NewGenerator(agencyPlan(t, 0.002), balancer, "t", 1), 200)
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
 	for operation, runs := range entry.runs {
@@ -146,7 +146,7 @@
 	assert.NilError(t, <-ended)
 }
 
-func planOf(t *testing.T, part float64) load.Plan {
+func agencyPlan(t *testing.T, part float64) load.Plan {
 	t.Helper()
 	p, err := preset.Get(preset.Agency)
 	assert.NilError(t, err)
@@ -167,7 +167,7 @@
 			for _, stream := range plan.Streams {
 				rate[stream.Service] += stream.PerSecond
 			}
-			for _, group := range load.Groups(p, s, 2) {
+			for _, group := range load.TargetGroups(p, s, 2) {
 				capacity := float64(group.Count*group.Slots) / group.MeanWork.Seconds()
 				assert.Assert(t, rate[group.Service] > 0.49*capacity && rate[group.Service] < 0.51*capacity, "%s", group.Service)
 				assert.Assert(t, group.Slots == 3 && group.Connections >= 110, "%s", group.Service)
--- a/internal/load/outage.go
+++ b/internal/load/outage.go
@@ -8,12 +8,12 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// slowAnswer is the latency from which an answer counts as unavailable time:
+// slowResponse is the latency from which an answer counts as unavailable time:
 // the request waited for an owner.
-const slowAnswer = 500 * time.Millisecond
+const slowResponse = 500 * time.Millisecond
 
-// shardOf names a shard of a service.
-type shardOf struct {
+// shardID names a shard of a service.
+type shardID struct {
 	service key.Service
 	shard   key.Shard
 }
@@ -22,23 +22,23 @@
 // of the first request that failed or waited, until one was served that was
 // sent later or had waited itself.
 type Outages struct {
-	open map[shardOf]time.Time
-	sum  map[shardOf]time.Duration
-	max  map[shardOf]time.Duration
+	open map[shardID]time.Time
+	sum  map[shardID]time.Duration
+	max  map[shardID]time.Duration
 }
 
 // NewOutages returns an empty record.
 func NewOutages() *Outages {
 	return &Outages{
-		open: make(map[shardOf]time.Time),
-		sum:  make(map[shardOf]time.Duration),
-		max:  make(map[shardOf]time.Duration),
+		open: make(map[shardID]time.Time),
+		sum:  make(map[shardID]time.Duration),
+		max:  make(map[shardID]time.Duration),
 	}
 }
 
 // Failed records a request that was sent at sent and not served.
 func (o *Outages) Failed(service key.Service, shard key.Shard, sent time.Time) {
-	at := shardOf{service: service, shard: shard}
+	at := shardID{service: service, shard: shard}
 	if start, ok := o.open[at]; !ok || sent.Before(start) {
 		o.open[at] = sent
 	}
@@ -46,8 +46,8 @@
 
 // Served records a request that was sent at sent and answered at now.
 func (o *Outages) Served(service key.Service, shard key.Shard, sent, now time.Time) {
-	at := shardOf{service: service, shard: shard}
-	if now.Sub(sent) >= slowAnswer {
+	at := shardID{service: service, shard: shard}
+	if now.Sub(sent) >= slowResponse {
 		o.Failed(service, shard, sent)
 	}
 	start, ok := o.open[at]
@@ -66,7 +66,7 @@
 	clear(o.open)
 }
 
-func (o *Outages) add(at shardOf, d time.Duration) {
+func (o *Outages) add(at shardID, d time.Duration) {
 	o.sum[at] += d
 	o.max[at] = max(o.max[at], d)
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -66,9 +66,9 @@
 	Share        float64
 }
 
-// Groups returns the targets of a preset at today's sizes. One run takes
+// TargetGroups returns the targets of a preset at today's sizes. One run takes
 // slowdown times as long as usual.
-func Groups(p preset.Preset, s *settings.Settings, slowdown int) []fake.TargetGroup {
+func TargetGroups(p preset.Preset, s *settings.Settings, slowdown int) []fake.TargetGroup {
 	groups := make([]fake.TargetGroup, 0, len(p.Services))
 	for _, service := range p.Services {
 		row, _ := s.Service(service.Name)
@@ -78,7 +78,7 @@
 				Service:      service.Name,
 				Slots:        row.Slots,
 				Connections:  row.Connections,
-				MeanWork:     workOf(s, service.Name) * time.Duration(slowdown),
+				MeanWork:     meanWork(s, service.Name) * time.Duration(slowdown),
 				ConnectDelay: connectCost,
 				ColdPeriod:   coldTime,
 				ChecksTerms:  row.ChecksTerms,
@@ -95,7 +95,7 @@
 	for _, service := range p.Services {
 		row, _ := s.Service(service.Name)
 		plan.Shards[service.Name] = row.Shards
-		capacity := float64(service.Targets*row.Slots) / workOf(s, service.Name).Seconds()
+		capacity := float64(service.Targets*row.Slots) / meanWork(s, service.Name).Seconds()
 		plan.add(s, service.Name, capacity*part/float64(slowdown))
 	}
 	return plan
@@ -136,8 +136,8 @@
 	return sum
 }
 
-// pick returns a stream at random, by rate.
-func (p *Plan) pick(r *rand.Rand) *Stream {
+// randomStream returns a stream at random, by rate.
+func (p *Plan) randomStream(r *rand.Rand) *Stream {
 	at := r.Float64() * p.PerSecond()
 	for i := range p.Streams {
 		if at -= p.Streams[i].PerSecond; at < 0 {
@@ -147,8 +147,8 @@
 	return &p.Streams[len(p.Streams)-1]
 }
 
-// key returns a key of the stream at random.
-func (p *Plan) key(r *rand.Rand, s *Stream, hot HotSet) string {
+// randomKey returns a key of the stream at random.
+func (p *Plan) randomKey(r *rand.Rand, s *Stream, hot HotSet) string {
 	n := r.IntN(p.Keys)
 	if hot.Count > 0 && r.Float64() < hot.Share {
 		n = hot.First + r.IntN(hot.Count)
@@ -168,8 +168,8 @@
 	return route.Methods[0]
 }
 
-// workOf returns the mean time of one run of a service, by its routes' class.
-func workOf(s *settings.Settings, service key.Service) time.Duration {
+// meanWork returns the mean time of one run of a service, by its routes' class.
+func meanWork(s *settings.Settings, service key.Service) time.Duration {
 	for _, route := range s.Routes {
 		if route.Service != service {
 			continue
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	lowestMicros  = 1
-	highestMicros = 120_000_000
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = 120_000_000
+	significantDigits = 3
 	// maxExamples bounds the descriptions of bad ends that are kept.
 	maxExamples = 16
 )
 
 // Result records how all calls of a generator ended. Safe for concurrent use.
 type Result struct {
-	mu        sync.Mutex
-	latency   *hdrhistogram.Histogram
-	byClass   map[settings.Class]*hdrhistogram.Histogram
-	done      []string // operations, to compare with what ran
-	notRun    []string
-	refused   []refusal // of notRun
-	counts    Counts
-	reasons   map[string]uint64
-	outages   *Outages
-	examples  []string
-	firstDone time.Time
-	lastDone  time.Time
+	mu         sync.Mutex
+	latency    *hdrhistogram.Histogram
+	byClass    map[settings.Class]*hdrhistogram.Histogram
+	done       []string // operations, to compare with what ran
+	notRun     []string
+	rejections []rejection // of notRun
+	counts     Counts
+	reasons    map[string]uint64
+	outages    *Outages
+	examples   []string
+	firstDone  time.Time
+	lastDone   time.Time
 }
 
-// refusal is what a caller was told of an operation that did not run.
-type refusal struct {
+// rejection is what a caller was told of an operation that did not run.
+type rejection struct {
 	service key.Service
 	reason  string
 }
@@ -59,33 +59,33 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestMicros, highestMicros, digits)
+	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 }
 
 // record takes the end of one call.
-func (r *Result) record(c call, shard key.Shard, end ended, now time.Time) {
+func (r *Result) record(c call, shard key.Shard, end callResult, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Requests++
-	switch end.ending {
+	switch end.state {
 	case endDone:
 		r.recordDone(c, shard, now)
 		return
 	case endNotRun:
 		r.counts.NotRun++
 		r.notRun = append(r.notRun, c.operation)
-		r.refused = append(r.refused, refusal{service: c.stream.Service, reason: end.reason})
+		r.rejections = append(r.rejections, rejection{service: c.stream.Service, reason: end.reason})
 	case endUnknown:
 		r.counts.Unknown++
 	case endLost:
 		r.counts.Lost++
-		r.example("no answer after %s: %s %s: %s, status %d, %v", now.Sub(c.due), c.stream.Method, c.uri(), end.reason, end.status, end.err)
+		r.addExample("no answer after %s: %s %s: %s, status %d, %v", now.Sub(c.due), c.stream.Method, c.uri(), end.reason, end.status, end.err)
 	case endWrong:
 		r.counts.Wrong++
-		r.example("wrong answer: %s %s: %s, status %d, %v", c.stream.Method, c.uri(), end.reason, end.status, end.err)
+		r.addExample("wrong answer: %s %s: %s, status %d, %v", c.stream.Method, c.uri(), end.reason, end.status, end.err)
 	}
 	r.reasons[end.reason]++
-	if !shed(end.reason) {
+	if !isLoadShed(end.reason) {
 		r.outages.Failed(c.stream.Service, shard, c.due)
 	}
 }
@@ -111,26 +111,26 @@
 	r.lastDone = now
 }
 
-// shed reports whether a refusal is for load, not for want of an owner.
-func shed(reason string) bool {
+// isLoadShed reports whether a refusal is for load, not for want of an owner.
+func isLoadShed(reason string) bool {
 	return reason == reasonOverload || reason == reasonLimited
 }
 
-func (r *Result) drop() {
+func (r *Result) countDropped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Dropped++
 }
 
-// example keeps one description. The caller holds mu.
-func (r *Result) example(format string, args ...any) {
+// addExample keeps one description. The caller holds mu.
+func (r *Result) addExample(format string, args ...any) {
 	if len(r.examples) < maxExamples {
 		r.examples = append(r.examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// Runs tells how often each of the operations ran at the targets.
-type Runs func(operations []string) ([]uint32, error)
+// RunCounter tells how often each of the operations ran at the targets.
+type RunCounter func(operations []string) ([]uint32, error)
 
 // Summary is what a load came to.
 type Summary struct {
@@ -141,23 +141,23 @@
 	PerSecond float64
 	// FalseNotRun counts operations that ran though the caller was told that
 	// they did not; Unrun those that did not run though it was told done.
-	FalseNotRun, Unrun uint64
-	OutageSum          time.Duration
-	OutageMax          time.Duration
-	OutageShards       int
-	Worst              []Outage
-	Reasons            map[string]uint64
-	Examples           []string
+	FalseNotRun, FalseDone uint64
+	OutageSum              time.Duration
+	OutageMax              time.Duration
+	OutageShards           int
+	Worst                  []Outage
+	Reasons                map[string]uint64
+	Examples               []string
 }
 
 // Percentiles are those of one class.
 type Percentiles struct{ P50, P99 time.Duration }
 
-// worstShown is how many of the longest outages a summary names.
-const worstShown = 5
+// maxWorst is how many of the longest outages a summary names.
+const maxWorst = 5
 
 // Summarize ends the record at now and compares it with what ran.
-func (r *Result) Summarize(now time.Time, runs Runs) (Summary, error) {
+func (r *Result) Summarize(now time.Time, runs RunCounter) (Summary, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outages.Finish(now)
@@ -166,7 +166,7 @@
 		P50:      percentile(r.latency, 50),
 		P99:      percentile(r.latency, 99),
 		Classes:  make(map[settings.Class]Percentiles),
-		Worst:    r.outages.Worst(worstShown),
+		Worst:    r.outages.Worst(maxWorst),
 		Reasons:  r.reasons,
 		Examples: r.examples,
 	}
@@ -181,7 +181,7 @@
 }
 
 // compare asks the targets what ran.
-func (r *Result) compare(s *Summary, runs Runs) error {
+func (r *Result) compare(s *Summary, runs RunCounter) error {
 	counts, err := runs(r.notRun)
 	if err != nil {
 		return err
@@ -189,8 +189,8 @@
 	for i, n := range counts {
 		if n > 0 {
 			s.FalseNotRun++
-			r.example("false not-run: operation %s of %s ran %d times, refused as %s",
-				r.notRun[i], r.refused[i].service, n, r.refused[i].reason)
+			r.addExample("false not-run: operation %s of %s ran %d times, refused as %s",
+				r.notRun[i], r.rejections[i].service, n, r.rejections[i].reason)
 		}
 	}
 	if counts, err = runs(r.done); err != nil {
@@ -198,8 +198,8 @@
 	}
 	for i, n := range counts {
 		if n == 0 {
-			s.Unrun++
-			r.example("done but never ran: operation %s", r.done[i])
+			s.FalseDone++
+			r.addExample("done but never ran: operation %s", r.done[i])
 		}
 	}
 	s.Examples = r.examples
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -82,37 +82,37 @@
 
 // Write implements Desk. The order's id makes it safe to send the same order
 // to the next host after a lost answer: it is applied once.
-func (c *Client) Write(ctx context.Context, order Order) (Outcome, error) {
+func (c *Client) Write(ctx context.Context, order WriteRequest) (WriteResult, error) {
 	if order.ID == "" {
 		order.ID = uuid.NewString()
 	}
-	body, err := json.Marshal(wireOrder{
+	body, err := json.Marshal(wireWriteRequest{
 		ID: order.ID, File: string(order.File), Rollback: order.Rollback, Below: order.Below,
 		Expect: order.Expect, Reason: order.Reason, DryRun: order.DryRun,
 	})
 	if err != nil {
-		return Outcome{}, err
+		return WriteResult{}, err
 	}
 	doubt := false
 	for _, addr := range c.Addrs {
-		var out wireOutcome
+		var out wireWriteResult
 		err := c.call(ctx, addr, http.MethodPost, body, &out)
 		if err == nil {
-			return out.outcome(), nil
+			return out.writeResult(), nil
 		}
-		if final(err, doubt) {
-			return Outcome{}, err
+		if isFinal(err, doubt) {
+			return WriteResult{}, err
 		}
-		doubt = doubt || mayHaveRun(err)
+		doubt = doubt || mayTakeEffect(err)
 	}
 	if doubt {
-		return Outcome{}, fmt.Errorf("%w (write %s)", settings.ErrUnresolved, order.ID)
+		return WriteResult{}, fmt.Errorf("%w (write %s)", settings.ErrUnresolved, order.ID)
 	}
-	return Outcome{}, fmt.Errorf("%w: no entry host can write", settings.ErrNotAccepted)
+	return WriteResult{}, fmt.Errorf("%w: no entry host can write", settings.ErrNotAccepted)
 }
 
-// mayHaveRun reports whether a failed write may yet take effect.
-func mayHaveRun(err error) bool {
+// mayTakeEffect reports whether a failed write may yet take effect.
+func mayTakeEffect(err error) bool {
 	var lost *transportError
 	if errors.As(err, &lost) {
 		return lost.sent
@@ -120,10 +120,10 @@
 	return errors.Is(err, settings.ErrUnresolved)
 }
 
-// final reports whether no other host need be asked. While an earlier host may
+// isFinal reports whether no other host need be asked. While an earlier host may
 // still write, only a conflict is certain: it stands in each later revision,
 // so that the earlier host meets it too.
-func final(err error, doubt bool) bool {
+func isFinal(err error, doubt bool) bool {
 	var lost *transportError
 	var conflict *settings.ConflictError
 	switch {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -22,8 +22,8 @@
 	History  []settings.Write
 }
 
-// Order is one write as an operator asks for it.
-type Order struct {
+// WriteRequest is one write as an operator asks for it.
+type WriteRequest struct {
 	// ID tells the write from all others; a repeated ID is applied once.
 	ID string
 	// File holds the changes in the file format.
@@ -38,21 +38,21 @@
 	DryRun bool
 }
 
-// Outcome is an accepted write, or what a dry run would change.
-type Outcome struct {
+// WriteResult is an accepted write, or what a dry run would change.
+type WriteResult struct {
 	Revision    platform.Revision
 	Number      uint64
 	Differences []settings.Difference
 }
 
-// Desk is where operators read and write settings: Direct or Client.
-type Desk interface {
+// API is where operators read and write settings: Direct or Client.
+type API interface {
 	// Read returns what the operator may see. Errors: DeniedError,
 	// platform.ErrUnavailable.
 	Read(ctx context.Context) (View, error)
 	// Write asks for a write. Errors: *finding.Error, *settings.ConflictError,
 	// DeniedError, settings.ErrNotAccepted, settings.ErrUnresolved.
-	Write(ctx context.Context, order Order) (Outcome, error)
+	Write(ctx context.Context, order WriteRequest) (WriteResult, error)
 }
 
 // DeniedError is returned where a credential does not allow something.
@@ -61,23 +61,23 @@
 // Error implements error.
 func (e *DeniedError) Error() string { return "operator: denied: " + e.Text }
 
-// writer is who writes, as the settings in force know it.
-type writer struct {
+// principal is who writes, as the settings in force know it.
+type principal struct {
 	name  string
 	below []settings.Path
 }
 
-// may reports whether the writer may write path.
-func (w writer) may(path settings.Path) bool {
+// allows reports whether the writer may write path.
+func (w principal) allows(path settings.Path) bool {
 	d := settings.Delegation{Below: w.below}
-	return d.May(path)
+	return d.Allows(path)
 }
 
-// permit checks each change against the writer's subtrees. A delegation may
+// authorize checks each change against the writer's subtrees. A delegation may
 // hand on only what its writer has.
-func (w writer) permit(changes []settings.Change) error {
+func (w principal) authorize(changes []settings.Change) error {
 	for _, c := range changes {
-		if !w.may(c.Path) {
+		if !w.allows(c.Path) {
 			return &DeniedError{Text: fmt.Sprintf("%s may not write %s", w.name, c.Path)}
 		}
 		for _, f := range c.Fields {
@@ -85,7 +85,7 @@
 				continue
 			}
 			for _, below := range f.Values {
-				if !w.may(settings.Path(below)) {
+				if !w.allows(settings.Path(below)) {
 					return &DeniedError{Text: fmt.Sprintf("%s may not delegate %s", w.name, below)}
 				}
 			}
@@ -112,27 +112,27 @@
 	if err != nil {
 		return View{}, err
 	}
-	return viewOf(s), nil
+	return fullView(s), nil
 }
 
 // Write implements Desk.
-func (d *Direct) Write(ctx context.Context, order Order) (Outcome, error) {
-	return commit(ctx, d.committer, order, func(*settings.Settings) (writer, error) {
-		return writer{name: d.by, below: []settings.Path{""}}, nil
+func (d *Direct) Write(ctx context.Context, order WriteRequest) (WriteResult, error) {
+	return commit(ctx, d.committer, order, func(*settings.Settings) (principal, error) {
+		return principal{name: d.by, below: []settings.Path{""}}, nil
 	})
 }
 
-// viewOf returns all of s.
-func viewOf(s *settings.Settings) View {
+// fullView returns all of s.
+func fullView(s *settings.Settings) View {
 	return View{Revision: s.Revision, Number: s.Number, Items: s.Items(), History: s.History}
 }
 
 // commit parses the order and makes it accepted in the name of whom identify
 // finds in the settings in force, asked anew on each attempt.
-func commit(ctx context.Context, c *settings.Committer, order Order, identify func(*settings.Settings) (writer, error)) (Outcome, error) {
+func commit(ctx context.Context, c *settings.Committer, order WriteRequest, identify func(*settings.Settings) (principal, error)) (WriteResult, error) {
 	changes, err := settings.Parse(order.File)
 	if err != nil {
-		return Outcome{}, err
+		return WriteResult{}, err
 	}
 	req := settings.Request{
 		ID: order.ID, Changes: changes, Rollback: order.Rollback, Below: order.Below,
@@ -143,11 +143,11 @@
 		if err != nil {
 			return "", err
 		}
-		return who.name, who.permit(changes)
+		return who.name, who.authorize(changes)
 	}
 	done, err := c.Commit(ctx, time.Now(), req)
 	if err != nil {
-		return Outcome{}, err
+		return WriteResult{}, err
 	}
-	return Outcome{Revision: done.Settings.Revision, Number: done.Write.Number, Differences: done.Differences}, nil
+	return WriteResult{Revision: done.Settings.Revision, Number: done.Write.Number, Differences: done.Differences}, nil
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,15 +23,15 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// host is one entry host's operators' API; it may lose answers.
-type host struct {
-	lose atomic.Int64
-	next http.Handler
+// flakyHost is one entry host's operators' API; it may lose answers.
+type flakyHost struct {
+	dropResponses atomic.Int64
+	next          http.Handler
 }
 
 // ServeHTTP answers, or drops the connection after the work is done.
-func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if h.lose.Add(-1) >= 0 {
+func (h *flakyHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if h.dropResponses.Add(-1) >= 0 {
 		h.next.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}
@@ -41,11 +41,11 @@
 // deployment has two hosts on one store.
 type deployment struct {
 	store *fake.Platform
-	hosts [2]*host
+	hosts [2]*flakyHost
 	addrs []netip.AddrPort
 }
 
-func deploy(t *testing.T) *deployment {
+func newDeployment(t *testing.T) *deployment {
 	t.Helper()
 	d := &deployment{store: fake.NewPlatform()}
 	for i := range d.hosts {
@@ -53,7 +53,7 @@
 		operator.NewServer(operator.ServerConfig{
 			Store: d.store, Bootstrap: settings.HashCredential("first"), Log: logging.Nop(),
 		}).Register(router)
-		d.hosts[i] = &host{next: router}
+		d.hosts[i] = &flakyHost{next: router}
 		server := httptest.NewServer(d.hosts[i])
 		t.Cleanup(server.Close)
 		d.addrs = append(d.addrs, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
@@ -67,7 +67,7 @@
 
 func (d *deployment) apply(t *testing.T, file string) {
 	t.Helper()
-	_, err := d.client("first").Write(t.Context(), operator.Order{File: []byte(file)})
+	_, err := d.client("first").Write(t.Context(), operator.WriteRequest{File: []byte(file)})
 	assert.NilError(t, err)
 }
 
@@ -78,18 +78,18 @@
 	return string(p.File)
 }
 
-func delegation(path, credential, below string) string {
-	return fmt.Sprintf("%s: {below: [%s], credential: %q}\n", path, below, settings.HashText(settings.HashCredential(credential)))
+func delegationFile(path, credential, below string) string {
+	return fmt.Sprintf("%s: {below: [%s], credential: %q}\n", path, below, settings.FormatHash(settings.HashCredential(credential)))
 }
 
 // TestWhoMayWrite checks credentials against subtrees.
 func TestWhoMayWrite(t *testing.T) {
-	d := deploy(t)
+	d := newDeployment(t)
 	d.apply(t, consortium(t)+
-		delegation("platform/delegations/desk", "desk", "platform, teams")+
-		delegation("teams/mesa/delegations/mesa", "mesa", "teams/mesa")+
-		delegation("teams/mesa/delegations/limits", "limits", "teams/mesa/limits")+
-		delegation("teams/mesa/delegations/handing", "handing", "teams/mesa/delegations"))
+		delegationFile("platform/delegations/desk", "desk", "platform, teams")+
+		delegationFile("teams/mesa/delegations/mesa", "mesa", "teams/mesa")+
+		delegationFile("teams/mesa/delegations/limits", "limits", "teams/mesa/limits")+
+		delegationFile("teams/mesa/delegations/handing", "handing", "teams/mesa/delegations"))
 	const limit = "teams/mesa/limits/mesa-crews/interactive: {rate: 5}\n"
 	cases := map[string]struct {
 		credential, file string
@@ -101,15 +101,15 @@
 		"another team":            {credential: "mesa", file: "teams/sierra/limits/sierra-crews/bulk: {rate: 5}\n", denied: "may not write"},
 		"one of two paths":        {credential: "limits", file: limit + "teams/mesa/callers/mesa-crews: null\n", denied: "may not write"},
 		"prefix of the name":      {credential: "mesa", file: "teams/mesa2/callers/c: null\n", denied: "may not write"},
-		"hands on more":           {credential: "handing", file: delegation("teams/mesa/delegations/new", "x", "teams/mesa"), denied: "may not delegate"},
-		"widens itself":           {credential: "handing", file: delegation("teams/mesa/delegations/handing", "handing", "teams/mesa"), denied: "may not delegate"},
+		"hands on more":           {credential: "handing", file: delegationFile("teams/mesa/delegations/new", "x", "teams/mesa"), denied: "may not delegate"},
+		"widens itself":           {credential: "handing", file: delegationFile("teams/mesa/delegations/handing", "handing", "teams/mesa"), denied: "may not delegate"},
 		"bootstrap after its end": {credential: "first", file: limit, denied: "unknown credential"},
 		"caller's credential":     {credential: preset.Credential("mesa-crews"), file: limit, denied: "unknown credential"},
 		"no credential":           {file: limit, denied: "no credential"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := d.client(c.credential).Write(t.Context(), operator.Order{File: []byte(c.file), DryRun: true})
+			_, err := d.client(c.credential).Write(t.Context(), operator.WriteRequest{File: []byte(c.file), DryRun: true})
 			var denied *operator.DeniedError
 			if c.denied == "" {
 				assert.NilError(t, err)
@@ -121,11 +121,11 @@
 	}
 }
 
-// TestAnswerOfHostLost asks the next host with the same id: applied once.
-func TestAnswerOfHostLost(t *testing.T) {
-	d := deploy(t)
-	d.hosts[0].lose.Store(1)
-	out, err := d.client("first").Write(t.Context(), operator.Order{File: []byte(consortium(t))})
+// TestLostResponse asks the next host with the same id: applied once.
+func TestLostResponse(t *testing.T) {
+	d := newDeployment(t)
+	d.hosts[0].dropResponses.Store(1)
+	out, err := d.client("first").Write(t.Context(), operator.WriteRequest{File: []byte(consortium(t))})
 	assert.NilError(t, err)
 	assert.Equal(t, out.Number, uint64(1))
 	view, err := d.client("first").Read(t.Context())
@@ -134,40 +134,40 @@
 	assert.Equal(t, view.History[0].By, "bootstrap")
 }
 
-// TestAnswersOfAllHostsLost cannot know the outcome and says so.
-func TestAnswersOfAllHostsLost(t *testing.T) {
-	d := deploy(t)
-	d.hosts[0].lose.Store(1)
-	d.hosts[1].lose.Store(1)
-	_, err := d.client("first").Write(t.Context(), operator.Order{File: []byte(consortium(t))})
+// TestAllResponsesLost cannot know the outcome and says so.
+func TestAllResponsesLost(t *testing.T) {
+	d := newDeployment(t)
+	d.hosts[0].dropResponses.Store(1)
+	d.hosts[1].dropResponses.Store(1)
+	_, err := d.client("first").Write(t.Context(), operator.WriteRequest{File: []byte(consortium(t))})
 	assert.ErrorIs(t, err, settings.ErrUnresolved)
 }
 
-// TestLostThenRefused must not call a write refused that an earlier host may
+// TestLostThenRejected must not call a write refused that an earlier host may
 // have made.
-func TestLostThenRefused(t *testing.T) {
-	d := deploy(t)
-	d.hosts[0].lose.Store(1)
+func TestLostThenRejected(t *testing.T) {
+	d := newDeployment(t)
+	d.hosts[0].dropResponses.Store(1)
 	d.hosts[1].next = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.store.SetFaults(fake.PlatformFaults{Down: true})
 		defer d.store.SetFaults(fake.PlatformFaults{})
 		d.hosts[0].next.ServeHTTP(w, r)
 	})
-	_, err := d.client("first").Write(t.Context(), operator.Order{File: []byte(consortium(t))})
+	_, err := d.client("first").Write(t.Context(), operator.WriteRequest{File: []byte(consortium(t))})
 	assert.ErrorIs(t, err, settings.ErrUnresolved)
 }
 
-func TestStoreOut(t *testing.T) {
-	d := deploy(t)
+func TestStoreUnavailable(t *testing.T) {
+	d := newDeployment(t)
 	d.store.SetFaults(fake.PlatformFaults{Down: true})
-	_, err := d.client("first").Write(t.Context(), operator.Order{File: []byte(consortium(t))})
+	_, err := d.client("first").Write(t.Context(), operator.WriteRequest{File: []byte(consortium(t))})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
 }
 
 // TestBusyHost has more operators at one host than it answers at once: the
 // others go to the next host.
 func TestBusyHost(t *testing.T) {
-	d := deploy(t)
+	d := newDeployment(t)
 	d.store.SetFaults(fake.PlatformFaults{SlowMin: 50 * time.Millisecond, SlowMax: 50 * time.Millisecond})
 	var group errgroup.Group
 	const operators = 100 // above what one host answers, below what both do
@@ -180,10 +180,10 @@
 	assert.NilError(t, group.Wait())
 }
 
-func TestNobodyThere(t *testing.T) {
+func TestNoHostReachable(t *testing.T) {
 	client := operator.NewClient(operator.ClientConfig{
 		Addrs: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Credential: "x", Timeout: time.Minute,
 	})
-	_, err := client.Write(context.Background(), operator.Order{})
+	_, err := client.Write(context.Background(), operator.WriteRequest{})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -28,8 +28,8 @@
 // ServerConfig sets up a Server.
 type ServerConfig struct {
 	Store platform.Store
-	// Board gives the settings where the store is out; it may be nil.
-	Board docsync.Replica
+	// Replica gives the settings where the store is out; it may be nil.
+	Replica docsync.Replica
 	// Bootstrap is the hash of the credential that may write everything for
 	// as long as the settings hold no delegation below platform. Zero: none.
 	Bootstrap [32]byte
@@ -39,14 +39,14 @@
 // maxRequests bounds the requests that one host answers at the same time.
 const maxRequests = 64
 
-// errBusy is the cause of a refusal where maxRequests are under way.
-var errBusy = errors.New("too many operators at this host")
+// errTooManyRequests is the cause of a refusal where maxRequests are under way.
+var errTooManyRequests = errors.New("too many operators at this host")
 
 // Server answers the operators' API.
 type Server struct {
 	config    ServerConfig
 	committer *settings.Committer
-	running   chan struct{}
+	inFlight  chan struct{}
 }
 
 // NewServer returns a server.
@@ -54,25 +54,25 @@
 	return &Server{
 		config:    config,
 		committer: settings.NewCommitter(config.Store),
-		running:   make(chan struct{}, maxRequests),
+		inFlight:  make(chan struct{}, maxRequests),
 	}
 }
 
 // Register adds the API's routes to r.
 func (s *Server) Register(r *mux.Router) {
-	r.HandleFunc(pathSettings, s.bounded(s.read)).Methods(http.MethodGet)
-	r.HandleFunc(pathSettings, s.bounded(s.write)).Methods(http.MethodPost)
+	r.HandleFunc(pathSettings, s.limitConcurrency(s.read)).Methods(http.MethodGet)
+	r.HandleFunc(pathSettings, s.limitConcurrency(s.write)).Methods(http.MethodPost)
 }
 
-// bounded refuses a request while too many are under way.
-func (s *Server) bounded(next http.HandlerFunc) http.HandlerFunc {
+// limitConcurrency refuses a request while too many are under way.
+func (s *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.running <- struct{}{}:
-			defer func() { <-s.running }()
+		case s.inFlight <- struct{}{}:
+			defer func() { <-s.inFlight }()
 			next(w, r)
 		default:
-			answerError(w, fmt.Errorf("%w: %w", settings.ErrNotAccepted, errBusy))
+			writeError(w, fmt.Errorf("%w: %w", settings.ErrNotAccepted, errTooManyRequests))
 		}
 	}
 }
@@ -82,28 +82,28 @@
 	current, err := s.committer.Load(r.Context())
 	local := err != nil
 	if local {
-		if current = s.local(); current == nil {
-			answerError(w, err)
+		if current = s.localSettings(); current == nil {
+			writeError(w, err)
 			return
 		}
 	}
-	who, err := s.identify(current, bearer(r))
+	who, err := s.authenticate(current, bearer(r))
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	view := visible(viewOf(current), who)
+	view := filterView(fullView(current), who)
 	view.Local = local
-	answer(w, http.StatusOK, toWireView(view))
+	writeJSON(w, http.StatusOK, toWireView(view))
 }
 
-// local returns the settings as this process has them from the watchers and
+// localSettings returns the settings as this process has them from the watchers and
 // its peers, or nil.
-func (s *Server) local() *settings.Settings {
-	if s.config.Board == nil {
+func (s *Server) localSettings() *settings.Settings {
+	if s.config.Replica == nil {
 		return nil
 	}
-	doc, ok := s.config.Board.Get(docsync.Settings)
+	doc, ok := s.config.Replica.Get(docsync.Settings)
 	if !ok {
 		return nil
 	}
@@ -118,60 +118,60 @@
 // write commits one order in the bearer's name.
 func (s *Server) write(w http.ResponseWriter, r *http.Request) {
 	credential := bearer(r)
-	var in wireOrder
+	var in wireWriteRequest
 	body := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 	if err := body.Decode(&in); err != nil {
-		answer(w, http.StatusUnprocessableEntity, wireError{Code: codeFindings, Text: "body is not an order"})
+		writeJSON(w, http.StatusUnprocessableEntity, wireError{Code: codeFindings, Text: "body is not an order"})
 		return
 	}
-	order := Order{ID: in.ID, File: []byte(in.File), Rollback: in.Rollback, Below: in.Below, Expect: in.Expect, Reason: in.Reason, DryRun: in.DryRun}
+	order := WriteRequest{ID: in.ID, File: []byte(in.File), Rollback: in.Rollback, Below: in.Below, Expect: in.Expect, Reason: in.Reason, DryRun: in.DryRun}
 	// The write goes on where the operator's connection ends: its outcome
 	// stands in the history, under the order's id.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), writeTimeout)
 	defer cancel()
-	out, err := commit(ctx, s.committer, order, func(current *settings.Settings) (writer, error) {
-		return s.identify(current, credential)
+	out, err := commit(ctx, s.committer, order, func(current *settings.Settings) (principal, error) {
+		return s.authenticate(current, credential)
 	})
 	if err != nil {
 		s.config.Log.Info("write refused", slog.String("id", in.ID), slog.String("error", err.Error()))
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	if !in.DryRun {
 		s.config.Log.Info("write accepted", slog.String("id", in.ID), slog.Uint64("number", out.Number))
 	}
-	answer(w, http.StatusOK, toWireOutcome(out))
+	writeJSON(w, http.StatusOK, toWireWriteResult(out))
 }
 
-// identify finds whose credential it is in the settings in force.
-func (s *Server) identify(current *settings.Settings, credential string) (writer, error) {
+// authenticate finds whose credential it is in the settings in force.
+func (s *Server) authenticate(current *settings.Settings, credential string) (principal, error) {
 	if credential == "" {
-		return writer{}, &DeniedError{Text: "no credential"}
+		return principal{}, &DeniedError{Text: "no credential"}
 	}
 	if d, ok := current.Operator(credential); ok {
-		return writer{name: d.Operator, below: d.Below}, nil
+		return principal{name: d.Operator, below: d.Below}, nil
 	}
-	if s.config.Bootstrap != [32]byte{} && settings.HashCredential(credential) == s.config.Bootstrap && !current.Delegated() {
-		return writer{name: bootstrapName, below: []settings.Path{""}}, nil
+	if s.config.Bootstrap != [32]byte{} && settings.HashCredential(credential) == s.config.Bootstrap && !current.HasPlatformOperator() {
+		return principal{name: bootstrapName, below: []settings.Path{""}}, nil
 	}
-	return writer{}, &DeniedError{Text: "unknown credential"}
+	return principal{}, &DeniedError{Text: "unknown credential"}
 }
 
-// visible keeps what lies below the subtrees of who.
-func visible(v View, who writer) View {
-	v.Items = slices.DeleteFunc(slices.Clone(v.Items), func(i settings.Item) bool { return !who.may(i.Path) })
+// filterView keeps what lies below the subtrees of who.
+func filterView(v View, who principal) View {
+	v.Items = slices.DeleteFunc(slices.Clone(v.Items), func(i settings.Item) bool { return !who.allows(i.Path) })
 	var history []settings.Write
 	for _, w := range v.History {
 		seen := settings.Write{ID: w.ID, Number: w.Number, At: w.At, By: w.By, Reason: w.Reason}
 		for i, p := range w.Paths {
-			if who.may(p) {
+			if who.allows(p) {
 				seen.Paths = append(seen.Paths, p)
 				seen.Before = append(seen.Before, w.Before[i])
 			}
 		}
 		// A write that changed nothing is shown to its writer and to those who
 		// see all.
-		own := len(w.Paths) == 0 && (w.By == who.name || who.may("platform") && who.may("teams"))
+		own := len(w.Paths) == 0 && (w.By == who.name || who.allows("platform") && who.allows("teams"))
 		if len(seen.Paths) > 0 || own {
 			history = append(history, seen)
 		}
@@ -189,12 +189,12 @@
 	return credential
 }
 
-func answerError(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	status, body := toWireError(err)
-	answer(w, status, body)
+	writeJSON(w, status, body)
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/internal/operator/wire.go
+++ b/internal/operator/wire.go
@@ -34,7 +34,7 @@
 	Before []string        `json:"before,omitempty"`
 }
 
-type wireOrder struct {
+type wireWriteRequest struct {
 	ID       string        `json:"id"`
 	File     string        `json:"file,omitempty"`
 	Rollback uint64        `json:"rollback,omitempty"`
@@ -44,7 +44,7 @@
 	DryRun   bool          `json:"dryrun,omitempty"`
 }
 
-type wireOutcome struct {
+type wireWriteResult struct {
 	Revision    uint64           `json:"revision"`
 	Number      uint64           `json:"number"`
 	Differences []wireDifference `json:"differences,omitempty"`
@@ -76,9 +76,9 @@
 }
 
 type wireFinding struct {
-	Place string `json:"place"`
-	Text  string `json:"text"`
-	Mend  string `json:"mend,omitempty"`
+	Location string `json:"place"`
+	Text     string `json:"text"`
+	Hint     string `json:"mend,omitempty"`
 }
 
 func toWireView(v View) wireView {
@@ -104,16 +104,16 @@
 	return v, nil
 }
 
-func toWireOutcome(o Outcome) wireOutcome {
-	w := wireOutcome{Revision: uint64(o.Revision), Number: o.Number}
+func toWireWriteResult(o WriteResult) wireWriteResult {
+	w := wireWriteResult{Revision: uint64(o.Revision), Number: o.Number}
 	for _, d := range o.Differences {
 		w.Differences = append(w.Differences, wireDifference(d))
 	}
 	return w
 }
 
-func (w wireOutcome) outcome() Outcome {
-	o := Outcome{Revision: platform.Revision(w.Revision), Number: w.Number}
+func (w wireWriteResult) writeResult() WriteResult {
+	o := WriteResult{Revision: platform.Revision(w.Revision), Number: w.Number}
 	for _, d := range w.Differences {
 		o.Differences = append(o.Differences, settings.Difference(d))
 	}
--- a/internal/option/option.go
+++ b/internal/option/option.go
@@ -31,8 +31,8 @@
 
 	Findings finding.List
 
-	about string
-	out   io.Writer
+	summary string
+	out     io.Writer
 }
 
 // New returns a set for the program, whose help goes to out. The about line
@@ -41,7 +41,7 @@
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	fs.Usage = func() {} // Read prints the help, and only where it was asked for
-	return &Set{FlagSet: fs, about: about, out: out}
+	return &Set{FlagSet: fs, summary: about, out: out}
 }
 
 // Read parses args and the environment. It returns ErrHelp after printing the
@@ -52,16 +52,16 @@
 		return nil
 	}
 	if errors.Is(err, flag.ErrHelp) {
-		s.help()
+		s.printHelp()
 		return ErrHelp
 	}
 	s.Findings.Add(s.Name(), err.Error(), "see --help")
 	return s.Findings.Err()
 }
 
-// help prints what the program does and its flags.
-func (s *Set) help() {
-	fmt.Fprintf(s.out, "%s: %s\n\n", s.Name(), s.about)
+// printHelp prints what the program does and its flags.
+func (s *Set) printHelp() {
+	fmt.Fprintf(s.out, "%s: %s\n\n", s.Name(), s.summary)
 	fmt.Fprintf(s.out, "Each flag can also be set by an environment variable, %s_ and the flag's\n", EnvPrefix)
 	fmt.Fprintf(s.out, "name in capitals with _ for -; a flag goes before its variable.\n\n")
 	s.SetOutput(s.out)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"citrontray.example/citrontray/internal/keys"
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/peer"
 	"citrontray.example/citrontray/internal/place"
 )
@@ -23,15 +23,15 @@
 func newAuthority(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	assert.NilError(t, keys.MakeAuthority(time.Now(), dir))
+	assert.NilError(t, certs.CreateAuthority(time.Now(), dir))
 	return dir
 }
 
-func newCredentials(t *testing.T, dir string, host place.Host, role peer.Role) *keys.Material {
+func newCredentials(t *testing.T, dir string, host place.Host, role peer.Role) *certs.Material {
 	t.Helper()
-	err := keys.MakeHost(time.Now(), dir, host, "z1", []peer.Role{role}, []netip.Addr{loopback})
+	err := certs.IssueHost(time.Now(), dir, host, "z1", []peer.Role{role}, []netip.Addr{loopback})
 	assert.NilError(t, err)
-	m, err := keys.Load(time.Now(), dir, host, role)
+	m, err := certs.Load(time.Now(), dir, host, role)
 	assert.NilError(t, err)
 	return m
 }
--- a/internal/peer/trust_test.go
+++ b/internal/peer/trust_test.go
@@ -16,13 +16,13 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"citrontray.example/citrontray/internal/keys"
+	"citrontray.example/citrontray/internal/certs"
 	"citrontray.example/citrontray/internal/peer"
 )
 
 // wrongCertificate shows another certificate than its material's own.
 type wrongCertificate struct {
-	*keys.Material
+	*certs.Material
 
 	presented []tls.Certificate
 }
@@ -36,7 +36,7 @@
 // certificateWithoutIdentity makes a certificate of the authority in dir that names no process.
 func certificateWithoutIdentity(t *testing.T, dir string) tls.Certificate {
 	t.Helper()
-	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, keys.AuthorityFile), filepath.Join(dir, keys.AuthorityKeyFile))
+	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.AuthorityFile), filepath.Join(dir, certs.AuthorityKeyFile))
 	assert.NilError(t, err)
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	assert.NilError(t, err)
@@ -51,20 +51,20 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}
 }
 
-func expiredCredentials(t *testing.T, dir string) *keys.Material {
+func expiredCredentials(t *testing.T, dir string) *certs.Material {
 	t.Helper()
 	const age = 2 * 365 * 24 * time.Hour
 	past := time.Now().Add(-age)
-	roots, err := os.ReadFile(filepath.Join(dir, keys.AuthorityFile))
+	roots, err := os.ReadFile(filepath.Join(dir, certs.AuthorityFile))
 	assert.NilError(t, err)
 	old := t.TempDir()
-	assert.NilError(t, keys.MakeAuthority(past, old))
-	assert.NilError(t, keys.MakeHost(past, old, "h9", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
+	assert.NilError(t, certs.CreateAuthority(past, old))
+	assert.NilError(t, certs.IssueHost(past, old, "h9", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
 	// The server trusts this authority too: the age alone speaks against it.
-	added, err := os.ReadFile(filepath.Join(old, keys.AuthorityFile))
+	added, err := os.ReadFile(filepath.Join(old, certs.AuthorityFile))
 	assert.NilError(t, err)
-	assert.NilError(t, os.WriteFile(filepath.Join(dir, keys.AuthorityFile), append(roots, added...), 0o600))
-	m, err := keys.Load(past, old, "h9", peer.RoleLead)
+	assert.NilError(t, os.WriteFile(filepath.Join(dir, certs.AuthorityFile), append(roots, added...), 0o600))
+	m, err := certs.Load(past, old, "h9", peer.RoleLead)
 	assert.NilError(t, err)
 	return m
 }
@@ -111,8 +111,8 @@
 	elsewhere := func(t *testing.T) peer.Credentials {
 		t.Helper()
 		ips := []netip.Addr{netip.MustParseAddr("10.9.9.9")}
-		assert.NilError(t, keys.MakeHost(time.Now(), dir, "h3", "z1", []peer.Role{peer.RoleLead}, ips))
-		m, err := keys.Load(time.Now(), dir, "h3", peer.RoleLead)
+		assert.NilError(t, certs.IssueHost(time.Now(), dir, "h3", "z1", []peer.Role{peer.RoleLead}, ips))
+		m, err := certs.Load(time.Now(), dir, "h3", peer.RoleLead)
 		assert.NilError(t, err)
 		return m
 	}
@@ -169,8 +169,8 @@
 	left := t.TempDir()
 	assert.NilError(t, os.CopyFS(left, os.DirFS(dir)))
 	a, b := startFastUpkeep(t, first), startFastUpkeep(t, second)
-	assert.NilError(t, keys.MakeHost(time.Now(), left, "h3", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
-	third, err := keys.Load(time.Now(), left, "h3", peer.RoleLead)
+	assert.NilError(t, certs.IssueHost(time.Now(), left, "h3", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
+	third, err := certs.Load(time.Now(), left, "h3", peer.RoleLead)
 	assert.NilError(t, err)
 	stale := startFastUpkeep(t, third)
 	works := func(from, to *peer.Peer) bool {
@@ -179,7 +179,7 @@
 	}
 	assert.Assert(t, works(a, b) && works(b, a) && works(stale, a) && works(a, stale))
 
-	assert.NilError(t, keys.MakeAuthority(time.Now(), dir))
+	assert.NilError(t, certs.CreateAuthority(time.Now(), dir))
 	assert.Assert(t, works(a, b) && works(b, a), "with both authorities")
 	oldLeaf := leafOf(t, dir, "h1")
 	newCredentials(t, dir, "h1", peer.RoleLead)
@@ -190,7 +190,7 @@
 	})
 	assert.Assert(t, works(a, b) && works(b, a), "with new certificates")
 
-	assert.NilError(t, keys.Retire(dir))
+	assert.NilError(t, certs.RemoveOldAuthorities(dir))
 	eventually(t, "the one left behind is shut out", func() bool { return !works(stale, a) && !works(a, stale) })
 	eventually(t, "the others go on", func() bool { return works(a, b) && works(b, a) })
 	assert.Assert(t, !works(stale, a) && !works(a, stale))
@@ -204,6 +204,6 @@
 	return block.Bytes
 }
 
-func presents(m *keys.Material, leaf []byte) bool {
+func presents(m *certs.Material, leaf []byte) bool {
 	return string(m.ClientTLS("").Certificates[0].Certificate[0]) == string(leaf)
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -50,8 +50,8 @@
 	platform, peer, peers, admin string
 }
 
-// Declare declares the flags of o on set.
-func Declare(set *option.Set, o *Options, d Defaults) *Flags {
+// AddFlags declares the flags of o on set.
+func AddFlags(set *option.Set, o *Options, d Defaults) *Flags {
 	f := &Flags{Set: set, options: o}
 	f.StringVar((*string)(&o.Host), "host", "", "name of this entry host")
 	f.StringVar((*string)(&o.Zone), "zone", "", "availability zone of this host")
--- a/internal/settings/applied.go
+++ b/internal/settings/applied.go
@@ -16,9 +16,9 @@
 	changed chan struct{}
 }
 
-// Offer puts s in force at now unless s is not newer than what is; it reports
+// Apply puts s in force at now unless s is not newer than what is; it reports
 // whether s is in force now because of this call.
-func (a *Applied) Offer(now time.Time, s *Settings) bool {
+func (a *Applied) Apply(now time.Time, s *Settings) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.current != nil && s.Revision <= a.current.Revision {
@@ -32,9 +32,9 @@
 	return true
 }
 
-// OfferDocument decodes a document of the store's revision and offers it. An
+// ApplyDocument decodes a document of the store's revision and offers it. An
 // old revision is left out before it is decoded.
-func (a *Applied) OfferDocument(now time.Time, revision platform.Revision, body []byte) (bool, error) {
+func (a *Applied) ApplyDocument(now time.Time, revision platform.Revision, body []byte) (bool, error) {
 	if s := a.Current(); s != nil && revision <= s.Revision {
 		return false, nil
 	}
@@ -43,7 +43,7 @@
 		return false, err
 	}
 	s.Revision = revision
-	return a.Offer(now, s), nil
+	return a.Apply(now, s), nil
 }
 
 // Current returns the settings in force, or nil before the first ones.
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -25,19 +25,19 @@
 			continue
 		}
 		if _, ok := byPath[c.Path]; !ok {
-			found.Add(c.place(""), "does not exist", "")
+			found.Add(c.location(""), "does not exist", "")
 		}
 		delete(byPath, c.Path)
 	}
 	items := slices.SortedFunc(maps.Values(byPath), func(a, b Item) int { return cmp.Compare(a.Path, b.Path) })
-	next := build(items, &found)
+	next := fromItems(items, &found)
 	next.check(byPath, &found)
-	next.checkFixed(s, byPath, &found)
+	next.checkImmutable(s, byPath, &found)
 	if err := found.Err(); err != nil {
 		return nil, err
 	}
 	next.Revision, next.Number = s.Revision, s.Number
-	next.History, next.newer = s.History, s.newer
+	next.History, next.unknownFields = s.History, s.unknownFields
 	next.index = newIndex(next)
 	return next, nil
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -36,17 +36,17 @@
 	for i := range s.Limits {
 		c.limit(&s.Limits[i])
 	}
-	for i := range s.Grants {
-		c.delegation(&s.Grants[i])
+	for i := range s.Delegations {
+		c.delegation(&s.Delegations[i])
 	}
-	c.overlaps()
-	c.ambiguities()
-	c.credentials()
+	c.keyOverlaps()
+	c.ambiguousRoutes()
+	c.duplicateCredentials()
 }
 
 // add records a problem of a field at path.
 func (c *checker) add(path Path, field, problem, mend string) {
-	c.found.Add(c.items[path].place(field), problem, mend)
+	c.found.Add(c.items[path].location(field), problem, mend)
 }
 
 func servicePath(s *Service) Path  { return join(teamsRoot, string(s.Team), "services", string(s.Name)) }
@@ -93,14 +93,14 @@
 	}
 }
 
-// checkFixed records what may not change while a service is there: hosts that
+// checkImmutable records what may not change while a service is there: hosts that
 // count the shards of a key space in two ways would send one key to two
 // targets.
-func (s *Settings) checkFixed(old *Settings, items map[Path]Item, found *finding.List) {
+func (s *Settings) checkImmutable(old *Settings, items map[Path]Item, found *finding.List) {
 	for i := range s.Services {
 		service := &s.Services[i]
 		if before, ok := old.Service(service.Name); ok && before.Shards != service.Shards {
-			found.Add(items[servicePath(service)].place("shards"), "is fixed while the service is there", "make a new service with another name and lead the routes to it")
+			found.Add(items[servicePath(service)].location("shards"), "is fixed while the service is there", "make a new service with another name and lead the routes to it")
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	if len(r.Methods) == 0 {
 		c.add(path, "methods", "names no method", "")
 	}
-	if problem := pathProblem(r); problem != "" {
+	if problem := patternProblem(r); problem != "" {
 		c.add(path, "path", problem, "such as /balance/{key}")
 	}
 	if slices.Contains(r.Methods, "GET") && !r.Idempotent {
@@ -161,8 +161,8 @@
 	}
 }
 
-// pathProblem says what is wrong with a route's pattern.
-func pathProblem(r *Route) string {
+// patternProblem says what is wrong with a route's pattern.
+func patternProblem(r *Route) string {
 	if !strings.HasPrefix(r.Path, "/") {
 		return "does not start with /"
 	}
@@ -215,25 +215,25 @@
 	return strings.HasPrefix(a, b) || strings.HasPrefix(b, a)
 }
 
-// overlaps records routes to one service whose keys overlap although their
+// keyOverlaps records routes to one service whose keys overlap although their
 // teams or tenants differ: each would see what belongs to the other.
-func (c *checker) overlaps() {
+func (c *checker) keyOverlaps() {
 	byService := make(map[key.Service][]*Route, len(c.services))
 	for i := range c.Routes {
 		b := &c.Routes[i]
 		for _, a := range byService[b.Service] {
 			if prefixesOverlap(a.KeyPrefix, b.KeyPrefix) {
-				c.overlap(a, b)
+				c.addKeyOverlap(a, b)
 			}
 		}
 		byService[b.Service] = append(byService[b.Service], b)
 	}
 }
 
-// overlap records what is wrong with two routes to one service whose keys
+// addKeyOverlap records what is wrong with two routes to one service whose keys
 // overlap.
-func (c *checker) overlap(a, b *Route) {
-	a, b = c.written(a, b)
+func (c *checker) addKeyOverlap(a, b *Route) {
+	a, b = c.orderForFinding(a, b)
 	switch {
 	case a.Team != b.Team:
 		// Rivals do not learn each other's names from it.
@@ -243,18 +243,18 @@
 	}
 }
 
-// written orders two routes so that a finding stands at the one that is being
+// orderForFinding orders two routes so that a finding stands at the one that is being
 // written.
-func (c *checker) written(a, b *Route) (other, at *Route) {
+func (c *checker) orderForFinding(a, b *Route) (other, at *Route) {
 	if c.items[routePath(b)].At.Line == 0 && c.items[routePath(a)].At.Line > 0 {
 		return b, a
 	}
 	return a, b
 }
 
-// ambiguities records routes of one caller that take the same requests, also
+// ambiguousRoutes records routes of one caller that take the same requests, also
 // where they lead to different services.
-func (c *checker) ambiguities() {
+func (c *checker) ambiguousRoutes() {
 	byCaller := make(map[Caller][]*Route, len(c.callers))
 	type pair struct{ a, b *Route }
 	seen := make(map[pair]bool)
@@ -266,7 +266,7 @@
 					continue
 				}
 				seen[pair{a, b}] = true
-				other, at := c.written(a, b)
+				other, at := c.orderForFinding(a, b)
 				c.add(routePath(at), "path", "takes the same requests as "+string(routePath(other)), "a caller's method and path must lead to one route")
 			}
 			byCaller[caller] = append(byCaller[caller], b)
@@ -290,19 +290,19 @@
 // ambiguous reports whether one request of a caller of both could match both.
 func ambiguous(a, b *Route) bool {
 	shared := slices.ContainsFunc(a.Methods, func(m string) bool { return slices.Contains(b.Methods, m) })
-	return shared && patternsMeet(a.Path, b.Path)
+	return shared && patternsOverlap(a.Path, b.Path)
 }
 
-// patternsMeet reports whether some path matches both patterns.
-func patternsMeet(a, b string) bool {
+// patternsOverlap reports whether some path matches both patterns.
+func patternsOverlap(a, b string) bool {
 	x, y := strings.Split(a, "/"), strings.Split(b, "/")
 	return slices.EqualFunc(x, y, func(p, q string) bool {
 		return p == q || strings.HasPrefix(p, "{") || strings.HasPrefix(q, "{")
 	})
 }
 
-// credentials records hashes that two callers or two operators share.
-func (c *checker) credentials() {
+// duplicateCredentials records hashes that two callers or two operators share.
+func (c *checker) duplicateCredentials() {
 	seen := make(map[[32]byte]Path)
 	note := func(path Path, hash [32]byte) {
 		if other, ok := seen[hash]; ok {
@@ -313,7 +313,7 @@
 	for i := range c.Callers {
 		note(callerPath(&c.Callers[i]), c.Callers[i].CredentialHash)
 	}
-	for i := range c.Grants {
-		note(delegationPath(&c.Grants[i]), c.Grants[i].CredentialHash)
+	for i := range c.Delegations {
+		note(delegationPath(&c.Delegations[i]), c.Delegations[i].CredentialHash)
 	}
 }
--- a/internal/settings/codec.go
+++ b/internal/settings/codec.go
@@ -19,8 +19,8 @@
 // values up to a megabyte.
 const MaxDocumentBytes = 1_000_000
 
-// maxPlainBytes bounds the document before compression.
-const maxPlainBytes = 32 << 20
+// maxUncompressedBytes bounds the document before compression.
+const maxUncompressedBytes = 32 << 20
 
 // ErrTooLarge is returned by Commit for settings past MaxDocumentBytes.
 var ErrTooLarge = errors.New("settings: document too large")
@@ -54,12 +54,12 @@
 }
 
 var (
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPlainBytes))
-	plainMode   = mustMode()
+	zstdEncoder, _ = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	zstdDecoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUncompressedBytes))
+	cborEncMode    = mustEncMode()
 )
 
-func mustMode() cbor.EncMode {
+func mustEncMode() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err) // fixed options, checked by every test
@@ -77,17 +77,17 @@
 	for _, w := range s.History {
 		doc.History = append(doc.History, writeToWire(w))
 	}
-	body, err := plainMode.Marshal(doc)
+	body, err := cborEncMode.Marshal(doc)
 	if err != nil {
 		panic(err) // plain structs of strings and numbers always encode
 	}
-	return packer.EncodeAll(body, nil)
+	return zstdEncoder.EncodeAll(body, nil)
 }
 
 // Decode reads a document. Fields and paths of a later release are left out;
 // such settings can be read, but Commit refuses to write over them.
 func Decode(body []byte) (*Settings, error) {
-	flat, err := unpacker.DecodeAll(body, nil)
+	flat, err := zstdDecoder.DecodeAll(body, nil)
 	if err != nil {
 		return nil, fmt.Errorf("settings: decompress: %w", err)
 	}
@@ -100,11 +100,11 @@
 	}
 	items, newer := knownItems(doc.Items)
 	var found finding.List
-	s := build(items, &found)
+	s := fromItems(items, &found)
 	if err := found.Err(); err != nil {
 		return nil, fmt.Errorf("settings: document: %w", err)
 	}
-	s.Number, s.newer = doc.Number, newer
+	s.Number, s.unknownFields = doc.Number, newer
 	for _, w := range doc.History {
 		s.History = append(s.History, writeFromWire(w))
 	}
@@ -132,7 +132,7 @@
 		}
 		item := Item{Path: Path(w.Path)}
 		for _, f := range w.Fields {
-			if !k.has(f.Name) {
+			if !k.hasField(f.Name) {
 				newer = true
 				continue
 			}
