--- a/internal/settings/commit.go
+++ b/internal/settings/commit.go
@@ -23,14 +23,14 @@
 // maxAttempts bounds the compare-and-swaps of one commit.
 const maxAttempts = 64
 
-// eagerAttempts are made without a pause where another writer was faster.
-const eagerAttempts = 4
+// immediateAttempts are made without a pause where another writer was faster.
+const immediateAttempts = 4
 
 // maxReads bounds the reads of the document until one is answered.
 const maxReads = 2
 
-// retryPause is the mean wait before another attempt.
-const retryPause = 20 * time.Millisecond
+// meanBackoff is the mean wait before another attempt.
+const meanBackoff = 20 * time.Millisecond
 
 // ErrNotAccepted is returned where the store is out and the write has
 // certainly not taken effect.
@@ -82,8 +82,8 @@
 	Permit func(current *Settings, changes []Change) (by string, err error)
 }
 
-// Accepted is the outcome of a request.
-type Accepted struct {
+// CommitResult is the outcome of a request.
+type CommitResult struct {
 	// Settings hold the write, and perhaps later ones.
 	Settings *Settings
 	Write    Write
@@ -94,22 +94,22 @@
 // Committer writes settings to the platform's service. Safe for concurrent use.
 type Committer struct {
 	store platform.Store
-	// turn is taken by the one write under way: writers of one process wait
+	// writeSem is taken by the one write under way: writers of one process wait
 	// for each other here and don't fight over the store's revision.
-	turn chan struct{}
-	// pause waits before another try; it ends early with ctx.
-	pause func(ctx context.Context)
+	writeSem chan struct{}
+	// backoff waits before another try; it ends early with ctx.
+	backoff func(ctx context.Context)
 }
 
 // NewCommitter returns a committer on store.
 func NewCommitter(store platform.Store) *Committer {
-	return &Committer{store: store, turn: make(chan struct{}, 1), pause: pause}
+	return &Committer{store: store, writeSem: make(chan struct{}, 1), backoff: backoff}
 }
 
-// pause waits for about retryPause or the end of ctx. The length is random, so
+// backoff waits for about retryPause or the end of ctx. The length is random, so
 // that writers on several hosts don't meet again.
-func pause(ctx context.Context) {
-	timer := time.NewTimer(retryPause/2 + rand.N(retryPause))
+func backoff(ctx context.Context) {
+	timer := time.NewTimer(meanBackoff/2 + rand.N(meanBackoff))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -143,12 +143,12 @@
 	return entry, err
 }
 
-// attempt is one commit under way.
-type attempt struct {
+// pendingCommit is one commit under way.
+type pendingCommit struct {
 	*Committer
 	Request
-	// doubt is set while a write of this request may still take effect.
-	doubt bool
+	// inDoubt is set while a write of this request may still take effect.
+	inDoubt bool
 	// base and next are of the compare-and-swap in doubt.
 	base, next *Settings
 	body       []byte // next, encoded
@@ -157,35 +157,35 @@
 // Commit makes the request accepted by one compare-and-swap. Errors: *finding.Error, *ConflictError, ErrNotAccepted,
 // ErrUnresolved, ErrNewer, ErrTooLarge, and that of Permit. The present time
 // goes into the history.
-func (c *Committer) Commit(ctx context.Context, now time.Time, req Request) (Accepted, error) {
+func (c *Committer) Commit(ctx context.Context, now time.Time, req Request) (CommitResult, error) {
 	if req.ID == "" {
 		req.ID = uuid.NewString()
 	}
-	a := &attempt{Committer: c, Request: req}
+	a := &pendingCommit{Committer: c, Request: req}
 	select {
-	case c.turn <- struct{}{}:
-		defer func() { <-c.turn }()
+	case c.writeSem <- struct{}{}:
+		defer func() { <-c.writeSem }()
 	case <-ctx.Done():
-		return Accepted{}, a.unreachable(ctx.Err())
+		return CommitResult{}, a.storeError(ctx.Err())
 	}
 	for i := range maxAttempts {
-		if i >= eagerAttempts {
-			a.pause(ctx)
+		if i >= immediateAttempts {
+			a.backoff(ctx)
 		}
-		done, err := a.try(ctx, now)
+		done, err := a.tryOnce(ctx, now)
 		if err != nil {
-			return Accepted{}, err
+			return CommitResult{}, err
 		}
 		if done != nil {
-			return done.accepted(a.ID), nil
+			return done.commitResult(a.ID), nil
 		}
 	}
-	return Accepted{}, a.unreachable(errors.New("the store keeps answering with old values"))
+	return CommitResult{}, a.storeError(errors.New("the store keeps answering with old values"))
 }
 
-// accepted returns the outcome of the write of that id, which s holds.
-func (s *Settings) accepted(id string) Accepted {
-	out := Accepted{Settings: s, Write: Write{Number: s.Number}}
+// commitResult returns the outcome of the write of that id, which s holds.
+func (s *Settings) commitResult(id string) CommitResult {
+	out := CommitResult{Settings: s, Write: Write{Number: s.Number}}
 	for _, w := range s.History {
 		if w.ID == id {
 			out.Write = w
@@ -204,11 +204,11 @@
 	return out
 }
 
-// try makes one compare-and-swap; nil and nil stand for another try.
-func (a *attempt) try(ctx context.Context, now time.Time) (*Settings, error) {
+// tryOnce makes one compare-and-swap; nil and nil stand for another try.
+func (a *pendingCommit) tryOnce(ctx context.Context, now time.Time) (*Settings, error) {
 	current, err := a.Load(ctx)
 	if errors.Is(err, platform.ErrUnavailable) {
-		return nil, a.later(ctx, err)
+		return nil, a.retryOrFail(ctx, err)
 	}
 	if err != nil {
 		return nil, err
@@ -219,16 +219,16 @@
 	// A write in doubt can only win at the revision it expects: once another
 	// revision is there, it has lost for good. At the same one it is sent
 	// again, with the same id, and one of both wins.
-	if a.doubt && current.Revision == a.base.Revision {
+	if a.inDoubt && current.Revision == a.base.Revision {
 		return a.write(ctx)
 	}
-	if a.doubt && current.Revision < a.base.Revision {
-		return nil, a.later(ctx, errors.New("the store answers with an old value"))
+	if a.inDoubt && current.Revision < a.base.Revision {
+		return nil, a.retryOrFail(ctx, errors.New("the store answers with an old value"))
 	}
-	if a.doubt && !current.remembers(a.base.Number+1) {
-		return nil, a.unreachable(errors.New("the history does not reach back to it"))
+	if a.inDoubt && !current.historyIncludes(a.base.Number+1) {
+		return nil, a.storeError(errors.New("the history does not reach back to it"))
 	}
-	a.doubt = false
+	a.inDoubt = false
 	if err := a.prepare(now, current); err != nil {
 		return nil, err
 	}
@@ -239,8 +239,8 @@
 }
 
 // prepare makes the next settings out of the current ones.
-func (a *attempt) prepare(now time.Time, current *Settings) error {
-	if current.newer {
+func (a *pendingCommit) prepare(now time.Time, current *Settings) error {
+	if current.unknownFields {
 		return ErrNewer
 	}
 	changes := a.Changes
@@ -257,7 +257,7 @@
 		}
 		a.By = by
 	}
-	if err := current.conflict(changes, a.Expect); err != nil {
+	if err := current.checkConflict(changes, a.Expect); err != nil {
 		return err
 	}
 	next, err := current.With(changes)
@@ -268,7 +268,7 @@
 	// an old value, and only the compare-and-swap tells.
 	differences := Diff(current, next)
 	next.Number = current.Number + 1
-	next.History = current.record(now, a.Request, differences)
+	next.History = current.appendHistory(now, a.Request, differences)
 	if a.body = Encode(next); len(a.body) > MaxDocumentBytes {
 		return ErrTooLarge
 	}
@@ -277,7 +277,7 @@
 }
 
 // write sends the prepared document.
-func (a *attempt) write(ctx context.Context) (*Settings, error) {
+func (a *pendingCommit) write(ctx context.Context) (*Settings, error) {
 	revision, err := a.store.Write(ctx, StorePath, a.body, a.base.Revision)
 	var conflict *platform.ConflictError
 	switch {
@@ -287,35 +287,35 @@
 	case errors.As(err, &conflict):
 		return nil, nil
 	case errors.Is(err, platform.ErrUnavailable):
-		return nil, a.later(ctx, err)
+		return nil, a.retryOrFail(ctx, err)
 	default:
-		a.doubt = true
-		return nil, a.later(ctx, err)
+		a.inDoubt = true
+		return nil, a.retryOrFail(ctx, err)
 	}
 }
 
-// later waits before another try, or gives up where nothing is in doubt.
-func (a *attempt) later(ctx context.Context, cause error) error {
-	if !a.doubt {
-		return a.unreachable(cause)
+// retryOrFail waits before another try, or gives up where nothing is in doubt.
+func (a *pendingCommit) retryOrFail(ctx context.Context, cause error) error {
+	if !a.inDoubt {
+		return a.storeError(cause)
 	}
-	a.pause(ctx)
+	a.backoff(ctx)
 	if ctx.Err() != nil {
-		return a.unreachable(cause)
+		return a.storeError(cause)
 	}
 	return nil
 }
 
-// unreachable tells certain failure from an unknown outcome.
-func (a *attempt) unreachable(cause error) error {
-	if a.doubt {
+// storeError tells certain failure from an unknown outcome.
+func (a *pendingCommit) storeError(cause error) error {
+	if a.inDoubt {
 		return fmt.Errorf("%w (write %s): %w", ErrUnresolved, a.ID, cause)
 	}
 	return fmt.Errorf("%w: %w", ErrNotAccepted, cause)
 }
 
-// conflict reports whether one of the changed paths was written after expect.
-func (s *Settings) conflict(changes []Change, expect uint64) error {
+// checkConflict reports whether one of the changed paths was written after expect.
+func (s *Settings) checkConflict(changes []Change, expect uint64) error {
 	if expect == 0 || expect >= s.Number || len(changes) == 0 {
 		return nil
 	}
@@ -329,7 +329,7 @@
 			}
 		}
 	}
-	if s.remembers(expect + 1) {
+	if s.historyIncludes(expect + 1) {
 		return nil
 	}
 	// The history does not reach back that far: nobody can tell.
@@ -340,13 +340,13 @@
 	return &ConflictError{Path: changes[0].Path, Winner: newest}
 }
 
-// remembers reports whether the history holds the write of that number.
-func (s *Settings) remembers(number uint64) bool {
+// historyIncludes reports whether the history holds the write of that number.
+func (s *Settings) historyIncludes(number uint64) bool {
 	return len(s.History) > 0 && s.History[0].Number <= number
 }
 
-// record returns the history with the request added, within bounds.
-func (s *Settings) record(now time.Time, req Request, differences []Difference) []Write {
+// appendHistory returns the history with the request added, within bounds.
+func (s *Settings) appendHistory(now time.Time, req Request, differences []Difference) []Write {
 	w := Write{ID: req.ID, Number: s.Number + 1, At: now, By: req.By, Reason: req.Reason}
 	for _, d := range differences {
 		w.Paths = append(w.Paths, d.Path)
@@ -355,7 +355,7 @@
 	history := append(slices.Clone(s.History), w)
 	size := 0
 	for i, w := range slices.Backward(history) {
-		size += w.bytes()
+		size += w.approxBytes()
 		if len(history)-i > maxHistory || size > maxHistoryBytes && i < len(history)-1 {
 			return history[i+1:]
 		}
@@ -363,8 +363,8 @@
 	return history
 }
 
-// bytes estimates the size of a write in the document.
-func (w Write) bytes() int {
+// approxBytes estimates the size of a write in the document.
+func (w Write) approxBytes() int {
 	n := len(w.ID) + len(w.By) + len(w.Reason)
 	for i, p := range w.Paths {
 		n += len(p) + len(w.Before[i])
@@ -380,7 +380,7 @@
 		found.Addf("revision", "%d is not before the one in force, %d", number, s.Number)
 		return nil, found.Err()
 	}
-	if !s.remembers(number + 1) {
+	if !s.historyIncludes(number + 1) {
 		found.Addf("revision", "%d is past the kept history", number)
 		return nil, found.Err()
 	}
@@ -395,11 +395,11 @@
 			}
 		}
 	}
-	return s.changesTo(former)
+	return s.restoreChanges(former)
 }
 
-// changesTo returns the changes that give each path its former text.
-func (s *Settings) changesTo(former map[Path]string) ([]Change, error) {
+// restoreChanges returns the changes that give each path its former text.
+func (s *Settings) restoreChanges(former map[Path]string) ([]Change, error) {
 	present := itemsByPath(s)
 	var changes []Change
 	for path, text := range former {
--- a/internal/settings/commit_test.go
+++ b/internal/settings/commit_test.go
@@ -18,16 +18,16 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-var at = time.Unix(1_800_000_000, 0).UTC()
+var commitTime = time.Unix(1_800_000_000, 0).UTC()
 
-// start returns a store with the agency's settings as revision 1.
-func start(t *testing.T) (*fake.Platform, *settings.Committer) {
+// newStore returns a store with the agency's settings as revision 1.
+func newStore(t *testing.T) (*fake.Platform, *settings.Committer) {
 	t.Helper()
 	store := fake.NewPlatform()
 	c := settings.NewCommitter(store)
 	p, err := preset.Get(preset.Agency)
 	assert.NilError(t, err)
-	_, err = c.Commit(t.Context(), at, settings.Request{Changes: parse(t, string(p.File)), By: "first"})
+	_, err = c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, string(p.File)), By: "first"})
 	assert.NilError(t, err)
 	return store, c
 }
@@ -39,27 +39,27 @@
 	return changes
 }
 
-func moves(service string, n int) string {
+func movesFile(service string, n int) string {
 	return fmt.Sprintf("teams/agency/services/%s: {zones: [anadolu-a], moves: %d}\n", service, n)
 }
 
-// race lets ten operators write at once and returns what each was told.
-func race(t *testing.T, c *settings.Committer, request func(i int) settings.Request) []error {
+// commitConcurrently lets ten operators write at once and returns what each was told.
+func commitConcurrently(t *testing.T, c *settings.Committer, request func(i int) settings.Request) []error {
 	t.Helper()
 	const operators = 10
 	told := make([]error, operators)
 	var group sync.WaitGroup
 	for i := range operators {
-		group.Go(func() { _, told[i] = c.Commit(t.Context(), at, request(i)) })
+		group.Go(func() { _, told[i] = c.Commit(t.Context(), commitTime, request(i)) })
 	}
 	group.Wait()
 	return told
 }
 
 func TestRaceOnOnePath(t *testing.T) {
-	_, c := start(t)
-	told := race(t, c, func(i int) settings.Request {
-		return settings.Request{Changes: parse(t, moves("balance", 10+i)), Expect: 1, By: fmt.Sprint(i)}
+	_, c := newStore(t)
+	told := commitConcurrently(t, c, func(i int) settings.Request {
+		return settings.Request{Changes: parse(t, movesFile("balance", 10+i)), Expect: 1, By: fmt.Sprint(i)}
 	})
 	now, err := c.Load(t.Context())
 	assert.NilError(t, err)
@@ -81,11 +81,11 @@
 
 func TestRaceOnOverlappingSets(t *testing.T) {
 	services := []string{"balance", "reminder", "plan"}
-	store, c := start(t)
-	told := race(t, c, func(i int) settings.Request {
-		file := moves(services[i%3], 10+i)
+	store, c := newStore(t)
+	told := commitConcurrently(t, c, func(i int) settings.Request {
+		file := movesFile(services[i%3], 10+i)
 		if i%2 == 0 {
-			file += moves(services[(i+1)%3], 30+i)
+			file += movesFile(services[(i+1)%3], 30+i)
 		}
 		return settings.Request{Changes: parse(t, file), By: fmt.Sprint(i)}
 	})
@@ -114,10 +114,10 @@
 	assert.Equal(t, store.Counts().LostResponses, uint64(0))
 }
 
-func TestStoreOutIsNotAccepted(t *testing.T) {
-	store, c := start(t)
+func TestStoreUnavailableIsNotAccepted(t *testing.T) {
+	store, c := newStore(t)
 	store.SetFaults(fake.PlatformFaults{Down: true})
-	_, err := c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 7))})
+	_, err := c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 7))})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
 	store.SetFaults(fake.PlatformFaults{})
 	now, err := c.Load(t.Context())
@@ -125,15 +125,15 @@
 	assert.Equal(t, now.Number, uint64(1))
 }
 
-// losingStore loses the answer of the next write, after or before its effect,
+// lossyStore loses the answer of the next write, after or before its effect,
 // and may then go down.
-type losingStore struct {
+type lossyStore struct {
 	*fake.Platform
 	before, down bool
 	lost         bool
 }
 
-func (s *losingStore) Write(ctx context.Context, path platform.Path, value []byte, expect platform.Revision) (platform.Revision, error) {
+func (s *lossyStore) Write(ctx context.Context, path platform.Path, value []byte, expect platform.Revision) (platform.Revision, error) {
 	if s.lost {
 		return s.Platform.Write(ctx, path, value, expect)
 	}
@@ -147,7 +147,7 @@
 	return 0, platform.ErrOutcomeUnknown
 }
 
-func TestLostAnswer(t *testing.T) {
+func TestLostResponse(t *testing.T) {
 	cases := map[string]struct {
 		before, down bool
 		want         error
@@ -159,17 +159,17 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			store, _ := start(t)
-			committer := settings.NewCommitter(&losingStore{Platform: store, before: c.before, down: c.down})
+			store, _ := newStore(t)
+			committer := settings.NewCommitter(&lossyStore{Platform: store, before: c.before, down: c.down})
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
-			req := settings.Request{ID: "one", Changes: parse(t, moves("plan", 7)), Expect: 1}
-			_, err := committer.Commit(ctx, at, req)
+			req := settings.Request{ID: "one", Changes: parse(t, movesFile("plan", 7)), Expect: 1}
+			_, err := committer.Commit(ctx, commitTime, req)
 			assert.ErrorIs(t, err, c.want)
 
 			// The same write again, once the store answers, is applied once.
 			store.SetFaults(fake.PlatformFaults{})
-			done, err := committer.Commit(t.Context(), at, req)
+			done, err := committer.Commit(t.Context(), commitTime, req)
 			assert.NilError(t, err)
 			assert.Equal(t, done.Write.Number, uint64(2))
 			now, err := committer.Load(t.Context())
@@ -180,51 +180,51 @@
 }
 
 func TestRollback(t *testing.T) {
-	_, c := start(t)
+	_, c := newStore(t)
 	write := func(file string) {
 		t.Helper()
-		_, err := c.Commit(t.Context(), at, settings.Request{Changes: parse(t, file)})
+		_, err := c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, file)})
 		assert.NilError(t, err)
 	}
 	first, err := c.Load(t.Context())
 	assert.NilError(t, err)
-	write(moves("plan", 7) + "teams/agency/limits/portal/interactive: null\n")
-	write(moves("balance", 8) + "platform/drains/zones/anadolu-b: {reason: test}\n")
+	write(movesFile("plan", 7) + "teams/agency/limits/portal/interactive: null\n")
+	write(movesFile("balance", 8) + "platform/drains/zones/anadolu-b: {reason: test}\n")
 
-	done, err := c.Commit(t.Context(), at, settings.Request{Rollback: 1, Below: "teams/agency/services/plan"})
+	done, err := c.Commit(t.Context(), commitTime, settings.Request{Rollback: 1, Below: "teams/agency/services/plan"})
 	assert.NilError(t, err)
 	assert.Equal(t, done.Settings.Number, uint64(4))
 	assert.Equal(t, len(done.Differences), 1)
 
-	done, err = c.Commit(t.Context(), at, settings.Request{Rollback: 1})
+	done, err = c.Commit(t.Context(), commitTime, settings.Request{Rollback: 1})
 	assert.NilError(t, err)
 	assert.Equal(t, done.Settings.Number, uint64(5))
 	assert.Equal(t, len(settings.Diff(first, done.Settings)), 0)
 
-	_, err = c.Commit(t.Context(), at, settings.Request{Rollback: 5})
+	_, err = c.Commit(t.Context(), commitTime, settings.Request{Rollback: 5})
 	assert.ErrorContains(t, err, "is not before the one in force")
 }
 
 func TestHistoryIsBounded(t *testing.T) {
-	_, c := start(t)
+	_, c := newStore(t)
 	const writes = 220
 	for i := range writes {
-		_, err := c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 1+i))})
+		_, err := c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 1+i))})
 		assert.NilError(t, err)
 	}
 	now, err := c.Load(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(now.History), 200)
 	assert.Equal(t, now.History[199].Number, uint64(writes+1))
-	_, err = c.Commit(t.Context(), at, settings.Request{Rollback: 2})
+	_, err = c.Commit(t.Context(), commitTime, settings.Request{Rollback: 2})
 	assert.ErrorContains(t, err, "past the kept history")
-	_, err = c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 1)), Expect: 2})
+	_, err = c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 1)), Expect: 2})
 	var conflict *settings.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "error %v", err)
 }
 
 func TestTooLarge(t *testing.T) {
-	_, c := start(t)
+	_, c := newStore(t)
 	const perFile = 3000
 	for part := range 4 {
 		var file strings.Builder
@@ -235,7 +235,7 @@
 			}
 			file.WriteString("}\n")
 		}
-		_, err := c.Commit(t.Context(), at, settings.Request{Changes: parse(t, file.String())})
+		_, err := c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, file.String())})
 		if part > 0 && err != nil {
 			assert.ErrorIs(t, err, settings.ErrTooLarge)
 			now, err := c.Load(t.Context())
@@ -248,26 +248,26 @@
 	t.Fatal("settings of any size were accepted")
 }
 
-func TestOldValuesNeverRevert(t *testing.T) {
-	store, c := start(t)
+func TestStaleReadsNeverRevert(t *testing.T) {
+	store, c := newStore(t)
 	var applied settings.Applied
 	offer := func() {
 		entry, err := store.Get(t.Context(), settings.StorePath)
 		assert.NilError(t, err)
-		_, err = applied.OfferDocument(at, entry.Revision, entry.Value)
+		_, err = applied.ApplyDocument(commitTime, entry.Revision, entry.Value)
 		assert.NilError(t, err)
 	}
-	_, err := c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 7))})
+	_, err := c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 7))})
 	assert.NilError(t, err)
 	offer()
 	store.SetFaults(fake.PlatformFaults{StaleReads: true})
 	offer()
 	_, number, since := applied.InForce()
 	assert.Equal(t, number, uint64(2))
-	assert.Equal(t, since, at)
+	assert.Equal(t, since, commitTime)
 
 	// A write on top of an old value loses, whatever its writer saw.
-	_, err = c.Commit(t.Context(), at, settings.Request{Changes: parse(t, moves("plan", 9))})
+	_, err = c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 9))})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
 	store.SetFaults(fake.PlatformFaults{})
 	now, err := c.Load(t.Context())
--- a/internal/settings/converge_bench_test.go
+++ b/internal/settings/converge_bench_test.go
@@ -25,27 +25,27 @@
 // The users' network: one way between two availability zones, and a call of
 // the platform's service.
 const (
-	zoneDelay  = 1500 * time.Microsecond
-	storeDelay = 2 * time.Millisecond
-	burst      = 100
+	zoneLatency  = 1500 * time.Microsecond
+	storeLatency = 2 * time.Millisecond
+	burstWrites  = 100
 )
 
-// wire joins the links of all holders in one process.
-type wire struct {
+// network joins the links of all holders in one process.
+type network struct {
 	mu    sync.Mutex
-	links map[netip.AddrPort]*link
+	links map[netip.AddrPort]*fakeLink
 }
 
-// link is one holder's peer.Link.
-type link struct {
-	*wire
+// fakeLink is one holder's peer.Link.
+type fakeLink struct {
+	*network
 	self     peer.Identity
 	handlers map[peer.Kind]peer.Handler
 }
 
-func (l *link) Handle(kind peer.Kind, handler peer.Handler) { l.handlers[kind] = handler }
+func (l *fakeLink) Handle(kind peer.Kind, handler peer.Handler) { l.handlers[kind] = handler }
 
-func (l *link) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
+func (l *fakeLink) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
 	l.mu.Lock()
 	other := l.links[to]
 	l.mu.Unlock()
@@ -53,19 +53,19 @@
 		return nil, fmt.Errorf("nobody at %s", to)
 	}
 	if other.self.Zone != l.self.Zone {
-		time.Sleep(2 * zoneDelay)
+		time.Sleep(2 * zoneLatency)
 	}
 	return other.handlers[kind](ctx, l.self, body)
 }
 
-// holder is one host: its board and what it has in force.
-type holder struct {
+// replica is one host: its board and what it has in force.
+type replica struct {
 	settings.Applied
 	board *docsync.MemoryReplica
 }
 
-// loop applies what comes onto the board.
-func (h *holder) loop(ctx context.Context, at func(number uint64)) error {
+// applyUpdates applies what comes onto the board.
+func (h *replica) applyUpdates(ctx context.Context, at func(number uint64)) error {
 	news := h.board.Subscribe(docsync.Settings)
 	for {
 		select {
@@ -77,7 +77,7 @@
 		if !ok {
 			continue
 		}
-		if _, err := h.OfferDocument(time.Now(), platform.Revision(doc.Version.Major), doc.Body); err != nil {
+		if _, err := h.ApplyDocument(time.Now(), platform.Revision(doc.Version.Major), doc.Body); err != nil {
 			return err
 		}
 		_, number, _ := h.InForce()
@@ -85,59 +85,59 @@
 	}
 }
 
-// spreading is a deployment of holders on one store.
-type spreading struct {
-	store   *fake.Platform
-	holders []*holder
-	mu      sync.Mutex
-	reached map[uint64]time.Time // when all holders had a number
-	behind  []uint64
+// cluster is a deployment of holders on one store.
+type cluster struct {
+	store       *fake.Platform
+	replicas    []*replica
+	mu          sync.Mutex
+	convergedAt map[uint64]time.Time // when all holders had a number
+	applied     []uint64
 }
 
-// saw notes that a holder has number in force.
-func (s *spreading) saw(i int, number uint64, now time.Time) {
+// recordApplied notes that a holder has number in force.
+func (s *cluster) recordApplied(i int, number uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behind[i] = number
-	all := slices.Min(s.behind)
-	for n := all; n > 0 && s.reached[n].IsZero(); n-- {
-		s.reached[n] = now
+	s.applied[i] = number
+	all := slices.Min(s.applied)
+	for n := all; n > 0 && s.convergedAt[n].IsZero(); n-- {
+		s.convergedAt[n] = now
 	}
 }
 
-// startHolders starts count holders in three zones.
-func startHolders(ctx context.Context, group *errgroup.Group, count int) *spreading {
-	s := &spreading{store: fake.NewPlatform(), behind: make([]uint64, count), reached: make(map[uint64]time.Time)}
-	s.store.SetFaults(fake.PlatformFaults{SlowMin: storeDelay, SlowMax: storeDelay})
+// startReplicas starts count holders in three zones.
+func startReplicas(ctx context.Context, group *errgroup.Group, count int) *cluster {
+	s := &cluster{store: fake.NewPlatform(), applied: make([]uint64, count), convergedAt: make(map[uint64]time.Time)}
+	s.store.SetFaults(fake.PlatformFaults{SlowMin: storeLatency, SlowMax: storeLatency})
 	s.store.SetFleetLag(0)
-	net := &wire{links: make(map[netip.AddrPort]*link)}
+	net := &network{links: make(map[netip.AddrPort]*fakeLink)}
 	address := func(i int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i % 250)}), 7000)
 	}
 	seeds := []netip.AddrPort{address(0), address(1), address(2)}
 	for i := range count {
 		id := peer.Identity{Host: place.Host(fmt.Sprintf("h%d", i)), Zone: place.Zone(fmt.Sprintf("z%d", i%3)), Role: peer.RoleLead}
-		l := &link{wire: net, self: id, handlers: make(map[peer.Kind]peer.Handler)}
+		l := &fakeLink{network: net, self: id, handlers: make(map[peer.Kind]peer.Handler)}
 		s.store.SetHost(time.Now(), place.HostRow{Host: id.Host, Zone: id.Zone, LeadAddr: address(i)})
-		h := &holder{board: docsync.New()}
-		s.holders = append(s.holders, h)
+		h := &replica{board: docsync.New()}
+		s.replicas = append(s.replicas, h)
 		node := docsync.NewNode(h.board, l, docsync.Config{Self: id, Addr: address(i), Seeds: seeds, Store: s.store, Log: logging.Nop()})
 		net.mu.Lock()
 		net.links[address(i)] = l
 		net.mu.Unlock()
 		group.Go(func() error { return node.Run(ctx) })
 		group.Go(func() error {
-			return h.loop(ctx, func(number uint64) { s.saw(i, number, time.Now()) })
+			return h.applyUpdates(ctx, func(number uint64) { s.recordApplied(i, number, time.Now()) })
 		})
 	}
 	return s
 }
 
 // await waits until all holders have number in force and returns since when.
-func (s *spreading) await(number uint64) time.Time {
+func (s *cluster) await(number uint64) time.Time {
 	for {
 		s.mu.Lock()
-		at := s.reached[number]
+		at := s.convergedAt[number]
 		s.mu.Unlock()
 		if !at.IsZero() {
 			return at
@@ -152,20 +152,20 @@
 	for _, count := range []int{3, 12, 48} {
 		b.Run(fmt.Sprintf("holders=%d", count), func(b *testing.B) {
 			for b.Loop() {
-				converge(b, count)
+				measureConvergence(b, count)
 			}
 		})
 	}
 }
 
-func converge(b *testing.B, count int) {
+func measureConvergence(b *testing.B, count int) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var group errgroup.Group
 	defer func() {
 		cancel()
 		assert.NilError(b, group.Wait())
 	}()
-	s := startHolders(ctx, &group, count)
+	s := startReplicas(ctx, &group, count)
 	c := settings.NewCommitter(s.store)
 	p, err := preset.Get(preset.Agency)
 	assert.NilError(b, err)
@@ -179,27 +179,27 @@
 	const singles = 10
 	single := make([]time.Duration, 0, singles)
 	for i := range singles {
-		number, accepted := write(moves("plan", i+1))
+		number, accepted := write(movesFile("plan", i+1))
 		single = append(single, s.await(number).Sub(accepted))
 	}
 	reads := s.store.Counts().Reads
 	begun := time.Now()
-	burstTimes := s.burst(c, b)
+	burstTimes := s.writeBurst(c, b)
 	b.ReportMetric(slices.Max(single).Seconds()*1e3, "single_max_ms")
 	b.ReportMetric(slices.Max(burstTimes).Seconds()*1e3, "burst_max_ms")
 	b.ReportMetric(time.Since(begun).Seconds()*1e3, "burst_all_ms")
 	b.ReportMetric(float64(s.store.Counts().Reads-reads), "burst_reads")
 }
 
-// burst lets ten operators make burst writes at once.
-func (s *spreading) burst(c *settings.Committer, b *testing.B) []time.Duration {
+// writeBurst lets ten operators make burst writes at once.
+func (s *cluster) writeBurst(c *settings.Committer, b *testing.B) []time.Duration {
 	const operators = 10
 	var mu sync.Mutex
 	var group errgroup.Group
 	accepted := make(map[uint64]time.Time)
 	for o := range operators {
 		group.Go(func() error {
-			for i := range burst / operators {
+			for i := range burstWrites / operators {
 				file := fmt.Sprintf("platform/drains/targets/t%d-%d: {reason: burst}\n", o, i)
 				done, err := c.Commit(b.Context(), time.Now(), settings.Request{Changes: parse(b, file)})
 				if err != nil {
--- a/internal/settings/value.go
+++ b/internal/settings/field.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-var errNumber = errors.New("is not a number from")
+var errNotInRange = errors.New("is not a number from")
 
 // hashPrefix starts a credential's hash in the file format.
 const hashPrefix = "sha256:"
@@ -22,11 +22,11 @@
 // HashCredential returns the hash under which a bearer credential is kept.
 func HashCredential(credential string) [32]byte { return sha256.Sum256([]byte(credential)) }
 
-// HashText returns a credential's hash as the file format writes it.
-func HashText(hash [32]byte) string { return hashPrefix + hex.EncodeToString(hash[:]) }
+// FormatHash returns a credential's hash as the file format writes it.
+func FormatHash(hash [32]byte) string { return hashPrefix + hex.EncodeToString(hash[:]) }
 
-// text makes a field of one string of at most high bytes.
-func text[R any, T ~string](at func(*R) *T, high int) access[R] {
+// textField makes a field of one string of at most high bytes.
+func textField[R any, T ~string](at func(*R) *T, high int) textCodec[R] {
 	read := func(row *R, values []string) error {
 		if len(values[0]) > high {
 			return fmt.Errorf("is longer than %d bytes", high)
@@ -35,11 +35,11 @@
 		return nil
 	}
 	show := func(row *R) []string { return []string{string(*at(row))} }
-	return access[R]{read: read, show: show}
+	return textCodec[R]{parse: read, format: show}
 }
 
-// oneOf makes a field that takes one of a few words.
-func oneOf[R any, T ~string](at func(*R) *T, words ...T) access[R] {
+// enumField makes a field that takes one of a few words.
+func enumField[R any, T ~string](at func(*R) *T, words ...T) textCodec[R] {
 	read := func(row *R, values []string) error {
 		for _, w := range words {
 			if string(w) == values[0] {
@@ -50,7 +50,7 @@
 		return fmt.Errorf("is none of %v", words)
 	}
 	show := func(row *R) []string { return []string{string(*at(row))} }
-	return access[R]{read: read, show: show}
+	return textCodec[R]{parse: read, format: show}
 }
 
 // ParseHash reads what HashText writes.
@@ -64,45 +64,45 @@
 	return hash, nil
 }
 
-// access reads a field of R from text and shows it as text.
-type access[R any] struct {
-	read func(row *R, values []string) error
-	show func(row *R) []string
+// textCodec reads a field of R from text and shows it as text.
+type textCodec[R any] struct {
+	parse  func(row *R, values []string) error
+	format func(row *R) []string
 }
 
 // integer is the whole numbers of the rows.
 type integer interface{ ~int | ~int64 | ~uint32 }
 
-// count makes a field of a whole number in a range.
-func count[R any, T integer](at func(*R) *T, low, high int64) access[R] {
+// intField makes a field of a whole number in a range.
+func intField[R any, T integer](at func(*R) *T, low, high int64) textCodec[R] {
 	read := func(row *R, values []string) error {
 		n, err := strconv.ParseInt(values[0], 10, 64)
 		if err != nil || n < low || n > high {
-			return fmt.Errorf("%w %d to %d", errNumber, low, high)
+			return fmt.Errorf("%w %d to %d", errNotInRange, low, high)
 		}
 		*at(row) = T(n)
 		return nil
 	}
 	show := func(row *R) []string { return []string{strconv.FormatInt(int64(*at(row)), 10)} }
-	return access[R]{read: read, show: show}
+	return textCodec[R]{parse: read, format: show}
 }
 
-// rate makes a field of a number above zero.
-func rate[R any](at func(*R) *float64, high float64) access[R] {
+// floatField makes a field of a number above zero.
+func floatField[R any](at func(*R) *float64, high float64) textCodec[R] {
 	read := func(row *R, values []string) error {
 		n, err := strconv.ParseFloat(values[0], 64)
 		if err != nil || math.IsNaN(n) || n <= 0 || n > high {
-			return fmt.Errorf("%w above 0 to %g", errNumber, high)
+			return fmt.Errorf("%w above 0 to %g", errNotInRange, high)
 		}
 		*at(row) = n
 		return nil
 	}
 	show := func(row *R) []string { return []string{strconv.FormatFloat(*at(row), 'g', -1, 64)} }
-	return access[R]{read: read, show: show}
+	return textCodec[R]{parse: read, format: show}
 }
 
-// toggle makes a field that is true or false.
-func toggle[R any](at func(*R) *bool) access[R] {
+// boolField makes a field that is true or false.
+func boolField[R any](at func(*R) *bool) textCodec[R] {
 	read := func(row *R, values []string) error {
 		switch values[0] {
 		case "true":
@@ -115,12 +115,12 @@
 		return nil
 	}
 	show := func(row *R) []string { return []string{strconv.FormatBool(*at(row))} }
-	return access[R]{read: read, show: show}
+	return textCodec[R]{parse: read, format: show}
 }
 
-// span makes a field of a duration in a range; zero is written as forever
+// durationField makes a field of a duration in a range; zero is written as forever
 // where the range starts at zero.
-func span[R any](at func(*R) *time.Duration, low, high time.Duration) access[R] {
+func durationField[R any](at func(*R) *time.Duration, low, high time.Duration) textCodec[R] {
 	read := func(row *R, values []string) error {
 		if values[0] == forever && low == 0 {
 			*at(row) = 0
@@ -139,11 +139,11 @@
 		}
 		return []string{at(row).String()}
 	}
-	return access[R]{read: read, show: show}
+	return textCodec[R]{parse: read, format: show}
 }
 
-// list makes a field of strings of a named type, each a name of a path part.
-func list[R any, T ~string](at func(*R) *[]T, valid func(string) bool) access[R] {
+// listField makes a field of strings of a named type, each a name of a path part.
+func listField[R any, T ~string](at func(*R) *[]T, valid func(string) bool) textCodec[R] {
 	read := func(row *R, values []string) error {
 		out := make([]T, 0, len(values))
 		seen := make(map[string]bool, len(values))
@@ -167,16 +167,16 @@
 		}
 		return out
 	}
-	return access[R]{read: read, show: show}
+	return textCodec[R]{parse: read, format: show}
 }
 
-// hash makes a field of a credential's hash.
-func hash[R any](at func(*R) *[32]byte) access[R] {
+// hashField makes a field of a credential's hash.
+func hashField[R any](at func(*R) *[32]byte) textCodec[R] {
 	read := func(row *R, values []string) error {
 		sum, err := ParseHash(values[0])
 		*at(row) = sum
 		return err
 	}
-	show := func(row *R) []string { return []string{HashText(*at(row))} }
-	return access[R]{read: read, show: show}
+	show := func(row *R) []string { return []string{FormatHash(*at(row))} }
+	return textCodec[R]{parse: read, format: show}
 }
--- a/internal/settings/format.go
+++ b/internal/settings/format.go
@@ -19,27 +19,27 @@
 		}
 		b.WriteByte('\n')
 		for _, f := range item.Fields {
-			b.WriteString("  " + f.Name + ":" + fieldText(f) + "\n")
+			b.WriteString("  " + f.Name + ":" + formatField(f) + "\n")
 		}
 	}
 	return b.String()
 }
 
-// fieldText returns the value of a field as it stands after the colon.
-func fieldText(f Field) string {
+// formatField returns the value of a field as it stands after the colon.
+func formatField(f Field) string {
 	if !f.List {
-		return " " + scalar(f.Values[0])
+		return " " + formatScalar(f.Values[0])
 	}
 	quoted := make([]string, len(f.Values))
 	for i, v := range f.Values {
-		quoted[i] = scalar(v)
+		quoted[i] = formatScalar(v)
 	}
 	return " [" + strings.Join(quoted, ", ") + "]"
 }
 
-// plain reports whether a value may stand without quotes: digits, letters and
+// isPlainScalar reports whether a value may stand without quotes: digits, letters and
 // a few signs, and not one of YAML's own words.
-func plain(v string) bool {
+func isPlainScalar(v string) bool {
 	switch strings.ToLower(v) {
 	case "", "null", "~", "yes", "no", "on", "off", "y", "n":
 		return false
@@ -55,9 +55,9 @@
 	return true
 }
 
-// scalar returns v as YAML that reads back as the same text.
-func scalar(v string) string {
-	if plain(v) || plain(strings.ReplaceAll(v, "-", "")) && v[0] != '-' {
+// formatScalar returns v as YAML that reads back as the same text.
+func formatScalar(v string) string {
+	if isPlainScalar(v) || isPlainScalar(strings.ReplaceAll(v, "-", "")) && v[0] != '-' {
 		return v
 	}
 	return strconv.Quote(v)
--- a/internal/settings/item.go
+++ b/internal/settings/item.go
@@ -33,8 +33,8 @@
 	Delete bool
 }
 
-// place names a field of the item in a finding.
-func (i Item) place(field string) string {
+// location names a field of the item in a finding.
+func (i Item) location(field string) string {
 	place := string(i.Path)
 	at := i.At
 	if field != "" {
@@ -76,16 +76,16 @@
 	return out
 }
 
-// build makes settings of items and checks each by itself.
-func build(items []Item, found *finding.List) *Settings {
+// fromItems makes settings of items and checks each by itself.
+func fromItems(items []Item, found *finding.List) *Settings {
 	s := &Settings{}
 	for _, item := range items {
 		k := kindOf(item.Path)
 		if k == nil {
-			found.Add(item.place(""), "is not a path of a setting", "see the settings reference for the paths")
+			found.Add(item.location(""), "is not a path of a setting", "see the settings reference for the paths")
 			continue
 		}
-		k.read(s, item, found)
+		k.parse(s, item, found)
 	}
 	return s
 }
--- a/internal/settings/kind.go
+++ b/internal/settings/kind.go
@@ -11,110 +11,110 @@
 	// pattern is the kind's path with * for each name.
 	pattern() Path
 	matches(parts []string) bool
-	// read checks item and adds its row to s; findings keep it out.
-	read(s *Settings, item Item, found *finding.List)
+	// parse checks item and adds its row to s; findings keep it out.
+	parse(s *Settings, item Item, found *finding.List)
 	items(s *Settings) []Item
-	describe() Kind
-	// has reports whether the kind has a field of that name.
-	has(field string) bool
+	describe() KindDoc
+	// hasField reports whether the kind has a field of that name.
+	hasField(field string) bool
 }
 
-// form tells how the value of a field is written.
-type form string
+// valueType tells how the value of a field is written.
+type valueType string
 
 // The forms of fields.
 const (
-	formText     form = "text"
-	formCount    form = "number"
-	formBytes    form = "number of bytes"
-	formPercent  form = "number, in percent"
-	formRate     form = "number per second"
-	formSwitch   form = "true or false"
-	formDuration form = "duration, such as 2s or 500ms"
-	formList     form = "list"
+	typeText     valueType = "text"
+	typeCount    valueType = "number"
+	typeBytes    valueType = "number of bytes"
+	typePercent  valueType = "number, in percent"
+	typeRate     valueType = "number per second"
+	typeBool     valueType = "true or false"
+	typeDuration valueType = "duration, such as 2s or 500ms"
+	typeList     valueType = "list"
 )
 
 // field is one typed field of the rows R.
 type field[R any] struct {
-	name  string
-	form  form
-	about string
-	// fallback is the value where the file names none; required fields have
+	name        string
+	valueType   valueType
+	description string
+	// defaultText is the value where the file names none; required fields have
 	// none and must be named.
-	fallback string
-	required bool
-	access[R]
+	defaultText string
+	required    bool
+	textCodec[R]
 }
 
 // table is the kind of the rows R.
 type table[R any] struct {
-	paths  Path
-	about  string
-	fields []field[R]
+	pathPattern Path
+	description string
+	fields      []field[R]
 	// rows returns where s keeps the rows.
 	rows func(s *Settings) *[]R
-	// names takes the parts of the path that stand for *, path gives them back.
-	names func(row *R, names []string)
-	path  func(row *R) []string
+	// setNames takes the parts of the path that stand for *, path gives them back.
+	setNames func(row *R, names []string)
+	rowNames func(row *R) []string
 }
 
-func (t *table[R]) pattern() Path { return t.paths }
+func (t *table[R]) pattern() Path { return t.pathPattern }
 
 func (t *table[R]) matches(parts []string) bool {
-	want := t.paths.parts()
+	want := t.pathPattern.parts()
 	return slices.EqualFunc(want, parts, func(w, p string) bool { return w == p || w == "*" })
 }
 
-// read implements kind.
-func (t *table[R]) read(s *Settings, item Item, found *finding.List) {
+// parse implements kind.
+func (t *table[R]) parse(s *Settings, item Item, found *finding.List) {
 	var row R
 	var names []string
 	parts := item.Path.parts()
-	for i, w := range t.paths.parts() {
+	for i, w := range t.pathPattern.parts() {
 		if w != "*" {
 			continue
 		}
 		names = append(names, parts[i])
 		if !validName(parts[i]) {
-			found.Add(item.place(""), "has a name that is not allowed", "use small letters, digits and . _ - inside, 63 bytes at most")
+			found.Add(item.location(""), "has a name that is not allowed", "use small letters, digits and . _ - inside, 63 bytes at most")
 		}
 	}
-	t.names(&row, names)
-	t.unknown(item, found)
+	t.setNames(&row, names)
+	t.checkUnknownFields(item, found)
 	for _, f := range t.fields {
 		values, ok := item.field(f.name)
 		if !ok {
 			if f.required {
-				found.Add(item.place(f.name), "is required", string(f.form))
+				found.Add(item.location(f.name), "is required", string(f.valueType))
 				continue
 			}
-			if f.fallback == "" {
+			if f.defaultText == "" {
 				continue
 			}
-			values.Values = []string{f.fallback}
-		} else if !values.List && len(values.Values) != 1 || f.form != formList && values.List {
-			found.Add(item.place(f.name), "has the wrong form", string(f.form))
+			values.Values = []string{f.defaultText}
+		} else if !values.List && len(values.Values) != 1 || f.valueType != typeList && values.List {
+			found.Add(item.location(f.name), "has the wrong form", string(f.valueType))
 			continue
 		}
-		if err := f.read(&row, values.Values); err != nil {
-			found.Add(item.place(f.name), err.Error(), string(f.form))
+		if err := f.parse(&row, values.Values); err != nil {
+			found.Add(item.location(f.name), err.Error(), string(f.valueType))
 		}
 	}
 	rows := t.rows(s)
 	*rows = append(*rows, row)
 }
 
-// unknown reports the fields that the kind does not have.
-func (t *table[R]) unknown(item Item, found *finding.List) {
+// checkUnknownFields reports the fields that the kind does not have.
+func (t *table[R]) checkUnknownFields(item Item, found *finding.List) {
 	for _, f := range item.Fields {
-		if !t.has(f.Name) {
-			found.Add(item.place(f.Name), "is not a field here", "see the settings reference")
+		if !t.hasField(f.Name) {
+			found.Add(item.location(f.Name), "is not a field here", "see the settings reference")
 		}
 	}
 }
 
-// has implements kind.
-func (t *table[R]) has(name string) bool {
+// hasField implements kind.
+func (t *table[R]) hasField(name string) bool {
 	for i := range t.fields {
 		if t.fields[i].name == name {
 			return true
@@ -135,8 +135,8 @@
 
 // item returns the text form of a row, without fields at their fallback.
 func (t *table[R]) item(row *R) Item {
-	names := t.path(row)
-	parts := t.paths.parts()
+	names := t.rowNames(row)
+	parts := t.pathPattern.parts()
 	for i, p := range parts {
 		if p == "*" {
 			parts[i], names = names[0], names[1:]
@@ -144,9 +144,9 @@
 	}
 	item := Item{Path: join(parts...)}
 	for _, f := range t.fields {
-		values := f.show(row)
-		list := f.form == formList
-		if len(values) == 0 || !list && values[0] == f.fallback {
+		values := f.format(row)
+		list := f.valueType == typeList
+		if len(values) == 0 || !list && values[0] == f.defaultText {
 			continue
 		}
 		item.Fields = append(item.Fields, Field{Name: f.name, List: list, Values: values})
@@ -173,38 +173,38 @@
 	}
 	for _, f := range k.describe().Fields {
 		if f.Name == name {
-			return f.Form == string(formList)
+			return f.Type == string(typeList)
 		}
 	}
 	return false
 }
 
-// Kind describes one sort of setting for the reference page.
-type Kind struct {
-	Paths  Path
-	About  string
-	Fields []FieldKind
+// KindDoc describes one sort of setting for the reference page.
+type KindDoc struct {
+	Pattern     Path
+	Description string
+	Fields      []FieldDoc
 }
 
-// FieldKind describes one field for the reference page.
-type FieldKind struct {
-	Name, Form, About, Fallback string
-	Required                    bool
+// FieldDoc describes one field for the reference page.
+type FieldDoc struct {
+	Name, Type, Description, Default string
+	Required                         bool
 }
 
 // Kinds describes all settings, in the order of the reference page.
-func Kinds() []Kind {
-	out := make([]Kind, 0, len(kinds))
+func Kinds() []KindDoc {
+	out := make([]KindDoc, 0, len(kinds))
 	for _, k := range kinds {
 		out = append(out, k.describe())
 	}
 	return out
 }
 
-func (t *table[R]) describe() Kind {
-	k := Kind{Paths: t.paths, About: t.about}
+func (t *table[R]) describe() KindDoc {
+	k := KindDoc{Pattern: t.pathPattern, Description: t.description}
 	for _, f := range t.fields {
-		k.Fields = append(k.Fields, FieldKind{f.name, string(f.form), f.about, f.fallback, f.required})
+		k.Fields = append(k.Fields, FieldDoc{f.name, string(f.valueType), f.description, f.defaultText, f.required})
 	}
 	return k
 }
--- a/internal/settings/lookup.go
+++ b/internal/settings/lookup.go
@@ -29,7 +29,7 @@
 		credentials: make(map[[32]byte]int, len(s.Callers)),
 		routes:      make(map[Caller][]int, len(s.Callers)),
 		limits:      make(map[limitKey]int, len(s.Limits)),
-		operators:   make(map[[32]byte]int, len(s.Grants)),
+		operators:   make(map[[32]byte]int, len(s.Delegations)),
 		drained:     make(map[place.Target]bool, len(s.Drains)),
 		drainedZone: make(map[place.Zone]bool, len(s.Drains)),
 	}
@@ -48,7 +48,7 @@
 	for i, r := range s.Limits {
 		x.limits[limitKey{r.Caller, r.Class}] = i
 	}
-	for i, r := range s.Grants {
+	for i, r := range s.Delegations {
 		x.operators[r.CredentialHash] = i
 	}
 	for _, r := range s.Drains {
@@ -114,14 +114,14 @@
 	if !ok {
 		return nil, false
 	}
-	return &s.Grants[i], true
+	return &s.Delegations[i], true
 }
 
-// Delegated reports whether some operator may write all of platform. Until
+// HasPlatformOperator reports whether some operator may write all of platform. Until
 // then the bootstrap credential may write.
-func (s *Settings) Delegated() bool {
-	for i := range s.Grants {
-		if s.Grants[i].May(platformRoot) {
+func (s *Settings) HasPlatformOperator() bool {
+	for i := range s.Delegations {
+		if s.Delegations[i].Allows(platformRoot) {
 			return true
 		}
 	}
@@ -134,8 +134,8 @@
 	return x.drained[target] || x.drainedZone[zone]
 }
 
-// May reports whether the delegation lets its bearer write path.
-func (d *Delegation) May(path Path) bool {
+// Allows reports whether the delegation lets its bearer write path.
+func (d *Delegation) Allows(path Path) bool {
 	for _, below := range d.Below {
 		if below.Covers(path) {
 			return true
--- a/internal/settings/main_test.go
+++ b/internal/settings/main_test.go
@@ -11,15 +11,15 @@
 // taken out.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	preset("rapid.seed", "0", "20261203")
+	setFlagDefault("rapid.seed", "0", "20261203")
 	if !testing.Short() {
-		preset("rapid.checks", "100", "600")
+		setFlagDefault("rapid.checks", "100", "600")
 	}
 	os.Exit(m.Run())
 }
 
-// preset replaces the standard value of a flag.
-func preset(name, standard, value string) {
+// setFlagDefault replaces the standard value of a flag.
+func setFlagDefault(name, standard, value string) {
 	f := flag.Lookup(name)
 	if f == nil || f.Value.String() != standard {
 		return
--- a/internal/settings/mutate_test.go
+++ b/internal/settings/mutate_test.go
@@ -44,10 +44,10 @@
 		p, err := preset.Get(name)
 		assert.NilError(t, err)
 		for range files {
-			readsBack(t, mutate(r, p.File))
+			checkRoundTrip(t, mutate(r, p.File))
 		}
 	}
-	document := settings.Encode(agency(t))
+	document := settings.Encode(agencySettings(t))
 	for range documents {
 		s, err := settings.Decode(mutate(r, document))
 		if err != nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// readsBack checks that a file that is valid reads back from its own format.
-func readsBack(t *testing.T, file []byte) {
+// checkRoundTrip checks that a file that is valid reads back from its own format.
+func checkRoundTrip(t *testing.T, file []byte) {
 	t.Helper()
 	changes, err := settings.Parse(file)
 	if err != nil {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -38,9 +38,9 @@
 	}
 	var changes []Change
 	for _, doc := range tree.Docs {
-		changes = append(changes, topChanges(doc.Body, &found)...)
+		changes = append(changes, parseDocument(doc.Body, &found)...)
 	}
-	findRepeats(changes, &found)
+	checkDuplicates(changes, &found)
 	return changes, found.Err()
 }
 
@@ -75,26 +75,26 @@
 	found.Add("file", err.Error(), "")
 }
 
-// findRepeats records the paths that stand twice in a file.
-func findRepeats(changes []Change, found *finding.List) {
+// checkDuplicates records the paths that stand twice in a file.
+func checkDuplicates(changes []Change, found *finding.List) {
 	first := make(map[Path]Position, len(changes))
 	for _, c := range changes {
 		if at, ok := first[c.Path]; ok {
-			found.Addf(c.place(""), "stands in the file twice, first at %d:%d", at.Line, at.Column)
+			found.Addf(c.location(""), "stands in the file twice, first at %d:%d", at.Line, at.Column)
 			continue
 		}
 		first[c.Path] = c.At
 	}
 }
 
-// topChanges reads one YAML document.
-func topChanges(body ast.Node, found *finding.List) []Change {
+// parseDocument reads one YAML document.
+func parseDocument(body ast.Node, found *finding.List) []Change {
 	if body == nil || body.Type() == ast.NullType {
 		return nil
 	}
 	top, ok := body.(ast.MapNode)
 	if !ok {
-		addNode(found, "file", body, "is not a mapping of paths", "write path: and its fields below")
+		addAtNode(found, "file", body, "is not a mapping of paths", "write path: and its fields below")
 		return nil
 	}
 	var changes []Change
@@ -104,21 +104,21 @@
 		case *ast.NullNode:
 			change.Delete = true
 		case ast.MapNode:
-			change.Fields = fieldsOf(change.Path, value, found)
+			change.Fields = parseFields(change.Path, value, found)
 		default:
-			found.Add(change.place(""), "is not a mapping of fields", "write its fields below it")
+			found.Add(change.location(""), "is not a mapping of fields", "write its fields below it")
 		}
 		changes = append(changes, change)
 	}
 	return changes
 }
 
-// fieldsOf reads the fields of one setting, sorted by name.
-func fieldsOf(path Path, node ast.MapNode, found *finding.List) []Field {
+// parseFields reads the fields of one setting, sorted by name.
+func parseFields(path Path, node ast.MapNode, found *finding.List) []Field {
 	var fields []Field
 	for it := node.MapRange(); it.Next(); {
 		field := Field{Name: keyText(it.Key()), At: positionOf(it.Key())}
-		place := Item{Path: path, Fields: []Field{field}}.place(field.Name)
+		place := Item{Path: path, Fields: []Field{field}}.location(field.Name)
 		switch value := it.Value().(type) {
 		case *ast.SequenceNode:
 			field.List = true
@@ -173,8 +173,8 @@
 	return Position{Line: pos.Line, Column: pos.Column}
 }
 
-// addNode records a problem at a node.
-func addNode(found *finding.List, place string, node ast.Node, problem, mend string) {
+// addAtNode records a problem at a node.
+func addAtNode(found *finding.List, place string, node ast.Node, problem, mend string) {
 	at := positionOf(node)
 	found.Add(fmt.Sprintf("%s at %d:%d", place, at.Line, at.Column), problem, mend)
 }
--- a/internal/settings/parse_test.go
+++ b/internal/settings/parse_test.go
@@ -12,8 +12,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// agency returns the agency's settings.
-func agency(t testing.TB) *settings.Settings {
+// agencySettings returns the agency's settings.
+func agencySettings(t testing.TB) *settings.Settings {
 	t.Helper()
 	p, err := preset.Get(preset.Agency)
 	assert.NilError(t, err)
@@ -69,7 +69,7 @@
 }
 
 func TestShardsAreFixed(t *testing.T) {
-	_, err := agency(t).With(parse(t, "teams/agency/services/plan: {zones: [anadolu-a], shards: 2048}"))
+	_, err := agencySettings(t).With(parse(t, "teams/agency/services/plan: {zones: [anadolu-a], shards: 2048}"))
 	assert.ErrorContains(t, err, "teams/agency/services/plan shards at 1:50: is fixed while the service is there")
 }
 
@@ -95,8 +95,8 @@
 	assert.ErrorContains(t, err, "towers prefix at 7:3: overlaps the keys of another team's route to register")
 }
 
-func TestFormatReadsBack(t *testing.T) {
-	s := agency(t)
+func TestFormatRoundTrip(t *testing.T) {
+	s := agencySettings(t)
 	changes, err := settings.Parse([]byte(settings.Format(s.Items())))
 	assert.NilError(t, err)
 	again, err := (&settings.Settings{}).With(changes)
@@ -106,7 +106,7 @@
 }
 
 func TestLookups(t *testing.T) {
-	s := agency(t)
+	s := agencySettings(t)
 	service, ok := s.Service("balance")
 	assert.Assert(t, ok)
 	assert.Equal(t, service.Connections, 130)
@@ -126,11 +126,11 @@
 	}
 	f.Add([]byte("a: &x {b: *x}"))
 	f.Add([]byte("a: {b: |\n c\n}"))
-	f.Fuzz(readsBack)
+	f.Fuzz(checkRoundTrip)
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(settings.Encode(agency(f)))
+	f.Add(settings.Encode(agencySettings(f)))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := settings.Decode(body)
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -40,14 +40,14 @@
 type storeCall struct {
 	operator int
 	write    bool
-	pause    bool
+	backoff  bool
 	value    []byte
 	expect   platform.Revision
 	arrived  int64
-	answer   chan storeAnswer
+	response chan storeResponse
 }
 
-type storeAnswer struct {
+type storeResponse struct {
 	entry platform.Entry
 	err   error
 	// arrived and served are the driver's steps of the call.
@@ -62,19 +62,19 @@
 	calls    chan storeCall
 }
 
-func (s *scheduledStore) ask(c storeCall) storeAnswer {
-	c.operator, c.answer = s.operator, make(chan storeAnswer)
+func (s *scheduledStore) call(c storeCall) storeResponse {
+	c.operator, c.response = s.operator, make(chan storeResponse)
 	s.calls <- c
-	return <-c.answer
+	return <-c.response
 }
 
 func (s *scheduledStore) Get(context.Context, platform.Path) (platform.Entry, error) {
-	a := s.ask(storeCall{})
+	a := s.call(storeCall{})
 	return a.entry, a.err
 }
 
 func (s *scheduledStore) Write(_ context.Context, _ platform.Path, value []byte, expect platform.Revision) (platform.Revision, error) {
-	a := s.ask(storeCall{write: true, value: value, expect: expect})
+	a := s.call(storeCall{write: true, value: value, expect: expect})
 	return a.entry.Revision, a.err
 }
 
@@ -82,10 +82,10 @@
 type driver struct {
 	t       *rapid.T
 	calls   chan storeCall
-	ended   chan int
+	done    chan int
 	pending []storeCall
 	entries []platform.Entry // all revisions
-	late    []storeCall      // writes that may still arrive
+	delayed []storeCall      // writes that may still arrive
 	hosts   []*Applied
 	faults  int
 	step    int64
@@ -100,17 +100,17 @@
 }
 
 // apply is the store's compare-and-swap.
-func (d *driver) apply(c storeCall) storeAnswer {
+func (d *driver) apply(c storeCall) storeResponse {
 	if now := d.newest().Revision; now != c.expect {
-		return storeAnswer{err: &platform.ConflictError{Path: StorePath, Current: now}}
+		return storeResponse{err: &platform.ConflictError{Path: StorePath, Current: now}}
 	}
 	e := platform.Entry{Path: StorePath, Value: c.value, Revision: c.expect + 1}
 	d.entries = append(d.entries, e)
-	return storeAnswer{entry: e}
+	return storeResponse{entry: e}
 }
 
-// fault draws whether something goes wrong now, within the run's bound.
-func (d *driver) fault() bool {
+// drawFault draws whether something goes wrong now, within the run's bound.
+func (d *driver) drawFault() bool {
 	if d.faults == 0 || rapid.IntRange(0, 2).Draw(d.t, "fault") > 0 {
 		return false
 	}
@@ -118,35 +118,35 @@
 	return true
 }
 
-// answerRead answers a read, perhaps not, perhaps with an old value.
-func (d *driver) answerRead() storeAnswer {
+// respondRead answers a read, perhaps not, perhaps with an old value.
+func (d *driver) respondRead() storeResponse {
 	at := len(d.entries)
-	if d.fault() {
+	if d.drawFault() {
 		if rapid.Bool().Draw(d.t, "refuse") {
-			return storeAnswer{err: platform.ErrUnavailable}
+			return storeResponse{err: platform.ErrUnavailable}
 		}
 		at = rapid.IntRange(0, len(d.entries)).Draw(d.t, "old")
 	}
 	if at == 0 {
-		return storeAnswer{err: platform.ErrNotFound}
+		return storeResponse{err: platform.ErrNotFound}
 	}
-	return storeAnswer{entry: d.entries[at-1]}
+	return storeResponse{entry: d.entries[at-1]}
 }
 
-// answerWrite answers a write, perhaps with the answer lost.
-func (d *driver) answerWrite(c storeCall) storeAnswer {
-	if !d.fault() {
+// respondWrite answers a write, perhaps with the answer lost.
+func (d *driver) respondWrite(c storeCall) storeResponse {
+	if !d.drawFault() {
 		return d.apply(c)
 	}
 	switch rapid.SampledFrom([]string{"refused", "lost", "late", "never"}).Draw(d.t, "write") {
 	case "refused":
-		return storeAnswer{err: platform.ErrUnavailable}
+		return storeResponse{err: platform.ErrUnavailable}
 	case "lost":
 		d.apply(c)
 	case "late":
-		d.late = append(d.late, c)
+		d.delayed = append(d.delayed, c)
 	}
-	return storeAnswer{err: platform.ErrOutcomeUnknown}
+	return storeResponse{err: platform.ErrOutcomeUnknown}
 }
 
 // serve lets one waiting call through.
@@ -154,40 +154,40 @@
 	i := rapid.IntRange(0, len(d.pending)-1).Draw(d.t, "call")
 	c := d.pending[i]
 	d.pending = slices.Delete(d.pending, i, i+1)
-	var a storeAnswer
+	var a storeResponse
 	switch {
-	case c.pause:
-		if d.fault() {
+	case c.backoff:
+		if d.drawFault() {
 			a.err = context.Canceled // the operator gives up
 		}
 	case c.write:
-		a = d.answerWrite(c)
+		a = d.respondWrite(c)
 	default:
-		a = d.answerRead()
+		a = d.respondRead()
 	}
 	a.arrived, a.served = c.arrived, d.step
-	c.answer <- a
+	c.response <- a
 }
 
-// arrive lets a late write take effect, if it still can.
-func (d *driver) arrive() {
-	if len(d.late) == 0 || rapid.IntRange(0, 3).Draw(d.t, "arrive") > 0 {
+// applyDelayed lets a late write take effect, if it still can.
+func (d *driver) applyDelayed() {
+	if len(d.delayed) == 0 || rapid.IntRange(0, 3).Draw(d.t, "arrive") > 0 {
 		return
 	}
-	d.apply(d.late[0])
-	d.late = d.late[1:]
+	d.apply(d.delayed[0])
+	d.delayed = d.delayed[1:]
 }
 
-// tell gives a host some revision of the store's past: a watch that lags, or
+// applyOnHost gives a host some revision of the store's past: a watch that lags, or
 // another host's copy. What is in force must not fall.
-func (d *driver) tell() {
+func (d *driver) applyOnHost() {
 	if len(d.entries) == 0 {
 		return
 	}
 	host := rapid.SampledFrom(d.hosts).Draw(d.t, "host")
 	e := rapid.SampledFrom(d.entries).Draw(d.t, "revision")
 	before, number, _ := host.InForce()
-	_, err := host.OfferDocument(time.Unix(d.step, 0), e.Revision, e.Value)
+	_, err := host.ApplyDocument(time.Unix(d.step, 0), e.Revision, e.Value)
 	assert.NilError(d.t, err)
 	after, next, _ := host.InForce()
 	if after < before || next < number || after != max(before, e.Revision) {
@@ -203,7 +203,7 @@
 			case c := <-d.calls:
 				c.arrived = d.step
 				d.pending = append(d.pending, c)
-			case <-d.ended:
+			case <-d.done:
 				active--
 			}
 		}
@@ -211,23 +211,23 @@
 			return
 		}
 		slices.SortFunc(d.pending, func(a, b storeCall) int { return a.operator - b.operator })
-		d.arrive()
-		d.tell()
+		d.applyDelayed()
+		d.applyOnHost()
 		d.serve()
 	}
 }
 
 func randomPath(i int) Path { return Path(fmt.Sprintf("teams/t/callers/c%d", i)) }
 
-// operate runs one operator's commits and returns what it was told.
-func operate(store *scheduledStore, ops []randomOp, note func(i int, op randomOp, run func() randomResult)) {
+// runOperator runs one operator's commits and returns what it was told.
+func runOperator(store *scheduledStore, ops []randomOp, note func(i int, op randomOp, run func() randomResult)) {
 	c := NewCommitter(store)
 	seen := uint64(0)
 	for i, op := range ops {
 		note(i, op, func() randomResult {
 			req := Request{ID: fmt.Sprintf("%d.%d", store.operator, i), By: fmt.Sprint(store.operator)}
 			for _, p := range op.paths {
-				hash := HashText(HashCredential(fmt.Sprint(p)))
+				hash := FormatHash(HashCredential(fmt.Sprint(p)))
 				req.Changes = append(req.Changes, Change{Item: Item{Path: randomPath(p), Fields: []Field{
 					{Name: "credential", Values: []string{hash}},
 					{Name: "tenant", Values: []string{fmt.Sprintf("v%d", op.value)}},
@@ -238,8 +238,8 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			c.pause = func(context.Context) {
-				if store.ask(storeCall{pause: true}).err != nil {
+			c.backoff = func(context.Context) {
+				if store.call(storeCall{backoff: true}).err != nil {
 					cancel()
 				}
 			}
@@ -342,7 +342,7 @@
 // checks that the accepted writes are linearizable and never revert.
 func TestRandomOperators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &driver{t: t, calls: make(chan storeCall), ended: make(chan int), faults: randomFaults}
+		d := &driver{t: t, calls: make(chan storeCall), done: make(chan int), faults: randomFaults}
 		for range 3 {
 			d.hosts = append(d.hosts, &Applied{})
 		}
@@ -352,10 +352,10 @@
 			ops := drawOps(t)
 			store := &scheduledStore{operator: o, calls: d.calls}
 			go func() {
-				operate(store, ops, func(i int, op randomOp, run func() randomResult) {
-					begun := store.ask(storeCall{pause: true}).served
+				runOperator(store, ops, func(i int, op randomOp, run func() randomResult) {
+					begun := store.call(storeCall{backoff: true}).served
 					out := run()
-					ended := store.ask(storeCall{pause: true}).arrived
+					ended := store.call(storeCall{backoff: true}).arrived
 					if errors.Is(out.err, ErrUnresolved) {
 						ended = math.MaxInt64
 					}
@@ -364,7 +364,7 @@
 						Metadata: fmt.Sprintf("%d.%d", o, i),
 					})
 				})
-				d.ended <- o
+				d.done <- o
 			}()
 		}
 		d.run(operators)
@@ -381,12 +381,12 @@
 			Step: modelStep,
 		}
 		if !porcupine.CheckOperations(model.ToModel(), d.history) {
-			t.Fatalf("not linearizable:\n%s", describe(d.history))
+			t.Fatalf("not linearizable:\n%s", formatHistory(d.history))
 		}
 	})
 }
 
-func describe(history []porcupine.Operation) string {
+func formatHistory(history []porcupine.Operation) string {
 	lines := make([]string, 0, len(history))
 	for _, op := range history {
 		lines = append(lines, fmt.Sprintf("%v [%d,%d] %+v -> %+v", op.Metadata, op.Call, op.Return, op.Input, op.Output))
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -41,29 +41,29 @@
 func serviceKind() kind {
 	type row = Service
 	return &table[row]{
-		paths: "teams/*/services/*",
-		about: "A service with a key space of its own. Its targets come from the platform's list of hosts and from targets.",
-		rows:  func(s *Settings) *[]row { return &s.Services },
-		names: func(r *row, names []string) { r.Team, r.Name = Team(names[0]), key.Service(names[1]) },
-		path:  func(r *row) []string { return []string{string(r.Team), string(r.Name)} },
+		pathPattern: "teams/*/services/*",
+		description: "A service with a key space of its own. Its targets come from the platform's list of hosts and from targets.",
+		rows:        func(s *Settings) *[]row { return &s.Services },
+		setNames:    func(r *row, names []string) { r.Team, r.Name = Team(names[0]), key.Service(names[1]) },
+		rowNames:    func(r *row) []string { return []string{string(r.Team), string(r.Name)} },
 		fields: []field[row]{
-			{"shards", formCount, "parts of the key space, a power of two; fixed once the service runs", "1024", false, count(func(r *row) *key.ShardCount { return &r.Shards }, 1, maxShards)},
-			{"zones", formList, "availability zones that may own shards", "", true, list(func(r *row) *[]place.Zone { return &r.Zones }, validName)},
-			{"targets", formList, "targets that the platform does not list, each as name zone IP:port", "", false, targetList()},
-			{"slots", formCount, "concurrent requests that one target takes", "3", false, count(func(r *row) *int { return &r.Slots }, 1, maxSlots)},
-			{"connections", formCount, "connections that one target takes of all entry hosts together", "110", false, count(func(r *row) *int { return &r.Connections }, 1, maxConnections)},
-			{"terms", formSwitch, "whether the targets refuse orders of an older lead", "true", false, toggle(func(r *row) *bool { return &r.ChecksTerms })},
-			{"hold", formDuration, "how long a zone serves on without the store; forever keeps serving and waits for the operator where a zone is lost", forever, false, hold()},
-			{"moves", formCount, "planned moves of shards a minute at most, per zone", "60", false, count(func(r *row) *int { return &r.MovesPerMinute }, 0, maxMoves)},
-			{"imbalance", formPercent, "load of the busiest target above the mean that is left alone", "20", false, count(func(r *row) *int { return &r.ImbalancePercent }, 1, maxPercent)},
-			{"warm", formDuration, "length of a new target's ramp", "10s", false, span(func(r *row) *time.Duration { return &r.WarmUp }, time.Millisecond, maxWarmUp)},
-			{"body", formBytes, "longest body of a request or an answer", "1048576", false, count(func(r *row) *int64 { return &r.BodyBytes }, 1, maxBodyBytes)},
-			{"shares", formList, "other teams that may route to the service, each as team=prefix of its keys", "", false, shareList()},
+			{"shards", typeCount, "parts of the key space, a power of two; fixed once the service runs", "1024", false, intField(func(r *row) *key.ShardCount { return &r.Shards }, 1, maxShards)},
+			{"zones", typeList, "availability zones that may own shards", "", true, listField(func(r *row) *[]place.Zone { return &r.Zones }, validName)},
+			{"targets", typeList, "targets that the platform does not list, each as name zone IP:port", "", false, targetListField()},
+			{"slots", typeCount, "concurrent requests that one target takes", "3", false, intField(func(r *row) *int { return &r.Slots }, 1, maxSlots)},
+			{"connections", typeCount, "connections that one target takes of all entry hosts together", "110", false, intField(func(r *row) *int { return &r.Connections }, 1, maxConnections)},
+			{"terms", typeBool, "whether the targets refuse orders of an older lead", "true", false, boolField(func(r *row) *bool { return &r.ChecksTerms })},
+			{"hold", typeDuration, "how long a zone serves on without the store; forever keeps serving and waits for the operator where a zone is lost", forever, false, holdField()},
+			{"moves", typeCount, "planned moves of shards a minute at most, per zone", "60", false, intField(func(r *row) *int { return &r.MovesPerMinute }, 0, maxMoves)},
+			{"imbalance", typePercent, "load of the busiest target above the mean that is left alone", "20", false, intField(func(r *row) *int { return &r.ImbalancePercent }, 1, maxPercent)},
+			{"warm", typeDuration, "length of a new target's ramp", "10s", false, durationField(func(r *row) *time.Duration { return &r.WarmUp }, time.Millisecond, maxWarmUp)},
+			{"body", typeBytes, "longest body of a request or an answer", "1048576", false, intField(func(r *row) *int64 { return &r.BodyBytes }, 1, maxBodyBytes)},
+			{"shares", typeList, "other teams that may route to the service, each as team=prefix of its keys", "", false, shareListField()},
 		},
 	}
 }
 
-func targetList() access[Service] {
+func targetListField() textCodec[Service] {
 	read := func(r *Service, values []string) error {
 		r.Targets = nil
 		for _, v := range values {
@@ -86,10 +86,10 @@
 		}
 		return out
 	}
-	return access[Service]{read, show}
+	return textCodec[Service]{read, show}
 }
 
-func shareList() access[Service] {
+func shareListField() textCodec[Service] {
 	read := func(r *Service, values []string) error {
 		r.Shares = nil
 		for _, v := range values {
@@ -108,28 +108,28 @@
 		}
 		return out
 	}
-	return access[Service]{read, show}
+	return textCodec[Service]{read, show}
 }
 
 func routeKind() kind {
 	type row = Route
 	return &table[row]{
-		paths: "teams/*/routes/*",
-		about: "A route leads requests of some callers to a service.",
-		rows:  func(s *Settings) *[]row { return &s.Routes },
-		names: func(r *row, names []string) { r.Team, r.Name = Team(names[0]), names[1] },
-		path:  func(r *row) []string { return []string{string(r.Team), r.Name} },
+		pathPattern: "teams/*/routes/*",
+		description: "A route leads requests of some callers to a service.",
+		rows:        func(s *Settings) *[]row { return &s.Routes },
+		setNames:    func(r *row, names []string) { r.Team, r.Name = Team(names[0]), names[1] },
+		rowNames:    func(r *row) []string { return []string{string(r.Team), r.Name} },
 		fields: []field[row]{
-			{"service", formText, "the service, by its name", "", true, text(func(r *row) *key.Service { return &r.Service }, maxNameBytes)},
-			{"callers", formList, "callers of the same team that may use the route", "", true, list(func(r *row) *[]Caller { return &r.Callers }, validName)},
-			{"methods", formList, "HTTP methods", "", true, list(func(r *row) *[]string { return &r.Methods }, validMethod)},
-			{"path", formText, "pattern of the URL path, such as /balance/{key}", "", true, text(func(r *row) *string { return &r.Path }, maxTextBytes)},
-			{"source", formText, "where the key stands: path, query or header", "path", false, oneOf(func(r *row) *KeySource { return &r.KeySource }, KeyInPath, KeyInQuery, KeyInHeader)},
-			{"key", formText, "name of the path part, query parameter or header", "key", false, text(func(r *row) *string { return &r.KeyName }, maxNameBytes)},
-			{"prefix", formText, "start of every key that the route's callers may name", "", false, text(func(r *row) *string { return &r.KeyPrefix }, maxTextBytes)},
-			{"class", formText, "interactive, registering or bulk", "", true, oneOf(func(r *row) *Class { return &r.Class }, Interactive, Registering, Bulk)},
-			{"idempotent", formSwitch, "whether a request may be run again; false for work that must run once at most", "false", false, toggle(func(r *row) *bool { return &r.Idempotent })},
-			{"timeout", formDuration, "longest time of a request, waiting included", "10s", false, span(func(r *row) *time.Duration { return &r.Timeout }, minTimeout, maxTimeout)},
+			{"service", typeText, "the service, by its name", "", true, textField(func(r *row) *key.Service { return &r.Service }, maxNameBytes)},
+			{"callers", typeList, "callers of the same team that may use the route", "", true, listField(func(r *row) *[]Caller { return &r.Callers }, validName)},
+			{"methods", typeList, "HTTP methods", "", true, listField(func(r *row) *[]string { return &r.Methods }, validMethod)},
+			{"path", typeText, "pattern of the URL path, such as /balance/{key}", "", true, textField(func(r *row) *string { return &r.Path }, maxTextBytes)},
+			{"source", typeText, "where the key stands: path, query or header", "path", false, enumField(func(r *row) *KeySource { return &r.KeySource }, KeyInPath, KeyInQuery, KeyInHeader)},
+			{"key", typeText, "name of the path part, query parameter or header", "key", false, textField(func(r *row) *string { return &r.KeyName }, maxNameBytes)},
+			{"prefix", typeText, "start of every key that the route's callers may name", "", false, textField(func(r *row) *string { return &r.KeyPrefix }, maxTextBytes)},
+			{"class", typeText, "interactive, registering or bulk", "", true, enumField(func(r *row) *Class { return &r.Class }, Interactive, Registering, Bulk)},
+			{"idempotent", typeBool, "whether a request may be run again; false for work that must run once at most", "false", false, boolField(func(r *row) *bool { return &r.Idempotent })},
+			{"timeout", typeDuration, "longest time of a request, waiting included", "10s", false, durationField(func(r *row) *time.Duration { return &r.Timeout }, minTimeout, maxTimeout)},
 		},
 	}
 }
@@ -137,14 +137,14 @@
 func callerKind() kind {
 	type row = CallerRow
 	return &table[row]{
-		paths: "teams/*/callers/*",
-		about: "A caller with its bearer credential, kept as a hash. Names of callers are unique in the deployment.",
-		rows:  func(s *Settings) *[]row { return &s.Callers },
-		names: func(r *row, names []string) { r.Team, r.Name = Team(names[0]), Caller(names[1]) },
-		path:  func(r *row) []string { return []string{string(r.Team), string(r.Name)} },
+		pathPattern: "teams/*/callers/*",
+		description: "A caller with its bearer credential, kept as a hash. Names of callers are unique in the deployment.",
+		rows:        func(s *Settings) *[]row { return &s.Callers },
+		setNames:    func(r *row, names []string) { r.Team, r.Name = Team(names[0]), Caller(names[1]) },
+		rowNames:    func(r *row) []string { return []string{string(r.Team), string(r.Name)} },
 		fields: []field[row]{
-			{"tenant", formText, "callers of one tenant may see the same data", "", true, text(func(r *row) *Tenant { return &r.Tenant }, maxNameBytes)},
-			{"credential", formText, "sha256: and the hash, as citrontray credential prints it", "", true, hash(func(r *row) *[32]byte { return &r.CredentialHash })},
+			{"tenant", typeText, "callers of one tenant may see the same data", "", true, textField(func(r *row) *Tenant { return &r.Tenant }, maxNameBytes)},
+			{"credential", typeText, "sha256: and the hash, as citrontray credential prints it", "", true, hashField(func(r *row) *[32]byte { return &r.CredentialHash })},
 		},
 	}
 }
@@ -152,17 +152,17 @@
 func limitKind() kind {
 	type row = Limit
 	return &table[row]{
-		paths: "teams/*/limits/*/*",
-		about: "A bound on the requests of one caller in one class; the path ends in caller/class.",
-		rows:  func(s *Settings) *[]row { return &s.Limits },
-		names: func(r *row, names []string) {
+		pathPattern: "teams/*/limits/*/*",
+		description: "A bound on the requests of one caller in one class; the path ends in caller/class.",
+		rows:        func(s *Settings) *[]row { return &s.Limits },
+		setNames: func(r *row, names []string) {
 			r.Team, r.Caller, r.Class = Team(names[0]), Caller(names[1]), Class(names[2])
 		},
-		path: func(r *row) []string { return []string{string(r.Team), string(r.Caller), string(r.Class)} },
+		rowNames: func(r *row) []string { return []string{string(r.Team), string(r.Caller), string(r.Class)} },
 		fields: []field[row]{
-			{"rate", formRate, "requests a second, over all hosts", "", true, rate(func(r *row) *float64 { return &r.PerSecond }, maxRate)},
-			{"burst", formCount, "requests above the rate at once", "100", false, count(func(r *row) *int { return &r.Burst }, 1, maxRate)},
-			{"concurrent", formCount, "requests at the same time on one host", "1000", false, count(func(r *row) *int { return &r.Concurrent }, 1, maxRate)},
+			{"rate", typeRate, "requests a second, over all hosts", "", true, floatField(func(r *row) *float64 { return &r.PerSecond }, maxRate)},
+			{"burst", typeCount, "requests above the rate at once", "100", false, intField(func(r *row) *int { return &r.Burst }, 1, maxRate)},
+			{"concurrent", typeCount, "requests at the same time on one host", "1000", false, intField(func(r *row) *int { return &r.Concurrent }, 1, maxRate)},
 		},
 	}
 }
@@ -176,11 +176,11 @@
 	return false
 }
 
-// hold reads how long a zone serves on without the store.
-func hold() access[Service] {
-	a := span(func(r *Service) *time.Duration { return &r.Hold }, 0, maxHold)
-	read := a.read
-	a.read = func(row *Service, values []string) error {
+// holdField reads how long a zone serves on without the store.
+func holdField() textCodec[Service] {
+	a := durationField(func(r *Service) *time.Duration { return &r.Hold }, 0, maxHold)
+	read := a.parse
+	a.parse = func(row *Service, values []string) error {
 		if err := read(row, values); err != nil {
 			return err
 		}
--- a/internal/settings/schema_platform.go
+++ b/internal/settings/schema_platform.go
@@ -6,8 +6,8 @@
 func delegationFields() []field[Delegation] {
 	type row = Delegation
 	return []field[row]{
-		{"below", formList, "paths that the credential may write, with all below them", "", true, list(func(r *row) *[]Path { return &r.Below }, validSubtree)},
-		{"credential", formText, "sha256: and the hash, as citrontray credential prints it", "", true, hash(func(r *row) *[32]byte { return &r.CredentialHash })},
+		{"below", typeList, "paths that the credential may write, with all below them", "", true, listField(func(r *row) *[]Path { return &r.Below }, validSubtree)},
+		{"credential", typeText, "sha256: and the hash, as citrontray credential prints it", "", true, hashField(func(r *row) *[32]byte { return &r.CredentialHash })},
 	}
 }
 
@@ -26,17 +26,17 @@
 }
 
 // delegationRows lists the delegations of all levels; both kinds share them.
-func delegationRows(s *Settings) *[]Delegation { return &s.Grants }
+func delegationRows(s *Settings) *[]Delegation { return &s.Delegations }
 
 func teamDelegationKind() kind {
 	return &scoped[Delegation]{
 		table: table[Delegation]{
-			paths:  "teams/*/delegations/*",
-			about:  "An operator of a team: a credential that may write below some paths of the team.",
-			fields: delegationFields(),
-			rows:   delegationRows,
-			names:  func(r *Delegation, names []string) { r.Team, r.Operator = Team(names[0]), names[1] },
-			path:   func(r *Delegation) []string { return []string{string(r.Team), r.Operator} },
+			pathPattern: "teams/*/delegations/*",
+			description: "An operator of a team: a credential that may write below some paths of the team.",
+			fields:      delegationFields(),
+			rows:        delegationRows,
+			setNames:    func(r *Delegation, names []string) { r.Team, r.Operator = Team(names[0]), names[1] },
+			rowNames:    func(r *Delegation) []string { return []string{string(r.Team), r.Operator} },
 		},
 		belongs: func(r *Delegation) bool { return r.Team != "" },
 	}
@@ -45,12 +45,12 @@
 func delegationKind() kind {
 	return &scoped[Delegation]{
 		table: table[Delegation]{
-			paths:  "platform/delegations/*",
-			about:  "An operator of the platform: a credential that may write below some paths.",
-			fields: delegationFields(),
-			rows:   delegationRows,
-			names:  func(r *Delegation, names []string) { r.Operator = names[0] },
-			path:   func(r *Delegation) []string { return []string{r.Operator} },
+			pathPattern: "platform/delegations/*",
+			description: "An operator of the platform: a credential that may write below some paths.",
+			fields:      delegationFields(),
+			rows:        delegationRows,
+			setNames:    func(r *Delegation, names []string) { r.Operator = names[0] },
+			rowNames:    func(r *Delegation) []string { return []string{r.Operator} },
 		},
 		belongs: func(r *Delegation) bool { return r.Team == "" },
 	}
@@ -76,7 +76,7 @@
 
 func drainFields() []field[Drain] {
 	return []field[Drain]{
-		{"reason", formText, "why, for the others", "", true, text(func(r *Drain) *string { return &r.Reason }, maxTextBytes)},
+		{"reason", typeText, "why, for the others", "", true, textField(func(r *Drain) *string { return &r.Reason }, maxTextBytes)},
 	}
 }
 
@@ -85,10 +85,10 @@
 func drainTargetKind() kind {
 	return &scoped[Drain]{
 		table: table[Drain]{
-			paths: "platform/drains/targets/*", fields: drainFields(), rows: drainRows,
-			about: "A target that gets no new work; its shards move away as planned moves.",
-			names: func(r *Drain, names []string) { r.Target = place.Target(names[0]) },
-			path:  func(r *Drain) []string { return []string{string(r.Target)} },
+			pathPattern: "platform/drains/targets/*", fields: drainFields(), rows: drainRows,
+			description: "A target that gets no new work; its shards move away as planned moves.",
+			setNames:    func(r *Drain, names []string) { r.Target = place.Target(names[0]) },
+			rowNames:    func(r *Drain) []string { return []string{string(r.Target)} },
 		},
 		belongs: func(r *Drain) bool { return r.Target != "" },
 	}
@@ -97,10 +97,10 @@
 func drainZoneKind() kind {
 	return &scoped[Drain]{
 		table: table[Drain]{
-			paths: "platform/drains/zones/*", fields: drainFields(), rows: drainRows,
-			about: "An availability zone whose targets get no new work.",
-			names: func(r *Drain, names []string) { r.Zone = place.Zone(names[0]) },
-			path:  func(r *Drain) []string { return []string{string(r.Zone)} },
+			pathPattern: "platform/drains/zones/*", fields: drainFields(), rows: drainRows,
+			description: "An availability zone whose targets get no new work.",
+			setNames:    func(r *Drain, names []string) { r.Zone = place.Zone(names[0]) },
+			rowNames:    func(r *Drain) []string { return []string{string(r.Zone)} },
 		},
 		belongs: func(r *Drain) bool { return r.Zone != "" },
 	}
@@ -108,8 +108,8 @@
 
 func lossFields() []field[Loss] {
 	return []field[Loss]{
-		{"by", formText, "who declares it", "", true, text(func(r *Loss) *string { return &r.By }, maxTextBytes)},
-		{"reason", formText, "how it is known that the thing is off and stays off", "", true, text(func(r *Loss) *string { return &r.Reason }, maxTextBytes)},
+		{"by", typeText, "who declares it", "", true, textField(func(r *Loss) *string { return &r.By }, maxTextBytes)},
+		{"reason", typeText, "how it is known that the thing is off and stays off", "", true, textField(func(r *Loss) *string { return &r.Reason }, maxTextBytes)},
 	}
 }
 
@@ -118,10 +118,10 @@
 func lossTargetKind() kind {
 	return &scoped[Loss]{
 		table: table[Loss]{
-			paths: "platform/losses/targets/*", fields: lossFields(), rows: lossRows,
-			about: "A target declared lost: its shards get new owners at once. It must be switched off first.",
-			names: func(r *Loss, names []string) { r.Target = place.Target(names[0]) },
-			path:  func(r *Loss) []string { return []string{string(r.Target)} },
+			pathPattern: "platform/losses/targets/*", fields: lossFields(), rows: lossRows,
+			description: "A target declared lost: its shards get new owners at once. It must be switched off first.",
+			setNames:    func(r *Loss, names []string) { r.Target = place.Target(names[0]) },
+			rowNames:    func(r *Loss) []string { return []string{string(r.Target)} },
 		},
 		belongs: func(r *Loss) bool { return r.Target != "" },
 	}
@@ -130,10 +130,10 @@
 func lossHostKind() kind {
 	return &scoped[Loss]{
 		table: table[Loss]{
-			paths: "platform/losses/hosts/*", fields: lossFields(), rows: lossRows,
-			about: "An entry host declared lost: it counts as one that renews nothing. It must be switched off first.",
-			names: func(r *Loss, names []string) { r.Host = place.Host(names[0]) },
-			path:  func(r *Loss) []string { return []string{string(r.Host)} },
+			pathPattern: "platform/losses/hosts/*", fields: lossFields(), rows: lossRows,
+			description: "An entry host declared lost: it counts as one that renews nothing. It must be switched off first.",
+			setNames:    func(r *Loss, names []string) { r.Host = place.Host(names[0]) },
+			rowNames:    func(r *Loss) []string { return []string{string(r.Host)} },
 		},
 		belongs: func(r *Loss) bool { return r.Host != "" },
 	}
@@ -142,10 +142,10 @@
 func lossZoneKind() kind {
 	return &scoped[Loss]{
 		table: table[Loss]{
-			paths: "platform/losses/zones/*", fields: lossFields(), rows: lossRows,
-			about: "An availability zone declared lost: other zones take its shards. All of it must be off or cut off for good.",
-			names: func(r *Loss, names []string) { r.Zone = place.Zone(names[0]) },
-			path:  func(r *Loss) []string { return []string{string(r.Zone)} },
+			pathPattern: "platform/losses/zones/*", fields: lossFields(), rows: lossRows,
+			description: "An availability zone declared lost: other zones take its shards. All of it must be off or cut off for good.",
+			setNames:    func(r *Loss, names []string) { r.Zone = place.Zone(names[0]) },
+			rowNames:    func(r *Loss) []string { return []string{string(r.Zone)} },
 		},
 		belongs: func(r *Loss) bool { return r.Zone != "" },
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,21 +37,21 @@
 type Settings struct {
 	Revision platform.Revision
 	// Number counts the accepted revisions; operators see it.
-	Number   uint64
-	Services []Service
-	Routes   []Route
-	Callers  []CallerRow
-	Limits   []Limit
-	Grants   []Delegation
-	Drains   []Drain
-	Losses   []Loss
+	Number      uint64
+	Services    []Service
+	Routes      []Route
+	Callers     []CallerRow
+	Limits      []Limit
+	Delegations []Delegation
+	Drains      []Drain
+	Losses      []Loss
 	// History holds the newest accepted writes, oldest first, bounded.
 	History []Write
 
 	index *index
-	// newer tells that a later release wrote fields that this one does not
+	// unknownFields tells that a later release wrote fields that this one does not
 	// know: such a document may be read but not written over.
-	newer bool
+	unknownFields bool
 }
 
 // Service is a service with a key space of its own.
--- a/internal/settings/size_bench_test.go
+++ b/internal/settings/size_bench_test.go
@@ -10,16 +10,16 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// deployment returns a file of teams, each with a service, ten callers, a
+// deploymentFile returns a file of teams, each with a service, ten callers, a
 // route for each, and a limit for each.
-func deployment(teams int) string {
+func deploymentFile(teams int) string {
 	const callers = 10
 	var b strings.Builder
 	for t := range teams {
 		fmt.Fprintf(&b, "teams/t%d/services/s%d: {zones: [a, b, c], moves: 30}\n", t, t)
 		for c := range callers {
 			name := fmt.Sprintf("c%d-%d", t, c)
-			fmt.Fprintf(&b, "teams/t%d/callers/%s: {tenant: t%d, credential: %q}\n", t, name, t, settings.HashText(settings.HashCredential(name)))
+			fmt.Fprintf(&b, "teams/t%d/callers/%s: {tenant: t%d, credential: %q}\n", t, name, t, settings.FormatHash(settings.HashCredential(name)))
 			fmt.Fprintf(&b, "teams/t%d/routes/r%d: {service: s%d, callers: [%s], methods: [GET], path: '/x/{key}', class: interactive, idempotent: true}\n", t, c, t, name)
 			fmt.Fprintf(&b, "teams/t%d/limits/%s/interactive: {rate: %d}\n", t, name, 100+c)
 		}
@@ -31,7 +31,7 @@
 // checks, and what each host does for a new revision.
 func BenchmarkSize(b *testing.B) {
 	for _, teams := range []int{1, 10, 100, 200} {
-		changes, err := settings.Parse([]byte(deployment(teams)))
+		changes, err := settings.Parse([]byte(deploymentFile(teams)))
 		assert.NilError(b, err)
 		s, err := (&settings.Settings{}).With(changes)
 		assert.NilError(b, err)
--- a/internal/status/collect.go
+++ b/internal/status/collect.go
@@ -17,26 +17,26 @@
 // maxReportBytes bounds one report, maxAsked the daemons asked at once.
 const (
 	maxReportBytes = 4 << 20
-	maxAsked       = 32
+	maxConcurrent  = 32
 )
 
-// Answer is one daemon's report, or why there is none.
-type Answer struct {
+// Response is one daemon's report, or why there is none.
+type Response struct {
 	Addr   netip.AddrPort
 	Report Report
 	Err    error
 }
 
 // Collect asks all daemons; answers stand in the order of addrs.
-func Collect(ctx context.Context, addrs []netip.AddrPort, q Query, timeout time.Duration) []Answer {
+func Collect(ctx context.Context, addrs []netip.AddrPort, q Query, timeout time.Duration) []Response {
 	client := &http.Client{Timeout: timeout}
-	answers := make([]Answer, len(addrs))
+	answers := make([]Response, len(addrs))
 	var group errgroup.Group
-	group.SetLimit(maxAsked)
+	group.SetLimit(maxConcurrent)
 	for i, addr := range addrs {
 		group.Go(func() error {
-			answers[i] = Answer{Addr: addr}
-			answers[i].Report, answers[i].Err = ask(ctx, client, addr, q)
+			answers[i] = Response{Addr: addr}
+			answers[i].Report, answers[i].Err = fetch(ctx, client, addr, q)
 			return nil
 		})
 	}
@@ -44,10 +44,10 @@
 	return answers
 }
 
-// ask fetches one report.
-func ask(ctx context.Context, client *http.Client, addr netip.AddrPort, q Query) (Report, error) {
+// fetch fetches one report.
+func fetch(ctx context.Context, client *http.Client, addr netip.AddrPort, q Query) (Report, error) {
 	at := url.URL{Scheme: "http", Host: addr.String(), Path: Path}
-	if q.Asked() {
+	if q.HasKey() {
 		at.RawQuery = url.Values{paramService: {string(q.Service)}, paramKey: {q.Key}}.Encode()
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, at.String(), nil)
@@ -67,9 +67,9 @@
 	return out, err
 }
 
-// CellsOf returns one row per cell: of the host that leads it with the highest
+// MergeCells returns one row per cell: of the host that leads it with the highest
 // term, else of the host that heard of the highest term. Rows are sorted.
-func CellsOf(answers []Answer) []Cell {
+func MergeCells(answers []Response) []Cell {
 	best := make(map[[2]string]Cell)
 	for _, a := range answers {
 		for _, c := range a.Report.Cells {
--- a/internal/status/meter.go
+++ b/internal/status/exporter.go
@@ -9,23 +9,23 @@
 	"citrontray.example/citrontray/internal/metric"
 )
 
-// meterInterval is how often a report becomes metrics.
-const meterInterval = time.Second
+// exportInterval is how often a report becomes metrics.
+const exportInterval = time.Second
 
-// Meter keeps the metrics of a daemon's state in step with its reports.
-type Meter struct {
+// Exporter keeps the metrics of a daemon's state in step with its reports.
+type Exporter struct {
 	source   Source
 	registry *metric.Registry
 }
 
-// NewMeter returns a meter of source.
-func NewMeter(source Source, registry *metric.Registry) *Meter {
-	return &Meter{source: source, registry: registry}
+// NewExporter returns a meter of source.
+func NewExporter(source Source, registry *metric.Registry) *Exporter {
+	return &Exporter{source: source, registry: registry}
 }
 
 // Run sets the metrics until ctx ends.
-func (m *Meter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(meterInterval)
+func (m *Exporter) Run(ctx context.Context) error {
+	ticker := time.NewTicker(exportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -38,10 +38,10 @@
 }
 
 // set sets the metrics to one report.
-func (m *Meter) set(now time.Time, r Report) {
+func (m *Exporter) set(now time.Time, r Report) {
 	m.registry.Gauge("settings_number").Update(float64(r.Settings.Number))
-	if !r.Store.IsZero() {
-		m.registry.Gauge("store_silence_seconds").Update(max(now.Sub(r.Store).Seconds(), 0))
+	if !r.LastStoreResponse.IsZero() {
+		m.registry.Gauge("store_silence_seconds").Update(max(now.Sub(r.LastStoreResponse).Seconds(), 0))
 	}
 	for i := range r.Cells {
 		m.setCell(&r.Cells[i])
@@ -55,7 +55,7 @@
 }
 
 // setCell sets the metrics of one cell.
-func (m *Meter) setCell(c *Cell) {
+func (m *Exporter) setCell(c *Cell) {
 	scope := m.scope("service", c.Service)
 	leading := 0.0
 	if c.Leading {
@@ -66,11 +66,11 @@
 	scope.Gauge("cell_shards").Update(float64(c.Shards))
 	scope.Gauge("cell_owned").Update(float64(c.Owned))
 	scope.Gauge("cell_moving").Update(float64(c.Moving))
-	scope.Gauge("cell_doubts").Update(float64(len(c.Doubts)))
-	scope.Gauge("cell_solos").Update(float64(c.Solos))
+	scope.Gauge("cell_doubts").Update(float64(len(c.Blocked)))
+	scope.Gauge("cell_solos").Update(float64(c.SingleKeys))
 }
 
 // scope returns the metrics with one label, whose values are bounded.
-func (m *Meter) scope(label, value string) tally.Scope {
+func (m *Exporter) scope(label, value string) tally.Scope {
 	return m.registry.Tagged(map[string]string{label: m.registry.LabelValue(label, value)})
 }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -29,9 +29,9 @@
 	Ready   bool      `json:"ready"`
 	// Settings is what the daemon has in force.
 	Settings Settings `json:"settings"`
-	// Store is the time of the last answer of the platform's service; zero
+	// LastStoreResponse is the time of the last answer of the platform's service; zero
 	// where the daemon does not ask it.
-	Store time.Time `json:"store"`
+	LastStoreResponse time.Time `json:"store"`
 	// Cells are those that this host may lead (lead only).
 	Cells []Cell `json:"cells,omitempty"`
 	// Targets and Callers are what passed here (entry only).
@@ -56,30 +56,30 @@
 	Lead    string `json:"lead"`
 	// Leading tells whether this host leads the cell; rows of other hosts are
 	// what they heard last.
-	Leading bool     `json:"leading"`
-	Shards  int      `json:"shards"` // in the custody of the zone
-	Owned   int      `json:"owned"`  // with an owner that runs
-	Moving  int      `json:"moving"`
-	Solos   int      `json:"solos"` // hot keys with a shard of their own
-	Doubts  []Doubt  `json:"doubts,omitempty"`
-	Members []Member `json:"members,omitempty"`
-	Moves   []Move   `json:"moves,omitempty"` // newest last, bounded
+	Leading    bool           `json:"leading"`
+	Shards     int            `json:"shards"` // in the custody of the zone
+	Owned      int            `json:"owned"`  // with an owner that runs
+	Moving     int            `json:"moving"`
+	SingleKeys int            `json:"solos"` // hot keys with a shard of their own
+	Blocked    []BlockedShard `json:"doubts,omitempty"`
+	Members    []Member       `json:"members,omitempty"`
+	Moves      []Move         `json:"moves,omitempty"` // newest last, bounded
 }
 
-// Doubt is a shard that can get no owner yet.
-type Doubt struct {
+// BlockedShard is a shard that can get no owner yet.
+type BlockedShard struct {
 	Shard  uint32    `json:"shard"`
 	Target string    `json:"target"`
 	Since  time.Time `json:"since"`
-	Why    string    `json:"why"`
+	Reason string    `json:"why"`
 }
 
 // Member is a target of a cell.
 type Member struct {
-	Target   string `json:"target"`
-	Shards   int    `json:"shards"`
-	Leaving  bool   `json:"leaving,omitempty"`
-	Answered bool   `json:"answered"`
+	Target    string `json:"target"`
+	Shards    int    `json:"shards"`
+	Leaving   bool   `json:"leaving,omitempty"`
+	Responded bool   `json:"answered"`
 	// Share is the target's part of the cell's load, in percent.
 	Share float64 `json:"share"`
 }
@@ -122,14 +122,14 @@
 	Zone    string `json:"zone"` // whose custody the shard is in
 	Shard   uint32 `json:"shard"`
 	// Range is set in place of Shard for services whose keys are numbers.
-	Range string `json:"range,omitempty"`
-	Solo  bool   `json:"solo"`
-	Epoch uint64 `json:"epoch"`
-	Term  uint64 `json:"term"`
+	Range     string `json:"range,omitempty"`
+	SingleKey bool   `json:"solo"`
+	Epoch     uint64 `json:"epoch"`
+	Term      uint64 `json:"term"`
 	// Owner is empty while no target may serve the key; Why then says why.
 	Owner   string `json:"owner"`
 	Standby string `json:"standby,omitempty"`
-	Why     string `json:"why,omitempty"`
+	Reason  string `json:"why,omitempty"`
 	Moves   []Move `json:"moves,omitempty"` // of this shard, newest last
 }
 
@@ -139,8 +139,8 @@
 	Key     string
 }
 
-// Asked reports whether the query names a key.
-func (q Query) Asked() bool { return q.Service != "" && q.Key != "" }
+// HasKey reports whether the query names a key.
+func (q Query) HasKey() bool { return q.Service != "" && q.Key != "" }
 
 // Source makes reports; it is safe for concurrent use.
 type Source interface {
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -15,7 +15,7 @@
 func TestCollect(t *testing.T) {
 	source := status.SourceFunc(func(_ time.Time, q status.Query) status.Report {
 		r := status.Report{Host: "h", Cells: []status.Cell{{Service: "s", Zone: "z", Term: 4, Leading: true, Lead: "h"}}}
-		if q.Asked() {
+		if q.HasKey() {
 			r.Key = &status.Key{Service: string(q.Service), Key: q.Key}
 		}
 		return r
@@ -30,21 +30,21 @@
 	assert.Assert(t, answers[1].Err != nil)
 }
 
-func TestCellsOf(t *testing.T) {
-	row := func(term uint64, leading bool, lead string) status.Answer {
-		return status.Answer{Report: status.Report{Cells: []status.Cell{{Service: "s", Zone: "z", Term: term, Leading: leading, Lead: lead}}}}
+func TestMergeCells(t *testing.T) {
+	row := func(term uint64, leading bool, lead string) status.Response {
+		return status.Response{Report: status.Report{Cells: []status.Cell{{Service: "s", Zone: "z", Term: term, Leading: leading, Lead: lead}}}}
 	}
 	cases := map[string]struct {
-		answers []status.Answer
+		answers []status.Response
 		want    string
 	}{
-		"higher term":  {[]status.Answer{row(3, true, "old"), row(4, false, "new")}, "new"},
-		"who leads":    {[]status.Answer{row(4, false, "heard"), row(4, true, "leads")}, "leads"},
-		"only hearsay": {[]status.Answer{row(4, false, "heard")}, "heard"},
+		"higher term":  {[]status.Response{row(3, true, "old"), row(4, false, "new")}, "new"},
+		"who leads":    {[]status.Response{row(4, false, "heard"), row(4, true, "leads")}, "leads"},
+		"only hearsay": {[]status.Response{row(4, false, "heard")}, "heard"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			cells := status.CellsOf(c.answers)
+			cells := status.MergeCells(c.answers)
 			assert.Equal(t, len(cells), 1)
 			assert.Equal(t, cells[0].Lead, c.want)
 		})
