--- a/cmd/citrontray-host/main.go
+++ b/cmd/citrontray-host/main.go
@@ -1,5 +1,5 @@
-// Command citrontray-host is one host of a deployment on the users' platform:
-// it takes clients' requests and leads the ownership of keys, in one process.
+// Command citrontray-host runs one host of a deployment on the users' platform. One
+// process serves client requests and leads the assignment of keys to targets.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	)
 	set := option.New("citrontray-host", "one host of a deployment on the users' platform", os.Stdout)
 	set.StringVar(&config, "config", "", "settings file of the platform")
-	set.BoolVar(&verbose, "verbose", false, "log each attempt and each served request too")
+	set.BoolVar(&verbose, "verbose", false, "also log each attempt and each served request")
 	if err := set.Read(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return 0
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads the clock that leases and deadlines are judged by. It
-// goes on while the machine is suspended and never jumps with the time of day,
-// unlike both readings in Go's time.Now.
+// Package clock reads the clock used for leases and deadlines. It keeps running while
+// the machine is suspended and never jumps with the wall clock; neither reading of Go's
+// time.Now does both.
 package clock
 
 import (
@@ -10,12 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since boot as a time. Such times compare with each
-// other only, and within one machine.
+// Now returns the time since boot. Values are comparable only with each other and only
+// on the same machine.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic(fmt.Sprintf("clock: no boot-time clock: %v", err)) // Linux has had it since 2.6.39
+		panic(fmt.Sprintf("clock: read CLOCK_BOOTTIME: %v", err)) // available since Linux 2.6.39
 	}
 	return time.Unix(ts.Unix())
 }
--- a/internal/host/backoff.go
+++ b/internal/host/backoff.go
@@ -13,13 +13,14 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// drainSafetyMargin is how long before the end of its notice a target that leaves gets no
-// more requests: they wait here for a slot, and are on their way.
+// drainSafetyMargin is how long before the end of its drain time a leaving target gets
+// no more requests. It covers the wait for a slot and the transit.
 const drainSafetyMargin = 300 * time.Millisecond
 
-// checkBackoff returns what to do with a request whose owner wants none of this host now:
-// it waits for a short pause to end, or is told to come back then. One that has said
-// that it leaves is still its keys' owner until they have moved, or must be done.
+// checkBackoff returns the step for a request whose owner wants no requests from this
+// host now: wait for a short pause to end, or respond with a Retry-After of the pause.
+// A leaving target stays the owner of its keys until they have moved or its drain time
+// is over.
 func (j *job) checkBackoff(now time.Time, owner place.TargetRow) step {
 	leaving, pause := j.host.dispatcher.backoff(now, owner)
 	switch {
@@ -33,8 +34,8 @@
 	return nil
 }
 
-// checkSlot returns what to do in place of using a slot of a target that leaves, or
-// wants no requests of this host now; nil where the slot may be used.
+// checkSlot returns the step to take instead of using a slot of a target that is
+// leaving or paused, nil if the slot may be used.
 func (j *job) checkSlot(m dispatch.Assigned, owner place.Target) step {
 	now, v := time.Now(), j.host.views.view()
 	row := v.targets[m.Target]
@@ -52,7 +53,7 @@
 	return retryStep{}
 }
 
-// applySignal follows what a target asks of this host beside its answer.
+// applySignal applies the signal that a target sent with its response.
 func (j *job) applySignal(t ticket, result forward.Result) {
 	var signal target.Signal
 	switch r := result.(type) {
@@ -66,18 +67,18 @@
 	now := time.Now()
 	row, ok := j.host.views.view().targets[t.target]
 	if !ok {
-		return // it is gone already
+		return // removed meanwhile
 	}
 	pool := dispatch.PoolID{Service: j.service.Name, Target: t.target}
 	if j.service.Keys == traffic.Keyless {
 		pool = j.host.views.view().pool(j.service.Name, j.host.site.Zone)
 	}
 	if j.host.dispatcher.recordSignal(now, pool, row, signal) {
-		j.host.log.Info("Target says that it leaves.", slog.String("request", j.request.ID),
+		j.host.log.Info("Target signaled that it is leaving.", slog.String("request", j.request.ID),
 			slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)))
 	}
 	if signal.Pause > 0 {
-		j.host.log.Info("Target wants no requests for a while.", slog.String("request", j.request.ID),
+		j.host.log.Info("Target asked for a pause.", slog.String("request", j.request.ID),
 			slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)), millisAttr("pause", signal.Pause))
 	}
 }
--- a/internal/host/campaign.go
+++ b/internal/host/campaign.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// candidateDelay is the head start of each host over the next one in the
-	// order of candidates.
+	// candidateDelay is the campaign delay of each candidate after the previous one.
 	candidateDelay = 200 * time.Millisecond
-	// restoredDelay is that of the last lead where the store has come back from an older
-	// copy: another one lets all keys wait.
+	// restoredDelay is the additional delay of all hosts but the last leader after the
+	// store was restored from an older snapshot. Any other leader would have to let all
+	// keys wait.
 	restoredDelay = 2 * time.Second
-	// incumbentDelay is the head start of a lead that lost its entry.
+	// incumbentDelay is the additional delay in favor of a running leader that lost its
+	// entry.
 	incumbentDelay = 700 * time.Millisecond
-	// leaderListLag is how long the list of members may lack a new lead.
+	// leaderListLag is how long the list of hosts may lack a new leader.
 	leaderListLag = 2 * time.Second
-	// campaignBackoff is about how long a host waits after a campaign that the
-	// store did not answer: each call is billed, and all candidates try.
+	// campaignBackoff is the mean wait after a campaign that failed because of the
+	// store. Each call is billed, and all candidates retry.
 	campaignBackoff = 900 * time.Millisecond
-	// campaignTimeout bounds the calls of one campaign.
 	campaignTimeout = 1200 * time.Millisecond
 )
 
-// campaignIfDue tries to become the lead where there is none.
+// campaignIfDue starts a campaign where there is no leader.
 func (r *controller) campaignIfDue(ctx context.Context, now time.Time, v *view) {
 	if r.campaigning || r.host.stopping.Load() || now.Before(r.pausedUntil) || !r.campaignDue(now, v) {
 		return
@@ -55,18 +55,17 @@
 	lead, ok := v.members.Leader(r.service)
 	ok = ok && !lead.Restored()
 	if r.core.Leading() {
-		// Its entry went with its session. Right after a victory, the list of
-		// members does not have it yet.
+		// The entry expired with its session. Right after a won campaign the list does
+		// not contain the new entry yet.
 		return !ok && now.Sub(r.wonAt) > leaderListLag && now.Sub(r.vacantSince) > candidateDelay
 	}
 	place := slices.Index(v.candidates(r.service), r.host.site.Host)
 	if ok && !v.members.Ended(lead) {
-		// An entry of this host's own, of a term that it gave up, needs no
-		// waiting for. Of another's, the store knows sooner than the list that
-		// it is gone.
+		// This host's own entry, of a term that it gave up, can be replaced at once. Of
+		// another's, the store knows sooner than the list that it is gone.
 		mine := lead.Host == r.host.site.Host && now.Sub(r.campaignedAt) > candidateDelay
-		// A process that has just started may be one of many: the list may have a
-		// lead that ended with the others.
+		// A process that just started may be one of many: the list may name a leader
+		// that ended at the same time.
 		since := r.startedAt
 		if r.leaderHeardAt.After(since) {
 			since = r.leaderHeardAt
@@ -79,7 +78,7 @@
 	}
 	wait := time.Duration(place) * candidateDelay
 	if r.storeRestored(v) {
-		// The last lead knows who holds what; another one has to wait.
+		// Only the last leader knows the owners, so others wait longer.
 		if now.Sub(r.leaderHeardAt) < leaderSilence {
 			return false
 		}
@@ -91,16 +90,18 @@
 	return now.Sub(r.vacantSince) >= wait
 }
 
-// storeRestored reports whether the store is of a later era than the lead's last table.
+// storeRestored reports whether the store's era is later than that of the last routing
+// table.
 func (r *controller) storeRestored(v *view) bool {
 	table := v.tables[r.service]
 	_, era := r.host.store.eras()
 	return table != nil && table.Version.Term.Era() < max(era, v.era)
 }
 
-// incumbentAlive reports whether the last lead probably runs and only lost its entry
-// with the store's outage. It goes first then: a change of lead asks every owner
-// anew. Candidates hear a lead that runs; all others go by the list.
+// incumbentAlive reports whether the last leader probably still runs and only lost its
+// entry in a store outage. It campaigns first then, because a new leader has to contact
+// every owner again. Candidates receive the notices of a running leader; other hosts go
+// by the list.
 func (r *controller) incumbentAlive(now time.Time, v *view, place int) bool {
 	table := v.tables[r.service]
 	if table == nil || place < candidateCount && now.Sub(r.leaderHeardAt) > leaderSilence {
@@ -110,20 +111,19 @@
 	return there && h.Incarnation == table.LeaderIncarnation
 }
 
-// campaign is one try to become the lead.
+// campaign is one attempt to become the leader.
 type campaign struct {
 	*controller
 
 	lease   *lease
 	members member.List
-	// localDoc is the document by what this host knows as the lead, nil where it does not
-	// lead.
+	// localDoc is the ownership document in this host's core, nil if it does not lead.
 	localDoc *owner.Doc
-	// noLeaderKnown tells that this host knows of no lead before.
+	// noLeaderKnown is set if this host knows of no earlier leader.
 	noLeaderKnown bool
 }
 
-// run carries the campaign out and posts its outcome.
+// run runs the campaign and posts its outcome.
 func (c *campaign) run(ctx context.Context) {
 	defer c.tasks.Done()
 	ctx, cancel := context.WithTimeout(ctx, campaignTimeout)
@@ -135,7 +135,7 @@
 			return false
 		}
 		if err != nil {
-			c.log.Info("Campaign for the lead failed.", slog.Any("error", err))
+			c.log.Info("Election campaign failed.", slog.Any("error", err))
 			c.pausedUntil = now.Add(rand.N(candidateDelay))
 			if !errors.Is(err, errWriteConflict) && !errors.Is(err, platform.ErrRestored) {
 				c.pausedUntil = now.Add(campaignBackoff/2 + rand.N(campaignBackoff))
@@ -158,7 +158,7 @@
 	})
 }
 
-// lease is the session that the entry of a lead goes with.
+// lease is the session that a leader's entry is bound to.
 type lease struct {
 	sessionKeeper
 
@@ -168,12 +168,11 @@
 }
 
 const (
-	// leaseTTL is the length of a lead's session: long enough for two lost
-	// renewals, short enough that a lead that is lost is replaced before the
-	// grants that it gave run out.
+	// leaseTTL is the TTL of a leader's session. It allows for two lost renewals, but a
+	// lost leader is replaced before its grants expire.
 	leaseTTL = 1800 * time.Millisecond
-	// leaseRenewInterval is the time between two renewals of it, leaseAgain the pause
-	// after one that failed.
+	// leaseRenewInterval is the time between two renewals, leaseRenewRetryDelay the
+	// delay after a failed one.
 	leaseRenewInterval   = 550 * time.Millisecond
 	leaseRenewRetryDelay = 300 * time.Millisecond
 )
@@ -187,24 +186,24 @@
 	return l
 }
 
-// run renews the lease until it has ended or is dropped.
+// run renews the lease until it ends or is abandoned.
 func (l *lease) run() {
 	defer l.tasks.Done()
 	l.sessionKeeper.run(l.ctx)
 }
 
-// abandon ends the renewing; the session lapses.
+// abandon stops the renewals, so that the session expires.
 func (l *lease) abandon() { l.cancel() }
 
-// electionWin is a campaign that was won.
+// electionWin is the outcome of a won campaign.
 type electionWin struct {
 	doc         owner.Doc
 	revision    platform.Revision
 	predecessor predecessor
 }
 
-// errLeaderExists is returned where the store names a lead.
-var errLeaderExists = errors.New("host: another host leads")
+// errLeaderExists is returned if the store names another leader.
+var errLeaderExists = errors.New("host: another host is the leader")
 
 func (c *campaign) campaign(ctx context.Context) (electionWin, error) {
 	store := c.host.env.Store
@@ -231,7 +230,7 @@
 	won := electionWin{predecessor: c.predecessorOf(&doc, old.Revision, session.Era)}
 	doc.Term = doc.Term.Next(session.Era)
 	if won.predecessor.restored && c.localDoc != nil {
-		// What this host knows is newer than what the store has come back with.
+		// This host's document is newer than the restored one.
 		doc.Rows, doc.Term = c.localDoc.Rows, max(doc.Term, c.localDoc.Term.Next(session.Era))
 	}
 	doc.PriorMayRenew, doc.AfterRestore = won.predecessor.prior() != owner.PriorEnded, won.predecessor.restored
@@ -255,13 +254,13 @@
 	won.doc = doc
 	won.revision, err = commitUntilKnown(ctx, c.log, store, txn, rangesPath(c.service), doc.WriteID)
 	if err == nil && won.revision.Era() != session.Era {
-		err = platform.ErrRestored // what was won is of a copy that is gone
+		err = platform.ErrRestored // the campaign was won in a store state that is gone
 	}
 	return won, err
 }
 
-// replaceableEntry returns the revision of the entry that a new lead replaces, zero where there
-// is none, or errLed where another host leads.
+// replaceableEntry returns the revision of the leader entry that this campaign may
+// replace, zero if there is none. It returns errLeaderExists if another host leads.
 func (c *campaign) replaceableEntry(ctx context.Context) (platform.Revision, error) {
 	replaceable := func(l member.Leader) bool {
 		return l.Host == c.host.site.Host || c.members.Ended(l) || l.Restored()
@@ -270,7 +269,7 @@
 	_, era := c.host.store.eras()
 	current := lead.Revision.Era() == era
 	if listed && current && replaceable(lead) {
-		return lead.Revision, nil // the entry of a life that has ended
+		return lead.Revision, nil // entry of an ended incarnation
 	}
 	if !listed && c.localDoc == nil && !c.controller.storeRestored(c.host.views.view()) {
 		return 0, nil
@@ -291,8 +290,8 @@
 	return lead.Revision, nil
 }
 
-// predecessorOf tells what is known of the lead that wrote the document, in a store of
-// an era.
+// predecessorOf returns what is known of the leader that wrote the document, given the
+// store's era.
 func (c *campaign) predecessorOf(doc *owner.Doc, revision platform.Revision, era platform.Era) predecessor {
 	first, _ := c.host.store.eras()
 	return predecessor{
@@ -302,11 +301,11 @@
 	}
 }
 
-// errWriteConflict is returned where another host's write came first.
-var errWriteConflict = errors.New("host: another write came first")
+// errWriteConflict is returned if another host's write came first.
+var errWriteConflict = errors.New("host: changed by another write")
 
-// commitUntilKnown repeats a transaction until it is certain whether it has been
-// carried out. The document at path tells by its write id.
+// commitUntilKnown repeats a transaction until it is certain whether it was committed.
+// It recognizes its own write by the write ID of the document at path.
 func commitUntilKnown(ctx context.Context, log *slog.Logger, store platform.SessionStore, txn platform.Txn, path platform.Path, write uint64) (platform.Revision, error) {
 	const firstPause, mostPause = 100 * time.Millisecond, 500 * time.Millisecond
 	unknown := false
@@ -328,7 +327,7 @@
 			return 0, errWriteConflict
 		case errors.Is(err, platform.ErrOutcomeUnknown):
 			if !unknown {
-				log.Warn("Write not answered, asking until its outcome is known.", slog.Uint64("write", write), slog.Any("error", err))
+				log.Warn("Write outcome unknown, retrying until it is known.", slog.Uint64("write", write), slog.Any("error", err))
 			}
 			unknown = true
 		case errors.Is(err, platform.ErrUnavailable) && !unknown, errors.Is(err, platform.ErrSessionEnded), errors.Is(err, platform.ErrRestored):
@@ -341,5 +340,5 @@
 	}
 }
 
-// errOutcomeUnknown is returned where a write may have taken effect, or may yet.
-var errOutcomeUnknown = errors.New("host: outcome of the write is not known")
+// errOutcomeUnknown is returned if a write may have been committed or may still be.
+var errOutcomeUnknown = errors.New("host: write outcome unknown")
--- a/internal/host/clienttimeouts.go
+++ b/internal/host/clienttimeouts.go
@@ -7,9 +7,9 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// clientTimeouts remembers the longest time that clients of each route give.
-// Clients of one kind give the same at their first try; one that gives less
-// has been here before. Safe for concurrent use.
+// clientTimeouts holds the longest timeout that clients sent for each route. Clients of
+// one kind send the same timeout with their first attempt; a shorter one means that the
+// client is retrying. Safe for concurrent use.
 type clientTimeouts struct {
 	mu     sync.Mutex
 	routes map[traffic.RouteName]time.Duration
@@ -19,7 +19,7 @@
 	return &clientTimeouts{routes: make(map[traffic.RouteName]time.Duration)}
 }
 
-// observe notes a time and returns the usual one.
+// observe records a client's timeout and returns the usual one of the route.
 func (p *clientTimeouts) observe(route traffic.RouteName, left time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/host/codec_test.go
+++ b/internal/host/codec_test.go
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// FuzzDatagram: no datagram between hosts makes a decoder panic. Those of tickets
-// and presences have fuzz targets where they are decoded.
+// FuzzDatagram checks that no datagram between hosts makes a decoder panic. Ticket
+// messages and heartbeats have fuzz tests in the packages that decode them.
 func FuzzDatagram(f *testing.F) {
 	report := loadReport{service: "s", points: map[key.Point]int{5: 2}, targets: []dispatch.TargetStats{{Target: "t", Mean: time.Second, Slowdown: 1, Used: true, Samples: 9}}}
 	body, err := report.encode()
@@ -23,7 +23,7 @@
 	f.Add(body)
 	f.Add(body[:len(body)/2])
 	f.Fuzz(func(_ *testing.T, body []byte) {
-		// What can't be read is dropped; the errors are logged.
+		// Decode errors are fine: the caller logs them and drops the datagram.
 		_, _ = decodeReport(body)
 		_, _ = decodeNotice(body)
 	})
--- a/internal/host/controller.go
+++ b/internal/host/controller.go
@@ -20,112 +20,115 @@
 )
 
 const (
-	// grantDuration is the length of a grant. A target that is lost without a word
-	// keeps its keys from others for that long; a lead that is lost must be
-	// replaced within it.
+	// grantDuration is the length of a grant. The keys of a lost target are unavailable
+	// for that long, and a lost leader must be replaced within it.
 	grantDuration = 2500 * time.Millisecond
 	// grantRenewInterval is the time between two grants to a target: three may fail.
 	grantRenewInterval = 600 * time.Millisecond
-	// renewGrace is how long a lead renews without a lease. The platform's
-	// store is away for up to nine seconds at a time.
+	// renewGrace is how long a leader renews grants after its lease expired. Outages of
+	// the platform's store last up to nine seconds.
 	renewGrace = 8 * time.Second
-	// planInterval is the time between two plans.
+	// planInterval is the time between two rebalancing plans.
 	planInterval = 200 * time.Millisecond
-	// maxRebalanceInterval is the longest time between two plans that even out all
+	// maxRebalanceInterval is the longest time between two plans that rebalance all
 	// targets.
 	maxRebalanceInterval = time.Second
-	// firstGrantTimeout is how long a new owner may take to answer its first grant.
+	// firstGrantTimeout is how long a new owner may take to acknowledge its first
+	// grant.
 	firstGrantTimeout = 800 * time.Millisecond
-	// maxPublishInterval is the longest time between two tables.
+	// maxPublishInterval is the longest time between two routing tables.
 	maxPublishInterval = time.Second
-	// minPublishInterval is the least time between two tables: each costs every host a
-	// few packets.
+	// minPublishInterval is the shortest time between two routing tables: each costs
+	// every host a few packets.
 	minPublishInterval = 100 * time.Millisecond
-	// releaseNotice is the time that a table takes to every host, over three
-	// hops at worst, where processors are busy.
+	// releaseNotice is the time until a routing table has reached every host, over up
+	// to three hops on busy machines.
 	releaseNotice = 80 * time.Millisecond
-	// leaseFreshness is how recent the last renewal of the lease must be for moves
-	// to begin: one renewal and its answer may be late.
+	// leaseFreshness is the largest age of the last lease renewal with which moves may
+	// start. One renewal and its response may be late.
 	leaseFreshness = 900 * time.Millisecond
 	// reclaimTimeout is how long a released range waits for its new owner to be
-	// written; a write takes some 10 ms, half a second where the store is slow
-	// and another write comes first.
+	// written. A write takes some 10 ms, or half a second if the store is slow and
+	// another write comes first.
 	reclaimTimeout = 800 * time.Millisecond
-	// confirmTimeout is how long a move waits for the store to renew the lease: two calls
-	// where the store takes a quarter of a second for each.
+	// confirmTimeout is how long a move waits for the store to renew the lease. It
+	// allows for two calls to a store that takes a quarter of a second for each.
 	confirmTimeout = 600 * time.Millisecond
-	// writeBatchDelay is how long a free range waits for others to be written with.
-	// At 100 ms a grown day writes a fifth less and refuses for want of an owner
-	// a fifth more, which costs more.
+	// writeBatchDelay is how long a free range waits for others to be written with it.
+	// A delay of 100 ms saves a fifth of the writes, but a fifth more requests are
+	// refused for lack of an owner, which costs more.
 	writeBatchDelay = 40 * time.Millisecond
-	// fleetSettleTime is how long the list of targets must have stood still before
-	// a service gets its first owners.
+	// fleetSettleTime is how long the list of targets must be unchanged before a
+	// service gets its first owners.
 	fleetSettleTime = time.Second
-	// leaderTick is the time between two looks of a lead at what is due, followTick
-	// that of a candidate, and restTick that of all other hosts, which come after
-	// the candidates.
+	// leaderTick, candidateTick and nonCandidateTick are the tick intervals of a
+	// leader, of a candidate, and of all other hosts, which campaign after the
+	// candidates.
 	leaderTick       = 20 * time.Millisecond
 	candidateTick    = 100 * time.Millisecond
 	nonCandidateTick = time.Second
 )
 
-// planConfig are the bounds of one plan.
+// planConfig limits a single plan.
 var planConfig = partition.Config{MaxMoves: 12, MaxSpans: 6, MaxImbalance: 0.1, MinGap: 0.08}
 
-// rangesPath returns the path of a service's document.
+// rangesPath returns the store path of a service's ownership document.
 func rangesPath(service key.Service) platform.Path {
 	return rangesPrefix + platform.Path(service)
 }
 
-// rangesPrefix starts the paths of the services' documents.
+// rangesPrefix is the store prefix of the ownership documents.
 const rangesPrefix platform.Path = "ranges/"
 
-// controller leads one service on this host, or waits to.
+// controller runs the leader election of one service on this host, and the ownership
+// core while this host leads.
 type controller struct {
 	host    *Host
 	service key.Service
 	log     *slog.Logger
 	orders  *orderClient
 	core    *owner.Core
-	// events are what other goroutines tell the runner's own; those that report
-	// true want a step at once.
+	// events are functions to run on the controller's goroutine. They return true if a
+	// step is due at once.
 	events chan func(now time.Time) bool
 	tasks  sync.WaitGroup
 
 	meter       partition.Meter
 	targetStats map[place.Target]targetStats
-	// leadRevision is that of this host's entry as lead.
+	// leadRevision is the store revision of this host's leader entry.
 	leadRevision platform.Revision
-	// vacantSince is since when no lead is known.
+	// vacantSince is the time since which no leader is known.
 	vacantSince time.Time
 	campaigning bool
 	resigning   bool
-	// campaignedAt is when this host last campaigned; it does not until pausedUntil.
+	// campaignedAt is the time of the last campaign. No campaign starts before
+	// pausedUntil.
 	campaignedAt, pausedUntil time.Time
 	wonAt                     time.Time
-	// startedAt is when this runner began, heard when a lead was last heard, announced
-	// when this host last told others that it leads.
+	// startedAt is when this controller started, leaderHeardAt when the last notice of
+	// a leader arrived, announcedAt when this host last announced its own leadership.
 	startedAt, leaderHeardAt, announcedAt time.Time
 	predecessor                           predecessor
 	lease                                 *lease
 	moveLog                               moveLog
-	// inFlight counts the orders on their way.
+	// inFlight counts the orders in flight.
 	inFlight atomic.Int32
-	// leading tells other goroutines whether the core leads.
+	// leading is core.Leading for other goroutines.
 	leading       atomic.Bool
 	loadUpdatedAt time.Time
-	// knownFleet numbers the list of targets that the core goes by, zero for none.
+	// knownFleet is the version of the list of targets in the core, zero for none.
 	knownFleet uint64
-	// leaving are the lives of targets that have said to some host that they leave.
+	// leaving are the incarnations of targets that signaled to any host that they are
+	// leaving.
 	leaving    map[place.Target]place.Incarnation
 	load       partition.Load
 	capacities partition.CapacityFilter
 }
 
-// targetStats is what was last heard of a target.
+// targetStats is the last report about a target.
 type targetStats struct {
-	// latency is the time of a request there, requests how many it rests on, slow the
-	// decayed slowness of the last ones against that time.
+	// latency is the mean time of a request at the target and requests the number of
+	// samples behind it. slowdown is the decayed ratio of recent times to that mean.
 	latency   time.Duration
 	requests  float64
 	slowdown  float64
@@ -167,7 +170,7 @@
 		select {
 		case <-ctx.Done():
 			if r.core.Leading() {
-				r.log.Warn("Lead not handed on, it lapses.", slog.Uint64("term", uint64(r.core.Term())), slog.Bool("ordering", !r.core.Idle()))
+				r.log.Warn("Leadership not handed over, its lease will expire.", slog.Uint64("term", uint64(r.core.Term())), slog.Bool("ordering", !r.core.Idle()))
 			}
 			return nil
 		case f := <-r.events:
@@ -186,7 +189,7 @@
 	}
 }
 
-// tickInterval returns the time until the next look at what is due.
+// tickInterval returns the time until the next tick.
 func (r *controller) tickInterval() time.Duration {
 	if r.core.Leading() {
 		return leaderTick
@@ -198,7 +201,7 @@
 	return candidateTick
 }
 
-// handleEvents handles an event and all that wait behind it, and reports whether a step
+// handleEvents runs an event and all others that are pending. It reports whether a step
 // is due.
 func (r *controller) handleEvents(f func(now time.Time) bool) bool {
 	now := clock.Now()
@@ -213,16 +216,16 @@
 	}
 }
 
-// post hands an event to the runner's goroutine.
+// post queues an event for the controller's goroutine.
 func (r *controller) post(f func(now time.Time) bool) { r.events <- f }
 
-// receiveReport takes a load report. One that finds the runner behind is dropped: the
-// next one comes in a moment.
+// receiveReport queues a load report. It is dropped if the queue is full, as the next
+// one follows soon.
 func (r *controller) receiveReport(l loadReport) {
 	r.tryPost(func(now time.Time) { r.applyReport(now, l) })
 }
 
-// tryPost is post for what may be dropped where the runner is behind.
+// tryPost is post for events that may be dropped if the queue is full.
 func (r *controller) tryPost(f func(now time.Time)) {
 	select {
 	case r.events <- func(now time.Time) bool { f(now); return false }:
@@ -246,7 +249,7 @@
 		}
 		took := o.Mean
 		if took == 0 {
-			took = r.meanLatency(now) // it is down, and has served nothing here
+			took = r.meanLatency(now) // it is down and has served nothing here
 		}
 		last, ok := r.targetStats[o.Target]
 		if !ok || now.Sub(last.updatedAt) > maxStatsAge {
@@ -262,20 +265,21 @@
 	}
 }
 
-// markLeaving notes that a target has said that it leaves, which the platform's list
-// may tell later, or never.
+// markLeaving records that a target signaled that it is leaving. The platform's list
+// may say so later or never.
 func (r *controller) markLeaving(name place.Target) {
 	row, ok := r.host.views.view().targets[name]
 	born, noted := r.leaving[name]
 	if !ok || row.State != place.Live || noted && born == row.Incarnation {
 		return
 	}
-	r.log.Info("Target leaves by its own word.", slog.String("target", string(name)))
+	r.log.Info("Target marked as leaving after its signal.", slog.String("target", string(name)))
 	r.leaving[name] = row.Incarnation
-	r.knownFleet = 0 // the core has to hear of it
+	r.knownFleet = 0 // pass the change to the core
 }
 
-// effectiveTargets returns the targets of a view, those that have said so as leaving.
+// effectiveTargets returns the targets of a view, with those that signaled it marked as
+// leaving.
 func (r *controller) effectiveTargets(v *view) map[place.Target]place.TargetRow {
 	maps.DeleteFunc(r.leaving, func(name place.Target, born place.Incarnation) bool {
 		row, ok := v.targets[name]
@@ -293,8 +297,8 @@
 	return out
 }
 
-// guardLeader runs f. Where that panics, this host gives up the lead: what it knew may
-// be half changed, and the next lead starts from the store.
+// guardLeader runs f. After a panic this host steps down: its state may be half
+// changed, and the next leader starts from the store.
 func (r *controller) guardLeader(f func()) {
 	if r.host.guard("lead", f) {
 		return
@@ -304,7 +308,7 @@
 	r.leading.Store(false)
 }
 
-// step looks at what is due.
+// step runs one tick.
 func (r *controller) step(ctx context.Context, now time.Time) {
 	v := r.host.views.view()
 	r.observeLeader(now, v)
@@ -321,7 +325,7 @@
 		r.updateLoad(now, v)
 		r.announceLeadership(now, v)
 	} else {
-		r.lease.abandon() // the lead was lost
+		r.lease.abandon() // leadership was lost
 	}
 	r.campaignIfDue(ctx, now, v)
 	r.resignIfDue(ctx, now)
@@ -329,14 +333,14 @@
 	r.apply(ctx, r.core.Tick(now))
 }
 
-// observeLeader gives way to another lead that the list of members names.
+// observeLeader steps down if the list of hosts names another leader.
 func (r *controller) observeLeader(now time.Time, v *view) {
 	lead, ok := v.members.Leader(r.service)
 	ok = ok && !lead.Restored()
 	mine := ok && lead.Host == r.host.site.Host && lead.Incarnation == r.host.incarnation
 	switch {
 	case ok && !mine && r.core.Leading() && lead.Revision > r.leadRevision:
-		r.log.Warn("Another host leads, giving way.", slog.String("lead", string(lead.Host)),
+		r.log.Warn("Another host leads, stepping down.", slog.String("lead", string(lead.Host)),
 			slog.Uint64("revision", uint64(lead.Revision)), slog.Uint64("term", uint64(r.core.Term())))
 		r.core.StepDown()
 		r.vacantSince = time.Time{}
@@ -347,10 +351,10 @@
 	}
 }
 
-// maxStatsAge is how old an opinion of a target may be to count.
+// maxStatsAge is the age after which the statistics of a target are ignored.
 const maxStatsAge = 3 * time.Second
 
-// updateLoad tells the core the load and what each target can do.
+// updateLoad passes the load and the measured capacities to the core.
 func (r *controller) updateLoad(now time.Time, v *view) {
 	if now.Sub(r.loadUpdatedAt) < planInterval {
 		return
@@ -375,20 +379,20 @@
 		steady, changed := r.capacities.Apply(t)
 		measured[row.Target] = steady
 		if changed {
-			r.log.Info("Capacity of target has changed.", slog.String("target", string(row.Target)),
+			r.log.Info("Target capacity changed.", slog.String("target", string(row.Target)),
 				slog.Float64("capacity", t.Capacity), slog.Float64("doubt", t.RelStdDev), slog.Int("slots", row.Slots),
 				millisAttr("time", o.latency), millisAttr("mean", mean), slog.Float64("requests", o.requests))
 		}
 	}
 	r.capacities.Retain(func(name place.Target) bool { _, ok := v.targets[name]; return ok })
 	if r.meter.DetectChanges(now, r.core.Ranges()) {
-		r.log.Info("Load has changed, averaging anew.")
+		r.log.Info("Load changed, restarting averages.")
 	}
 	r.meter.Load(now, &r.load, mean)
 	r.core.SetLoad(&r.load, measured, suspect)
 }
 
-// meanLatency returns the mean time of a request over all targets.
+// meanLatency returns the mean latency over all targets.
 func (r *controller) meanLatency(now time.Time) time.Duration {
 	var sum time.Duration
 	n := 0
@@ -405,19 +409,18 @@
 }
 
 const (
-	// defaultLatency is the time of a request of which nothing is known yet.
+	// defaultLatency is the assumed latency before any is measured.
 	defaultLatency = 100 * time.Millisecond
-	// minSlowdown is the slowness against its own mean from which a target counts
-	// as slower than that mean; less is chance.
+	// minSlowdown is the slowdown from which a target counts as slower than its mean. A
+	// smaller one may be chance.
 	minSlowdown = 1.8
-	// slowdownDecayTime is the time in which older opinions of a target's slowness lose
-	// most of their weight.
+	// slowdownDecayTime is the time constant of the average of a target's slowdown.
 	slowdownDecayTime = 1200 * time.Millisecond
 )
 
 // apply carries out the core's effects.
 func (r *controller) apply(ctx context.Context, effects []owner.Effect) {
-	ctx = context.WithoutCancel(ctx) // a stop lets what is on its way end
+	ctx = context.WithoutCancel(ctx) // orders and writes in flight finish during a stop
 	for _, e := range effects {
 		switch e := e.(type) {
 		case owner.SendGrants:
@@ -449,7 +452,7 @@
 func (r *controller) publish(t *owner.Table) {
 	body, err := t.Encode()
 	if err != nil {
-		r.log.Error("Table not written.", slog.Any("error", err))
+		r.log.Error("Routing table not encoded.", slog.Any("error", err))
 		return
 	}
 	r.host.replica.Publish(docsync.Document{
--- a/internal/host/controller_test.go
+++ b/internal/host/controller_test.go
@@ -15,21 +15,22 @@
 	"citrontray.example/citrontray/internal/site"
 )
 
-// TestIncumbentAlive: candidates wait for a lead that lost its entry only while they
-// hear it. A power cut leaves entries of hosts that are gone.
+// TestIncumbentAlive checks that candidates wait for a leader that lost its entry only
+// while they hear it. After a power failure the list still has entries of hosts that
+// are gone.
 func TestIncumbentAlive(t *testing.T) {
 	tests := map[string]struct {
-		life  place.Incarnation // of the lead's host in the list
+		life  place.Incarnation // of the leader's host in the list
 		heard time.Duration     // ago
 		place int
 		want  bool
 	}{
-		"lead is heard":             {1, 100 * time.Millisecond, 0, true},
-		"lead went silent":          {1, 2 * time.Second, 0, false},
-		"lead never heard":          {1, time.Hour, 2, false},
-		"lead started again":        {2, 100 * time.Millisecond, 0, false},
-		"others don't hear leads":   {1, time.Hour, candidateCount, true},
-		"others see it start again": {2, time.Hour, candidateCount, false},
+		"leader is heard":             {1, 100 * time.Millisecond, 0, true},
+		"leader no longer heard":      {1, 2 * time.Second, 0, false},
+		"leader never heard":          {1, time.Hour, 2, false},
+		"leader's host restarted":     {2, 100 * time.Millisecond, 0, false},
+		"hosts that hear no leader":   {1, time.Hour, candidateCount, true},
+		"hosts that see it restarted": {2, time.Hour, candidateCount, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,24 +45,24 @@
 	}
 }
 
-// TestPredecessor: that the lead before has ended tells nothing of those before
-// it, where it wrote that they may not have.
+// TestPredecessor checks that the end of the predecessor tells nothing about the
+// leaders before it, if it recorded that they may still renew grants.
 func TestPredecessor(t *testing.T) {
 	members := member.List{Hosts: []member.Host{{Name: "again", Incarnation: 2, Revision: 9}, {Name: "on", Incarnation: 1, Revision: 1}}}
 	tests := map[string]struct {
 		doc  owner.Doc
 		want owner.Prior
 	}{
-		"before a restore":            {owner.Doc{Term: owner.Term(0).Next(1)}, owner.PriorLost},
-		"a moment after one":          {owner.Doc{Term: owner.Term(0).Next(2), AfterRestore: true}, owner.PriorLost},
-		"since the last one":          {owner.Doc{Term: owner.Term(0).Next(2)}, owner.PriorEnded},
-		"handed on":                   {owner.Doc{}, owner.PriorEnded},
-		"handed on, one before may":   {owner.Doc{PriorMayRenew: true}, owner.PriorUnknown},
-		"this host":                   {owner.Doc{Leader: "self", LeaderIncarnation: 1}, owner.PriorEnded},
-		"this host, one before may":   {owner.Doc{Leader: "self", LeaderIncarnation: 1, PriorMayRenew: true}, owner.PriorUnknown},
-		"started again":               {owner.Doc{Leader: "again", LeaderIncarnation: 1}, owner.PriorEnded},
-		"started again, one before":   {owner.Doc{Leader: "again", LeaderIncarnation: 1, PriorMayRenew: true}, owner.PriorUnknown},
-		"runs, for all that is known": {owner.Doc{Leader: "on", LeaderIncarnation: 1}, owner.PriorUnknown},
+		"before a restore":                      {owner.Doc{Term: owner.Term(0).Next(1)}, owner.PriorLost},
+		"just after a restore":                  {owner.Doc{Term: owner.Term(0).Next(2), AfterRestore: true}, owner.PriorLost},
+		"after the last restore":                {owner.Doc{Term: owner.Term(0).Next(2)}, owner.PriorEnded},
+		"handed over":                           {owner.Doc{}, owner.PriorEnded},
+		"handed over, earlier one may renew":    {owner.Doc{PriorMayRenew: true}, owner.PriorUnknown},
+		"this host":                             {owner.Doc{Leader: "self", LeaderIncarnation: 1}, owner.PriorEnded},
+		"this host, earlier one may renew":      {owner.Doc{Leader: "self", LeaderIncarnation: 1, PriorMayRenew: true}, owner.PriorUnknown},
+		"host restarted":                        {owner.Doc{Leader: "again", LeaderIncarnation: 1}, owner.PriorEnded},
+		"host restarted, earlier one may renew": {owner.Doc{Leader: "again", LeaderIncarnation: 1, PriorMayRenew: true}, owner.PriorUnknown},
+		"may still run":                         {owner.Doc{Leader: "on", LeaderIncarnation: 1}, owner.PriorUnknown},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -77,9 +78,9 @@
 	}
 }
 
-// TestLeaderAfterPowerCut: all hosts lose power, and their lead's session ends before
-// they are back. Keys are served again a moment after the hosts: nothing waits for a
-// round of its own.
+// TestLeaderAfterPowerCut: all hosts lose power, and the leader's session expires
+// before they are back. A host must lead again as soon as the configuration is known,
+// without another waiting period.
 func TestLeaderAfterPowerCut(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3, 3, 1)
@@ -98,17 +99,17 @@
 	d.eventually("a host leads", 900*time.Millisecond, func() bool { return slices.ContainsFunc(d.hosts, leads) })
 }
 
-// TestCampaignWithoutHeardLeader: a host that has started a while ago and never heard the lead
-// that the list names looks into the store, as it would after it fell silent.
+// TestCampaignWithoutHeardLeader: a host that never heard the listed leader since its
+// start campaigns after the same time as after the leader's last notice.
 func TestCampaignWithoutHeardLeader(t *testing.T) {
 	tests := map[string]struct {
 		started, heard time.Duration // ago
 		want           bool
 	}{
-		"just started":            {100 * time.Millisecond, time.Hour, false},
-		"started, never heard":    {leaderSilence + candidateDelay, time.Hour, true},
-		"started, heard a moment": {time.Hour, 100 * time.Millisecond, false},
-		"silent":                  {time.Hour, leaderSilence + candidateDelay, true},
+		"just started":                {100 * time.Millisecond, time.Hour, false},
+		"started, leader never heard": {leaderSilence + candidateDelay, time.Hour, true},
+		"started, leader just heard":  {time.Hour, 100 * time.Millisecond, false},
+		"silent":                      {time.Hour, leaderSilence + candidateDelay, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/host/digest.go
+++ b/internal/host/digest.go
@@ -10,14 +10,14 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// wireDigest is a reading in a datagram.
+// wireDigest is the datagram encoding of a digest.
 type wireDigest struct {
 	_        struct{} `cbor:",toarray"`
 	Versions map[string]uint64
 }
 
-// broadcastDigest tells the watchers of all zones what this one has read. One that
-// does not hear it reads the store itself.
+// broadcastDigest sends a digest to the watchers of all zones. A watcher that misses it
+// reads the store itself.
 func (h *Host) broadcastDigest(r digest) {
 	w := wireDigest{Versions: make(map[string]uint64, len(r.versions))}
 	for name, version := range r.versions {
@@ -25,7 +25,7 @@
 	}
 	body, err := cbor.Marshal(w)
 	if err != nil {
-		h.log.Error("Reading not written.", slog.Any("error", err))
+		h.log.Error("Digest not encoded.", slog.Any("error", err))
 		return
 	}
 	members := h.views.view().members
@@ -44,11 +44,11 @@
 	}
 }
 
-// handleDigest takes what another watcher has read.
+// handleDigest handles the digest of another watcher.
 func (h *Host) handleDigest(body []byte) {
 	var w wireDigest
 	if err := cbor.Unmarshal(body, &w); err != nil {
-		h.log.Warn("Reading not readable, dropped.", slog.Any("error", err))
+		h.log.Warn("Digest not decodable, dropped.", slog.Any("error", err))
 		return
 	}
 	r := digest{receivedAt: time.Now(), versions: make(map[docsync.Name]uint64, len(w.Versions))}
--- a/internal/host/dispatcher.go
+++ b/internal/host/dispatcher.go
@@ -17,49 +17,49 @@
 )
 
 const (
-	// maxTickInterval is the longest time between two looks at what waits, deskTick
-	// the shortest: timers of a few milliseconds cost more than they bring.
+	// maxTickInterval and minTickInterval limit the time between two ticks. Timers of a
+	// few milliseconds cost more than they gain.
 	maxTickInterval = 2 * time.Second
 	minTickInterval = 10 * time.Millisecond
-	// maxDatagramBytes bounds a message; every path carries it in one piece.
+	// maxDatagramBytes is small enough to avoid IP fragmentation on every path.
 	maxDatagramBytes = 1400
 )
 
-// dispatcher gets tickets for this host's requests and runs the homes of the pools
-// that this host holds. Its messages are single datagrams: each is repaired by
-// a repetition or the next report, so a connection with state of its own, which
-// would have to be set up again after each cut, gains nothing.
+// dispatcher acquires tickets for this host's requests and runs the homes of the pools
+// that are scheduled here. Each message is a single datagram. A lost one is repaired by
+// a resend or the next report, so a connection, which would have to be set up again
+// after each network partition, gains nothing.
 type dispatcher struct {
 	self dispatch.Peer
 	log  *slog.Logger
 	conn *net.UDPConn
-	// address returns where a host takes messages now.
+	// address returns the current ticket address of a host.
 	address func(place.Host) (netip.AddrPort, bool)
 	catalog func() dispatch.Catalog
-	// guard runs what a datagram wants, and reports whether it came to its end.
+	// guard runs f and reports whether it returned without a panic.
 	guard func(part string, f func()) bool
-	// handlers take the datagrams that are not tickets, by their first byte.
+	// handlers handle the datagrams other than ticket messages, by their first byte.
 	handlers map[byte]func(body []byte)
 
-	// timer ends when the next look is due; who changes what waits sets it, so that
-	// the process sleeps where nothing does.
+	// timer fires at the next tick. It is reset whenever pending work changes, so that
+	// the process sleeps while there is none.
 	timer *time.Timer
 
 	mu sync.Mutex
-	// nextTick is when the next look is planned.
+	// nextTick is the time that timer is set to, zero if it fired.
 	nextTick time.Time
 	client   *dispatch.Client
 	home     *dispatch.Home
 	pending  map[dispatch.TicketID]chan ticketReply
-	// observedAddrs are the addresses that hosts last wrote from: one that started
-	// while the store was away is in no list.
+	// observedAddrs are the source addresses of the last datagrams. A host that started
+	// during a store outage is in no list.
 	observedAddrs map[place.Host]netip.AddrPort
 	reach         *dispatch.Reachability
-	// backoffs are what targets have asked of this host.
+	// backoffs are the signals that targets sent to this host.
 	backoffs *dispatch.Backoffs
 }
 
-// Members implements dispatch.Catalog by the view in force.
+// Members implements dispatch.Catalog with the view in force.
 func (d *dispatcher) Members(pool dispatch.PoolID) []place.TargetRow {
 	return d.catalog().Members(pool)
 }
@@ -79,7 +79,7 @@
 	return d
 }
 
-// run takes messages and lets time pass until ctx ends.
+// run handles datagrams until ctx ends.
 func (d *dispatcher) run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.conn.Close() })
 	defer stop()
@@ -90,14 +90,14 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			return fmt.Errorf("tickets: %w", err)
+			return fmt.Errorf("tickets: read datagram: %w", err)
 		}
 		d.handleGuarded(time.Now(), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:n])
 	}
 }
 
-// handleGuarded takes a datagram. One that makes a part panic ends with what the
-// homes here knew: hosts report within moments what they have in use.
+// handleGuarded handles a datagram. After a panic the homes are replaced by empty ones;
+// hosts report the tickets that they hold within moments.
 func (d *dispatcher) handleGuarded(now time.Time, source netip.AddrPort, body []byte) {
 	if d.guard("datagram", func() { d.handleDatagram(now, source, body) }) {
 		return
@@ -107,7 +107,7 @@
 	d.home = dispatch.NewHome(d)
 }
 
-// loop lets time pass until ctx ends.
+// loop runs ticks until ctx ends.
 func (d *dispatcher) loop(ctx context.Context) error {
 	defer d.timer.Stop()
 	for {
@@ -128,7 +128,7 @@
 	d.flush(now, d.home.Tick(now))
 }
 
-// scheduleTick sets when the next look is due. The caller holds mu.
+// scheduleTick sets the time of the next tick. The caller holds mu.
 func (d *dispatcher) scheduleTick(now time.Time) {
 	wakes := now.Add(maxTickInterval)
 	for _, next := range []time.Time{d.client.NextTick(), d.home.NextTick(now)} {
@@ -139,7 +139,7 @@
 	if least := now.Add(minTickInterval); wakes.Before(least) {
 		wakes = least
 	}
-	// A look that comes a little early is as good, and costs no change of the timer.
+	// Keep a timer that fires a little early: that does no harm and saves a reset.
 	if early := wakes.Sub(d.nextTick); !d.nextTick.IsZero() && early >= 0 && early < minTickInterval {
 		return
 	}
@@ -147,14 +147,14 @@
 	d.timer.Reset(wakes.Sub(now))
 }
 
-// The first byte of a datagram.
+// Datagram types, sent as the first byte.
 const (
 	datagramTicket byte = 't'
 	datagramReport byte = 'r'
 	datagramNotice byte = 'n'
-	// datagramDigest is what a watcher has read.
+	// digest of a watcher
 	datagramDigest byte = 'w'
-	// datagramPresence is that a host is there.
+	// heartbeat of a host
 	datagramPresence byte = 'p'
 )
 
@@ -168,7 +168,7 @@
 	}
 	from, m, err := dispatch.Decode(body[1:])
 	if body[0] != datagramTicket || err != nil {
-		d.log.Warn("Datagram not readable, dropped.", slog.Any("error", err))
+		d.log.Warn("Datagram not decodable, dropped.", slog.Any("error", err))
 		return
 	}
 	d.mu.Lock()
@@ -178,7 +178,7 @@
 	d.handleMessage(now, from, m)
 }
 
-// handleMessage takes one message. The caller holds mu.
+// handleMessage handles one message. The caller holds mu.
 func (d *dispatcher) handleMessage(now time.Time, from dispatch.Peer, m dispatch.Message) {
 	switch m.(type) {
 	case dispatch.Assigned, dispatch.Queued, dispatch.Refused, dispatch.Pong, dispatch.Leave:
@@ -189,8 +189,8 @@
 	}
 }
 
-// flush sends what the home and the client want sent; what is for this host
-// itself is handled at once. The caller holds mu.
+// flush sends the messages of the homes and the client. Messages to this host itself
+// are handled directly. The caller holds mu.
 func (d *dispatcher) flush(now time.Time, letters []dispatch.PeerMessage) {
 	defer d.scheduleTick(now)
 	for {
@@ -208,7 +208,7 @@
 		deliveries, verdicts := d.client.Flush()
 		for _, v := range verdicts {
 			if ch := d.pending[v.ID]; ch != nil {
-				ch <- ticketReply{v.Message, v.Home, v.Isolated} // it has room for the one verdict
+				ch <- ticketReply{v.Message, v.Home, v.Isolated} // doesn't block: the buffer holds the only reply
 				delete(d.pending, v.ID)
 			}
 		}
@@ -225,8 +225,8 @@
 	}
 }
 
-// logDenials writes a line for each refusal of the homes here; the asking host's
-// line of the request names this host and the ticket.
+// logRefusals logs each refusal of the homes here. The request's log line on the asking
+// host names this host and the ticket.
 func (d *dispatcher) logDenials() {
 	for _, n := range d.home.Refusals() {
 		d.log.Info("Ticket refused.", slog.String("asker", string(n.Host)), slog.Uint64("ticket", uint64(n.ID)),
@@ -237,13 +237,13 @@
 	}
 }
 
-// millisAttr is a duration in a log line, in milliseconds.
+// millisAttr returns a log attribute with a duration in milliseconds.
 func millisAttr(name string, d time.Duration) slog.Attr {
 	return slog.Float64(name, float64(d.Microseconds())/1000)
 }
 
-// send writes one datagram. One that is lost is like one that was not sent.
-// The caller holds mu.
+// send sends one message as a datagram. A failure is like a lost datagram. The caller
+// holds mu.
 func (d *dispatcher) send(to place.Host, m dispatch.Message) {
 	addr, ok := d.address(to)
 	if !ok {
@@ -253,7 +253,7 @@
 	}
 	body, err := dispatch.Encode(d.self, m)
 	if err != nil {
-		d.log.Error("Message not written.", slog.Any("error", err))
+		d.log.Error("Message not encoded.", slog.Any("error", err))
 		return
 	}
 	d.write(addr, datagramTicket, body)
@@ -270,7 +270,7 @@
 	}
 }
 
-// ticketReply is the end of an ask, and the home that it came from.
+// ticketReply is the final reply to an acquire, and the home that sent it.
 type ticketReply struct {
 	dispatch.Message
 
@@ -286,7 +286,7 @@
 	d.flush(now, d.home.Refresh(now))
 }
 
-// acquire starts an ask. The channel gets a Placed or a Refused, or nothing after
+// acquire requests a ticket. The channel receives Assigned or Refused, or nothing after
 // cancel.
 func (d *dispatcher) acquire(now time.Time, a dispatch.Acquire) (dispatch.TicketID, <-chan ticketReply) {
 	ch := make(chan ticketReply, 1)
@@ -298,7 +298,7 @@
 	return id, ch
 }
 
-// cancel takes an ask back; it reports false where its end has come before.
+// cancel withdraws a ticket request. It returns false if the reply arrived first.
 func (d *dispatcher) cancel(now time.Time, id dispatch.TicketID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -311,7 +311,7 @@
 	return true
 }
 
-// release gives a ticket back.
+// release returns a ticket.
 func (d *dispatcher) release(now time.Time, id dispatch.TicketID, end dispatch.Result, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -322,15 +322,15 @@
 	d.flush(now, nil)
 }
 
-// recordAttempt notes how an attempt at a target of a zone ended.
+// recordAttempt records the result of an attempt at a target in the zone.
 func (d *dispatcher) recordAttempt(zone place.Zone, end dispatch.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reach.RecordAttempt(zone, end)
 }
 
-// recordSignal takes what a target asks of this host in an answer, and reports whether the
-// home of its pool was told that it leaves.
+// recordSignal records the signal in a target's response. It reports whether the home
+// of the pool was told that the target is leaving.
 func (d *dispatcher) recordSignal(now time.Time, pool dispatch.PoolID, row place.TargetRow, s target.Signal) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -342,23 +342,23 @@
 	return tell
 }
 
-// backoff returns since when a target has said that it leaves, zero if it has not,
-// and how much longer it wants no requests of this host.
+// backoff returns the time since which a target is leaving, zero if it is not, and how
+// much longer it wants no requests from this host.
 func (d *dispatcher) backoff(now time.Time, row place.TargetRow) (leaving time.Time, pause time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.backoffs.State(now, row.Target, row.Incarnation)
 }
 
-// excluded returns the targets among rows that want no new request of this host.
+// excluded returns the targets among rows that want no new requests from this host.
 func (d *dispatcher) excluded(now time.Time, rows []place.TargetRow) []place.Target {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.backoffs.Excluded(now, rows)
 }
 
-// isolated reports whether a cut has left this host with too few targets to take
-// clients.
+// isolated reports whether a network partition leaves this host too few targets to
+// serve clients.
 func (d *dispatcher) isolated(now time.Time, v *view) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -382,7 +382,7 @@
 	return d.reach.Partitioned(now, d.self.Zone, zones)
 }
 
-// announceStop tells the hosts that this one stops.
+// announceStop tells all hosts that this one stops.
 func (d *dispatcher) announceStop(hosts []member.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -394,21 +394,21 @@
 	d.client.Receive(time.Now(), d.self.Host, dispatch.Leave{})
 }
 
-// hostRestarted tells that a host has another life.
+// hostRestarted records that a host has a new incarnation.
 func (d *dispatcher) hostRestarted(host place.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.client.Started(host)
 }
 
-// targetStats returns what the homes here know of their targets.
+// targetStats returns the statistics of the homes here about their targets.
 func (d *dispatcher) targetStats(now time.Time) []dispatch.TargetStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.home.TargetStats(now)
 }
 
-// pools returns the state of the pools held here.
+// pools returns the state of the pools scheduled here.
 func (d *dispatcher) pools() []dispatch.PoolState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -32,8 +32,7 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// deployment is some hosts, targets and a store in one process, over real
-// sockets.
+// deployment runs hosts, targets and a fake store in one process, over real sockets.
 type deployment struct {
 	t       testing.TB
 	store   *fake.SessionStore
@@ -48,7 +47,7 @@
 	configs map[string]*traffic.Config
 }
 
-// testHost is a host that runs.
+// testHost is a running host.
 type testHost struct {
 	*Host
 
@@ -74,8 +73,8 @@
 	return b.buf.String()
 }
 
-// testConfig leads /keys/ to the ranged service "span" and /free/ to the
-// keyless service "desk".
+// testConfig routes /keys/ to the ranged service "span" and /free/ to the keyless
+// service "desk".
 func testConfig(version traffic.Version) *traffic.Config {
 	route := func(name, prefix string, service key.Service, idempotent bool) traffic.Route {
 		return traffic.Route{
@@ -129,7 +128,7 @@
 	d.client.CloseIdleConnections()
 }
 
-// putConfig puts a configuration into the store.
+// putConfig writes a configuration to the store.
 func (d *deployment) putConfig(c *traffic.Config) {
 	text := strconv.FormatUint(uint64(c.Version), 10)
 	d.mu.Lock()
@@ -138,12 +137,12 @@
 	d.store.Set(platform.PathConfig, []byte(text))
 }
 
-// panickingConfig is a configuration that makes its decoder panic.
+// panickingConfig makes the configuration decoder panic.
 const panickingConfig = "panic"
 
 func (d *deployment) decodeConfig(body []byte) (*traffic.Config, error) {
 	if string(body) == panickingConfig {
-		panic("told to")
+		panic("test panic")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -228,7 +227,7 @@
 	return r
 }
 
-// shutdown stops a host and waits for its end.
+// shutdown stops a host gracefully and waits for its end.
 func (r *testHost) shutdown() {
 	r.cancel()
 	<-r.done
@@ -236,7 +235,7 @@
 
 var requestIDs atomic.Int64
 
-// testResponse is what a client got.
+// testResponse is a client's result of a request.
 type testResponse struct {
 	id     string
 	status int
@@ -246,7 +245,6 @@
 	took   time.Duration
 }
 
-// send sends one request to a host.
 func (d *deployment) send(h *testHost, method, path string, point key.Point) testResponse {
 	id := "r" + strconv.FormatInt(requestIDs.Add(1), 10)
 	r, err := http.NewRequestWithContext(context.Background(), method, "http://"+h.site.Front.String()+path, http.NoBody)
@@ -270,10 +268,9 @@
 	}
 }
 
-// eventually waits until a condition holds.
-// eventually waits for something that must hold within a time. What a machine
-// sleeps longer than it was told, other work has taken from hosts and targets
-// too: that is added.
+// eventually waits until a condition holds, and fails after the given time.
+// Oversleeping is added to that time: on a busy machine the hosts and targets were
+// delayed as much.
 func (d *deployment) eventually(what string, within time.Duration, holds func() bool) {
 	d.t.Helper()
 	const pause = 20 * time.Millisecond
@@ -291,7 +288,7 @@
 	d.t.Fatalf("not within %v: %s", within, what)
 }
 
-// awaitServed waits until all keys and the keyless service are served everywhere.
+// awaitServed waits until all hosts serve the keys and the keyless service.
 func (d *deployment) awaitServed() {
 	d.t.Helper()
 	d.eventually("all keys are served", 15*time.Second, func() bool {
@@ -309,8 +306,8 @@
 	})
 }
 
-// expectStatus sends a request and fails with all that the host logged of it, unless
-// it ends with the status.
+// expectStatus sends a request. If it ends with another status, the test fails and
+// prints what the host logged about it.
 func (d *deployment) expectStatus(h *testHost, method, path string, point key.Point, status int) {
 	d.t.Helper()
 	a := d.send(h, method, path, point)
@@ -325,7 +322,7 @@
 	}
 	for _, other := range d.hosts {
 		body, err := json.Marshal(other.status(time.Now()))
-		d.t.Logf("%s goes by %s (%v)", other.site.Host, body, err)
+		d.t.Logf("%s has view %s (%v)", other.site.Host, body, err)
 	}
 	const shown = 40
 	d.t.Logf("%s logged:\n%s", h.site.Host, strings.Join(told[max(0, len(told)-shown):], "\n"))
--- a/internal/host/handler.go
+++ b/internal/host/handler.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// startingRetryAfter is the hint of a host that has no configuration yet.
+	// startingRetryAfter is the Retry-After hint while there is no configuration yet.
 	startingRetryAfter = 200 * time.Millisecond
-	// maxAnswerBytes bounds the body of an answer, which is held whole.
+	// maxAnswerBytes limits the body of a response, which is buffered whole.
 	maxAnswerBytes = 16 << 20
-	// maxBodyMemoryShare bounds the bodies of requests and answers held at once, as a share of
-	// the memory.
+	// maxBodyMemoryShare is the share of memory for the request and response bodies in
+	// flight.
 	maxBodyMemoryShare = 0.25
 )
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP handles one client request.
 func (h *Host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	id := r.Header.Get(h.names.Request)
@@ -43,8 +43,8 @@
 	outcome.WriteFractional(w, result)
 }
 
-// newJob checks a request and reads its body. The result is set where the
-// request ends here.
+// newJob validates a request and reads its body. It returns a result if the request
+// ends here.
 func (h *Host) newJob(w http.ResponseWriter, r *http.Request, id string, now time.Time) (*job, outcome.Result) {
 	v := h.views.view()
 	if v.routes == nil {
@@ -93,9 +93,9 @@
 	return j, nil
 }
 
-// setDeadlines sets when the request must and should be answered. A client that
-// gives less time than its kind usually does comes back after a refusal: part
-// of its aim is gone.
+// setDeadlines sets the deadline and the soft deadline. A client that sends a shorter
+// timeout than usual is retrying after a refusal, so part of its latency objective is
+// used up.
 func (j *job) setDeadlines(now time.Time, left, usual time.Duration) {
 	timeout := j.route.Timeout
 	if timeout <= 0 {
@@ -109,10 +109,10 @@
 	j.deadline, j.softDeadline = now.Add(timeout), now.Add(aim)
 }
 
-// defaultTimeout holds for routes that name none.
+// defaultTimeout is the timeout of routes that set none.
 const defaultTimeout = 10 * time.Second
 
-// timeLeft returns the time that the client says it waits, or zero.
+// timeLeft returns the timeout in the client's deadline header, or zero.
 func (h *Host) timeLeft(r *http.Request) time.Duration {
 	ms, err := strconv.ParseFloat(r.Header.Get(h.names.Deadline), 64)
 	const most = 1e9
@@ -122,7 +122,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// pathOf returns the path as the client sent it.
+// pathOf returns the path as sent by the client, still escaped.
 func pathOf(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		path, _, _ := strings.Cut(r.RequestURI, "?")
@@ -131,9 +131,9 @@
 	return r.URL.EscapedPath()
 }
 
-// headerBytes returns about the size of a request's head.
+// headerBytes returns the approximate size of a request's head.
 func headerBytes(r *http.Request) int {
-	const separators = 4 // ": " and a line end
+	const separators = 4 // ": " and CRLF
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
@@ -143,8 +143,8 @@
 	return n
 }
 
-// readBody reads a body into memory, within the configured bound and that of
-// the host.
+// readBody reads a body into memory, limited by bound and by the body memory of the
+// host.
 func (h *Host) readBody(r *http.Request, bound int64) ([]byte, outcome.Result) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, nil
@@ -158,7 +158,7 @@
 	body, err := io.ReadAll(io.LimitReader(r.Body, bound+1))
 	switch {
 	case err != nil:
-		h.log.Info("Body of a request not read.", slog.Any("error", err))
+		h.log.Info("Request body not read.", slog.Any("error", err))
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyCut}
 	case int64(len(body)) > bound:
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
@@ -169,8 +169,8 @@
 	return body, nil
 }
 
-// recordEnd counts and logs the end of a request: one line each, with what decided
-// it.
+// recordEnd counts the request and logs a single line with its result and the reasons
+// for it.
 func (h *Host) recordEnd(j *job, id string, start time.Time, result outcome.Result) {
 	took := time.Since(start)
 	attrs := []any{
@@ -192,7 +192,7 @@
 	h.log.Info("Request ended.", attrs...)
 }
 
-// logAttrs are what a request's line tells of its way.
+// logAttrs returns the attributes that describe how the request was processed.
 func (j *job) logAttrs() []any {
 	attrs := []any{
 		slog.String("route", string(j.route.Name)), slog.String("service", string(j.service.Name)),
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,6 +1,6 @@
-// Package host runs one host of a deployment whose platform keeps what must
-// last: it takes clients' requests, leads services, and shares what it knows
-// with the other hosts. One process does it all.
+// Package host runs one host of a deployment whose platform provides durable storage.
+// One process serves client requests, leads services and replicates state to the other
+// hosts.
 package host
 
 import (
@@ -36,25 +36,25 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// Environment is what a host meets the outside through.
+// Environment holds the external dependencies of a host.
 type Environment struct {
 	Site   site.Site
 	Store  platform.SessionStore
 	Orders target.OrderDialer
-	// Names are the headers that clients and targets use.
+	// Names are the header names that clients and targets use.
 	Names *target.HeaderNames
-	// Dial opens connections to targets.
-	Dial forward.Dial
-	// DecodeConfig and DecodeTarget read what others wrote into the store.
+	Dial  forward.Dial
+	// DecodeConfig and DecodeTarget decode the store's configuration and target
+	// entries.
 	DecodeConfig func(body []byte) (*traffic.Config, error)
 	DecodeTarget func(name place.Target, body []byte) (place.TargetRow, error)
 	Keys         peer.Credentials
-	// ReadSite reads the site again, after its file changed.
+	// ReadSite reads the settings file again.
 	ReadSite func() (site.Site, error)
 	Journal  *logging.BoundedHandler
 }
 
-// Host is one process. It is an http.Handler for clients.
+// Host is one process of the deployment. It implements http.Handler for clients.
 type Host struct {
 	env         Environment
 	site        site.Site
@@ -81,20 +81,21 @@
 	registry       *metric.Registry
 	admin          *admin.Server
 
-	// bounds change with the settings file.
+	// bounds are reloaded with the settings file.
 	bounds atomic.Pointer[site.Bounds]
 
 	front    net.Listener
 	ready    net.Listener
 	stopping atomic.Bool
-	// isolated tells that a cut keeps most targets from this host, by the last look.
+	// isolated is the last result of checkIsolated: a network partition separates this
+	// host from most targets.
 	isolated atomic.Bool
 
 	mu          sync.Mutex
 	controllers map[key.Service]*controller
 }
 
-// Open opens the sockets of a host; nothing runs yet.
+// Open opens the sockets of a host. Nothing runs until Run.
 func Open(env Environment) (*Host, error) {
 	h := &Host{
 		env: env, site: env.Site, names: env.Names, log: slog.New(env.Journal),
@@ -132,12 +133,12 @@
 func (h *Host) openSockets() error {
 	link, err := peer.New(peer.Config{Listen: h.site.Peer, Keys: h.env.Keys, Log: h.log})
 	if err != nil {
-		return fmt.Errorf("host: peer address: %w", err)
+		return fmt.Errorf("host: open peer address: %w", err)
 	}
 	h.link = link
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(h.site.Ticket))
 	if err != nil {
-		return fmt.Errorf("host: ticket address: %w", err)
+		return fmt.Errorf("host: open ticket address: %w", err)
 	}
 	self := dispatch.Peer{Host: h.site.Host, Incarnation: h.incarnation, Zone: h.site.Zone}
 	h.dispatcher = newDispatcher(self, conn, h.log, h)
@@ -148,10 +149,10 @@
 	}
 	h.dispatcher.catalog = func() dispatch.Catalog { return h.views.view() }
 	if h.front, err = net.Listen("tcp4", h.site.Front.String()); err != nil {
-		return fmt.Errorf("host: front address: %w", err)
+		return fmt.Errorf("host: open front address: %w", err)
 	}
 	if h.ready, err = net.Listen("tcp4", h.site.Ready.String()); err != nil {
-		return fmt.Errorf("host: ready address: %w", err)
+		return fmt.Errorf("host: open ready address: %w", err)
 	}
 	if h.site.Admin.IsValid() {
 		h.admin, err = admin.Listen(h.site.Admin, h.registry.Handler(), status.Handler(h))
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// configVersion returns the version of a configuration, and whether it is readable.
+// configVersion returns the version of a configuration and whether it could be decoded.
 func (h *Host) configVersion(body []byte) (version traffic.Version, ok bool) {
 	h.guard("configuration", func() {
 		if c, err := h.env.DecodeConfig(body); err == nil {
@@ -187,8 +188,8 @@
 	return version, ok
 }
 
-// firstReadDelay returns how long a host that starts waits for what the seeds have
-// read from the store. A seed itself does not wait.
+// firstReadDelay returns how long a starting host waits for the documents that the
+// seeds have read before it reads the store itself. A seed does not wait.
 func firstReadDelay(s *site.Site) time.Duration {
 	if len(s.Seeds) == 0 || slices.ContainsFunc(s.Seeds, func(o site.Seed) bool { return o.Peer == s.Peer }) {
 		return 0
@@ -217,10 +218,10 @@
 	return m.TicketAddr, ok
 }
 
-// Run serves until ctx ends, then stops in a planned way.
+// Run serves requests until ctx ends and then shuts down gracefully.
 func (h *Host) Run(ctx context.Context) error {
-	// All but the serving of requests ends with background, after those that
-	// run have ended.
+	// Everything except request serving runs until background ends, so that in-flight
+	// requests can finish during shutdown.
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	group, background := errgroup.WithContext(background)
@@ -255,8 +256,8 @@
 	return err
 }
 
-// guard runs f and reports whether it came to its end; one that panics is logged
-// and counted.
+// guard runs f and reports whether it returned. A panic is recovered, logged and
+// counted.
 func (h *Host) guard(part string, f func()) (ended bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -267,14 +268,14 @@
 	return true
 }
 
-// panicked notes that a part of this process panicked, and goes on without what it
-// was doing.
+// panicked logs and counts a panic. The process continues without the work that
+// panicked.
 func (h *Host) panicked(part string, cause any) {
 	h.metrics.countPanic(part)
 	logging.LogPanic(h.log, part, cause)
 }
 
-// loopViews puts newer views in force.
+// loopViews keeps the view up to date until ctx ends.
 func (h *Host) loopViews(ctx context.Context) error {
 	published := h.replica.Subscribe("")
 	lives := make(map[place.Host]place.Incarnation)
@@ -309,11 +310,11 @@
 	}
 }
 
-// maxExpiryCheckInterval is the longest time between two looks at what may have expired.
+// maxExpiryCheckInterval is the longest time between two checks for expired targets.
 const maxExpiryCheckInterval = 500 * time.Millisecond
 
-// applyLists puts newer lists of hosts and targets in force; lives are those of the
-// hosts so far.
+// applyLists puts changed lists of hosts and targets in force. It updates incarnations,
+// the last known incarnation of each host.
 func (h *Host) applyLists(now time.Time, v *view, lives map[place.Host]place.Incarnation) {
 	h.connPools.setHosts(len(v.members.Hosts))
 	for _, m := range v.members.Hosts {
@@ -325,7 +326,7 @@
 	h.dispatcher.refresh(now, v)
 }
 
-// loopConnPools closes what is no longer used.
+// loopConnPools closes unused connection pools until ctx ends.
 func (h *Host) loopConnPools(ctx context.Context) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -339,7 +340,7 @@
 	}
 }
 
-// runControllers runs a runner for each ranged service until ctx ends.
+// runControllers runs a controller for each ranged service until ctx ends.
 func (h *Host) runControllers(ctx context.Context) error {
 	var group errgroup.Group
 	for {
@@ -359,7 +360,8 @@
 	}
 }
 
-// addController returns the runner of a ranged service that has none yet.
+// addController creates the controller of a ranged service. It returns nil for other
+// services and where a controller exists already.
 func (h *Host) addController(s *traffic.Service) *controller {
 	if s.Keys != traffic.Ranged {
 		return nil
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -15,7 +15,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// TestServesBothKinds serves both kinds of service from three hosts.
+// TestServesBothKinds sends requests for both kinds of service through three hosts.
 func TestServesBothKinds(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3, 3, 2)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestRetriesAreBudgeted lets every target refuse as not its own: what is sent
-// again stays within the budget of all hosts.
+// TestRetriesAreBudgeted: while every target refuses requests as misdirected, the
+// retries of all hosts stay within the retry budget.
 func TestRetriesAreBudgeted(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 2, 0)
@@ -49,7 +49,7 @@
 			d.send(d.hosts[1], "GET", "/keys/x", 5).status == http.StatusOK
 	})
 	for _, r := range d.targets {
-		r.Name += "-other" // answers 421 to what expects it by its old name
+		r.Name += "-other" // responds 421 to requests that expect the old name
 	}
 	before := 0
 	for _, r := range d.targets {
@@ -69,8 +69,8 @@
 	assert.Assert(t, arrived <= allowed, "%d arrivals for %d requests, %d allowed", arrived, requests, allowed)
 }
 
-// TestListedTargetLeaving: a ranged target that says that it leaves loses its ranges
-// and gets nothing after the time that it may still be used.
+// TestListedTargetLeaving: a ranged target that the platform lists as leaving loses its
+// ranges and gets no requests after its drain time.
 func TestListedTargetLeaving(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 3, 1)
@@ -85,18 +85,18 @@
 	assert.Equal(t, gone.Arrived(), before)
 }
 
-// TestTargetLost: the ranges of a target that is lost without a word are served
-// again once its grants have ended, and until then refused at once.
+// TestTargetLost: after an unannounced loss of a target its ranges are served again
+// once its grants have expired. Until then requests for them are refused promptly.
 func TestTargetLost(t *testing.T) {
 	t.Parallel()
 	tests := map[string]struct {
 		faults fake.RangeTargetFaults
 		within time.Duration
 	}{
-		// The end of its last grant, and a second.
-		"takes no connection": {fake.RangeTargetFaults{Unreachable: true}, grantDuration + time.Second},
-		// An order without an answer may lengthen a grant once more.
-		"answers nothing": {fake.RangeTargetFaults{DropOrders: true}, 2*grantDuration + orderTimeout + time.Second},
+		// Until its last grant expires, and a second more.
+		"refuses connections": {fake.RangeTargetFaults{Unreachable: true}, grantDuration + time.Second},
+		// An unacknowledged order may extend a grant once more.
+		"target unresponsive": {fake.RangeTargetFaults{DropOrders: true}, 2*grantDuration + orderTimeout + time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestNonIdempotentIsNotRetried: work that must run at most once is not sent
-// again after its connection broke, and is not called not-run.
+// TestNonIdempotentIsNotRetried: a request that must run at most once is not retried
+// after its connection broke, and is not reported as not run.
 func TestNonIdempotentIsNotRetried(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 1, 2)
@@ -148,8 +148,8 @@
 	assert.Assert(t, cut > 10)
 }
 
-// TestOlderConfigIsIgnored: a configuration is in force everywhere soon, and
-// an older one that shows up later changes nothing.
+// TestOlderConfigIsIgnored: a new configuration is soon in force on all hosts. An older
+// one that appears later changes nothing.
 func TestOlderConfigIsIgnored(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 3, 1, 1)
@@ -157,7 +157,7 @@
 	next := testConfig(4)
 	next.Routes[1].Prefix = "/new/"
 	d.putConfig(next)
-	d.eventually("the new route is there", 2*time.Second, func() bool {
+	d.eventually("the new route is in force", 2*time.Second, func() bool {
 		for _, h := range d.hosts {
 			if d.send(h, "POST", "/new/x", 0).status != http.StatusOK {
 				return false
@@ -173,15 +173,15 @@
 	}
 }
 
-// TestStoreUnavailable: with the store out, requests go on, and a host that starts
-// gets the configuration from its peers.
+// TestStoreUnavailable: during a store outage requests are served, and a starting host
+// gets the configuration from other hosts.
 func TestStoreUnavailable(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 2, 1)
 	d.awaitServed()
 	d.store.SetFaults(fake.SessionFaults{Down: true})
 	late := d.addHost(7)
-	d.eventually("a host that starts now serves", 5*time.Second, func() bool {
+	d.eventually("a newly started host serves", 5*time.Second, func() bool {
 		return d.send(late, "POST", "/free/x", 0).status == http.StatusOK
 	})
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -194,7 +194,7 @@
 	d.awaitServed()
 }
 
-// TestLeaderStops: a planned stop hands the lead on, and no key is without its
+// TestLeaderStops: a graceful stop hands leadership over, and no key is without its
 // owner meanwhile.
 func TestLeaderStops(t *testing.T) {
 	t.Parallel()
@@ -213,17 +213,17 @@
 	<-stopped
 }
 
-// TestLeaderStopsWithoutStore: a lead that is stopped while the store is out
-// renews what stands until it can hand on, or for as long as its stop may take;
-// nobody else can.
+// TestLeaderStopsWithoutStore: a leader that is stopped during a store outage renews
+// grants until it can hand leadership over, or until its grace period ends. No other
+// host can take over during the outage.
 func TestLeaderStopsWithoutStore(t *testing.T) {
 	t.Parallel()
 	tests := map[string]struct {
 		out  time.Duration
 		want string
 	}{
-		"store comes back": {time.Second, `"msg":"Lead handed on."`},
-		"store stays out":  {5 * time.Second, `"msg":"Lead not handed on, it lapses."`},
+		"outage ends":  {time.Second, `"msg":"Leadership handed over."`},
+		"outage lasts": {5 * time.Second, `"msg":"Leadership not handed over, its lease will expire."`},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -249,8 +249,8 @@
 	}
 }
 
-// TestLoadSheddingTargets: where targets turn away half of what they have room for, a
-// caller is told to come back while it can still be answered in its aim.
+// TestLoadSheddingTargets: while targets refuse half of the requests that they have
+// slots for, the Retry-After hint lets a client retry within the latency objective.
 func TestLoadSheddingTargets(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1, 2, 0)
@@ -273,12 +273,12 @@
 			continue
 		}
 		back++
-		if time.Since(start) < aim/2 { // the network to a caller takes some as well
+		if time.Since(start) < aim/2 { // the rest is for the network to the client
 			inAim++
 		}
 	}
-	assert.Assert(t, back > 20, "%d came back and were served", back)
-	assert.Assert(t, inAim > back*9/10, "%d of %d in time", inAim, back)
+	assert.Assert(t, back > 20, "%d retried and served", back)
+	assert.Assert(t, inAim > back*9/10, "%d of %d on time", inAim, back)
 }
 
 // leader returns the host that leads the ranged service.
--- a/internal/host/idlelimit.go
+++ b/internal/host/idlelimit.go
@@ -10,21 +10,20 @@
 )
 
 const (
-	// idleLimitRatio is the part of the time after which a kept connection was
-	// found dead up to which others of the service are still used: targets
-	// differ in when they forget a connection.
+	// idleLimitRatio scales the idle time of a connection that was found dead to the
+	// limit for the others of its service. Targets differ in when they drop idle
+	// connections.
 	idleLimitRatio = 0.5
-	// minDeadIdle is the shortest such time. A connection that breaks sooner
-	// has broken under its request.
+	// minDeadIdle is the shortest idle time that counts as the cause. With a shorter
+	// one the connection broke during its request.
 	minDeadIdle = 200 * time.Millisecond
-	// idleLimitTTL is how long after the last such find all are used again.
+	// idleLimitTTL is how long after the last dead connection a limit applies.
 	idleLimitTTL = 20 * time.Second
 )
 
-// idleLimits tells how long a connection to a service's targets may have been idle
-// to be used again. It answers targets that forget idle connections without a
-// word: what is sent next is reset, may have run for all one knows, and is lost
-// if it can't be repeated. Safe for concurrent use.
+// idleLimits limits how long a connection to a service's targets may have been idle to
+// be reused. Some targets drop idle connections without closing them: the next request
+// is reset, may have run, and is lost if it can't be retried. Safe for concurrent use.
 type idleLimits struct {
 	mu       sync.Mutex
 	services map[key.Service]*idleLimit
@@ -37,7 +36,7 @@
 
 func newIdleLimits() *idleLimits { return &idleLimits{services: make(map[key.Service]*idleLimit)} }
 
-// limit returns the longest idle time, zero for any.
+// limit returns the longest idle time, zero for no limit.
 func (t *idleLimits) limit(now time.Time, service key.Service) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,7 +46,8 @@
 	return 0
 }
 
-// observe takes the end of a request and reports whether it changed the time.
+// observe records the result of a request. It reports whether the limit was set to a
+// value from this result.
 func (t *idleLimits) observe(now time.Time, service key.Service, result forward.Result) bool {
 	u, ok := result.(forward.Uncertain)
 	if !ok || u.Idle < minDeadIdle || u.Reason != outcome.AnswerCut && u.Reason != outcome.SendCut {
--- a/internal/host/idlelimit_test.go
+++ b/internal/host/idlelimit_test.go
@@ -19,14 +19,14 @@
 		after time.Duration
 		want  time.Duration
 	}{
-		"nothing known":              {want: 0},
-		"a new connection was cut":   {ends: []forward.Result{cut(0)}, want: 0},
-		"cut under its request":      {ends: []forward.Result{cut(100 * time.Millisecond)}, want: 0},
-		"an idle one was cut":        {ends: []forward.Result{cut(3 * time.Second)}, want: 1500 * time.Millisecond},
-		"the shorter time counts":    {ends: []forward.Result{cut(2 * time.Second), cut(4 * time.Second)}, want: time.Second},
-		"no answer is no reset":      {ends: []forward.Result{forward.Uncertain{Reason: outcome.AnswerLate, Idle: time.Second}}, want: 0},
-		"an answer says nothing":     {ends: []forward.Result{forward.Completed{}}, want: 0},
-		"all are used again in time": {ends: []forward.Result{cut(3 * time.Second)}, after: idleLimitTTL, want: 0},
+		"nothing known":            {want: 0},
+		"new connection broke":     {ends: []forward.Result{cut(0)}, want: 0},
+		"broke during its request": {ends: []forward.Result{cut(100 * time.Millisecond)}, want: 0},
+		"idle connection broke":    {ends: []forward.Result{cut(3 * time.Second)}, want: 1500 * time.Millisecond},
+		"shorter limit wins":       {ends: []forward.Result{cut(2 * time.Second), cut(4 * time.Second)}, want: time.Second},
+		"timeout is not a reset":   {ends: []forward.Result{forward.Uncertain{Reason: outcome.AnswerLate, Idle: time.Second}}, want: 0},
+		"completed request":        {ends: []forward.Result{forward.Completed{}}, want: 0},
+		"limit expires":            {ends: []forward.Result{cut(3 * time.Second)}, after: idleLimitTTL, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
--- a/internal/host/job.go
+++ b/internal/host/job.go
@@ -18,78 +18,78 @@
 )
 
 const (
-	// maxParkShare is the part of its time for which a request waits for its range
-	// to get an owner: a planned move takes as long as the work that runs, and
-	// what is left must do for its own.
+	// maxParkShare is the share of its timeout for which a request waits for its key to
+	// get an owner. A planned move takes as long as the running work, and the remaining
+	// time must suffice for the request itself.
 	maxParkShare = 0.4
-	// misdirectedPause is the wait after a target said that it does not own the
-	// key, if no newer table comes before: without one the same target would
-	// most likely say the same.
+	// misdirectedPause is the wait after a target responded that it does not own the
+	// key, unless a newer routing table arrives first. Without one the same target
+	// would most likely respond the same.
 	misdirectedPause = 150 * time.Millisecond
-	// busyPause is the wait after a target refused for want of room.
+	// busyPause is the wait after a target refused a request because it had no free
+	// slot.
 	busyPause = 20 * time.Millisecond
-	// isolatedMaxIdle is how long a connection may have been idle where no host near
-	// the target answers: what is sent into a cut is lost, while a new connection
-	// that can't be made leaves no doubt.
+	// isolatedMaxIdle is the longest idle time of a reused connection while no host
+	// near the target responds. A request lost in a network partition has an unknown
+	// outcome, while a failed dial leaves no doubt.
 	isolatedMaxIdle = 100 * time.Millisecond
-	// minSendTime is the time left below which nothing is sent any more: no
-	// target answers that fast.
+	// minSendTime is the least remaining time with which a request is still sent. No
+	// target responds faster.
 	minSendTime = 5 * time.Millisecond
-	// defaultRetryAfter is the hint for a client whose key has no owner, where
-	// nothing better is known.
+	// defaultRetryAfter is the Retry-After hint where nothing better is known.
 	defaultRetryAfter = 300 * time.Millisecond
 )
 
-// job is one request on its way to a target.
+// job is one client request on its way to a target.
 type job struct {
 	host    *Host
 	route   *traffic.Route
 	service *traffic.Service
 	request forward.Request
 	point   key.Point
-	// deadline is when the answer must be there; aimAt when it should be.
+	// deadline is when the response must be sent, softDeadline when it should be.
 	deadline     time.Time
 	softDeadline time.Time
 	arrived      time.Time
-	// attempts counts the targets that may have worked on the request,
-	// arrivals those that it reached at all.
+	// attempts counts the targets that may have worked on the request, arrivals those
+	// that received it at all.
 	attempts int
 	arrivals int
 	tried    []place.Target
-	// serverError is a target's own failure of an earlier attempt.
+	// serverError is a 5xx response of an earlier attempt.
 	serverError outcome.Result
-	// unsent and foreign count the attempts that reached no target, and those
-	// that a target refused as not its own.
+	// unsent counts the attempts that reached no target, misdirected those refused by a
+	// target that does not own the key.
 	unsent, misdirected int
-	// uncertain is the reason of an attempt that may have run; after one the
-	// request can no longer end as not-run.
+	// uncertain is why an earlier attempt may have run. Once set, the request can't end
+	// as not run.
 	uncertain outcome.Reason
-	// parkedAt is since when its key has no owner; parked is how long it waited
-	// for one last, queued the time for slots.
+	// parkedAt is the time since which the key has no owner, parked the last wait for
+	// one, and queued the total wait for slots.
 	parkedAt       time.Time
 	parked, queued time.Duration
-	// home gave the last ticket or refused it, for a reason.
+	// home sent the last ticket or refusal, the latter with a reason.
 	home     place.Host
 	ticketID dispatch.TicketID
 	refusal  dispatch.Reason
-	// last is the target that the request was last sent to.
+	// last is the target of the last attempt.
 	last place.Target
-	// reservedBytes is the memory in bytes that is reserved for bodies.
+	// reservedBytes is the memory reserved for bodies.
 	reservedBytes int64
-	// config and table are the versions that the last decision went by, and
-	// tableAge the age of that table.
+	// config and table are the versions used for the last decision, tableAge is the age
+	// of that routing table.
 	config   traffic.Version
 	table    owner.Version
 	tableAge time.Duration
-	// cold tells that its key was slow at its owner by that table.
+	// cold is set if the table says that the key is still slow at its owner.
 	cold bool
 }
 
-// step is what follows from an attempt.
+// step is what to do after an attempt.
 type step interface{ step() }
 
-// finish ends the request; again makes another attempt after a pause, or as
-// soon as there is a newer view.
+// finishStep ends the request. retryStep makes another attempt after the pause, or as
+// soon as a newer view is in force.
 type (
 	finishStep struct{ result outcome.Result }
 	retryStep  struct{ pause time.Duration }
@@ -98,7 +98,8 @@
 func (finishStep) step() {}
 func (retryStep) step()  {}
 
-// run takes the request to its end. ctx ends when the client has gone.
+// run processes the request until it has a result. ctx ends when the client
+// disconnects.
 func (j *job) run(ctx context.Context) outcome.Result {
 	for {
 		now := time.Now()
@@ -117,8 +118,8 @@
 	}
 }
 
-// pause waits for a newer view, at most for d; it reports false where the
-// client has gone.
+// pause waits for a newer view, at most for d. It returns false if the client
+// disconnected.
 func (j *job) pause(ctx context.Context, v *view, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -131,8 +132,8 @@
 	return true
 }
 
-// finalResult keeps not-run true: a request of which one attempt may have run is not
-// refused after a later one.
+// finalResult corrects the result by earlier attempts: a request that may have run must
+// not be reported as not run, also if a later attempt was refused.
 func (j *job) finalResult(r outcome.Result) outcome.Result {
 	if _, ok := r.(outcome.Response); ok {
 		return r
@@ -146,7 +147,8 @@
 	return r
 }
 
-// deadlineExceeded is the end of a request whose time has run out before it was sent.
+// deadlineExceeded returns the result of a request that ran out of time before it was
+// sent.
 func (j *job) deadlineExceeded() outcome.Result {
 	return outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: defaultRetryAfter}
 }
@@ -164,7 +166,8 @@
 	return j.send(ctx, placed)
 }
 
-// resolve returns the pool to ask, and the owner of the key in a ranged service.
+// resolve returns the pool to acquire a ticket from and, for a ranged service, the
+// owner of the key.
 func (j *job) resolve(now time.Time, v *view) (dispatch.PoolID, place.Target, step) {
 	if j.service.Keys == traffic.Keyless {
 		return v.pool(j.service.Name, j.host.site.Zone), "", nil
@@ -191,8 +194,8 @@
 	return dispatch.PoolID{}, "", retryStep{most - j.parked}
 }
 
-// lookupSpan returns the part of the table that the key lies in, and the time until
-// it probably has an owner where it has none.
+// lookupSpan returns the span of the routing table that contains the key. If the key
+// has no owner, it also returns the time until it probably has one.
 func (j *job) lookupSpan(now time.Time, v *view) (*owner.Span, time.Duration) {
 	table := v.tables[j.service.Name]
 	if table == nil {
@@ -246,17 +249,18 @@
 	}
 }
 
-// ticket is a slot of a target that this host may use.
+// ticket is permission to use one slot of a target.
 type ticket struct {
 	id     dispatch.TicketID
 	target place.Target
 	dispatch.Assigned
 	waited time.Duration
-	// isolated tells that the home is this host for want of another.
+	// isolated is set if this host was its own home because it reached no other
+	// candidate.
 	isolated bool
 }
 
-// handleResult follows a home's verdict.
+// handleResult handles the final reply of a home.
 func (j *job) handleResult(asked time.Time, id dispatch.TicketID, end ticketReply, owner place.Target) (ticket, step) {
 	waited := time.Since(asked)
 	j.queued += waited
@@ -264,8 +268,8 @@
 	switch m := end.Message.(type) {
 	case dispatch.Assigned:
 		if s := j.checkSlot(m, owner); s != nil {
-			// This host knows more than the home.
-			j.host.log.Info("Slot not used, its target wants no request.", slog.String("request", j.request.ID),
+			// This host may know more recent state than the home.
+			j.host.log.Info("Slot not used, target is leaving or paused.", slog.String("request", j.request.ID),
 				slog.String("target", string(m.Target)), slog.String("home", string(end.home)), slog.Uint64("ticket", uint64(id)))
 			return j.returnTicket(id, m), s
 		}
@@ -281,7 +285,7 @@
 	return ticket{}, finishStep{outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: defaultRetryAfter}}
 }
 
-// returnTicket gives a ticket back that came too late to be used.
+// returnTicket returns a ticket that arrived too late to be used.
 func (j *job) returnTicket(id dispatch.TicketID, m dispatch.Message) ticket {
 	if _, ok := m.(dispatch.Assigned); ok {
 		j.host.dispatcher.release(time.Now(), id, dispatch.ResultUnused, 0)
@@ -289,7 +293,7 @@
 	return ticket{}
 }
 
-// ownedBy reports whether a view gives the job's key to the target.
+// ownedBy reports whether the view's routing table assigns the job's key to the target.
 func (j *job) ownedBy(v *view, name place.Target) bool {
 	table := v.tables[j.service.Name]
 	if table == nil {
@@ -299,7 +303,7 @@
 	return span != nil && span.Target == name
 }
 
-// send uses a ticket.
+// send sends the request with a ticket.
 func (j *job) send(ctx context.Context, t ticket) step {
 	h := j.host
 	if j.arrivals > 0 && !h.retryBudget.withdraw(time.Now(), j.service.Name) {
@@ -307,7 +311,7 @@
 		return finishStep{j.retryDenied()}
 	}
 	if !j.route.Idempotent {
-		// A client that has gone does not stop work that must not be cut.
+		// Work that is not idempotent must not be aborted when its client disconnects.
 		ctx = context.WithoutCancel(ctx)
 	}
 	start := time.Now()
@@ -319,13 +323,13 @@
 	took := time.Since(start)
 	end := endOf(result)
 	if ctx.Err() != nil && end != dispatch.ResultTimeout {
-		end = dispatch.ResultUnused // the client has gone
+		end = dispatch.ResultUnused // the client disconnected
 	}
 	h.dispatcher.release(time.Now(), t.id, end, took)
 	h.dispatcher.recordAttempt(h.views.view().targets[t.target].Zone, end)
 	j.last = t.target
 	if now := time.Now(); h.idleLimits.observe(now, j.service.Name, result) {
-		h.log.Info("Target forgets idle connections, shorter ones are used.", slog.String("request", j.request.ID),
+		h.log.Info("Idle connection to target was dead, lowering the idle limit.", slog.String("request", j.request.ID),
 			slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)),
 			millisAttr("idle", h.idleLimits.limit(now, j.service.Name)))
 	}
@@ -337,7 +341,7 @@
 	return j.handleAttempt(ctx, t, result)
 }
 
-// reserveMemory reserves memory for an answer until the request has ended.
+// reserveMemory reserves memory for a response until the request ends.
 func (j *job) reserveMemory(bytes int64) bool {
 	if !j.host.bodyMemory.TryAcquire(bytes) {
 		return false
@@ -346,7 +350,7 @@
 	return true
 }
 
-// logAttempt writes a line for an attempt that was not served.
+// logAttempt logs an attempt that was not served.
 func (j *job) logAttempt(t ticket, end dispatch.Result, took time.Duration, result forward.Result) {
 	attrs := []any{
 		slog.String("request", j.request.ID), slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)),
@@ -366,19 +370,19 @@
 	j.host.log.Info("Attempt not served.", attrs...)
 }
 
-// retryDenied is the end of a request that may not be sent once more.
+// retryDenied returns the result of a request that exhausted the retry budget.
 func (j *job) retryDenied() outcome.Result {
 	return outcome.NotRunFailure{Reason: outcome.Refused, RetryAfter: busyRetryAfter}
 }
 
 const (
-	// maxUnsent bounds the attempts that reach no target, maxForeign those
-	// that are refused as not the target's own.
+	// maxUnsent limits the attempts that reach no target, maxMisdirected those that
+	// reach a target that does not own the key.
 	maxUnsent      = 4
 	maxMisdirected = 3
 )
 
-// handleAttempt decides what follows from an attempt.
+// handleAttempt returns the step after an attempt.
 func (j *job) handleAttempt(ctx context.Context, t ticket, result forward.Result) step {
 	if _, unsent := result.(forward.NotSent); !unsent {
 		j.arrivals++
@@ -408,8 +412,8 @@
 	return finishStep{outcome.UnknownFailure{Reason: outcome.AnswerBad}}
 }
 
-// retryPause returns the pause before another attempt; a keyless service has other
-// targets, which need none.
+// retryPause returns the pause before a retry. A keyless service needs none, as it has
+// other targets.
 func (j *job) retryPause(pause time.Duration) time.Duration {
 	if j.service.Keys == traffic.Keyless {
 		return 0
@@ -417,7 +421,7 @@
 	return pause
 }
 
-// mayRetry counts an attempt and reports whether another one is allowed.
+// mayRetry counts an attempt and reports whether the route allows another one.
 func (j *job) mayRetry(t ticket) bool {
 	j.attempts++
 	j.tried = append(j.tried, t.target)
@@ -450,11 +454,12 @@
 	return retryStep{j.retryPause(busyPause)}
 }
 
-// busyRetryAfter is the hint after a target refused although its home counted a free
-// slot there: about one refusal in flight, as the next request may be taken.
+// busyRetryAfter is the Retry-After hint after a target refused a request although its
+// home counted a free slot. It covers about one refusal in flight; the next request may
+// be accepted.
 const busyRetryAfter = 25 * time.Millisecond
 
-// endOf tells a home how an attempt ended.
+// endOf converts the result of an attempt to the result reported to the home.
 func endOf(result forward.Result) dispatch.Result {
 	switch r := result.(type) {
 	case forward.Completed:
--- a/internal/host/loadreport.go
+++ b/internal/host/loadreport.go
@@ -15,29 +15,28 @@
 )
 
 const (
-	// minReportInterval is the time between two load reports to a lead: it plans
-	// about as often.
+	// minReportInterval is the shortest time between two load reports to a leader,
+	// about its planning interval.
 	minReportInterval = 200 * time.Millisecond
-	// reportIntervalPerHost is the time that a lead has for the reports of one host: of
-	// hundreds each reports less often, and all together say as much.
+	// reportIntervalPerHost is a leader's time per report. With hundreds of hosts each
+	// reports less often; together they carry as much information.
 	reportIntervalPerHost = 2 * time.Millisecond
-	// maxReportInterval bounds the time between two reports.
+	// maxReportInterval is the longest time between two reports.
 	maxReportInterval = time.Second
 )
 
-// reportIntervalFor returns the time between two reports of one of so many hosts.
+// reportIntervalFor returns the report interval for a number of hosts.
 func reportIntervalFor(hosts int) time.Duration {
 	return min(max(minReportInterval, time.Duration(hosts)*reportIntervalPerHost), maxReportInterval)
 }
 
-// maxReportPoints is how many points one datagram carries.
+// maxReportPoints is the number of points that fit a datagram.
 const maxReportPoints = 150
 
-// maxReportTargets is how many targets one datagram carries.
+// maxReportTargets is the number of targets that fit a datagram.
 const maxReportTargets = 20
 
-// keyCounter counts the requests of ranged services by key. Safe for concurrent
-// use.
+// keyCounter counts the requests of ranged services by key. Safe for concurrent use.
 type keyCounter struct {
 	mu     sync.Mutex
 	counts map[key.Service]map[key.Point]int
@@ -56,7 +55,7 @@
 	points[p]++
 }
 
-// takeAll returns the counts since the last call.
+// takeAll returns the counts since the last call and resets them.
 func (m *keyCounter) takeAll() map[key.Service]map[key.Point]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +64,7 @@
 	return out
 }
 
-// loadReport is what a host tells a lead.
+// loadReport is what a host reports to the leader of a service.
 type loadReport struct {
 	service key.Service
 	points  map[key.Point]int
@@ -75,7 +74,7 @@
 type wireReport struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	Points  []uint32 // point and count by turns
+	Points  []uint32 // points and their counts, alternating
 	Targets []wireTargetStats
 }
 
@@ -86,7 +85,7 @@
 	Slowdown float64
 	Down     bool
 	Used     bool
-	// Samples is how many Mean rests on.
+	// Samples is the number of requests that Mean is based on.
 	Samples float64
 	Leaving bool
 }
@@ -123,7 +122,7 @@
 	return r, nil
 }
 
-// split cuts a report into ones that fit a datagram.
+// split splits a report into parts that fit a datagram each.
 func (r *loadReport) split() []loadReport {
 	var out []loadReport
 	points := make(map[key.Point]int)
@@ -145,9 +144,9 @@
 	return out
 }
 
-// loopReports sends load reports to the leads until ctx ends.
+// loopReports sends load reports to the leaders until ctx ends.
 func (h *Host) loopReports(ctx context.Context) error {
-	// Hosts start together: their reports must not come together.
+	// Spread out the reports of hosts that start together.
 	sleep(ctx, rand.N(maxReportInterval))
 	for ctx.Err() == nil {
 		h.reportLoad(time.Now())
@@ -195,18 +194,18 @@
 	for _, part := range r.split() {
 		body, err := part.encode()
 		if err != nil {
-			h.log.Error("Load report not written.", slog.Any("error", err))
+			h.log.Error("Load report not encoded.", slog.Any("error", err))
 			return
 		}
 		h.dispatcher.write(to.TicketAddr, datagramReport, body)
 	}
 }
 
-// handleReport takes a load report of another host.
+// handleReport handles a load report of another host.
 func (h *Host) handleReport(body []byte) {
 	r, err := decodeReport(body)
 	if err != nil {
-		h.log.Warn("Load report not readable, dropped.", slog.Any("error", err))
+		h.log.Warn("Load report not decodable, dropped.", slog.Any("error", err))
 		return
 	}
 	h.deliverReport(r)
--- a/internal/host/main.go
+++ b/internal/host/main.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// logFlushTimeout is how long the end of the process waits for its log to be read.
+// logFlushTimeout is how long an ending process waits for its log to be written.
 const logFlushTimeout = 200 * time.Millisecond
 
-// Main runs a host until SIGTERM or SIGINT and returns its exit code: 0 after
-// a planned stop, 1 after a failure, 2 where its sockets can't be had.
+// Main runs a host until SIGTERM or SIGINT. It returns the exit code: 0 after a
+// graceful stop, 1 after a failure, 2 if its sockets can't be opened.
 func Main(env Environment) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/internal/host/metrics.go
+++ b/internal/host/metrics.go
@@ -13,7 +13,7 @@
 	"citrontray.example/citrontray/internal/outcome"
 )
 
-// metrics are the counters and histograms of a host. Safe for concurrent use.
+// metrics holds the counters and histograms of a host. Safe for concurrent use.
 type metrics struct {
 	registry *metric.Registry
 
@@ -22,7 +22,7 @@
 	histograms map[metricID]tally.Histogram
 }
 
-// metricID names a metric with its labels.
+// metricID identifies a metric and its label values.
 type metricID struct{ name, service, first, second string }
 
 func newMetrics(r *metric.Registry) *metrics {
@@ -33,7 +33,7 @@
 	}
 }
 
-// getOrCreate returns the metric of an id, which open makes at its first use.
+// getOrCreate returns the metric with the ID. It calls open to create it on first use.
 func getOrCreate[M any](known map[metricID]M, id metricID, open func() M) M {
 	m, ok := known[id]
 	if !ok {
@@ -43,7 +43,7 @@
 	return m
 }
 
-// countRequest counts a request by how it ended, and its time.
+// countRequest counts a request by its outcome and records its time.
 func (m *metrics) countRequest(service key.Service, r outcome.Result, took time.Duration) {
 	o, status := string(outcome.Of(r)), strconv.Itoa(outcome.Status(r))
 	m.mu.Lock()
@@ -56,7 +56,7 @@
 	}).RecordDuration(took)
 }
 
-// countAttempt counts a try at a target by how it ended, and its time.
+// countAttempt counts an attempt by its result and records its time.
 func (m *metrics) countAttempt(service key.Service, end dispatch.Result, took, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,7 +71,7 @@
 	}).RecordDuration(waited)
 }
 
-// countOrder counts an order to a target by its kind and result.
+// countOrder counts an order to a target by kind and result.
 func (m *metrics) countOrder(service key.Service, kind, result string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +80,7 @@
 	}).Inc(1)
 }
 
-// countCall counts a call to the store by its kind and result.
+// countCall counts a store call by kind and result.
 func (m *metrics) countCall(kind string, err error) {
 	result := callResult(err)
 	m.mu.Lock()
@@ -90,10 +90,10 @@
 	}).Inc(1)
 }
 
-// countRestore counts that the store came back from an older copy.
+// countRestore counts a restore of the store from an older snapshot.
 func (m *metrics) countRestore() { m.registry.Counter("store_restored").Inc(1) }
 
-// countPanic counts a part of the process that panicked.
+// countPanic counts a panic by the part of the process.
 func (m *metrics) countPanic(part string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,7 +102,7 @@
 	}).Inc(1)
 }
 
-// countDecision counts a decision of a lead by its text.
+// countDecision counts a decision of a leader by its text.
 func (m *metrics) countDecision(service key.Service, text string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/host/notice.go
+++ b/internal/host/notice.go
@@ -12,8 +12,8 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// notice is what leads and candidates of a service tell each other, in a
-// datagram of its own. Nothing rests on its arrival.
+// notice is a datagram between the leader, the candidates and the predecessor of a
+// service. Notices may be lost: correctness does not depend on them.
 type notice struct {
 	kind        noticeKind
 	service     key.Service
@@ -25,12 +25,11 @@
 type noticeKind uint8
 
 const (
-	// noticeLeading: the sender leads. Candidates that hear it leave the store
-	// alone.
+	// noticeLeading: the sender leads. Candidates that receive it don't read the store.
 	noticeLeading noticeKind = iota + 1
-	// noticeStop: the sender leads a later term; who led before shall stop.
+	// noticeStop: the sender leads a later term and asks the predecessor to stop.
 	noticeStop
-	// noticeStopped: the sender does not lead and has no order on its way.
+	// noticeStopped: the sender does not lead and has no orders in flight.
 	noticeStopped
 )
 
@@ -60,11 +59,11 @@
 	}, nil
 }
 
-// handleNotice takes a notice of another host.
+// handleNotice handles a notice of another host.
 func (h *Host) handleNotice(body []byte) {
 	n, err := decodeNotice(body)
 	if err != nil {
-		h.log.Warn("Notice not readable, dropped.", slog.Any("error", err))
+		h.log.Warn("Notice not decodable, dropped.", slog.Any("error", err))
 		return
 	}
 	h.mu.Lock()
@@ -84,13 +83,13 @@
 	n := notice{kind: kind, service: r.service, host: r.host.site.Host, incarnation: r.host.incarnation, term: r.core.Term()}
 	body, err := n.encode()
 	if err != nil {
-		r.log.Error("Notice not written.", slog.Any("error", err))
+		r.log.Error("Notice not encoded.", slog.Any("error", err))
 		return
 	}
 	r.host.dispatcher.write(addr, datagramNotice, body)
 }
 
-// handleNotice takes a notice.
+// handleNotice handles a notice on the controller's goroutine.
 func (r *controller) handleNotice(now time.Time, n notice) {
 	switch n.kind {
 	case noticeLeading:
@@ -99,7 +98,7 @@
 		}
 	case noticeStop:
 		if r.core.Leading() && n.term > r.core.Term() {
-			r.log.Warn("Another host leads a later term, giving way.", slog.String("lead", string(n.host)), slog.Uint64("term", uint64(n.term)))
+			r.log.Warn("Another host leads a later term, stepping down.", slog.String("lead", string(n.host)), slog.Uint64("term", uint64(n.term)))
 			r.core.StepDown()
 		}
 		if !r.core.Leading() && r.inFlight.Load() == 0 {
@@ -107,26 +106,27 @@
 		}
 	case noticeStopped:
 		if r.core.Leading() && n.host == r.predecessor.host && n.incarnation == r.predecessor.incarnation && !r.predecessor.ended {
-			r.log.Info("Lead before has stopped.", slog.String("host", string(n.host)), slog.Uint64("term", uint64(r.core.Term())))
+			r.log.Info("Predecessor has stopped.", slog.String("host", string(n.host)), slog.Uint64("term", uint64(r.core.Term())))
 			r.predecessorEnded(now)
 		}
 	}
 }
 
-// predecessor is the lead before this one.
+// predecessor is the last leader before this one.
 type predecessor struct {
 	host        place.Host
 	incarnation place.Incarnation
 	ended       bool
-	// revision is that of the document that it wrote last.
+	// revision is the store revision of the last ownership document that it wrote.
 	revision platform.Revision
-	// stragglers tells that leads before it may not have ended.
+	// stragglers is set if leaders before it may still renew grants.
 	stragglers bool
-	// restored tells that the store has forgotten leads after it.
+	// restored is set if the store lost later leaders because it was restored from an
+	// older snapshot.
 	restored bool
 }
 
-// prior returns what is known of all leads before.
+// prior returns what is known of all prior leaders.
 func (p *predecessor) prior() owner.Prior {
 	switch {
 	case p.restored:
@@ -137,7 +137,7 @@
 	return owner.PriorUnknown
 }
 
-// predecessorEnded notes that the lead before sends nothing any more.
+// predecessorEnded records that the predecessor sends no more orders.
 func (r *controller) predecessorEnded(now time.Time) {
 	r.predecessor.ended = true
 	if r.predecessor.prior() == owner.PriorEnded {
@@ -146,17 +146,16 @@
 }
 
 const (
-	// noticeInterval is the time between two notices of a lead.
+	// noticeInterval is the time between two notices of a leader.
 	noticeInterval = 200 * time.Millisecond
-	// leaderSilence is how long candidates hear no lead until they look into the
-	// store.
+	// leaderSilence is how long candidates hear no leader before they read the store.
 	leaderSilence = 700 * time.Millisecond
-	// candidateCount is how many hosts, by their rank, hear the lead.
+	// candidateCount is the number of hosts, by rank, that receive the leader's
+	// notices.
 	candidateCount = 3
 )
 
-// announceLeadership tells the candidates that this host leads, and asks the lead before
-// to stop.
+// announceLeadership sends notices to the candidates and asks the predecessor to stop.
 func (r *controller) announceLeadership(now time.Time, v *view) {
 	if now.Sub(r.announcedAt) < noticeInterval {
 		return
@@ -174,7 +173,7 @@
 		return
 	}
 	if v.members.Replaced(r.predecessor.host, r.predecessor.incarnation, r.predecessor.revision) {
-		r.log.Info("Lead before has started again.", slog.String("host", string(r.predecessor.host)))
+		r.log.Info("Predecessor has restarted.", slog.String("host", string(r.predecessor.host)))
 		r.predecessorEnded(now)
 		return
 	}
--- a/internal/host/orderclient.go
+++ b/internal/host/orderclient.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// orderTimeout bounds a grant and its answer.
+	// orderTimeout limits a grant and its response.
 	orderTimeout = 600 * time.Millisecond
-	// releaseTimeout bounds a release, which is answered when the running
-	// work has ended.
+	// releaseTimeout limits a release, which is acknowledged when the running work has
+	// ended.
 	releaseTimeout = 1500 * time.Millisecond
 )
 
-// orderClient carries the orders of one lead to the targets. A connection belongs
-// to one number of the lead's and is opened for that number's first order only.
+// orderClient sends the orders of a leader to targets. Each connection belongs to a
+// connection number chosen by the leader and is opened only for the first order of that
+// number.
 type orderClient struct {
 	orders target.OrderDialer
 	log    *slog.Logger
@@ -40,8 +41,8 @@
 	return &orderClient{orders: orders, log: log, conns: make(map[place.Target]*orderConn)}
 }
 
-// sendGrants sends the grants one after the other and returns the result of each, and
-// whether the target has said that it leaves.
+// sendGrants sends grants one after the other. It returns the result of each and
+// whether the target signaled that it is leaving.
 func (c *orderClient) sendGrants(ctx context.Context, e owner.SendGrants) (results []error, leaving bool) {
 	results = make([]error, len(e.Grants))
 	for i := range results {
@@ -49,7 +50,7 @@
 	}
 	conn, err := c.conn(ctx, e)
 	if err != nil {
-		c.log.Debug("Target takes no connection for orders.", slog.String("target", string(e.Target)), slog.Any("error", err))
+		c.log.Debug("No order connection to target.", slog.String("target", string(e.Target)), slog.Any("error", err))
 		return results, false
 	}
 	for i, g := range e.Grants {
@@ -72,19 +73,19 @@
 	return conn.Grant(ctx, g)
 }
 
-// conn returns the connection of the effect's number.
+// conn returns the connection with the effect's connection number.
 func (c *orderClient) conn(ctx context.Context, e owner.SendGrants) (*orderConn, error) {
 	c.mu.Lock()
 	known := c.conns[e.Target]
 	c.mu.Unlock()
 	if known != nil && known.number == e.Conn {
 		if known.OrderConn == nil {
-			return nil, errors.New("host: connection is over")
+			return nil, errors.New("host: order connection closed")
 		}
 		return known, nil
 	}
 	if known != nil && known.OrderConn != nil {
-		_ = known.Close() // it is reset in any case
+		_ = known.Close() // reset in any case
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -99,9 +100,9 @@
 	return conn, err
 }
 
-// discard closes a connection; its number is not used again.
+// discard closes a connection. Its number is not used again.
 func (c *orderClient) discard(name place.Target, conn *orderConn) {
-	_ = conn.Close() // it is reset in any case
+	_ = conn.Close() // reset in any case
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[name] == conn {
@@ -109,7 +110,7 @@
 	}
 }
 
-// release takes a range back over a connection of its own.
+// release sends a release over a connection of its own.
 func (c *orderClient) release(ctx context.Context, e owner.SendRelease) (target.Handover, error) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -117,17 +118,16 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = conn.Close() }() // it is reset in any case
+	defer func() { _ = conn.Close() }() // reset in any case
 	return conn.Release(ctx, e.Release)
 }
 
-// close closes all connections.
 func (c *orderClient) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
 		if conn.OrderConn != nil {
-			_ = conn.Close() // it is reset in any case
+			_ = conn.Close() // reset in any case
 		}
 	}
 	c.conns = make(map[place.Target]*orderConn)
--- a/internal/host/panic_test.go
+++ b/internal/host/panic_test.go
@@ -14,8 +14,8 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// TestPanicsAreContained: what makes one part of a process panic ends that alone. The process
-// serves on, and says what happened.
+// TestPanicsAreContained: a panic in one part of a process ends only that work. The
+// process keeps serving and logs the panic.
 func TestPanicsAreContained(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1, 1, 1)
@@ -26,7 +26,7 @@
 	}
 
 	d.store.Set(platform.PathConfig, []byte(panickingConfig))
-	d.eventually("a configuration that can't be decoded is logged", 5*time.Second, told("view"))
+	d.eventually("the panic of the configuration decoder is logged", 5*time.Second, told("view"))
 	d.awaitServed()
 	d.putConfig(testConfig(2))
 	d.eventually("a later one is in force", 5*time.Second, func() bool {
@@ -34,8 +34,8 @@
 	})
 
 	r := h.controllers["span"]
-	r.post(func(time.Time) bool { panic("told to") })
-	d.eventually("a panic of the lead is logged", 5*time.Second, told("lead"))
+	r.post(func(time.Time) bool { panic("test panic") })
+	d.eventually("the panic of the controller is logged", 5*time.Second, told("lead"))
 	d.awaitServed()
 
 	conn, err := net.Dial("udp4", h.site.Ticket.String())
@@ -48,14 +48,14 @@
 	assert.Equal(t, d.send(h, http.MethodGet, "/keys/x", 5).status, http.StatusOK)
 }
 
-// TestDatagramPanicResetsHomes: the homes of a host start anew after a datagram that made
-// one of them panic.
+// TestDatagramPanicResetsHomes: after a datagram that made a handler panic, the homes
+// of the host start empty.
 func TestDatagramPanicResetsHomes(t *testing.T) {
 	d := &dispatcher{guard: func(_ string, f func()) bool {
 		defer func() { _ = recover() }()
 		f()
 		return true
-	}, handlers: map[byte]func([]byte){datagramDigest: func([]byte) {}, datagramNotice: func([]byte) { panic("told to") }}}
+	}, handlers: map[byte]func([]byte){datagramDigest: func([]byte) {}, datagramNotice: func([]byte) { panic("test panic") }}}
 	d.handleGuarded(time.Now(), netip.AddrPort{}, []byte{datagramDigest, 0})
 	assert.Assert(t, d.home == nil)
 	d.handleGuarded(time.Now(), netip.AddrPort{}, []byte{datagramNotice, 0})
--- a/internal/host/path_bench_test.go
+++ b/internal/host/path_bench_test.go
@@ -36,7 +36,7 @@
 	clients.Wait()
 }
 
-// BenchmarkRest lets three hosts be without a request for a second.
+// BenchmarkRest measures three idle hosts for a second.
 func BenchmarkRest(b *testing.B) {
 	d := deploy(b, 3, 6, 6)
 	d.awaitServed()
--- a/internal/host/pools.go
+++ b/internal/host/pools.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// dialTimeout bounds a new connection to a target. A lost packet costs a
-	// second in any case; a machine that is there answers in milliseconds.
+	// dialTimeout limits a new connection to a target. A lost packet costs a second in
+	// any case, while a reachable machine responds within milliseconds.
 	dialTimeout = 300 * time.Millisecond
-	// poolIdleTimeout is how long the connections to an unused address are kept.
+	// poolIdleTimeout is how long connections to an unused address are kept.
 	poolIdleTimeout = 15 * time.Second
-	// connectionShare is the part of a target's connections that requests
-	// use; orders and probes need some as well.
+	// connectionShare is the share of a target's connections used for requests. Orders
+	// and probes need the rest.
 	connectionShare = 0.7
-	// minConnections is what a host may always open: one request and one
-	// more while the last one's connection is still being closed.
+	// minConnections is what a host may always open: a connection for a request, and
+	// another while the last one is still closing.
 	minConnections = 3
 )
 
-// connPools holds the connections to all targets. Safe for concurrent use.
+// connPools holds the connection pools of all targets. Safe for concurrent use.
 type connPools struct {
 	dial forward.Dial
 
@@ -42,14 +42,14 @@
 	return &connPools{dial: dial, hosts: 1, byAddr: make(map[netip.AddrPort]*connPool)}
 }
 
-// setHosts tells how many hosts share the connections of each target.
+// setHosts sets how many hosts share the connections of each target.
 func (p *connPools) setHosts(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = max(n, 1)
 }
 
-// get returns the pool of a target's address.
+// get returns the connection pool of a target's address.
 func (p *connPools) get(addr netip.AddrPort, service *traffic.Service) *forward.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 	return pool.Pool
 }
 
-// closeUnused closes the connections to addresses that were not used for a while.
+// closeUnused closes the pools of addresses that were not used for a while.
 func (p *connPools) closeUnused(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/host/registrar.go
+++ b/internal/host/registrar.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// selfEntryDelay is how long a host waits to be entered by a registrar, and
-	// aloneSpread what is drawn on top of it; then it enters itself. Without a
-	// registrar all hosts may do so at the same moment.
+	// selfEntryDelay is how long a host waits for a registrar to enter it before it
+	// enters itself. selfEntryJitter is the maximum of the random delay added: without
+	// a registrar all hosts may do so at the same time.
 	selfEntryDelay  = 2 * time.Second
 	selfEntryJitter = time.Second
-	// registryInterval is the time between two looks at who is to be entered, where
-	// hosts tell their presence here.
+	// registryInterval is the time between two checks of the registry while hosts send
+	// heartbeats here.
 	registryInterval = 200 * time.Millisecond
-	// registerTimeout bounds one write of entries.
+	// registerTimeout limits one write of entries.
 	registerTimeout = 600 * time.Millisecond
-	// maxEntriesPerTxn is how many entries one transaction writes, and removalsMost
-	// how many it removes, each of which needs a condition: the platform takes 32
-	// parts.
+	// maxEntriesPerTxn and maxRemovalsPerTxn limit the entries that one transaction
+	// writes or removes. The platform accepts 32 operations, and each removal needs a
+	// condition as well.
 	maxEntriesPerTxn  = 30
 	maxRemovalsPerTxn = 15
 )
 
-// registrar sees to it that this host is listed among the members. It tells its
-// presence to the watchers of its zone, or to the seeds before it knows any, and
-// enters and removes the hosts that tell theirs here.
+// registrar keeps this host listed among the members. It sends heartbeats to the
+// watchers of its zone, or to the seeds before it knows any. For the hosts that send
+// theirs here it writes and removes the entries.
 type registrar struct {
 	host *Host
 	log  *slog.Logger
@@ -43,10 +43,10 @@
 	mu       sync.Mutex
 	registry *member.Registry
 
-	// missingSince is since when this host is not listed, told when it last told
-	// its presence, enteredAt when it last entered itself.
+	// missingSince is the time since which this host is not listed, announcedAt the
+	// time of its last heartbeat, enteredAt the last time that it entered itself.
 	missingSince, announcedAt, enteredAt time.Time
-	// selfEntryDelay is how long it waits for others to enter it.
+	// selfEntryDelay is how long this host waits for a registrar to enter it.
 	selfEntryDelay time.Duration
 }
 
@@ -54,8 +54,7 @@
 	return &registrar{host: h, log: h.log, self: h.memberEntry(), registry: member.NewRegistry(h.site.Zone)}
 }
 
-// run keeps this host and those that tell it their presence listed until ctx
-// ends.
+// run keeps this host, and those that send heartbeats here, listed until ctx ends.
 func (r *registrar) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -74,25 +73,24 @@
 	return nil
 }
 
-// receive takes the presence of a host.
 func (r *registrar) receive(now time.Time, p member.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.registry.HandleHeartbeat(now, p)
 }
 
-// handleHeartbeat takes a datagram with the presence of another host.
+// handleHeartbeat handles the heartbeat of another host.
 func (h *Host) handleHeartbeat(body []byte) {
 	p, err := member.DecodeHeartbeat(body)
 	if err != nil {
-		h.log.Warn("Presence not readable, dropped.", slog.Any("error", err))
+		h.log.Warn("Heartbeat not decodable, dropped.", slog.Any("error", err))
 		return
 	}
 	h.registrar.receive(time.Now(), p)
 }
 
-// announceSelf tells this host's presence when that is due, and enters it where
-// nobody else has. It returns the time until the next look.
+// announceSelf sends a heartbeat if one is due, and enters this host if no registrar
+// does. It returns the time until the next check.
 func (r *registrar) announceSelf(ctx context.Context, now time.Time, list *member.List) time.Duration {
 	every := member.HeartbeatInterval
 	if r.host.stopping.Load() {
@@ -120,7 +118,7 @@
 	return every
 }
 
-// sendHeartbeat sends this host's presence to its registrars.
+// sendHeartbeat sends this host's heartbeat to its registrars.
 func (r *registrar) sendHeartbeat(now time.Time, list *member.List) {
 	for turn, addr := range r.registrars(list) {
 		p := member.Heartbeat{Host: r.self, Rank: turn}
@@ -130,15 +128,14 @@
 		}
 		body, err := p.Encode()
 		if err != nil {
-			r.log.Error("Presence not written.", slog.Any("error", err))
+			r.log.Error("Heartbeat not encoded.", slog.Any("error", err))
 			return
 		}
 		r.host.dispatcher.write(addr, datagramPresence, body)
 	}
 }
 
-// registrars returns the hosts that this one tells its presence, the first one
-// first.
+// registrars returns the addresses of this host's registrars, by rank.
 func (r *registrar) registrars(list *member.List) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, w := range docsync.Watchers(r.self.Zone, list.HostRows()) {
@@ -159,8 +156,8 @@
 	return out
 }
 
-// enter writes the entries of hosts. What fails is tried again: the hosts go on
-// telling that they are there.
+// enter writes the entries of hosts. Failures are retried, as the hosts keep sending
+// heartbeats.
 func (r *registrar) enter(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
 		part := hosts[:min(len(hosts), maxEntriesPerTxn)]
@@ -169,22 +166,21 @@
 		for _, h := range part {
 			value, err := member.EncodeHost(h)
 			if err != nil {
-				r.log.Error("Entry of a host not written.", slog.String("host", string(h.Name)), slog.Any("error", err))
+				r.log.Error("Host entry not encoded.", slog.String("host", string(h.Name)), slog.Any("error", err))
 				continue
 			}
 			txn.Put = append(txn.Put, platform.Put{Path: member.HostPath(h.Name), Value: value})
 		}
 		if err := r.commit(ctx, txn); err != nil {
-			r.log.Warn("Hosts not entered in the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
+			r.log.Warn("Host entries not written to the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Hosts entered in the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
+		r.log.Info("Host entries written to the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
 		r.host.watcher.trigger(time.Now())
 	}
 }
 
-// remove removes the entries of hosts that are silent, unless they have entered
-// again.
+// remove removes the entries of unresponsive hosts, unless they were written again.
 func (r *registrar) remove(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
 		part := hosts[:min(len(hosts), maxRemovalsPerTxn)]
@@ -196,10 +192,10 @@
 			txn.Remove = append(txn.Remove, path)
 		}
 		if err := r.commit(ctx, txn); err != nil {
-			r.log.Warn("Silent hosts not removed from the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
+			r.log.Warn("Entries of unresponsive hosts not removed from the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Silent hosts removed from the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
+		r.log.Info("Entries of unresponsive hosts removed from the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
 	}
 }
 
--- a/internal/host/reload.go
+++ b/internal/host/reload.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// settingsInterval is the time between two looks at the settings file: it may
+// settingsInterval is the time between two checks of the settings file, which may
 // change without a signal.
 const settingsInterval = 2 * time.Second
 
-// loopSettings takes over changes of the settings file until ctx ends.
+// loopSettings reloads the settings file until ctx ends.
 func (h *Host) loopSettings(ctx context.Context) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -32,25 +32,25 @@
 	}
 }
 
-// reload reads the settings file. What names the process and its sockets stays
-// as it was at the start; bounds are in force at once.
+// reload reads the settings file and puts its bounds in force. The host name and the
+// socket addresses can't change before the next start.
 func (h *Host) reload(why string) {
 	next, err := h.env.ReadSite()
 	if err != nil {
-		h.log.Error("Settings file not read, the last one stays in force.", slog.Any("error", err))
+		h.log.Error("Settings file not read, keeping the last settings.", slog.Any("error", err))
 		return
 	}
 	if next.Host != h.site.Host || next.Front != h.site.Front || next.Peer != h.site.Peer || next.Ready != h.site.Ready {
-		h.log.Warn("Settings file names another host or other addresses; they are taken over at the next start.",
+		h.log.Warn("Settings file has another host name or other addresses, which take effect at the next start.",
 			slog.String("host", string(next.Host)), slog.String("front", next.Front.String()))
 	}
 	if next.Bounds == *h.bounds.Load() {
 		if why == "signal" {
-			h.log.Info("Settings file read again, nothing changed.")
+			h.log.Info("Settings file reloaded, nothing changed.")
 		}
 		return
 	}
 	h.setBounds(next.Bounds)
-	h.log.Info("Settings file read again.", slog.String("why", why), millisAttr("grace", next.Bounds.Grace),
+	h.log.Info("Settings file reloaded.", slog.String("why", why), millisAttr("grace", next.Bounds.Grace),
 		millisAttr("drain", next.Bounds.Drain), slog.Float64("retries", next.Bounds.Retry.Ratio))
 }
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -14,11 +14,11 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// minMoveSteps is how many steps of moves a lead remembers at least.
+// minMoveSteps is the number of move steps that a leader keeps at least.
 const minMoveSteps = 200
 
-// moveLog remembers the last steps of moves that this host took as a service's
-// lead. Safe for concurrent use.
+// moveLog holds the latest steps of the moves by this host as leader of a service. Safe
+// for concurrent use.
 type moveLog struct {
 	mu   sync.Mutex
 	list []moveStep
@@ -39,7 +39,7 @@
 	}
 }
 
-// overlapping returns the steps that touch a range, oldest first.
+// overlapping returns the steps whose range overlaps r, oldest first.
 func (m *moveLog) overlapping(r key.Range) []status.Move {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,7 +81,7 @@
 	return out
 }
 
-// cellOf tells of a service with ranges: there is one cell for all zones.
+// cellOf returns the state of a ranged service, which has a single cell for all zones.
 func (h *Host) cellOf(service key.Service, t *owner.Table) status.Cell {
 	out := status.Cell{
 		Service: string(service), Zone: "all", Term: uint64(t.Version.Term), Lead: string(t.Leader), Leading: t.Leader == h.site.Host,
@@ -110,7 +110,7 @@
 	return runner.moveLog.overlapping(r)
 }
 
-// keyOf tells where a key is, by the table that this host goes by.
+// keyOf returns the owner of a key according to this host's routing table.
 func (h *Host) keyOf(now time.Time, v *view, q status.Query) *status.Key {
 	point, err := strconv.ParseUint(q.Key, 10, 32)
 	table := v.tables[q.Service]
@@ -127,11 +127,11 @@
 		Moves: h.movesOf(q.Service, key.Range{First: key.Point(point), Last: key.Point(point)}),
 	}
 	if span.Target == "" {
-		out.Reason = fmt.Sprintf("on the move, back in about %v by a table %v old",
+		out.Reason = fmt.Sprintf("on the move, expected back in about %v by a routing table %v old",
 			span.AvailableIn.Round(time.Millisecond), now.Sub(v.tableAt[q.Service]).Round(time.Millisecond))
 	}
 	return out
 }
 
-// addPages adds the host's own page to the admin address: what it goes by, whole.
+// addPages adds the page with this host's view to the admin server.
 func (h *Host) addPages() { h.admin.Handle("/view", http.HandlerFunc(h.serveView)) }
--- a/internal/host/report_test.go
+++ b/internal/host/report_test.go
@@ -12,8 +12,8 @@
 	"citrontray.example/citrontray/internal/status"
 )
 
-// TestReport: all hosts tell the same owner of a key, the lead also how it came
-// to that.
+// TestReport: all hosts report the same owner of a key, and the leader also reports how
+// it became the owner.
 func TestReport(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 2, 2, 1)
@@ -45,9 +45,9 @@
 	assert.Assert(t, time.Since(r.LastStoreResponse) < time.Minute)
 	assert.Equal(t, r.Cells[0].Owned, r.Cells[0].Shards)
 	for name, q := range map[string]status.Query{
-		"no number":    {Service: "span", Key: "pine"},
-		"no such key":  {Service: "span", Key: "70000"},
-		"no such keys": {Service: "desk", Key: "7"},
+		"not a number":     {Service: "span", Key: "pine"},
+		"key out of range": {Service: "span", Key: "70000"},
+		"keyless service":  {Service: "desk", Key: "7"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Assert(t, d.hosts[0].Report(time.Now(), q).Key == nil)
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestMovesAreBounded: a lead remembers the newest steps only.
+// TestMovesAreBounded: a leader keeps only the latest steps.
 func TestMovesAreBounded(t *testing.T) {
 	var m moveLog
 	for i := range 10 * minMoveSteps {
--- a/internal/host/resign.go
+++ b/internal/host/resign.go
@@ -11,8 +11,8 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// resignIfDue hands the lead on where this host stops. While the store does not
-// answer nobody else can lead: the grants are renewed until it does.
+// resignIfDue hands leadership over when this host stops. During a store outage no
+// other host can take over, so this host keeps renewing grants until the outage ends.
 func (r *controller) resignIfDue(ctx context.Context, now time.Time) {
 	if r.resigning || !r.host.stopping.Load() || !r.core.Leading() {
 		return
@@ -31,8 +31,8 @@
 	go t.run(ctx)
 }
 
-// resignation is one try to hand the lead on. Its document names no lead, which
-// tells the next one that nothing more will be sent.
+// resignation is one attempt to hand leadership over. The document that it writes names
+// no leader, which tells the next one that no more orders will be sent.
 type resignation struct {
 	*controller
 
@@ -41,29 +41,29 @@
 	leadRevision platform.Revision
 }
 
-// run carries the resignation out and posts its outcome.
+// run runs the resignation and posts its outcome.
 func (t *resignation) run(ctx context.Context) {
 	defer t.tasks.Done()
 	err := t.resign(ctx)
 	t.post(func(now time.Time) bool {
 		switch {
 		case err == nil:
-			t.log.Info("Lead handed on.", slog.Uint64("term", uint64(t.core.Term())))
+			t.log.Info("Leadership handed over.", slog.Uint64("term", uint64(t.core.Term())))
 			t.core.StepDown()
 		case errors.Is(err, platform.ErrUnavailable):
-			// Surely not carried out: this host leads on until the store is back.
-			t.log.Warn("Lead not handed on, renewing meanwhile.", slog.Any("error", err))
+			// Certainly not committed: this host leads on until the outage ends.
+			t.log.Warn("Leadership not handed over, renewing grants meanwhile.", slog.Any("error", err))
 			t.resigning = false
 			t.core.Resume()
 		case errors.Is(err, platform.ErrRestored):
-			// What was written is of a copy that is gone, or refused.
-			t.log.Warn("Lead not handed on, renewing meanwhile.", slog.Any("error", err))
+			// The write was refused or went to a store state that is gone.
+			t.log.Warn("Leadership not handed over, renewing grants meanwhile.", slog.Any("error", err))
 			t.resigning = false
 			t.core.Resume()
 			t.core.StoreRestored(now, t.doc.Term)
 		default:
-			// The next lead may go by it already: nothing is sent any more.
-			t.log.Warn("Lead given up.", slog.Any("error", err))
+			// The next leader may rely on the document already, so send nothing more.
+			t.log.Warn("Stepped down without a confirmed handover.", slog.Any("error", err))
 			t.core.StepDown()
 		}
 		return true
@@ -82,7 +82,7 @@
 	return err
 }
 
-// awaitSuccessors waits until this host leads no service, or until ctx ends.
+// awaitSuccessors waits until this host leads no service or ctx ends.
 func (h *Host) awaitSuccessors(ctx context.Context) {
 	const pause = 50 * time.Millisecond
 	for h.leadsAnyService() && ctx.Err() == nil {
--- a/internal/host/restore_test.go
+++ b/internal/host/restore_test.go
@@ -14,7 +14,8 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// watchSingleOwner fails once two targets hold a key at the same time, until the test ends.
+// watchSingleOwner fails the test if two targets hold a key at the same time. It checks
+// until the test ends.
 func (d *deployment) watchSingleOwner(points ...key.Point) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	d.t.Cleanup(func() { close(stop); <-done })
@@ -43,25 +44,25 @@
 	}()
 }
 
-// TestStoreRestored: the store comes back from an older copy of itself. Keys are
-// served on, by one owner each; the configuration in force stays, also on a host that
-// starts then; hosts and lead are listed again within seconds, and a target that left
-// is not used again.
+// TestStoreRestored: the store is restored from an older snapshot. Keys stay available
+// with a single owner each, and the configuration in force stays, also on a host that
+// starts after the restore. Hosts and leader are listed again within seconds, and a
+// target that left is not used again.
 func TestStoreRestored(t *testing.T) {
 	t.Parallel()
 	points := []key.Point{0, 9000, 20000, 30000, 41000, 52000, key.Points - 1}
 	for name, test := range map[string]struct {
 		age time.Duration
-		// away is how long the store is out before it is back, twice that it goes back
-		// another time soon after.
+		// away is how long the store is unavailable before the restore. With twice, a
+		// second restore follows soon.
 		away  time.Duration
 		twice bool
 	}{
-		"a second":           {age: time.Second},
-		"some seconds":       {age: 4 * time.Second, away: 500 * time.Millisecond},
-		"before the first":   {age: time.Hour},
-		"twice in a row":     {age: 3 * time.Second, away: 200 * time.Millisecond, twice: true},
-		"after a long pause": {age: 2 * time.Second, away: 4 * time.Second},
+		"one second old":         {age: time.Second},
+		"some seconds old":       {age: 4 * time.Second, away: 500 * time.Millisecond},
+		"before the first write": {age: time.Hour},
+		"twice in a row":         {age: 3 * time.Second, away: 200 * time.Millisecond, twice: true},
+		"after a long outage":    {age: 2 * time.Second, away: 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,20 +110,20 @@
 				}
 				assert.Equal(t, traffic.Version(9), d.hosts[0].views.view().routes.Config().Version)
 			}
-			t.Logf("%d served, %d not", served, refused)
+			t.Logf("%d served, %d refused", served, refused)
 			assert.Assert(t, refused*20 < served, "%d refused, %d served", refused, served)
 			assert.Equal(t, d.send(late, "POST", "/new/x", 0).status, http.StatusOK)
-			d.eventually("all hosts and the lead are listed", 5*time.Second, func() bool {
+			d.eventually("all hosts and the leader are listed", 5*time.Second, func() bool {
 				v := d.hosts[0].views.view()
 				lead, ok := v.members.Leader("span")
 				return len(v.members.Hosts) == 4 && ok && !lead.Restored()
 			})
 			before := left.Arrived()
 			d.sendFor(200*time.Millisecond, "POST", "/new/x", 0)
-			assert.Equal(t, left.Arrived(), before, "a target that left gets requests")
+			assert.Equal(t, left.Arrived(), before, "requests reached a target that left")
 			told := 0
 			for _, h := range d.hosts[:3] {
-				told += strings.Count(h.logs.String(), `"msg":"Store has come back from an older copy."`)
+				told += strings.Count(h.logs.String(), `"msg":"Store was restored from an older snapshot."`)
 			}
 			assert.Assert(t, told > 0)
 		})
--- a/internal/host/retrybudget.go
+++ b/internal/host/retrybudget.go
@@ -8,21 +8,21 @@
 	"citrontray.example/citrontray/internal/site"
 )
 
-// retryBudgetShare is the part of the budget that is used: requests are counted
-// when they come in here, and at the targets a little later.
+// retryBudgetShare is the share of the budget that is used. Requests are counted on
+// arrival here and a little later at the targets.
 const retryBudgetShare = 0.8
 
-// retryBudget is this host's part of the budget for sending requests again, which
-// all hosts share: the ratio of its own requests, and an equal part of the
-// slack. Safe for concurrent use.
+// retryBudget is this host's share of the deployment's retry budget: the ratio of its
+// own requests, and an equal part of the slack. Safe for concurrent use.
 type retryBudget struct {
 	mu     sync.Mutex
 	budget site.RetryBudget
-	// hosts is the largest number of hosts seen lately, at a time: a list that
-	// is short for a moment must not hand the others' parts out as well.
+	// hosts is the largest recent number of hosts, last seen at hostsAt. While the list
+	// is incomplete for a moment, the shares of the other hosts must not be used.
 	hosts   int
 	hostsAt time.Time
-	// firstListAt is when a list was first seen, most the longest so far.
+	// firstListAt is when the first list arrived, maxHosts the length of the longest
+	// one since.
 	firstListAt time.Time
 	maxHosts    int
 	services    map[key.Service]*slidingWindow
@@ -39,18 +39,18 @@
 	r.budget = b
 }
 
-// initialHostCount stands for the number of hosts until it is known.
+// initialHostCount is the assumed number of hosts until it is known.
 const initialHostCount = 64
 
 const (
-	// hostCountTTL is how long a larger number of hosts counts.
+	// hostCountTTL is how long a larger number of hosts is remembered.
 	hostCountTTL = 20 * time.Second
-	// hostCountSettleTime is how long after the first list the others still come: one
+	// hostCountSettleTime is how long after the first list more hosts may join. A host
 	// that no registrar hears enters itself.
 	hostCountSettleTime = selfEntryDelay + selfEntryJitter + time.Second
 )
 
-// setHosts tells among how many hosts the slack is divided.
+// setHosts sets the number of hosts that share the slack.
 func (r *retryBudget) setHosts(now time.Time, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,14 +76,15 @@
 	return w
 }
 
-// countRequest counts one request.
+// countRequest adds one request to the budget.
 func (r *retryBudget) countRequest(now time.Time, service key.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.window(service).bucketAt(now, r.budget.Window).requests++
 }
 
-// withdraw takes the right to send one request once more, if there is one.
+// withdraw takes one retry from the budget. It returns false if the budget is
+// exhausted.
 func (r *retryBudget) withdraw(now time.Time, service key.Service) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,10 +99,10 @@
 	return true
 }
 
-// windowBuckets is how many parts a window is counted in.
+// windowBuckets is the number of buckets of a window.
 const windowBuckets = 10
 
-// slidingWindow counts requests and repeats over the time of a budget.
+// slidingWindow counts requests and retries over the window of a budget.
 type slidingWindow struct {
 	buckets [windowBuckets]bucket
 }
@@ -111,7 +112,7 @@
 	requests, retries int
 }
 
-// bucketAt returns the cell of the present time.
+// bucketAt returns the bucket of the current time and clears expired ones.
 func (w *slidingWindow) bucketAt(now time.Time, length time.Duration) *bucket {
 	step := max(length/windowBuckets, time.Millisecond)
 	turn := now.UnixNano() / int64(step)
--- a/internal/host/retrybudget_test.go
+++ b/internal/host/retrybudget_test.go
@@ -9,17 +9,17 @@
 	"citrontray.example/citrontray/internal/site"
 )
 
-// TestRetryBudgetIsShared plays hosts that all want to repeat everything: what they may
-// repeat together stays within the deployment's budget, also while their list
-// of each other is short.
+// TestRetryBudgetIsShared simulates hosts that would retry every request. Their retries
+// together stay within the deployment's budget, also while their lists of hosts are
+// incomplete.
 func TestRetryBudgetIsShared(t *testing.T) {
 	budget := site.RetryBudget{Ratio: 0.2, Window: 10 * time.Second, Slack: 64}
 	const hosts, perHost = 12, 400
-	tests := map[string][]int{ // numbers of hosts seen, one each two seconds
-		"all there":           {12, 12, 12, 12, 12},
-		"list short for once": {12, 12, 1, 3, 12},
-		"list not known":      {0, 0, 0, 0, 0},
-		"grows":               {1, 4, 12, 12, 12},
+	tests := map[string][]int{ // numbers of listed hosts, two seconds apart
+		"complete list":           {12, 12, 12, 12, 12},
+		"incomplete for a moment": {12, 12, 1, 3, 12},
+		"no list":                 {0, 0, 0, 0, 0},
+		"grows":                   {1, 4, 12, 12, 12},
 	}
 	for name, seen := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,8 +44,8 @@
 				}
 			}
 			allowed := int(budget.Ratio*hosts*perHost) + budget.Slack
-			assert.Assert(t, repeats <= allowed, "%d repeats, %d allowed", repeats, allowed)
-			assert.Assert(t, repeats > allowed/3, "%d repeats, %d allowed", repeats, allowed)
+			assert.Assert(t, repeats <= allowed, "%d retries, %d allowed", repeats, allowed)
+			assert.Assert(t, repeats > allowed/3, "%d retries, %d allowed", repeats, allowed)
 		})
 	}
 }
--- a/internal/host/scale_bench_test.go
+++ b/internal/host/scale_bench_test.go
@@ -17,7 +17,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// largeTable returns a table of a service whose targets own two ranges each.
+// largeTable returns a routing table of a service whose targets own two ranges each.
 func largeTable(targets int, sequence uint64) *owner.Table {
 	t := &owner.Table{Service: "s", Version: owner.Version{Term: 1, Sequence: sequence}, Leader: "host-1", LeaderIncarnation: 1}
 	spans := 2 * targets
@@ -46,7 +46,7 @@
 	return l
 }
 
-// BenchmarkTable takes a new table into the view of a host: what every host does
+// BenchmarkTable adds a new routing table to a host's view, which each host does
 // whenever a range moves.
 func BenchmarkTable(b *testing.B) {
 	for _, targets := range []int{37, 164, 575, 1200} {
@@ -83,7 +83,8 @@
 	}
 }
 
-// BenchmarkRankLeaders is a look of a host that does not lead at whether it should.
+// BenchmarkRankLeaders ranks the candidates, which each host that does not lead does to
+// decide whether to campaign.
 func BenchmarkRankLeaders(b *testing.B) {
 	for _, hosts := range []int{12, 70, 295, 1800} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/host/servers.go
+++ b/internal/host/servers.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout limits the reading of a request's head.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes is the hard bound of a request's head; the configured one is
+	// maxHeaderBytes is the hard limit for a request's head. The configured limit is
 	// lower.
 	maxHeaderBytes = 256 << 10
-	// idleMargin is added to the configured idle time: a client that just
-	// keeps within it must not meet a closed connection.
+	// idleMargin is added to the configured idle timeout, so that a client that just
+	// keeps within it does not meet a closed connection.
 	idleMargin = 500 * time.Millisecond
-	// defaultIdleTimeout holds until the first configuration is known.
+	// defaultIdleTimeout is used until a configuration is known.
 	defaultIdleTimeout = 30 * time.Second
-	// stopIdleTimeout is how long a connection without a request is kept in a planned
-	// stop, so that a request that is on its way is still taken.
+	// stopIdleTimeout is how long idle connections are kept during a graceful stop, so
+	// that a request in transit is still accepted.
 	stopIdleTimeout = 1200 * time.Millisecond
-	// stopMargin is left of the grace for the end of the process.
+	// stopMargin is the part of the grace period reserved for the end of the process.
 	stopMargin = 700 * time.Millisecond
 )
 
-// servers are the HTTP servers of a host.
+// servers holds the HTTP servers of a host.
 type servers struct {
 	host  *Host
 	front *ingress.Server
@@ -49,8 +49,8 @@
 	}
 }
 
-// mayRunConcurrently reports whether a request may run beside others that its client
-// has sent on the same connection: where it may be repeated, or ends here.
+// mayRunConcurrently reports whether a request may run concurrently with others
+// pipelined on the same connection: it is idempotent, or it is rejected here.
 func (h *Host) mayRunConcurrently(r *http.Request) bool {
 	v := h.views.view()
 	if v.routes == nil {
@@ -60,7 +60,7 @@
 	return route == nil || route.Idempotent
 }
 
-// idleTime is how long a client's connection without a request is kept.
+// idleTime returns how long an idle client connection is kept.
 func (h *Host) idleTime() time.Duration {
 	if v := h.views.view(); v.routes != nil && v.routes.Config().Limits.IdleTimeout > 0 {
 		return v.routes.Config().Limits.IdleTimeout + idleMargin
@@ -68,10 +68,10 @@
 	return defaultIdleTimeout
 }
 
-// runReady answers the balancer's probes.
+// runReady serves the load balancer's probes.
 func (s *servers) runReady() error { return ignoreClosed(s.ready.Serve(s.host.ready)) }
 
-// runFront takes clients' requests.
+// runFront serves client requests.
 func (s *servers) runFront() error { return s.front.Serve(s.host.front) }
 
 func ignoreClosed(err error) error {
@@ -81,8 +81,8 @@
 	return err
 }
 
-// serveReady tells whether this host takes new connections: it has a
-// configuration, does not stop, and no cut keeps most targets from it.
+// serveReady reports whether this host accepts new connections: it has a configuration
+// and targets, is not stopping, and is not isolated from most targets.
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if h.stopping.Load() || !h.views.view().usable() || h.checkIsolated(time.Now()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -91,27 +91,27 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// checkIsolated reports whether clients are better served by hosts beyond a cut. A change
-// is logged.
+// checkIsolated reports whether a network partition isolates this host from most
+// targets, so that other hosts serve clients better. A change is logged.
 func (h *Host) checkIsolated(now time.Time) bool {
 	cut := h.dispatcher.isolated(now, h.views.view())
 	if h.isolated.Swap(cut) != cut {
 		if cut {
-			h.log.Warn("Most targets are beyond a cut, clients are sent elsewhere.")
+			h.log.Warn("Isolated from most targets by a network partition, sending clients to other hosts.")
 		} else {
-			h.log.Info("Most targets are within reach again.")
+			h.log.Info("Most targets are reachable again.")
 		}
 	}
 	return cut
 }
 
-// usable reports whether requests can be served by the view.
+// usable reports whether the view suffices to serve requests.
 func (v *view) usable() bool { return v.routes != nil && len(v.targets) > 0 }
 
 func (s *servers) close() error { return errors.Join(s.front.Close(), s.ready.Close()) }
 
-// stop ends the host in a planned way: not ready, answers that ask clients to
-// close, the lead handed on, what runs to its end, then the process.
+// stop shuts the host down gracefully: it reports not ready, asks clients to close
+// their connections, lets requests in flight finish and hands over leadership.
 func (h *Host) stop(ctx context.Context, s *servers, stopLeads context.CancelFunc) error {
 	start := time.Now()
 	grace := h.bounds.Load().Grace
@@ -122,11 +122,11 @@
 	end := start.Add(grace - stopMargin)
 	bound, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	// The balancer notices after two probes a second apart; until then new
-	// connections are still taken and served.
+	// The load balancer notices after two probes a second apart. Until then new
+	// connections are still accepted.
 	sleep(bound, min(stopAcceptTime, grace/2))
 	if err := s.front.Shutdown(bound); err != nil {
-		h.log.Warn("Requests were cut at the end of the stop.", slog.Any("error", err))
+		h.log.Warn("Requests aborted at the end of the stop.", slog.Any("error", err))
 	}
 	h.awaitSuccessors(bound)
 	stopLeads()
@@ -134,6 +134,6 @@
 	return s.close()
 }
 
-// stopAcceptTime is how long a stopping host still takes new connections: two
-// probes of the balancer a second apart, and a connection on its way.
+// stopAcceptTime is how long a stopping host accepts new connections: two probes of the
+// load balancer a second apart, and the transit of a connection.
 const stopAcceptTime = 2500 * time.Millisecond
--- a/internal/host/session.go
+++ b/internal/host/session.go
@@ -11,28 +11,28 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// renewTimeout bounds one renewal.
 const renewTimeout = 600 * time.Millisecond
 
-// session is a session in the store at one moment.
+// session is the state of a store session.
 type session struct {
 	id platform.SessionID
-	// end is when it ends by this host's clock, counted from before the call
-	// that renewed it.
+	// end is when the session ends by clock.Now, counted from the sending of the last
+	// renewal.
 	end time.Time
-	// restored tells that it has ended because the store came back from an older copy.
+	// restored is set if the session ended because the store was restored from an older
+	// snapshot.
 	restored bool
 }
 
-// sessionKeeper keeps one session in the store. Its times are clock.Now's.
+// sessionKeeper keeps one session in the store alive. Its times are those of clock.Now.
 type sessionKeeper struct {
 	store platform.SessionStore
 	log   *slog.Logger
-	// ttl is the length of the session, every the time between two renewals,
-	// again the pause after one that failed.
+	// ttl is the TTL of the session, interval the time between two renewals, retryDelay
+	// the delay after a failed one.
 	ttl, interval, retryDelay time.Duration
 
-	// urgent has a token where the next renewal should not wait.
+	// urgent receives a token when the next renewal should not wait.
 	urgent chan struct{}
 
 	mu      sync.Mutex
@@ -40,7 +40,7 @@
 	failing bool
 }
 
-// renewNow has the session renewed at once, unless that is being done.
+// renewNow requests an immediate renewal unless one is requested already.
 func (k *sessionKeeper) renewNow() {
 	select {
 	case k.urgent <- struct{}{}:
@@ -48,21 +48,20 @@
 	}
 }
 
-// current returns the session; it has lapsed where now is past its end.
+// current returns the session. It has expired if now is after its end.
 func (k *sessionKeeper) current() session {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.session
 }
 
-// set notes what the store has just said of the session.
+// set stores the state of the session after a call.
 func (k *sessionKeeper) set(s session) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.session = s
 }
 
-// open opens the session.
 func (k *sessionKeeper) open(ctx context.Context) error {
 	sent := clock.Now()
 	id, err := k.store.Open(ctx, k.ttl)
@@ -73,7 +72,7 @@
 	return nil
 }
 
-// renew renews the session. One that has ended is forgotten.
+// renew renews the session. A session that has ended is dropped.
 func (k *sessionKeeper) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
@@ -90,8 +89,8 @@
 	return err
 }
 
-// pause logs a change between renewals that succeed and that fail, and waits
-// for the next one.
+// pause waits for the next renewal. It logs when renewals start to fail or succeed
+// again.
 func (k *sessionKeeper) pause(ctx context.Context, err error) {
 	if failing := err != nil; failing != k.failing && ctx.Err() == nil {
 		k.failing = failing
--- a/internal/host/status.go
+++ b/internal/host/status.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The status page's document, in the order in which operators ask.
+// The JSON document of the view page. Its fields are in the order in which operators
+// need them.
 type (
 	wireStatus struct {
 		Host     string        `json:"host"`
@@ -45,11 +46,11 @@
 	}
 )
 
-// serveView shows all that this host goes by.
+// serveView writes the state that this host decides by.
 func (h *Host) serveView(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(h.status(time.Now())); err != nil {
-		h.log.Debug("View not sent.", "error", err)
+		h.log.Debug("View page not sent.", "error", err)
 	}
 }
 
--- a/internal/host/store.go
+++ b/internal/host/store.go
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// instrumentedStore counts the calls to the store: each has its price. Hosts make no
-// other ones.
+// instrumentedStore counts the calls to the store, which are billed, and tracks the
+// store's era. All store calls of a host go through it.
 type instrumentedStore struct {
 	platform.SessionStore
 
@@ -19,21 +19,22 @@
 	log     *slog.Logger
 
 	mu sync.Mutex
-	// calledAt is when the store was last called, answered when it last answered.
+	// calledAt is when the last call ended, answered when the last one with a response
+	// did.
 	calledAt, answered time.Time
-	// firstEra is the era of the first answer, era the latest of any.
+	// firstEra is the era of the first response, latestEra the latest of all.
 	firstEra, latestEra platform.Era
 	hasEra              bool
 }
 
-// eras returns the era of the first answer of the store, and the latest of any.
+// eras returns the era of the first response and the latest of all.
 func (s *instrumentedStore) eras() (first, latest platform.Era) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.firstEra, s.latestEra
 }
 
-// observeEra notes the era of an answer, and logs a rise.
+// observeEra records the era of a response and logs a new one.
 func (s *instrumentedStore) observeEra(era platform.Era) {
 	s.mu.Lock()
 	before, rise := s.latestEra, s.hasEra && era > s.latestEra
@@ -44,16 +45,16 @@
 	s.mu.Unlock()
 	if rise {
 		s.metrics.countRestore()
-		s.log.Warn("Store has come back from an older copy.", slog.Uint64("era", uint64(era)), slog.Uint64("before", uint64(before)))
+		s.log.Warn("Store was restored from an older snapshot.", slog.Uint64("era", uint64(era)), slog.Uint64("before", uint64(before)))
 	}
 }
 
-// callActivityTime is how long after its last call a host counts as one that does
-// not ask the store.
+// callActivityTime is how long after its last call a host counts as a user of the
+// store.
 const callActivityTime = 10 * time.Second
 
-// lastAnswer returns when the store last answered this host, zero where the host
-// has not asked it lately.
+// lastAnswer returns the time of the store's last response, zero if this host has not
+// called it recently.
 func (s *instrumentedStore) lastAnswer(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,7 @@
 	return s.answered
 }
 
-// recordCall notes a call that has ended.
+// recordCall records the end of a call.
 func (s *instrumentedStore) recordCall(kind string, err error) {
 	s.metrics.countCall(kind, err)
 	now := time.Now()
@@ -123,7 +124,7 @@
 	return err
 }
 
-// callResult names how a call ended in metrics.
+// callResult returns the metric label for the result of a call.
 func callResult(err error) string {
 	var conflict *platform.TxnConflictError
 	switch {
--- a/internal/host/targetsignal_test.go
+++ b/internal/host/targetsignal_test.go
@@ -13,14 +13,14 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// arrivalsDuring returns how many requests a target gets while f runs.
+// arrivalsDuring returns the number of requests that reach a target while f runs.
 func arrivalsDuring(r *fake.RangeTarget, f func()) int {
 	before := r.Arrived()
 	f()
 	return r.Arrived() - before
 }
 
-// sendFor sends requests to all hosts for a while and returns the answers.
+// sendFor sends requests to all hosts for a duration and returns the responses.
 func (d *deployment) sendFor(span time.Duration, method, path string, points ...key.Point) []testResponse {
 	var out []testResponse
 	for end := time.Now().Add(span); time.Now().Before(end); {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// burst sends more requests at once than one target has slots for.
+// burst sends more concurrent requests than one target has slots.
 func (d *deployment) burst(h *testHost, method, path string, point key.Point) {
 	var work sync.WaitGroup
 	for range 8 {
@@ -46,8 +46,9 @@
 	work.Wait()
 }
 
-// TestTargetSignalsLeaving: a target that says in its answers that it leaves, whatever
-// the platform lists, gets nothing new from a host that has heard it.
+// TestTargetSignalsLeaving: a target that signals in its responses that it is leaving
+// gets no new requests from a host that received the signal, whatever the platform
+// lists.
 func TestTargetSignalsLeaving(t *testing.T) {
 	t.Parallel()
 	t.Run("keyless", func(t *testing.T) {
@@ -56,7 +57,7 @@
 		d.awaitServed()
 		leaver := d.targets["desk-0"]
 		leaver.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
-		d.eventually("a host has heard it, which tells the home", 5*time.Second, func() bool {
+		d.eventually("a host received the signal, which tells the home", 5*time.Second, func() bool {
 			heard := false
 			for _, h := range d.hosts {
 				d.burst(h, "POST", "/free/x", 0)
@@ -71,7 +72,7 @@
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			}
 		})
-		assert.Equal(t, n, 0, "requests reached the target")
+		assert.Equal(t, n, 0, "requests that reached the target")
 	})
 	t.Run("owner of keys", func(t *testing.T) {
 		t.Parallel()
@@ -87,9 +88,9 @@
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			}
 		})
-		assert.Equal(t, n, 0, "requests reached the target")
+		assert.Equal(t, n, 0, "requests that reached the target")
 	})
-	t.Run("the only owner", func(t *testing.T) {
+	t.Run("only owner", func(t *testing.T) {
 		t.Parallel()
 		d := deploy(t, 1, 1, 0)
 		d.eventually("all keys are served", 15*time.Second, func() bool { return d.send(d.hosts[0], "GET", "/keys/x", 30000).status == http.StatusOK })
@@ -102,12 +103,12 @@
 				assert.Equal(t, a.status, http.StatusServiceUnavailable, a.body)
 			}
 		})
-		assert.Equal(t, n, 0, "requests reached the target")
+		assert.Equal(t, n, 0, "requests that reached the target")
 	})
 }
 
-// TestTargetBackoff: a target that turns requests away for a time gets none of this
-// host until then; callers get another target, or are told when to come back.
+// TestTargetBackoff: a target that asks for a pause gets no requests from this host
+// until the pause ends. Clients are served by another target or get a Retry-After hint.
 func TestTargetBackoff(t *testing.T) {
 	t.Parallel()
 	const pause, grace = 3 * time.Second, 500 * time.Millisecond
@@ -125,7 +126,7 @@
 			d.awaitServed()
 			r := d.targets[test.paused]
 			r.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Refuse: 1, RetryAfter: pause})
-			d.eventually("it has turned one away", 5*time.Second, func() bool {
+			d.eventually("the target refused a request", 5*time.Second, func() bool {
 				d.burst(d.hosts[0], test.method, test.path, 30000)
 				_, left := d.hosts[0].dispatcher.backoff(time.Now(), d.hosts[0].views.view().targets[test.paused])
 				return left > 0
@@ -133,7 +134,7 @@
 			asked := time.Now()
 			time.Sleep(grace)
 			n := arrivalsDuring(r, func() {
-				for time.Since(asked) < pause-2*grace { // towards the end callers are kept waiting
+				for time.Since(asked) < pause-2*grace { // near the end of the pause requests wait for it
 					a := d.send(d.hosts[0], test.method, test.path, 30000)
 					assert.Equal(t, a.status, test.status, a.body)
 					if a.status == http.StatusOK {
@@ -142,12 +143,12 @@
 					after, err := time.ParseDuration(a.retry + "s")
 					assert.NilError(t, err)
 					left := pause - time.Since(asked)
-					assert.Assert(t, after <= left+2*grace && after >= left-2*grace, "told to come back after %v, wanted again in %v", after, left)
+					assert.Assert(t, after <= left+2*grace && after >= left-2*grace, "Retry-After is %v, the pause ends in %v", after, left)
 				}
 			})
-			assert.Equal(t, n, 0, "requests reached the target")
+			assert.Equal(t, n, 0, "requests that reached the target")
 			r.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond})
-			d.eventually("it gets requests again", pause, func() bool {
+			d.eventually("the target gets requests again", pause, func() bool {
 				return arrivalsDuring(r, func() { d.burst(d.hosts[0], test.method, test.path, 30000) }) > 0
 			})
 		})
--- a/internal/host/tasks.go
+++ b/internal/host/tasks.go
@@ -13,7 +13,7 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// grantTask sends grants.
+// grantTask sends grants to a target.
 type grantTask struct {
 	*controller
 
@@ -33,11 +33,11 @@
 		if leaving {
 			t.markLeaving(t.effect.Target)
 		}
-		return t.core.Changed() // a mere renewal needs no step
+		return t.core.Changed() // a renewal without a change needs no step
 	})
 }
 
-// releaseTask sends a release.
+// releaseTask sends a release to a target.
 type releaseTask struct {
 	*controller
 
@@ -57,7 +57,7 @@
 	t.post(func(now time.Time) bool { t.core.Released(now, t.effect, handover, err); return true })
 }
 
-// orderResult names the result of an order in metrics.
+// orderResult returns the metric label for the result of an order.
 func orderResult(err error) string {
 	switch {
 	case err == nil:
@@ -72,7 +72,7 @@
 	return "unanswered"
 }
 
-// writeTask writes the document.
+// writeTask writes the ownership document.
 type writeTask struct {
 	*controller
 
@@ -84,7 +84,7 @@
 	defer t.tasks.Done()
 	value, err := t.effect.Doc.Encode()
 	if err != nil {
-		t.log.Error("Document not written.", slog.Any("error", err))
+		t.log.Error("Ownership document not encoded.", slog.Any("error", err))
 		t.post(func(now time.Time) bool { t.core.NotWritten(now, t.effect); return true })
 		return
 	}
@@ -93,8 +93,8 @@
 	t.post(func(now time.Time) bool { t.handleResult(now, revision, err); return true })
 }
 
-// docTxn returns the transaction by which a lead writes its service's document:
-// if the lead's entry and the document are still at their revisions.
+// docTxn returns the transaction by which a leader writes its service's ownership
+// document. It requires that the leader entry and the document are unchanged.
 func docTxn(service key.Service, value []byte, expect, leadRevision platform.Revision) platform.Txn {
 	path := rangesPath(service)
 	return platform.Txn{
@@ -108,13 +108,13 @@
 	case err == nil:
 		t.core.Written(now, t.effect, revision)
 	case errors.Is(err, errWriteConflict):
-		t.log.Warn("Document was changed before this write.", slog.Uint64("expected", uint64(t.effect.Expect)))
+		t.log.Warn("Ownership document changed before this write.", slog.Uint64("expected", uint64(t.effect.Expect)))
 		t.core.WriteConflict(t.effect)
 	case errors.Is(err, platform.ErrRestored):
-		t.log.Warn("Document not written.", slog.Any("error", err))
+		t.log.Warn("Ownership document not written.", slog.Any("error", err))
 		t.core.StoreRestored(now, t.effect.Doc.Term)
 	default:
-		t.log.Warn("Document not written.", slog.Any("error", err))
+		t.log.Warn("Ownership document not written.", slog.Any("error", err))
 		t.core.NotWritten(now, t.effect)
 	}
 }
--- a/internal/host/view.go
+++ b/internal/host/view.go
@@ -17,32 +17,32 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// view is all that requests are judged by at one moment. It is immutable.
+// view is an immutable snapshot of the state that requests are routed by.
 type view struct {
-	// routes is nil before the first configuration.
+	// routes is nil until the first configuration arrives.
 	routes   *traffic.Table
-	revision uint64 // of the configuration, in the store
-	// era is the latest of the store in any list.
+	revision uint64 // store revision of the configuration
+	// era is the latest store era seen in any list.
 	era      platform.Era
 	configAt time.Time
-	// listVersion numbers the lists of hosts and targets, fleet that of targets; they
-	// rise with each change.
+	// listVersion changes with each new list of hosts or targets, fleetVersion with
+	// each new list of targets.
 	listVersion, fleetVersion uint64
 	targets                   map[place.Target]place.TargetRow
 	services                  map[key.Service][]place.TargetRow
-	// departed are the targets that went lately, with the time of it.
+	// departed maps recently removed targets to the time of their removal.
 	departed map[place.Target]time.Time
 	members  member.List
 	tables   map[key.Service]*owner.Table
 	tableAt  map[key.Service]time.Time
-	// replaced is closed once a newer view is in force.
+	// replaced is closed when a newer view is in force.
 	replaced chan struct{}
 
 	rankCache *rankCache
 }
 
-// rankCache caches the order of homes of each pool, and of candidates for the lead of
-// each service, by one list of hosts and targets.
+// rankCache caches the ranked homes of each pool and the ranked leader candidates of
+// each service. It is valid for one version of the lists.
 type rankCache struct {
 	mu      sync.Mutex
 	pools   map[dispatch.PoolID][]place.Host
@@ -53,12 +53,12 @@
 	return &rankCache{pools: make(map[dispatch.PoolID][]place.Host), leaders: make(map[key.Service][]place.Host)}
 }
 
-// maxSinglePool is the number of targets up to which a keyless service is one pool:
-// its home then balances over all zones. Larger ones have a pool a zone.
+// maxSinglePool is the largest number of targets of a keyless service that form a
+// single pool, so that its home balances over all zones. Larger services have one pool
+// per zone.
 const maxSinglePool = 48
 
-// pool returns the pool of a request to a keyless service from a host of the
-// zone.
+// pool returns the pool that a host of the zone uses for a keyless service.
 func (v *view) pool(service key.Service, zone place.Zone) dispatch.PoolID {
 	id := dispatch.PoolID{Service: service}
 	rows := v.services[service]
@@ -74,8 +74,8 @@
 	return id
 }
 
-// isLeaving reports whether a target was seen to leave or go. A home that has not
-// heard of it yet may still give slots of it.
+// isLeaving reports whether a target is listed as leaving or was removed recently. A
+// home that has not seen the change yet may still assign its slots.
 func (v *view) isLeaving(name place.Target) bool {
 	if row, ok := v.targets[name]; ok {
 		return row.State == place.Leaving
@@ -91,8 +91,8 @@
 		if !ok {
 			return nil
 		}
-		// Its owner serves a range until the table says otherwise, also while
-		// it leaves.
+		// A range stays with its owner until the routing table changes, even while the
+		// owner is leaving.
 		row.State = place.Live
 		return []place.TargetRow{row}
 	}
@@ -105,7 +105,7 @@
 	return out
 }
 
-// ranked returns the hosts that may be the home of a pool, best first.
+// ranked returns the hosts that can be the home of a pool, best first.
 func (v *view) ranked(pool dispatch.PoolID, self place.Host) []place.Host {
 	v.rankCache.mu.Lock()
 	defer v.rankCache.mu.Unlock()
@@ -133,7 +133,7 @@
 	return out
 }
 
-// candidates returns the hosts that may lead a service, best first.
+// candidates returns the hosts that can lead a service, best first.
 func (v *view) candidates(service key.Service) []place.Host {
 	v.rankCache.mu.Lock()
 	defer v.rankCache.mu.Unlock()
@@ -145,7 +145,7 @@
 	return out
 }
 
-// viewBuilder makes views of the board's documents.
+// viewBuilder builds views from the documents of the replica.
 type viewBuilder struct {
 	replica      *docsync.MemoryReplica
 	log          *slog.Logger
@@ -155,35 +155,36 @@
 	current      *view
 	tracker      *fleet.Tracker
 	readVersions map[docsync.Name]docsync.Version
-	// published are the tables of leads, with the time of each.
+	// published are the routing tables received from leaders.
 	published map[key.Service]publishedTable
-	// stored are the store's documents of owners.
+	// stored are the ownership documents read from the store.
 	stored map[key.Service]*storedOwners
 }
 
-// storedOwners is a document of a service's owners, as the store holds it. It
-// changes with each move, and is read where no lead has been heard for a while.
+// storedOwners is the ownership document of a service as read from the store. It
+// changes with each move, so it is decoded only when no table was received from a
+// leader for a while.
 type storedOwners struct {
 	docsync.Document
 
-	// table is what follows from it, once it was read; where it is not readable,
-	// from the one before.
+	// table is the routing table derived from the document. If decoding fails, it is
+	// the table of the previous document.
 	table   *owner.Table
 	decoded bool
 }
 
-// revision returns the store's revision of the document.
+// revision returns the store revision of the document.
 func (s *storedOwners) revision() platform.Revision { return platform.Revision(s.Version.Major) }
 
-// publishedTable is a lead's table and when it came.
+// publishedTable is a leader's routing table and the time of its arrival.
 type publishedTable struct {
 	*owner.Table
 
 	receivedAt time.Time
 }
 
-// maxTableAge is how old a lead's table may be while the store's document is as
-// new: leads publish one every second.
+// maxTableAge is the age after which a leader's table is replaced by a newer document
+// of the store. Leaders publish at least once a second.
 const maxTableAge = 2500 * time.Millisecond
 
 func newViewBuilder(board *docsync.MemoryReplica, log *slog.Logger, decode func([]byte) (*traffic.Config, error)) *viewBuilder {
@@ -208,8 +209,8 @@
 	return v.current
 }
 
-// refresh takes over what is new on the board, or has expired; it reports
-// whether a new view is in force.
+// refresh reads new documents from the replica and removes expired targets. It reports
+// whether it put a new view in force.
 func (v *viewBuilder) refresh(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -232,8 +233,9 @@
 	return true
 }
 
-// untilExpiry returns the time until something in the view may have expired: targets have
-// two seconds to be used no more by any host.
+// untilExpiry returns the time until something in the view may expire. No host may use
+// a target later than two seconds after its removal, so the check can't wait for the
+// next poll.
 func (v *viewBuilder) untilExpiry(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -244,7 +246,7 @@
 	return min(max(at.Sub(now), 0), maxExpiryCheckInterval)
 }
 
-// newer returns a document if it is newer than what was read of it last.
+// newer returns the document and whether it is newer than the version read last.
 func (v *viewBuilder) newer(name docsync.Name) (docsync.Document, bool) {
 	doc, ok := v.replica.Get(name)
 	if !ok || !v.readVersions[name].Less(doc.Version) {
@@ -261,12 +263,12 @@
 	}
 	config, err := v.decodeConfig(doc.Body)
 	if err != nil {
-		v.log.Error("Configuration not readable, the last one stays in force.",
+		v.log.Error("Configuration not decodable, keeping the last one.",
 			slog.Uint64("revision", doc.Version.Minor), slog.Any("error", err))
 		return false
 	}
 	if next.routes != nil && config.Version < next.routes.Config().Version {
-		v.log.Warn("Older configuration not taken.", slog.Uint64("revision", doc.Version.Minor),
+		v.log.Warn("Older configuration ignored.", slog.Uint64("revision", doc.Version.Minor),
 			slog.Uint64("version", uint64(config.Version)), slog.Uint64("inforce", uint64(next.routes.Config().Version)))
 		return false
 	}
@@ -283,7 +285,7 @@
 	}
 	list, err := member.DecodeList(doc.Body)
 	if err != nil {
-		v.log.Error("List of members not readable, the last one stays.", slog.Any("error", err))
+		v.log.Error("List of hosts not decodable, keeping the last one.", slog.Any("error", err))
 		return false
 	}
 	next.era = max(next.era, platform.Revision(doc.Version.Major).Era())
@@ -292,22 +294,22 @@
 	return true
 }
 
-// logMembers writes a line for each host that came or went, and one for the first
-// list, which may have thousands.
+// logMembers logs each host that joined or left. The first list gets a single line, as
+// it may have thousands of hosts.
 func (v *viewBuilder) logMembers(old, list member.List, revision uint64) {
 	if len(old.Hosts) == 0 && len(list.Hosts) > 0 {
-		v.log.Info("First list of hosts.", slog.Int("hosts", len(list.Hosts)), slog.Uint64("revision", revision))
+		v.log.Info("First list of hosts received.", slog.Int("hosts", len(list.Hosts)), slog.Uint64("revision", revision))
 		return
 	}
 	for _, h := range list.Hosts {
 		if was, ok := old.Host(h.Name); !ok || was.Incarnation != h.Incarnation {
-			v.log.Info("Host is there.", slog.String("host", string(h.Name)), slog.Uint64("life", uint64(h.Incarnation)),
+			v.log.Info("Host joined.", slog.String("host", string(h.Name)), slog.Uint64("life", uint64(h.Incarnation)),
 				slog.Uint64("revision", revision))
 		}
 	}
 	for _, h := range old.Hosts {
 		if _, ok := list.Host(h.Name); !ok {
-			v.log.Info("Host is gone.", slog.String("host", string(h.Name)), slog.Uint64("revision", revision))
+			v.log.Info("Host removed.", slog.String("host", string(h.Name)), slog.Uint64("revision", revision))
 		}
 	}
 }
@@ -317,7 +319,7 @@
 	if ok {
 		list, err := fleet.Decode(doc.Body)
 		if err != nil {
-			v.log.Error("List of targets not readable, the last one stays.", slog.Any("error", err))
+			v.log.Error("List of targets not decodable, keeping the last one.", slog.Any("error", err))
 			return false
 		}
 		v.tracker.Update(now, list, platform.Revision(doc.Version.Major).Era())
@@ -339,12 +341,12 @@
 	return true
 }
 
-// departedTTL is how long targets that are gone are known: far longer than the
+// departedTTL is how long removed targets are remembered. It is far longer than the
 // lists of two hosts differ.
 const departedTTL = 20 * time.Second
 
-// departures returns the targets that went lately, where targets are those
-// there now.
+// departures returns the recently removed targets, given the targets that are listed
+// now.
 func departures(now time.Time, v *view, targets map[place.Target]place.TargetRow) map[place.Target]time.Time {
 	out := make(map[place.Target]time.Time)
 	for name, at := range v.departed {
@@ -360,29 +362,28 @@
 	return out
 }
 
-// logTargets writes a line for each target whose state changed, and one for the
-// first list.
+// logTargets logs each target whose state changed. The first list gets a single line.
 func (v *viewBuilder) logTargets(old, now map[place.Target]place.TargetRow, revision uint64) {
 	if len(old) == 0 && len(now) > 0 {
-		v.log.Info("First list of targets.", slog.Int("targets", len(now)), slog.Uint64("revision", revision))
+		v.log.Info("First list of targets received.", slog.Int("targets", len(now)), slog.Uint64("revision", revision))
 		return
 	}
 	for name, row := range now {
 		if was, ok := old[name]; !ok || was.State != row.State || was.Incarnation != row.Incarnation {
-			v.log.Info("Target seen.", slog.String("target", string(name)), slog.String("service", row.Service),
+			v.log.Info("Target added or changed.", slog.String("target", string(name)), slog.String("service", row.Service),
 				slog.String("state", row.State.String()), slog.String("zone", string(row.Zone)), slog.Uint64("revision", revision))
 		}
 	}
 	for name, row := range old {
 		if _, ok := now[name]; !ok {
-			v.log.Info("Target is gone.", slog.String("target", string(name)), slog.String("service", row.Service),
+			v.log.Info("Target removed.", slog.String("target", string(name)), slog.String("service", row.Service),
 				slog.Uint64("revision", revision))
 		}
 	}
 }
 
-// readTables takes over newer tables of leads, and the store's documents where
-// a lead has not been heard for a while.
+// readTables reads newer routing tables of leaders, and the store's ownership documents
+// of services whose leader was not heard for a while.
 func (v *viewBuilder) readTables(now time.Time, next *view) bool {
 	for _, doc := range v.replica.List(docRanges) {
 		doc, ok := v.newer(doc.Name)
@@ -391,7 +392,7 @@
 		}
 		table, err := owner.DecodeTable(doc.Body)
 		if err != nil {
-			v.log.Error("Table not readable, the last one stays.", slog.String("document", string(doc.Name)), slog.Any("error", err))
+			v.log.Error("Routing table not decodable, keeping the last one.", slog.String("document", string(doc.Name)), slog.Any("error", err))
 			continue
 		}
 		v.published[table.Service] = publishedTable{table, now}
@@ -423,7 +424,7 @@
 	return changed
 }
 
-// tableServices returns the services of which a table is known.
+// tableServices returns the services that have a published or stored table.
 func (v *viewBuilder) tableServices() map[key.Service]bool {
 	out := make(map[key.Service]bool, len(v.published))
 	for service := range v.published {
@@ -435,11 +436,11 @@
 	return out
 }
 
-// chooseTable returns the table to use for a service now, and when it was made.
+// chooseTable returns the table to use for a service now, and its time.
 func (v *viewBuilder) chooseTable(now time.Time, service key.Service) (*owner.Table, time.Time) {
 	heard, stored := v.published[service], v.stored[service]
-	// Without a lead's table, or where the owners have changed since one was
-	// last heard, the store's document tells them.
+	// Use the store's document where there is no leader's table, or where the owners
+	// changed after the last one arrived.
 	if stored != nil && (heard.Table == nil || now.Sub(heard.receivedAt) >= maxTableAge && stored.revision() > heard.DocRevision) {
 		if table := v.decodeOwners(stored); table != nil {
 			return table, now
@@ -448,8 +449,8 @@
 	return heard.Table, heard.receivedAt
 }
 
-// decodeOwners returns the table that follows from a document of owners, nil where
-// it can't be read.
+// decodeOwners returns the routing table derived from an ownership document. If
+// decoding fails, it returns the previous table, which may be nil.
 func (v *viewBuilder) decodeOwners(s *storedOwners) *owner.Table {
 	if s.decoded {
 		return s.table
@@ -457,7 +458,7 @@
 	s.decoded = true
 	d, err := owner.DecodeDoc(s.Body)
 	if err != nil {
-		v.log.Error("Document not readable, the last one stays.", slog.String("document", string(s.Name)), slog.Any("error", err))
+		v.log.Error("Ownership document not decodable, keeping the last one.", slog.String("document", string(s.Name)), slog.Any("error", err))
 		return s.table
 	}
 	s.table = owner.TableFromDoc(&d, s.revision())
--- a/internal/host/view_test.go
+++ b/internal/host/view_test.go
@@ -17,8 +17,8 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// TestChooseTable: a lead's table is used while it is fresh, and after that
-// only until the store has newer owners.
+// TestChooseTable: a leader's routing table is used while it is recent, and later only
+// until the store has newer owners.
 func TestChooseTable(t *testing.T) {
 	doc := owner.EmptyDoc("s")
 	doc.Rows[0].Target = "t"
@@ -27,17 +27,17 @@
 	table := func(based platform.Revision) *owner.Table { return owner.TableFromDoc(&doc, based) }
 	const fresh, old = time.Second, 2 * maxTableAge
 	tests := map[string]struct {
-		heard, stored platform.Revision // revisions that they rest on, 0 for none
+		heard, stored platform.Revision // document revisions of the tables, 0 for no table
 		age           time.Duration
 		wantStored    bool
 	}{
-		"nothing":                      {0, 0, fresh, false},
-		"stored alone":                 {0, 5, fresh, true},
-		"heard alone":                  {5, 0, old, false},
-		"heard is fresh":               {5, 6, fresh, false},
-		"heard is old, store is newer": {5, 6, old, true},
-		"heard is old, store is equal": {5, 5, old, false},
-		"heard is old, store is older": {5, 4, old, false},
+		"nothing":                          {0, 0, fresh, false},
+		"stored only":                      {0, 5, fresh, true},
+		"published only":                   {5, 0, old, false},
+		"published is recent":              {5, 6, fresh, false},
+		"published is old, store is newer": {5, 6, old, true},
+		"published is old, store is equal": {5, 5, old, false},
+		"published is old, store is older": {5, 4, old, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestIsLeaving: a target that was seen to leave or go counts as leaving until it
-// is listed again; one that was never listed may be new.
+// TestIsLeaving: a target that was listed as leaving or was removed counts as leaving
+// until it is listed again. One that was never listed may be new.
 func TestIsLeaving(t *testing.T) {
 	live := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
 	leaving := live
@@ -65,12 +65,12 @@
 		lists [][]place.TargetRow // a second apart
 		want  bool
 	}{
-		"never listed":  {[][]place.TargetRow{{}}, false},
-		"live":          {[][]place.TargetRow{{live}}, false},
-		"leaving":       {[][]place.TargetRow{{live}, {leaving}}, true},
-		"gone":          {[][]place.TargetRow{{live}, {}, {}}, true},
-		"there again":   {[][]place.TargetRow{{live}, {}, {}, {live}}, false},
-		"gone long ago": {append([][]place.TargetRow{{live}, {}}, make([][]place.TargetRow, 25)...), false},
+		"never listed":     {[][]place.TargetRow{{}}, false},
+		"live":             {[][]place.TargetRow{{live}}, false},
+		"leaving":          {[][]place.TargetRow{{live}, {leaving}}, true},
+		"gone":             {[][]place.TargetRow{{live}, {}, {}}, true},
+		"listed again":     {[][]place.TargetRow{{live}, {}, {}, {live}}, false},
+		"removed long ago": {append([][]place.TargetRow{{live}, {}}, make([][]place.TargetRow, 25)...), false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 			board := docsync.New()
 			v := newViewBuilder(board, logging.Nop(), nil)
 			for i, rows := range test.lists {
-				// Lists differ, or they are not read again.
+				// Every list must be different, or it is not read again.
 				other := place.TargetRow{Target: place.Target(fmt.Sprint("other-", i)), Incarnation: 1}
 				doc := fleet.List{Targets: append([]place.TargetRow{other}, rows...)}
 				body, err := doc.Encode()
@@ -92,20 +92,20 @@
 	}
 }
 
-// TestRemovedTargetExpiresInTime: a target whose entry is gone is in no view once its grace has
-// passed, however long that is before the next look at what has expired. Found by
-// hunt-1288-7 of serantau-dq, where a host used one for 2.2 s.
+// TestRemovedTargetExpiresInTime: a removed target is in no view once its grace has
+// passed. The check for expired targets must not wait for the next regular one: in
+// hunt-1288-7 of serantau-dq a host used a removed target for 2.2 s because of that.
 func TestRemovedTargetExpiresInTime(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1, 1, 2)
 	d.awaitServed()
 	h := d.hosts[0]
-	const slack = 100 * time.Millisecond // of a machine that is busy
+	const slack = 100 * time.Millisecond // for a busy machine
 	for i := range 4 {
 		name := place.Target(fmt.Sprintf("desk-%d", 2+i))
 		r := d.addTarget(name, "desk")
-		d.eventually("the target is there", 5*time.Second, func() bool { _, ok := h.views.view().targets[name]; return ok })
-		time.Sleep(time.Duration(i) * maxExpiryCheckInterval / 4) // at another moment between two looks
+		d.eventually("the target is listed", 5*time.Second, func() bool { _, ok := h.views.view().targets[name]; return ok })
+		time.Sleep(time.Duration(i) * maxExpiryCheckInterval / 4) // vary the time since the last check
 		d.store.Remove(platform.PathTargets + platform.Path(r.Name))
 		gone := func() bool { _, ok := h.views.view().targets[name]; return !ok }
 		noticed := func() bool {
