--- a/internal/host/watcher.go
+++ b/internal/host/watcher.go
@@ -17,97 +17,96 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// The documents that watchers read from the store and hosts pass on.
+// Documents that watchers read from the store and that are replicated to all hosts.
 const (
 	docTraffic docsync.Name = "traffic"
 	docTargets docsync.Name = "targets"
 	docMembers docsync.Name = "members"
-	// docRanges and docOwners are followed by the name of a service: the table
-	// that its lead published, and what the store holds.
+	// docRanges and docOwners are prefixes of a service name: the routing table
+	// published by its leader, and the ownership document of the store.
 	docRanges docsync.Name = "ranges/"
 	docOwners docsync.Name = "owners/"
 )
 
 const (
-	// pollInterval is the time between two reads of the store, by whichever
-	// watcher comes first. Settings and departures have two seconds to get
-	// everywhere.
+	// pollInterval is the time between two reads of the store by any watcher. Settings
+	// and leaving targets must reach all hosts within two seconds.
 	pollInterval = 700 * time.Millisecond
-	// minPollInterval is the least time between two reads where something was written
-	// that others wait for.
+	// minPollInterval is the shortest time between two reads, used after a write that
+	// others wait for.
 	minPollInterval = 300 * time.Millisecond
-	// pollJitter is the longest that a watcher waits for another one on top.
-	pollJitter = 300 * time.Millisecond
-	// readTimeout bounds one read.
+	// pollJitter is the maximum of the random delay added to pollInterval, so that one
+	// watcher reads before the others.
+	pollJitter  = 300 * time.Millisecond
 	readTimeout = 1200 * time.Millisecond
-	// minReadBackoff and retryMost bound the pause after a failed read.
+	// minReadBackoff and maxReadBackoff limit the backoff after a failed read.
 	minReadBackoff = 100 * time.Millisecond
 	maxReadBackoff = 700 * time.Millisecond
-	// firstStartReadDelay is how long a host waits for what the seeds have read when the
-	// whole deployment starts for the first time: there are no clients yet. What
-	// is drawn on top of it is up to as long.
+	// firstStartReadDelay is the minimum wait for documents from the seeds when the
+	// whole deployment starts for the first time and has no clients yet. A random delay
+	// of up to the same length is added.
 	firstStartReadDelay = 1500 * time.Millisecond
-	// restartReadDelay is the same for any other start: seeds that run answer sooner, and
-	// clients wait.
+	// restartReadDelay is the same for any other start. It is shorter because running
+	// seeds respond faster and clients are waiting.
 	restartReadDelay = 100 * time.Millisecond
-	// roleSettleTime is how long it takes at most until a process that knows the
-	// hosts no longer watches, unless it is one of those that should.
+	// roleSettleTime is the longest time until a process that knows the hosts stops
+	// watching, unless it is one of the watchers.
 	roleSettleTime = 500 * time.Millisecond
-	// unsureTime is how long after a failed read the list of targets counts as
-	// unsure: entries lapse while the store is away, and are back within two
-	// seconds.
+	// unsureTime is how long after a failed read the list of targets counts as read
+	// during an outage. Entries expire while the store is unavailable and are back
+	// within two seconds.
 	unsureTime = 3 * time.Second
 )
 
-// watcher reads the store for a zone and publishes what it finds.
+// watcher reads the store for a zone and publishes the documents.
 //
-// It reads all of it, in one call, again and again. A watch would say sooner
-// what changed, but may hear nothing for seconds without an error, and the
-// reads that make up for that are as many.
+// It polls the whole store with one call. A watch would report changes sooner, but may
+// be silent for seconds without an error, and the reads needed to detect that are as
+// many.
 type watcher struct {
 	store        platform.SessionStore
 	replica      *docsync.MemoryReplica
 	log          *slog.Logger
 	decodeTarget func(place.Target, []byte) (place.TargetRow, error)
-	// configVersion reads the version of a configuration, if it is readable.
+	// configVersion decodes the version of a configuration.
 	configVersion func([]byte) (traffic.Version, bool)
-	// broadcast says to the other watchers what this one has read.
+	// broadcast sends a digest to the other watchers.
 	broadcast func(digest)
 
-	// firstReadDelay is how long the first read waits for what others have read.
+	// firstReadDelay is how long the first read waits for documents of other watchers.
 	firstReadDelay time.Duration
 
-	// triggered gets a token when something was written.
+	// triggered receives a token when the next read should come soon.
 	triggered chan struct{}
 
-	// runMu lets one run end before the next one begins.
+	// runMu serializes calls of run.
 	runMu sync.Mutex
 
 	mu         sync.Mutex
-	peerDigest digest // by another watcher
-	// triggeredAt is when something was last written that others wait for.
+	peerDigest digest // last digest received from another watcher
+	// triggeredAt is the last time that a read was requested by trigger.
 	triggeredAt time.Time
 
-	// readAt is when this watcher last read, stagger its wait after that or
-	// after another's reading.
+	// readAt is the time of this watcher's last read, jitter the random delay added to
+	// pollInterval after it.
 	readAt time.Time
 	jitter time.Duration
 
 	failures int
-	// failedAt is when the store last failed to answer, answersSince when it
-	// first answered after that.
+	// failedAt is the time of the last failed read, healthySince the time of the first
+	// successful one after it.
 	failedAt, healthySince time.Time
-	// rejected are the entries that were not readable, or are older than what was accepted,
-	// by revision.
+	// rejected maps the paths of undecodable or outdated entries to their revisions, so
+	// that each is logged once.
 	rejected map[platform.Path]platform.Revision
 }
 
-// run reads until ctx ends.
+// run reads the store until ctx ends.
 func (w *watcher) run(ctx context.Context) error {
 	w.runMu.Lock()
 	defer w.runMu.Unlock()
 	w.rejected = make(map[platform.Path]platform.Revision)
-	w.healthySince = time.Time{} // nothing is known of the time before
+	w.healthySince = time.Time{} // an earlier run tells nothing about the store now
 	w.awaitSeeds(ctx)
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -120,20 +119,20 @@
 			continue
 		}
 		if w.failures > 0 {
-			w.log.Info("Store answers again.", slog.Int("failures", w.failures))
+			w.log.Info("Store is available again.", slog.Int("failures", w.failures))
 		}
 		w.failures = 0
 		w.readAt, w.jitter = now, rand.N(pollJitter)
 		if !w.unsure(time.Now()) {
-			// Others read for themselves meanwhile: the store may have turned
-			// away this watcher alone.
+			// No digest is sent after a recent failure, so that the other watchers read
+			// the store themselves: it may have refused only this watcher.
 			w.broadcast(w.digest())
 		}
 	}
 	return nil
 }
 
-// sleep waits for d, or until something was written.
+// sleep waits for d or for a trigger.
 func (w *watcher) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -144,8 +143,8 @@
 	}
 }
 
-// awaitSeeds gives the seeds time to tell which hosts there are, once: every process
-// that knows none would watch, and hundreds start at the same moment.
+// awaitSeeds waits once for the list of hosts from the seeds. Every process that knows
+// no hosts would watch the store, and hundreds may start at the same time.
 func (w *watcher) awaitSeeds(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, w.firstReadDelay)
 	defer cancel()
@@ -170,8 +169,8 @@
 	return err == nil && len(list.Hosts) > 0
 }
 
-// untilNextRead returns how long this watcher need not read: another one has read a
-// moment ago, and what it found is here.
+// untilNextRead returns the time until this watcher's next read. A read by another
+// watcher counts if all documents that it found have arrived here.
 func (w *watcher) untilNextRead(now time.Time) time.Duration {
 	last := w.readAt
 	if at := w.coveredAt(); at.After(last) {
@@ -186,21 +185,21 @@
 	return last.Add(pollInterval + w.jitter).Sub(now)
 }
 
-// trigger makes the next read come soon: what was written tells, for instance, that a
-// lead's host has started again.
+// trigger brings the next read forward after a write that others wait for, such as the
+// entry of a restarted leader's host.
 func (w *watcher) trigger(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.triggeredAt = now
 	select {
 	case w.triggered <- struct{}{}:
-	default: // a token is waiting already
+	default: // a token is pending already
 	}
 }
 
 func (w *watcher) backOff(ctx context.Context, err error) {
 	if w.failures == 0 {
-		w.log.Warn("Store does not answer, the last known state stays.", slog.Any("error", err))
+		w.log.Warn("Store is unavailable, keeping the last known state.", slog.Any("error", err))
 	}
 	w.failedAt, w.healthySince = time.Now(), time.Time{}
 	w.failures++
@@ -209,7 +208,7 @@
 	sleep(ctx, pause/2+rand.N(pause))
 }
 
-// read publishes what changed since the last read.
+// read reads the whole store and publishes the changed documents.
 func (w *watcher) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -241,22 +240,22 @@
 	return nil
 }
 
-// unsure reports whether the store was out of reach a moment ago.
+// unsure reports whether a read failed recently.
 func (w *watcher) unsure(now time.Time) bool {
 	return !w.failedAt.IsZero() && now.Sub(w.failedAt) < unsureTime
 }
 
-// steady reports whether the store has answered for as long as it takes entries
-// to come back that lapsed while it was away.
+// steady reports whether reads have succeeded for so long that entries which expired
+// during an outage are back.
 func (w *watcher) steady(now time.Time) bool {
 	return !w.healthySince.IsZero() && now.Sub(w.healthySince) >= unsureTime
 }
 
-// publish offers a document at the store's revision. One that has not changed
-// is not sent round again.
+// publish publishes a document at the store's revision. An unchanged document is not
+// replicated again.
 func (w *watcher) publish(name docsync.Name, revision platform.Revision, body []byte, err error) {
 	if err != nil {
-		w.log.Error("Document not written, the last one stays.", slog.String("document", string(name)), slog.Any("error", err))
+		w.log.Error("Document not encoded, keeping the last one.", slog.String("document", string(name)), slog.Any("error", err))
 		return
 	}
 	if last, ok := w.replica.Get(name); ok && bytes.Equal(last.Body, body) {
@@ -265,10 +264,10 @@
 	w.replica.PublishFromStore(docsync.Document{Name: name, Version: docsync.Version{Major: uint64(revision)}, Body: body})
 }
 
-// publishConfig offers the configuration. Its own version orders it: a store that
-// comes back from a copy names an older one under a later revision. What has no
-// readable version goes by the one before, so that all hosts tell that they can't
-// read it.
+// publishConfig publishes the configuration, ordered by its own version: a store that
+// was restored from an older snapshot has an older configuration at a later revision. A
+// configuration whose version can't be decoded takes the version of the one before, so
+// that it reaches all hosts and each logs that it can't decode it.
 func (w *watcher) publishConfig(e platform.Entry) {
 	last, there := w.replica.Get(docTraffic)
 	if there && bytes.Equal(last.Body, e.Value) {
@@ -281,7 +280,7 @@
 	if there && v.Major < last.Version.Major {
 		if w.rejected[e.Path] != e.Revision {
 			w.rejected[e.Path] = e.Revision
-			w.log.Warn("Older configuration in the store, the accepted one stays.",
+			w.log.Warn("Older configuration in the store, keeping the accepted one.",
 				slog.Uint64("version", v.Major), slog.Uint64("accepted", last.Version.Major), slog.Uint64("revision", uint64(e.Revision)))
 		}
 		return
@@ -306,28 +305,28 @@
 func (w *watcher) encodeMembers(entries []platform.Entry) ([]byte, error) {
 	list, errs := member.NewList(entries)
 	for _, err := range errs {
-		w.log.Warn("Entry of a member not readable, left out.", slog.Any("error", err))
+		w.log.Warn("Host entry not decodable, left out.", slog.Any("error", err))
 	}
 	return list.Encode()
 }
 
-// logUnreadable logs an entry that is not readable, once for each revision of it.
+// logUnreadable logs an undecodable target entry once per revision.
 func (w *watcher) logUnreadable(e platform.Entry, err error) {
 	if w.rejected[e.Path] == e.Revision {
 		return
 	}
 	w.rejected[e.Path] = e.Revision
-	w.log.Warn("Entry of a target not readable, left out.", slog.String("path", string(e.Path)),
+	w.log.Warn("Target entry not decodable, left out.", slog.String("path", string(e.Path)),
 		slog.Uint64("revision", uint64(e.Revision)), slog.Any("error", err))
 }
 
-// digest is what a watcher has read: the versions of its documents.
+// digest holds the versions of the documents that a watcher has read.
 type digest struct {
 	receivedAt time.Time
 	versions   map[docsync.Name]uint64
 }
 
-// digest returns what stands on the board of what watchers read.
+// digest returns the versions of the replica's store documents.
 func (w *watcher) digest() digest {
 	r := digest{versions: make(map[docsync.Name]uint64)}
 	for _, prefix := range []docsync.Name{docTraffic, docTargets, docMembers, docOwners} {
@@ -338,15 +337,16 @@
 	return r
 }
 
-// receive takes what another watcher has read.
+// receive stores the digest of another watcher.
 func (w *watcher) receive(r digest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.peerDigest = r
 }
 
-// coveredAt returns when another watcher last read of which everything has come
-// here. The owners of ranges change all the time, and nothing waits for them.
+// coveredAt returns the time of another watcher's last read if all documents that it
+// found have arrived here, otherwise zero. Ownership documents are not compared: they
+// change all the time, and nothing waits for them.
 func (w *watcher) coveredAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -361,7 +361,7 @@
 	return w.peerDigest.receivedAt
 }
 
-// sleep waits for d or the end of ctx.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/host/watcher_test.go
+++ b/internal/host/watcher_test.go
@@ -17,8 +17,8 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// TestWatcherHandlesDigests: a watcher leaves the store alone for a while after
-// another one has read it, if what that one found is here.
+// TestWatcherHandlesDigests: a watcher waits with its next read after another one has
+// read the store, if all documents that the other one found have arrived here.
 func TestWatcherHandlesDigests(t *testing.T) {
 	const here = 7
 	versions := func(traffic uint64) map[docsync.Name]uint64 { return map[docsync.Name]uint64{docTraffic: traffic} }
@@ -28,14 +28,14 @@
 		at    time.Duration // ago
 		rests bool
 	}{
-		"nobody has read":                   {own: time.Hour},
-		"this one has":                      {own: time.Millisecond, rests: true},
-		"another one has":                   {own: time.Hour, heard: versions(here), at: time.Millisecond, rests: true},
-		"another one, what it found is old": {own: time.Hour, heard: versions(here - 1), at: time.Millisecond, rests: true},
-		"another one, not here yet":         {own: time.Hour, heard: versions(here + 1), at: time.Millisecond},
-		"another one, owners not here yet":  {own: time.Hour, heard: map[docsync.Name]uint64{docTraffic: here, docOwners + "s": 9}, at: time.Millisecond, rests: true},
-		"another one, too long ago":         {own: time.Hour, heard: versions(here), at: pollInterval},
-		"another one, before this one":      {own: time.Millisecond, heard: versions(here), at: time.Hour, rests: true},
+		"no reads":                                         {own: time.Hour},
+		"own read":                                         {own: time.Millisecond, rests: true},
+		"read by another watcher":                          {own: time.Hour, heard: versions(here), at: time.Millisecond, rests: true},
+		"read by another watcher, found older":             {own: time.Hour, heard: versions(here - 1), at: time.Millisecond, rests: true},
+		"read by another watcher, not arrived yet":         {own: time.Hour, heard: versions(here + 1), at: time.Millisecond},
+		"read by another watcher, only owners not arrived": {own: time.Hour, heard: map[docsync.Name]uint64{docTraffic: here, docOwners + "s": 9}, at: time.Millisecond, rests: true},
+		"read by another watcher long ago":                 {own: time.Hour, heard: versions(here), at: pollInterval},
+		"read by another watcher before the own read":      {own: time.Millisecond, heard: versions(here), at: time.Hour, rests: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestTriggeredRead: after something was written that others wait for, the next read
-// comes sooner than usual, but not at once again.
+// TestTriggeredRead: after a trigger the next read comes sooner than usual, but the one
+// after it does not.
 func TestTriggeredRead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := &watcher{replica: docsync.New(), readAt: now, triggered: make(chan struct{}, 1)}
@@ -63,8 +63,8 @@
 }
 
 // TestConfigVersionIsStable: watchers that read the store at different times give the
-// same configuration the same version. It is large, and would go to every host
-// once for each of them.
+// same configuration the same version. Otherwise the large document would be replicated
+// to every host once per watcher.
 func TestConfigVersionIsStable(t *testing.T) {
 	store := fake.NewSessionStore()
 	store.Set(platform.PathConfig, []byte("one"))
@@ -83,8 +83,8 @@
 	assert.Assert(t, first.Less(version()))
 }
 
-// TestUnsureWatcherSendsNoDigest: what a watcher reads right after the store turned it away
-// does not keep others from reading for themselves.
+// TestUnsureWatcherSendsNoDigest: a watcher sends no digest right after the store
+// refused it, so that the others read the store themselves.
 func TestUnsureWatcherSendsNoDigest(t *testing.T) {
 	store, board := fake.NewSessionStore(), docsync.New()
 	var told atomic.Int32
@@ -107,12 +107,12 @@
 	until := func(what string, holds func() bool) {
 		t.Helper()
 		for end := time.Now().Add(2 * readTimeout); !holds(); time.Sleep(time.Millisecond) {
-			assert.Assert(t, time.Now().Before(end), "never: %s", what)
+			assert.Assert(t, time.Now().Before(end), "timed out waiting for %s", what)
 		}
 	}
 	store.SetFaults(fake.SessionFaults{Down: true})
 	start()
-	until("a second try", func() bool { return store.Calls() > 1 })
+	until("a second attempt", func() bool { return store.Calls() > 1 })
 	store.SetFaults(fake.SessionFaults{})
 	until("a list", func() bool { _, ok := listed(); return ok })
 	calls := store.Calls()
@@ -124,5 +124,5 @@
 	assert.Equal(t, told.Load(), int32(0))
 }
 
-// noVersion stands for configurations without a readable version.
+// noVersion is a decoder for configurations without a decodable version.
 func noVersion([]byte) (traffic.Version, bool) { return 0, false }
