--- a/internal/host/campaign.go
+++ b/internal/host/campaign.go
@@ -33,68 +33,68 @@
 )
 
 // campaignIfDue starts a campaign where there is no leader.
-func (r *controller) campaignIfDue(ctx context.Context, now time.Time, v *view) {
-	if r.campaigning || r.host.stopping.Load() || now.Before(r.pausedUntil) || !r.campaignDue(now, v) {
+func (c *controller) campaignIfDue(ctx context.Context, now time.Time, v *view) {
+	if c.campaigning || c.host.stopping.Load() || now.Before(c.pausedUntil) || !c.campaignDue(now, v) {
 		return
 	}
-	r.campaigning, r.campaignedAt = true, now
-	c := &campaign{controller: r, lease: r.newLease(), members: v.members, noLeaderKnown: r.host.site.FirstStart && v.tables[r.service] == nil}
-	if r.core.Leading() {
-		doc := r.core.Doc(now)
-		c.localDoc, c.noLeaderKnown = &doc, false
+	c.campaigning, c.campaignedAt = true, now
+	attempt := &campaign{controller: c, lease: c.newLease(), members: v.members, noLeaderKnown: c.host.site.FirstStart && v.tables[c.service] == nil}
+	if c.core.Leading() {
+		doc := c.core.Doc(now)
+		attempt.localDoc, attempt.noLeaderKnown = &doc, false
 	}
-	r.tasks.Add(1)
-	go c.run(ctx)
+	c.tasks.Add(1)
+	go attempt.run(ctx)
 }
 
 // campaignDue reports whether this host should campaign now.
-func (r *controller) campaignDue(now time.Time, v *view) bool {
-	if r.core.TermLost() {
-		return now.Sub(r.campaignedAt) > candidateDelay
+func (c *controller) campaignDue(now time.Time, v *view) bool {
+	if c.core.TermLost() {
+		return now.Sub(c.campaignedAt) > candidateDelay
 	}
-	lead, ok := v.members.Leader(r.service)
-	ok = ok && !lead.Restored()
-	if r.core.Leading() {
+	leader, ok := v.members.Leader(c.service)
+	ok = ok && !leader.Restored()
+	if c.core.Leading() {
 		// The entry expired with its session. Right after a won campaign the list does
 		// not contain the new entry yet.
-		return !ok && now.Sub(r.wonAt) > leaderListLag && now.Sub(r.vacantSince) > candidateDelay
+		return !ok && now.Sub(c.wonAt) > leaderListLag && now.Sub(c.vacantSince) > candidateDelay
 	}
-	place := slices.Index(v.candidates(r.service), r.host.site.Host)
-	if ok && !v.members.Ended(lead) {
+	rank := slices.Index(v.candidates(c.service), c.host.site.Host)
+	if ok && !v.members.Ended(leader) {
 		// This host's own entry, of a term that it gave up, can be replaced at once. Of
 		// another's, the store knows sooner than the list that it is gone.
-		mine := lead.Host == r.host.site.Host && now.Sub(r.campaignedAt) > candidateDelay
+		own := leader.Host == c.host.site.Host && now.Sub(c.campaignedAt) > candidateDelay
 		// A process that just started may be one of many: the list may name a leader
 		// that ended at the same time.
-		since := r.startedAt
-		if r.leaderHeardAt.After(since) {
-			since = r.leaderHeardAt
+		since := c.startedAt
+		if c.leaderHeardAt.After(since) {
+			since = c.leaderHeardAt
 		}
-		quiet := now.Sub(since) > leaderSilence+time.Duration(place)*candidateDelay
-		return mine || quiet && place >= 0 && place < candidateCount && now.Sub(r.campaignedAt) > candidateDelay
+		silent := now.Sub(since) > leaderSilence+time.Duration(rank)*candidateDelay
+		return own || silent && rank >= 0 && rank < candidateCount && now.Sub(c.campaignedAt) > candidateDelay
 	}
-	if r.vacantSince.IsZero() || place < 0 {
+	if c.vacantSince.IsZero() || rank < 0 {
 		return false
 	}
-	wait := time.Duration(place) * candidateDelay
-	if r.storeRestored(v) {
+	wait := time.Duration(rank) * candidateDelay
+	if c.storeRestored(v) {
 		// Only the last leader knows the owners, so others wait longer.
-		if now.Sub(r.leaderHeardAt) < leaderSilence {
+		if now.Sub(c.leaderHeardAt) < leaderSilence {
 			return false
 		}
 		wait += restoredDelay
 	}
-	if r.incumbentAlive(now, v, place) {
+	if c.incumbentAlive(now, v, rank) {
 		wait += incumbentDelay
 	}
-	return now.Sub(r.vacantSince) >= wait
+	return now.Sub(c.vacantSince) >= wait
 }
 
 // storeRestored reports whether the store's era is later than that of the last routing
 // table.
-func (r *controller) storeRestored(v *view) bool {
-	table := v.tables[r.service]
-	_, era := r.host.store.eras()
+func (c *controller) storeRestored(v *view) bool {
+	table := v.tables[c.service]
+	_, era := c.host.store.eras()
 	return table != nil && table.Version.Term.Era() < max(era, v.era)
 }
 
@@ -102,13 +102,13 @@
 // entry in a store outage. It campaigns first then, because a new leader has to contact
 // every owner again. Candidates receive the notices of a running leader; other hosts go
 // by the list.
-func (r *controller) incumbentAlive(now time.Time, v *view, place int) bool {
-	table := v.tables[r.service]
-	if table == nil || place < candidateCount && now.Sub(r.leaderHeardAt) > leaderSilence {
+func (c *controller) incumbentAlive(now time.Time, v *view, rank int) bool {
+	table := v.tables[c.service]
+	if table == nil || rank < candidateCount && now.Sub(c.leaderHeardAt) > leaderSilence {
 		return false
 	}
-	h, there := v.members.Host(table.Leader)
-	return there && h.Incarnation == table.LeaderIncarnation
+	h, listed := v.members.Host(table.Leader)
+	return listed && h.Incarnation == table.LeaderIncarnation
 }
 
 // campaign is one attempt to become the leader.
@@ -142,7 +142,7 @@
 			}
 			return false
 		}
-		c.leadRevision = won.revision
+		c.leaderRevision = won.revision
 		c.vacantSince, c.wonAt = time.Time{}, now
 		c.predecessor = won.predecessor
 		c.log.Info("Leading.", slog.Uint64("term", uint64(won.doc.Term)), slog.Uint64("revision", uint64(won.revision)),
@@ -177,10 +177,10 @@
 	leaseRenewRetryDelay = 300 * time.Millisecond
 )
 
-func (r *controller) newLease() *lease {
-	l := &lease{tasks: &r.tasks, sessionKeeper: sessionKeeper{
-		store: r.host.env.Store, log: r.log.With(slog.String("entry", "lead")),
-		ttl: max(leaseTTL, r.host.site.Bounds.MinSessionTTL), interval: leaseRenewInterval, retryDelay: leaseRenewRetryDelay, urgent: make(chan struct{}, 1),
+func (c *controller) newLease() *lease {
+	l := &lease{tasks: &c.tasks, sessionKeeper: sessionKeeper{
+		store: c.host.env.Store, log: c.log.With(slog.String("entry", "lead")),
+		ttl: max(leaseTTL, c.host.site.Bounds.MinSessionTTL), interval: leaseRenewInterval, retryDelay: leaseRenewRetryDelay, urgent: make(chan struct{}, 1),
 	}}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
@@ -207,7 +207,7 @@
 
 func (c *campaign) campaign(ctx context.Context) (electionWin, error) {
 	store := c.host.env.Store
-	held, err := c.replaceableEntry(ctx)
+	entryRevision, err := c.replaceableEntry(ctx)
 	if err != nil {
 		return electionWin{}, err
 	}
@@ -243,11 +243,11 @@
 	if err != nil {
 		return electionWin{}, err
 	}
-	leadPath := member.LeaderPath(c.service)
+	leaderPath := member.LeaderPath(c.service)
 	txn := platform.Txn{
-		If: []platform.Condition{{Path: leadPath, Revision: held}, {Path: rangesPath(c.service), Revision: old.Revision}},
+		If: []platform.Condition{{Path: leaderPath, Revision: entryRevision}, {Path: rangesPath(c.service), Revision: old.Revision}},
 		Put: []platform.Put{
-			{Path: leadPath, Value: entry, Session: session},
+			{Path: leaderPath, Value: entry, Session: session},
 			{Path: rangesPath(c.service), Value: value},
 		},
 	}
@@ -265,11 +265,11 @@
 	replaceable := func(l member.Leader) bool {
 		return l.Host == c.host.site.Host || c.members.Ended(l) || l.Restored()
 	}
-	lead, listed := c.members.Leader(c.service)
+	leader, listed := c.members.Leader(c.service)
 	_, era := c.host.store.eras()
-	current := lead.Revision.Era() == era
-	if listed && current && replaceable(lead) {
-		return lead.Revision, nil // entry of an ended incarnation
+	sameEra := leader.Revision.Era() == era
+	if listed && sameEra && replaceable(leader) {
+		return leader.Revision, nil // entry of an ended incarnation
 	}
 	if !listed && c.localDoc == nil && !c.controller.storeRestored(c.host.views.view()) {
 		return 0, nil
@@ -281,13 +281,13 @@
 	if err != nil {
 		return 0, err
 	}
-	if lead, err = member.DecodeLeader(entry); err != nil {
+	if leader, err = member.DecodeLeader(entry); err != nil {
 		return 0, err
 	}
-	if !replaceable(lead) {
+	if !replaceable(leader) {
 		return 0, errLeaderExists
 	}
-	return lead.Revision, nil
+	return leader.Revision, nil
 }
 
 // predecessorOf returns what is known of the leader that wrote the document, given the
@@ -302,14 +302,14 @@
 }
 
 // errWriteConflict is returned if another host's write came first.
-var errWriteConflict = errors.New("host: changed by another write")
+var errWriteConflict = errors.New("host: leader entry or document changed by another write")
 
 // commitUntilKnown repeats a transaction until it is certain whether it was committed.
 // It recognizes its own write by the write ID of the document at path.
 func commitUntilKnown(ctx context.Context, log *slog.Logger, store platform.SessionStore, txn platform.Txn, path platform.Path, write uint64) (platform.Revision, error) {
-	const firstPause, mostPause = 100 * time.Millisecond, 500 * time.Millisecond
+	const minPause, maxPause = 100 * time.Millisecond, 500 * time.Millisecond
 	unknown := false
-	for pause := firstPause; ; pause = min(2*pause, mostPause) {
+	for pause := minPause; ; pause = min(2*pause, maxPause) {
 		revision, err := store.Commit(ctx, txn)
 		var conflict *platform.TxnConflictError
 		switch {
--- a/internal/host/clienttimeouts.go
+++ b/internal/host/clienttimeouts.go
@@ -20,10 +20,10 @@
 }
 
 // observe records a client's timeout and returns the usual one of the route.
-func (p *clientTimeouts) observe(route traffic.RouteName, left time.Duration) time.Duration {
+func (p *clientTimeouts) observe(route traffic.RouteName, timeout time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usual := max(p.routes[route], left)
-	p.routes[route] = usual
-	return usual
+	longest := max(p.routes[route], timeout)
+	p.routes[route] = longest
+	return longest
 }
--- a/internal/host/controller.go
+++ b/internal/host/controller.go
@@ -95,8 +95,8 @@
 
 	meter       partition.Meter
 	targetStats map[place.Target]targetStats
-	// leadRevision is the store revision of this host's leader entry.
-	leadRevision platform.Revision
+	// leaderRevision is the store revision of this host's leader entry.
+	leaderRevision platform.Revision
 	// vacantSince is the time since which no leader is known.
 	vacantSince time.Time
 	campaigning bool
@@ -127,8 +127,9 @@
 
 // targetStats is the last report about a target.
 type targetStats struct {
-	// latency is the mean time of a request at the target and requests the number of
-	// samples behind it. slowdown is the decayed ratio of recent times to that mean.
+	// latency is the mean time of a request at the target, multiplied by slowdown if
+	// that exceeds minSlowdown. requests is the number of samples behind the mean,
+	// slowdown the decayed ratio of recent times to it.
 	latency   time.Duration
 	requests  float64
 	slowdown  float64
@@ -138,7 +139,7 @@
 
 func newController(h *Host, service key.Service) *controller {
 	log := h.log.With(slog.String("service", string(service)))
-	r := &controller{
+	c := &controller{
 		host: h, service: service, log: log,
 		orders: newOrderClient(h.env.Orders, log),
 		core: owner.New(owner.Config{
@@ -154,35 +155,35 @@
 		targetStats: make(map[place.Target]targetStats),
 		leaving:     make(map[place.Target]place.Incarnation),
 	}
-	r.lease = r.newLease()
-	return r
+	c.lease = c.newLease()
+	return c
 }
 
 // run leads the service whenever no other host does, until ctx ends.
-func (r *controller) run(ctx context.Context) error {
+func (c *controller) run(ctx context.Context) error {
 	tick := leaderTick
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	defer r.tasks.Wait()
-	defer r.orders.close()
-	defer func() { r.lease.abandon() }()
+	defer c.tasks.Wait()
+	defer c.orders.close()
+	defer func() { c.lease.abandon() }()
 	for {
 		select {
 		case <-ctx.Done():
-			if r.core.Leading() {
-				r.log.Warn("Leadership not handed over, its lease will expire.", slog.Uint64("term", uint64(r.core.Term())), slog.Bool("ordering", !r.core.Idle()))
+			if c.core.Leading() {
+				c.log.Warn("Leadership not handed over, its lease will expire.", slog.Uint64("term", uint64(c.core.Term())), slog.Bool("ordering", !c.core.Idle()))
 			}
 			return nil
-		case f := <-r.events:
+		case f := <-c.events:
 			due := false
-			r.guardLeader(func() { due = r.handleEvents(f) })
+			c.guardLeader(func() { due = c.handleEvents(f) })
 			if !due {
 				continue
 			}
 		case <-ticker.C:
 		}
-		r.guardLeader(func() { r.step(ctx, clock.Now()) })
-		if next := r.tickInterval(); next != tick {
+		c.guardLeader(func() { c.step(ctx, clock.Now()) })
+		if next := c.tickInterval(); next != tick {
 			tick = next
 			ticker.Reset(tick)
 		}
@@ -190,12 +191,12 @@
 }
 
 // tickInterval returns the time until the next tick.
-func (r *controller) tickInterval() time.Duration {
-	if r.core.Leading() {
+func (c *controller) tickInterval() time.Duration {
+	if c.core.Leading() {
 		return leaderTick
 	}
-	ranked := r.host.views.view().candidates(r.service)
-	if place := slices.Index(ranked, r.host.site.Host); place >= candidateCount {
+	ranked := c.host.views.view().candidates(c.service)
+	if rank := slices.Index(ranked, c.host.site.Host); rank >= candidateCount {
 		return nonCandidateTick
 	}
 	return candidateTick
@@ -203,12 +204,12 @@
 
 // handleEvents runs an event and all others that are pending. It reports whether a step
 // is due.
-func (r *controller) handleEvents(f func(now time.Time) bool) bool {
+func (c *controller) handleEvents(f func(now time.Time) bool) bool {
 	now := clock.Now()
 	due := f(now)
 	for {
 		select {
-		case f = <-r.events:
+		case f = <-c.events:
 			due = f(now) || due
 		default:
 			return due
@@ -217,41 +218,41 @@
 }
 
 // post queues an event for the controller's goroutine.
-func (r *controller) post(f func(now time.Time) bool) { r.events <- f }
+func (c *controller) post(f func(now time.Time) bool) { c.events <- f }
 
 // receiveReport queues a load report. It is dropped if the queue is full, as the next
 // one follows soon.
-func (r *controller) receiveReport(l loadReport) {
-	r.tryPost(func(now time.Time) { r.applyReport(now, l) })
+func (c *controller) receiveReport(l loadReport) {
+	c.tryPost(func(now time.Time) { c.applyReport(now, l) })
 }
 
 // tryPost is post for events that may be dropped if the queue is full.
-func (r *controller) tryPost(f func(now time.Time)) {
+func (c *controller) tryPost(f func(now time.Time)) {
 	select {
-	case r.events <- func(now time.Time) bool { f(now); return false }:
+	case c.events <- func(now time.Time) bool { f(now); return false }:
 	default:
 	}
 }
 
-func (r *controller) applyReport(now time.Time, l loadReport) {
-	if !r.core.Leading() {
+func (c *controller) applyReport(now time.Time, l loadReport) {
+	if !c.core.Leading() {
 		return
 	}
 	for p, n := range l.points {
-		r.meter.Add(now, p, n)
+		c.meter.Add(now, p, n)
 	}
 	for _, o := range l.targets {
 		if o.Leaving {
-			r.markLeaving(o.Target)
+			c.markLeaving(o.Target)
 		}
 		if !o.Used && !o.Down {
 			continue
 		}
 		took := o.Mean
 		if took == 0 {
-			took = r.meanLatency(now) // it is down and has served nothing here
+			took = c.meanLatency(now) // it is down and has served nothing here
 		}
-		last, ok := r.targetStats[o.Target]
+		last, ok := c.targetStats[o.Target]
 		if !ok || now.Sub(last.updatedAt) > maxStatsAge {
 			last.slowdown = o.Slowdown
 		}
@@ -261,35 +262,35 @@
 		if last.slowdown > minSlowdown {
 			last.latency = time.Duration(float64(took) * last.slowdown)
 		}
-		r.targetStats[o.Target] = last
+		c.targetStats[o.Target] = last
 	}
 }
 
 // markLeaving records that a target signaled that it is leaving. The platform's list
 // may say so later or never.
-func (r *controller) markLeaving(name place.Target) {
-	row, ok := r.host.views.view().targets[name]
-	born, noted := r.leaving[name]
-	if !ok || row.State != place.Live || noted && born == row.Incarnation {
+func (c *controller) markLeaving(name place.Target) {
+	row, ok := c.host.views.view().targets[name]
+	incarnation, noted := c.leaving[name]
+	if !ok || row.State != place.Live || noted && incarnation == row.Incarnation {
 		return
 	}
-	r.log.Info("Target marked as leaving after its signal.", slog.String("target", string(name)))
-	r.leaving[name] = row.Incarnation
-	r.knownFleet = 0 // pass the change to the core
+	c.log.Info("Target marked as leaving after its signal.", slog.String("target", string(name)))
+	c.leaving[name] = row.Incarnation
+	c.knownFleet = 0 // pass the change to the core
 }
 
 // effectiveTargets returns the targets of a view, with those that signaled it marked as
 // leaving.
-func (r *controller) effectiveTargets(v *view) map[place.Target]place.TargetRow {
-	maps.DeleteFunc(r.leaving, func(name place.Target, born place.Incarnation) bool {
+func (c *controller) effectiveTargets(v *view) map[place.Target]place.TargetRow {
+	maps.DeleteFunc(c.leaving, func(name place.Target, incarnation place.Incarnation) bool {
 		row, ok := v.targets[name]
-		return !ok || row.Incarnation != born
+		return !ok || row.Incarnation != incarnation
 	})
-	if len(r.leaving) == 0 {
+	if len(c.leaving) == 0 {
 		return v.targets
 	}
 	out := maps.Clone(v.targets)
-	for name := range r.leaving {
+	for name := range c.leaving {
 		row := out[name]
 		row.State = place.Leaving
 		out[name] = row
@@ -299,55 +300,55 @@
 
 // guardLeader runs f. After a panic this host steps down: its state may be half
 // changed, and the next leader starts from the store.
-func (r *controller) guardLeader(f func()) {
-	if r.host.guard("lead", f) {
+func (c *controller) guardLeader(f func()) {
+	if c.host.guard("lead", f) {
 		return
 	}
-	r.core.StepDown()
-	r.lease.abandon()
-	r.leading.Store(false)
+	c.core.StepDown()
+	c.lease.abandon()
+	c.leading.Store(false)
 }
 
 // step runs one tick.
-func (r *controller) step(ctx context.Context, now time.Time) {
-	v := r.host.views.view()
-	r.observeLeader(now, v)
-	if r.core.Leading() {
-		session := r.lease.current()
-		if _, era := r.host.store.eras(); session.restored || max(era, v.era) > r.core.Term().Era() {
-			r.core.StoreRestored(now, r.core.Term())
+func (c *controller) step(ctx context.Context, now time.Time) {
+	v := c.host.views.view()
+	c.observeLeader(now, v)
+	if c.core.Leading() {
+		session := c.lease.current()
+		if _, era := c.host.store.eras(); session.restored || max(era, v.era) > c.core.Term().Era() {
+			c.core.StoreRestored(now, c.core.Term())
 		}
-		r.core.ExtendLease(session.end)
-		if v.fleetVersion != r.knownFleet {
-			r.knownFleet = v.fleetVersion
-			r.core.SetTargets(now, r.effectiveTargets(v))
+		c.core.ExtendLease(session.end)
+		if v.fleetVersion != c.knownFleet {
+			c.knownFleet = v.fleetVersion
+			c.core.SetTargets(now, c.effectiveTargets(v))
 		}
-		r.updateLoad(now, v)
-		r.announceLeadership(now, v)
+		c.updateLoad(now, v)
+		c.announceLeadership(now, v)
 	} else {
-		r.lease.abandon() // leadership was lost
+		c.lease.abandon() // leadership was lost
 	}
-	r.campaignIfDue(ctx, now, v)
-	r.resignIfDue(ctx, now)
-	r.leading.Store(r.core.Leading())
-	r.apply(ctx, r.core.Tick(now))
+	c.campaignIfDue(ctx, now, v)
+	c.resignIfDue(ctx, now)
+	c.leading.Store(c.core.Leading())
+	c.apply(ctx, c.core.Tick(now))
 }
 
 // observeLeader steps down if the list of hosts names another leader.
-func (r *controller) observeLeader(now time.Time, v *view) {
-	lead, ok := v.members.Leader(r.service)
-	ok = ok && !lead.Restored()
-	mine := ok && lead.Host == r.host.site.Host && lead.Incarnation == r.host.incarnation
+func (c *controller) observeLeader(now time.Time, v *view) {
+	leader, ok := v.members.Leader(c.service)
+	ok = ok && !leader.Restored()
+	own := ok && leader.Host == c.host.site.Host && leader.Incarnation == c.host.incarnation
 	switch {
-	case ok && !mine && r.core.Leading() && lead.Revision > r.leadRevision:
-		r.log.Warn("Another host leads, stepping down.", slog.String("lead", string(lead.Host)),
-			slog.Uint64("revision", uint64(lead.Revision)), slog.Uint64("term", uint64(r.core.Term())))
-		r.core.StepDown()
-		r.vacantSince = time.Time{}
-	case ok && !mine && !v.members.Ended(lead):
-		r.vacantSince = time.Time{}
-	case !mine && r.vacantSince.IsZero():
-		r.vacantSince = now
+	case ok && !own && c.core.Leading() && leader.Revision > c.leaderRevision:
+		c.log.Warn("Another host leads, stepping down.", slog.String("lead", string(leader.Host)),
+			slog.Uint64("revision", uint64(leader.Revision)), slog.Uint64("term", uint64(c.core.Term())))
+		c.core.StepDown()
+		c.vacantSince = time.Time{}
+	case ok && !own && !v.members.Ended(leader):
+		c.vacantSince = time.Time{}
+	case !own && c.vacantSince.IsZero():
+		c.vacantSince = now
 	}
 }
 
@@ -355,48 +356,48 @@
 const maxStatsAge = 3 * time.Second
 
 // updateLoad passes the load and the measured capacities to the core.
-func (r *controller) updateLoad(now time.Time, v *view) {
-	if now.Sub(r.loadUpdatedAt) < planInterval {
+func (c *controller) updateLoad(now time.Time, v *view) {
+	if now.Sub(c.loadUpdatedAt) < planInterval {
 		return
 	}
-	r.loadUpdatedAt = now
+	c.loadUpdatedAt = now
 	if v.routes != nil {
-		if service := v.routes.Service(r.service); service != nil {
-			r.core.SetWarmup(service.WarmUp)
+		if service := v.routes.Service(c.service); service != nil {
+			c.core.SetWarmup(service.WarmUp)
 		}
 	}
-	r.meter.Decay(now)
-	mean := r.meanLatency(now)
+	c.meter.Decay(now)
+	mean := c.meanLatency(now)
 	measured := make(map[place.Target]partition.Target)
 	suspect := make(map[place.Target]bool)
-	for _, row := range v.services[r.service] {
-		o, ok := r.targetStats[row.Target]
+	for _, row := range v.services[c.service] {
+		o, ok := c.targetStats[row.Target]
 		if !ok || now.Sub(o.updatedAt) > maxStatsAge {
 			continue
 		}
 		suspect[row.Target] = o.down
 		t := partition.EstimateTarget(row.Target, row.Slots, partition.Sample{MeanTime: o.latency, Requests: o.requests}, mean)
-		steady, changed := r.capacities.Apply(t)
-		measured[row.Target] = steady
+		filtered, changed := c.capacities.Apply(t)
+		measured[row.Target] = filtered
 		if changed {
-			r.log.Info("Target capacity changed.", slog.String("target", string(row.Target)),
+			c.log.Info("Target capacity changed.", slog.String("target", string(row.Target)),
 				slog.Float64("capacity", t.Capacity), slog.Float64("doubt", t.RelStdDev), slog.Int("slots", row.Slots),
 				millisAttr("time", o.latency), millisAttr("mean", mean), slog.Float64("requests", o.requests))
 		}
 	}
-	r.capacities.Retain(func(name place.Target) bool { _, ok := v.targets[name]; return ok })
-	if r.meter.DetectChanges(now, r.core.Ranges()) {
-		r.log.Info("Load changed, restarting averages.")
+	c.capacities.Retain(func(name place.Target) bool { _, ok := v.targets[name]; return ok })
+	if c.meter.DetectChanges(now, c.core.Ranges()) {
+		c.log.Info("Load changed, restarting averages.")
 	}
-	r.meter.Load(now, &r.load, mean)
-	r.core.SetLoad(&r.load, measured, suspect)
+	c.meter.Load(now, &c.load, mean)
+	c.core.SetLoad(&c.load, measured, suspect)
 }
 
 // meanLatency returns the mean latency over all targets.
-func (r *controller) meanLatency(now time.Time) time.Duration {
+func (c *controller) meanLatency(now time.Time) time.Duration {
 	var sum time.Duration
 	n := 0
-	for _, o := range r.targetStats {
+	for _, o := range c.targetStats {
 		if now.Sub(o.updatedAt) <= maxStatsAge && o.latency > 0 {
 			sum += o.latency
 			n++
@@ -419,44 +420,44 @@
 )
 
 // apply carries out the core's effects.
-func (r *controller) apply(ctx context.Context, effects []owner.Effect) {
+func (c *controller) apply(ctx context.Context, effects []owner.Effect) {
 	ctx = context.WithoutCancel(ctx) // orders and writes in flight finish during a stop
 	for _, e := range effects {
 		switch e := e.(type) {
 		case owner.SendGrants:
-			t := &grantTask{controller: r, effect: e}
-			r.tasks.Add(1)
+			t := &grantTask{controller: c, effect: e}
+			c.tasks.Add(1)
 			go t.run(ctx)
 		case owner.SendRelease:
-			t := &releaseTask{controller: r, effect: e}
-			r.tasks.Add(1)
+			t := &releaseTask{controller: c, effect: e}
+			c.tasks.Add(1)
 			go t.run(ctx)
 		case owner.WriteDoc:
-			t := &writeTask{controller: r, effect: e, leadRevision: r.leadRevision}
-			r.tasks.Add(1)
+			t := &writeTask{controller: c, effect: e, leaderRevision: c.leaderRevision}
+			c.tasks.Add(1)
 			go t.run(ctx)
 		case owner.RenewLease:
-			r.lease.renewNow()
+			c.lease.renewNow()
 		case owner.Publish:
-			r.publish(e.Table)
+			c.publish(e.Table)
 		case owner.Note:
-			r.host.metrics.countDecision(r.service, e.Text)
-			r.moveLog.add(time.Now(), e)
-			r.log.Info(e.Text, slog.String("range", e.Range.String()), slog.String("from", string(e.From)),
+			c.host.metrics.countDecision(c.service, e.Text)
+			c.moveLog.add(time.Now(), e)
+			c.log.Info(e.Text, slog.String("range", e.Range.String()), slog.String("from", string(e.From)),
 				slog.String("to", string(e.To)), slog.Uint64("fence", uint64(e.Fence)), millisAttr("age", e.Age),
-				slog.Uint64("term", uint64(r.core.Term())))
+				slog.Uint64("term", uint64(c.core.Term())))
 		}
 	}
 }
 
-func (r *controller) publish(t *owner.Table) {
+func (c *controller) publish(t *owner.Table) {
 	body, err := t.Encode()
 	if err != nil {
-		r.log.Error("Routing table not encoded.", slog.Any("error", err))
+		c.log.Error("Routing table not encoded.", slog.Any("error", err))
 		return
 	}
-	r.host.replica.Publish(docsync.Document{
-		Name:    docRanges + docsync.Name(r.service),
+	c.host.replica.Publish(docsync.Document{
+		Name:    docRanges + docsync.Name(c.service),
 		Version: docsync.Version{Major: uint64(t.Version.Term), Minor: t.Version.Sequence},
 		Body:    body,
 	})
--- a/internal/host/controller_test.go
+++ b/internal/host/controller_test.go
@@ -35,12 +35,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			r := &controller{service: "s", leaderHeardAt: now.Add(-test.heard)}
+			c := &controller{service: "s", leaderHeardAt: now.Add(-test.heard)}
 			v := &view{
 				members: member.List{Hosts: []member.Host{{Name: "lead", Incarnation: test.life}}},
 				tables:  map[key.Service]*owner.Table{"s": {Leader: "lead", LeaderIncarnation: 1}},
 			}
-			assert.Equal(t, r.incumbentAlive(now, v, test.place), test.want)
+			assert.Equal(t, c.incumbentAlive(now, v, test.place), test.want)
 		})
 	}
 }
@@ -66,13 +66,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &controller{host: &Host{site: site.Site{Host: "self"}, store: &instrumentedStore{}}}
-			c := &campaign{controller: r, members: members}
+			c := &controller{host: &Host{site: site.Site{Host: "self"}, store: &instrumentedStore{}}}
+			attempt := &campaign{controller: c, members: members}
 			era := platform.Era(0)
 			if test.doc.Term > 0 {
 				era = 2
 			}
-			before := c.predecessorOf(&test.doc, 5, era)
+			before := attempt.predecessorOf(&test.doc, 5, era)
 			assert.Equal(t, before.prior(), test.want)
 		})
 	}
@@ -114,7 +114,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			r := &controller{
+			c := &controller{
 				host: &Host{site: site.Site{Host: "self"}}, service: "s", core: owner.New(owner.Config{}),
 				startedAt: now.Add(-test.started), leaderHeardAt: now.Add(-test.heard),
 			}
@@ -123,7 +123,7 @@
 				Leaders: []member.Leader{{Service: "s", Host: "lead", Incarnation: 1, Revision: 9}},
 			}}
 			v.rankCache.leaders["s"] = []place.Host{"self", "lead"}
-			assert.Equal(t, r.campaignDue(now, v), test.want)
+			assert.Equal(t, c.campaignDue(now, v), test.want)
 		})
 	}
 }
--- a/internal/host/digest.go
+++ b/internal/host/digest.go
@@ -18,9 +18,9 @@
 
 // broadcastDigest sends a digest to the watchers of all zones. A watcher that misses it
 // reads the store itself.
-func (h *Host) broadcastDigest(r digest) {
-	w := wireDigest{Versions: make(map[string]uint64, len(r.versions))}
-	for name, version := range r.versions {
+func (h *Host) broadcastDigest(d digest) {
+	w := wireDigest{Versions: make(map[string]uint64, len(d.versions))}
+	for name, version := range d.versions {
 		w.Versions[string(name)] = version
 	}
 	body, err := cbor.Marshal(w)
@@ -30,12 +30,12 @@
 	}
 	members := h.views.view().members
 	rows := members.HostRows()
-	told := make(map[place.Zone]bool)
+	sent := make(map[place.Zone]bool)
 	for _, row := range rows {
-		if told[row.Zone] {
+		if sent[row.Zone] {
 			continue
 		}
-		told[row.Zone] = true
+		sent[row.Zone] = true
 		for _, watcher := range docsync.Watchers(row.Zone, rows) {
 			if m, ok := members.Host(watcher.Host); ok && m.Name != h.site.Host {
 				h.dispatcher.write(m.TicketAddr, datagramDigest, body)
@@ -51,9 +51,9 @@
 		h.log.Warn("Digest not decodable, dropped.", slog.Any("error", err))
 		return
 	}
-	r := digest{receivedAt: time.Now(), versions: make(map[docsync.Name]uint64, len(w.Versions))}
+	d := digest{receivedAt: time.Now(), versions: make(map[docsync.Name]uint64, len(w.Versions))}
 	for name, version := range w.Versions {
-		r.versions[docsync.Name(name)] = version
+		d.versions[docsync.Name(name)] = version
 	}
-	h.watcher.receive(r)
+	h.watcher.receive(d)
 }
--- a/internal/host/dispatcher.go
+++ b/internal/host/dispatcher.go
@@ -130,21 +130,21 @@
 
 // scheduleTick sets the time of the next tick. The caller holds mu.
 func (d *dispatcher) scheduleTick(now time.Time) {
-	wakes := now.Add(maxTickInterval)
+	at := now.Add(maxTickInterval)
 	for _, next := range []time.Time{d.client.NextTick(), d.home.NextTick(now)} {
-		if !next.IsZero() && next.Before(wakes) {
-			wakes = next
+		if !next.IsZero() && next.Before(at) {
+			at = next
 		}
 	}
-	if least := now.Add(minTickInterval); wakes.Before(least) {
-		wakes = least
+	if earliest := now.Add(minTickInterval); at.Before(earliest) {
+		at = earliest
 	}
 	// Keep a timer that fires a little early: that does no harm and saves a reset.
-	if early := wakes.Sub(d.nextTick); !d.nextTick.IsZero() && early >= 0 && early < minTickInterval {
+	if early := at.Sub(d.nextTick); !d.nextTick.IsZero() && early >= 0 && early < minTickInterval {
 		return
 	}
-	d.nextTick = wakes
-	d.timer.Reset(wakes.Sub(now))
+	d.nextTick = at
+	d.timer.Reset(at.Sub(now))
 }
 
 // Datagram types, sent as the first byte.
@@ -152,10 +152,10 @@
 	datagramTicket byte = 't'
 	datagramReport byte = 'r'
 	datagramNotice byte = 'n'
-	// digest of a watcher
+	// datagramDigest carries the digest of a watcher.
 	datagramDigest byte = 'w'
-	// heartbeat of a host
-	datagramPresence byte = 'p'
+	// datagramHeartbeat carries the heartbeat of a host.
+	datagramHeartbeat byte = 'p'
 )
 
 func (d *dispatcher) handleDatagram(now time.Time, source netip.AddrPort, body []byte) {
@@ -191,10 +191,10 @@
 
 // flush sends the messages of the homes and the client. Messages to this host itself
 // are handled directly. The caller holds mu.
-func (d *dispatcher) flush(now time.Time, letters []dispatch.PeerMessage) {
+func (d *dispatcher) flush(now time.Time, messages []dispatch.PeerMessage) {
 	defer d.scheduleTick(now)
 	for {
-		for _, l := range letters {
+		for _, l := range messages {
 			if l.To.Host == d.self.Host {
 				if l.To.Incarnation == d.self.Incarnation {
 					d.client.Receive(now, d.self.Host, l.Message)
@@ -203,31 +203,31 @@
 			}
 			d.send(l.To.Host, l.Message)
 		}
-		letters = letters[:0]
-		d.logDenials()
-		deliveries, verdicts := d.client.Flush()
-		for _, v := range verdicts {
+		messages = messages[:0]
+		d.logRefusals()
+		outgoing, replies := d.client.Flush()
+		for _, v := range replies {
 			if ch := d.pending[v.ID]; ch != nil {
 				ch <- ticketReply{v.Message, v.Home, v.Isolated} // doesn't block: the buffer holds the only reply
 				delete(d.pending, v.ID)
 			}
 		}
-		if len(deliveries) == 0 {
+		if len(outgoing) == 0 {
 			return
 		}
-		for _, delivery := range deliveries {
-			if delivery.To == d.self.Host {
-				letters = append(letters, d.home.Handle(now, d.self, delivery.Message)...)
+		for _, o := range outgoing {
+			if o.To == d.self.Host {
+				messages = append(messages, d.home.Handle(now, d.self, o.Message)...)
 				continue
 			}
-			d.send(delivery.To, delivery.Message)
+			d.send(o.To, o.Message)
 		}
 	}
 }
 
 // logRefusals logs each refusal of the homes here. The request's log line on the asking
 // host names this host and the ticket.
-func (d *dispatcher) logDenials() {
+func (d *dispatcher) logRefusals() {
 	for _, n := range d.home.Refusals() {
 		d.log.Info("Ticket refused.", slog.String("asker", string(n.Host)), slog.Uint64("ticket", uint64(n.ID)),
 			slog.String("service", string(n.Pool.Service)), slog.String("pool", string(n.Pool.Target)+string(n.Pool.Zone)),
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -314,10 +314,10 @@
 	if a.err == nil && a.status == status {
 		return
 	}
-	var told []string
+	var lines []string
 	for line := range strings.SplitSeq(h.logs.String(), "\n") {
 		if strings.Contains(line, `"`+a.id+`"`) || !strings.Contains(line, `"request"`) {
-			told = append(told, line)
+			lines = append(lines, line)
 		}
 	}
 	for _, other := range d.hosts {
@@ -325,6 +325,6 @@
 		d.t.Logf("%s has view %s (%v)", other.site.Host, body, err)
 	}
 	const shown = 40
-	d.t.Logf("%s logged:\n%s", h.site.Host, strings.Join(told[max(0, len(told)-shown):], "\n"))
+	d.t.Logf("%s logged:\n%s", h.site.Host, strings.Join(lines[max(0, len(lines)-shown):], "\n"))
 	d.t.Fatalf("%s %s key %d: status %d, %v, want %d: %s", method, path, point, a.status, a.err, status, a.body)
 }
--- a/internal/host/handler.go
+++ b/internal/host/handler.go
@@ -17,7 +17,8 @@
 const (
 	// startingRetryAfter is the Retry-After hint while there is no configuration yet.
 	startingRetryAfter = 200 * time.Millisecond
-	// maxAnswerBytes limits the body of a response, which is buffered whole.
+	// maxAnswerBytes limits the body of a response, which is buffered whole. It also
+	// limits request bodies where no limit is configured.
 	maxAnswerBytes = 16 << 20
 	// maxBodyMemoryShare is the share of memory for the request and response bodies in
 	// flight.
@@ -96,17 +97,17 @@
 // setDeadlines sets the deadline and the soft deadline. A client that sends a shorter
 // timeout than usual is retrying after a refusal, so part of its latency objective is
 // used up.
-func (j *job) setDeadlines(now time.Time, left, usual time.Duration) {
+func (j *job) setDeadlines(now time.Time, clientTimeout, usualTimeout time.Duration) {
 	timeout := j.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	aim := j.route.LatencyObjective
-	if left > 0 {
-		aim -= max(usual-left, 0)
-		timeout = min(timeout, left)
+	objective := j.route.LatencyObjective
+	if clientTimeout > 0 {
+		objective -= max(usualTimeout-clientTimeout, 0)
+		timeout = min(timeout, clientTimeout)
 	}
-	j.deadline, j.softDeadline = now.Add(timeout), now.Add(aim)
+	j.deadline, j.softDeadline = now.Add(timeout), now.Add(objective)
 }
 
 // defaultTimeout is the timeout of routes that set none.
@@ -115,8 +116,8 @@
 // timeLeft returns the timeout in the client's deadline header, or zero.
 func (h *Host) timeLeft(r *http.Request) time.Duration {
 	ms, err := strconv.ParseFloat(r.Header.Get(h.names.Deadline), 64)
-	const most = 1e9
-	if err != nil || ms <= 0 || ms > most {
+	const maxMillis = 1e9
+	if err != nil || ms <= 0 || ms > maxMillis {
 		return 0
 	}
 	return time.Duration(ms * float64(time.Millisecond))
@@ -143,24 +144,24 @@
 	return n
 }
 
-// readBody reads a body into memory, limited by bound and by the body memory of the
+// readBody reads a body into memory, limited by limit and by the body memory of the
 // host.
-func (h *Host) readBody(r *http.Request, bound int64) ([]byte, outcome.Result) {
+func (h *Host) readBody(r *http.Request, limit int64) ([]byte, outcome.Result) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, nil
 	}
-	if bound <= 0 {
-		bound = maxAnswerBytes
+	if limit <= 0 {
+		limit = maxAnswerBytes
 	}
-	if r.ContentLength > bound {
+	if r.ContentLength > limit {
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, bound+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	switch {
 	case err != nil:
 		h.log.Info("Request body not read.", slog.Any("error", err))
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyCut}
-	case int64(len(body)) > bound:
+	case int64(len(body)) > limit:
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
 	}
 	if !h.bodyMemory.TryAcquire(int64(len(body))) {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -145,7 +145,7 @@
 	h.dispatcher.guard = h.guard
 	h.dispatcher.address = h.ticketAddress
 	h.dispatcher.handlers = map[byte]func([]byte){
-		datagramReport: h.handleReport, datagramNotice: h.handleNotice, datagramDigest: h.handleDigest, datagramPresence: h.handleHeartbeat,
+		datagramReport: h.handleReport, datagramNotice: h.handleNotice, datagramDigest: h.handleDigest, datagramHeartbeat: h.handleHeartbeat,
 	}
 	h.dispatcher.catalog = func() dispatch.Catalog { return h.views.view() }
 	if h.front, err = net.Listen("tcp4", h.site.Front.String()); err != nil {
@@ -194,11 +194,11 @@
 	if len(s.Seeds) == 0 || slices.ContainsFunc(s.Seeds, func(o site.Seed) bool { return o.Peer == s.Peer }) {
 		return 0
 	}
-	least := restartReadDelay
+	minDelay := restartReadDelay
 	if s.FirstStart {
-		least = firstStartReadDelay
+		minDelay = firstStartReadDelay
 	}
-	return least + rand.N(least)
+	return minDelay + rand.N(minDelay)
 }
 
 // setBounds puts bounds in force.
@@ -233,9 +233,9 @@
 	if h.admin != nil {
 		group.Go(func() error { return h.admin.Run(background) })
 	}
-	leads, stopLeads := context.WithCancel(background)
-	defer stopLeads()
-	group.Go(func() error { return h.runControllers(leads) })
+	controllersCtx, stopControllers := context.WithCancel(background)
+	defer stopControllers()
+	group.Go(func() error { return h.runControllers(controllersCtx) })
 	s := newServers(h)
 	group.Go(s.runReady)
 	group.Go(s.runFront)
@@ -246,7 +246,7 @@
 		case <-background.Done():
 			return s.close()
 		}
-		return h.stop(background, s, stopLeads)
+		return h.stop(background, s, stopControllers)
 	})
 	err := group.Wait()
 	h.connPools.close()
@@ -278,8 +278,8 @@
 // loopViews keeps the view up to date until ctx ends.
 func (h *Host) loopViews(ctx context.Context) error {
 	published := h.replica.Subscribe("")
-	lives := make(map[place.Host]place.Incarnation)
-	lists := uint64(0)
+	incarnations := make(map[place.Host]place.Incarnation)
+	seenVersion := uint64(0)
 	timer := time.NewTimer(maxExpiryCheckInterval)
 	defer timer.Stop()
 	for {
@@ -295,9 +295,9 @@
 			if v.routes != nil {
 				h.splitter.Prune(v.routes.Config())
 			}
-			if v.listVersion != lists {
-				lists = v.listVersion
-				h.applyLists(now, v, lives)
+			if v.listVersion != seenVersion {
+				seenVersion = v.listVersion
+				h.applyLists(now, v, incarnations)
 			}
 		}
 		timer.Reset(h.views.untilExpiry(time.Now()))
@@ -315,11 +315,11 @@
 
 // applyLists puts changed lists of hosts and targets in force. It updates incarnations,
 // the last known incarnation of each host.
-func (h *Host) applyLists(now time.Time, v *view, lives map[place.Host]place.Incarnation) {
+func (h *Host) applyLists(now time.Time, v *view, incarnations map[place.Host]place.Incarnation) {
 	h.connPools.setHosts(len(v.members.Hosts))
 	for _, m := range v.members.Hosts {
-		if lives[m.Name] != m.Incarnation {
-			lives[m.Name] = m.Incarnation
+		if incarnations[m.Name] != m.Incarnation {
+			incarnations[m.Name] = m.Incarnation
 			h.dispatcher.hostRestarted(m.Name)
 		}
 	}
@@ -347,8 +347,8 @@
 		v := h.views.view()
 		if v.routes != nil {
 			for _, s := range v.routes.Config().Services {
-				if r := h.addController(&s); r != nil {
-					group.Go(func() error { return r.run(ctx) })
+				if c := h.addController(&s); c != nil {
+					group.Go(func() error { return c.run(ctx) })
 				}
 			}
 		}
@@ -371,7 +371,7 @@
 	if h.controllers[s.Name] != nil {
 		return nil
 	}
-	r := newController(h, s.Name)
-	h.controllers[s.Name] = r
-	return r
+	c := newController(h, s.Name)
+	h.controllers[s.Name] = c
+	return c
 }
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -135,17 +135,17 @@
 	for _, r := range d.targets {
 		r.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Reset: 0.5})
 	}
-	cut := 0
+	failed := 0
 	for i := range 60 {
 		a := d.send(d.hosts[i%2], "POST", "/free/x", 0)
 		assert.NilError(t, a.err)
 		assert.Assert(t, d.runs.Runs(a.id) <= 1, "%s ran %d times", a.id, d.runs.Runs(a.id))
 		if a.status != http.StatusOK {
-			cut++
+			failed++
 			assert.Equal(t, a.status, http.StatusBadGateway)
 		}
 	}
-	assert.Assert(t, cut > 10)
+	assert.Assert(t, failed > 10)
 }
 
 // TestOlderConfigIsIgnored: a new configuration is soon in force on all hosts. An older
@@ -200,12 +200,12 @@
 	t.Parallel()
 	d := deploy(t, 3, 2, 1)
 	d.awaitServed()
-	lead := d.leader()
+	leadingHost := d.leader()
 	stopped := make(chan struct{})
-	go func() { lead.shutdown(); close(stopped) }()
+	go func() { leadingHost.shutdown(); close(stopped) }()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		for _, h := range d.hosts {
-			if h != lead {
+			if h != leadingHost {
 				d.expectStatus(h, "GET", "/keys/x", 30000, http.StatusOK)
 			}
 		}
@@ -230,27 +230,27 @@
 			t.Parallel()
 			d := deploy(t, 3, 2, 1)
 			d.awaitServed()
-			lead := d.leader()
+			leadingHost := d.leader()
 			d.store.SetFaults(fake.SessionFaults{Down: true})
 			back := time.AfterFunc(test.out, func() { d.store.SetFaults(fake.SessionFaults{}) })
 			defer back.Stop()
-			d.hosts = slices.DeleteFunc(d.hosts, func(h *testHost) bool { return h == lead })
+			d.hosts = slices.DeleteFunc(d.hosts, func(h *testHost) bool { return h == leadingHost })
 			stopped := make(chan struct{})
-			go func() { lead.shutdown(); close(stopped) }()
+			go func() { leadingHost.shutdown(); close(stopped) }()
 			for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 				for _, h := range d.hosts {
 					d.expectStatus(h, "GET", "/keys/x", 30000, http.StatusOK)
 				}
 			}
 			<-stopped
-			assert.Assert(t, strings.Contains(lead.logs.String(), test.want), lead.logs.String())
+			assert.Assert(t, strings.Contains(leadingHost.logs.String(), test.want), leadingHost.logs.String())
 			d.awaitServed()
 		})
 	}
 }
 
 // TestLoadSheddingTargets: while targets refuse half of the requests that they have
-// slots for, the Retry-After hint lets a client retry within the latency objective.
+// slots for, the Retry-After hint lets a caller retry within the latency objective.
 func TestLoadSheddingTargets(t *testing.T) {
 	t.Parallel()
 	d := deploy(t, 1, 2, 0)
@@ -258,8 +258,8 @@
 	for _, r := range d.targets {
 		r.SetFaults(fake.RangeTargetFaults{Work: 10 * time.Millisecond, Refuse: 0.5})
 	}
-	aim := testConfig(1).Routes[0].LatencyObjective
-	back, inAim := 0, 0
+	objective := testConfig(1).Routes[0].LatencyObjective
+	retried, onTime := 0, 0
 	for i := range 250 {
 		start, point := time.Now(), key.Point(i*997%key.Points)
 		a := d.send(d.hosts[0], "GET", "/keys/x", point)
@@ -272,13 +272,13 @@
 		if a = d.send(d.hosts[0], "GET", "/keys/x", point); a.status != http.StatusOK {
 			continue
 		}
-		back++
-		if time.Since(start) < aim/2 { // the rest is for the network to the client
-			inAim++
+		retried++
+		if time.Since(start) < objective/2 { // the rest is for the network to the caller
+			onTime++
 		}
 	}
-	assert.Assert(t, back > 20, "%d retried and served", back)
-	assert.Assert(t, inAim > back*9/10, "%d of %d on time", inAim, back)
+	assert.Assert(t, retried > 20, "%d retried and served", retried)
+	assert.Assert(t, onTime > retried*9/10, "%d of %d on time", onTime, retried)
 }
 
 // leader returns the host that leads the ranged service.
--- a/internal/host/job.go
+++ b/internal/host/job.go
@@ -172,7 +172,7 @@
 	if j.service.Keys == traffic.Keyless {
 		return v.pool(j.service.Name, j.host.site.Zone), "", nil
 	}
-	span, back := j.lookupSpan(now, v)
+	span, wait := j.lookupSpan(now, v)
 	if span != nil && span.Target != "" {
 		j.parkedAt = time.Time{}
 		j.cold = span.ColdFor > j.tableAge
@@ -185,13 +185,13 @@
 		j.parkedAt = now
 	}
 	j.parked = now.Sub(j.parkedAt)
-	most := time.Duration(maxParkShare * float64(j.deadline.Sub(j.arrived)))
-	if j.parked >= most || j.parked+back > most {
+	maxPark := time.Duration(maxParkShare * float64(j.deadline.Sub(j.arrived)))
+	if j.parked >= maxPark || j.parked+wait > maxPark {
 		return dispatch.PoolID{}, "", finishStep{outcome.NotRunFailure{
-			Reason: outcome.NoOwner, RetryAfter: max(back, defaultRetryAfter),
+			Reason: outcome.NoOwner, RetryAfter: max(wait, defaultRetryAfter),
 		}}
 	}
-	return dispatch.PoolID{}, "", retryStep{most - j.parked}
+	return dispatch.PoolID{}, "", retryStep{maxPark - j.parked}
 }
 
 // lookupSpan returns the span of the routing table that contains the key. If the key
@@ -211,12 +211,12 @@
 
 // acquireTicket waits for a slot.
 func (j *job) acquireTicket(ctx context.Context, now time.Time, v *view, pool dispatch.PoolID, owner place.Target) (placed ticket, s step) {
-	desk := j.host.dispatcher
+	d := j.host.dispatcher
 	tried := j.tried
 	if owner == "" {
-		tried = append(desk.excluded(now, v.services[j.service.Name]), tried...)
+		tried = append(d.excluded(now, v.services[j.service.Name]), tried...)
 	}
-	id, verdict := desk.acquire(now, dispatch.Acquire{
+	id, reply := d.acquire(now, dispatch.Acquire{
 		Pool: pool, Class: j.route.Name, Priority: j.route.Priority,
 		Timeout: j.deadline.Sub(now), SoftTimeout: j.softDeadline.Sub(now), Excluded: tried, Cold: j.cold,
 	})
@@ -224,27 +224,27 @@
 	defer timer.Stop()
 	for {
 		select {
-		case end := <-verdict:
+		case end := <-reply:
 			return j.handleResult(now, id, end, owner)
 		case <-ctx.Done():
-			if desk.cancel(time.Now(), id) {
+			if d.cancel(time.Now(), id) {
 				return ticket{}, finishStep{outcome.NotRunFailure{Reason: outcome.CallerGone}}
 			}
-			return j.returnTicket(id, (<-verdict).Message), finishStep{outcome.NotRunFailure{Reason: outcome.CallerGone}}
+			return j.returnTicket(id, (<-reply).Message), finishStep{outcome.NotRunFailure{Reason: outcome.CallerGone}}
 		case <-timer.C:
-			if desk.cancel(time.Now(), id) {
+			if d.cancel(time.Now(), id) {
 				return ticket{}, finishStep{j.deadlineExceeded()}
 			}
-			return j.returnTicket(id, (<-verdict).Message), finishStep{j.deadlineExceeded()}
+			return j.returnTicket(id, (<-reply).Message), finishStep{j.deadlineExceeded()}
 		case <-v.replaced:
 			v = j.host.views.view()
 			if owner == "" || j.ownedBy(v, owner) {
 				continue
 			}
-			if desk.cancel(time.Now(), id) {
+			if d.cancel(time.Now(), id) {
 				return ticket{}, retryStep{}
 			}
-			return j.returnTicket(id, (<-verdict).Message), retryStep{}
+			return j.returnTicket(id, (<-reply).Message), retryStep{}
 		}
 	}
 }
--- a/internal/host/loadreport.go
+++ b/internal/host/loadreport.go
@@ -136,10 +136,10 @@
 	if len(points) > 0 {
 		out = append(out, loadReport{service: r.service, points: points})
 	}
-	for lanes := r.targets; len(lanes) > 0; {
-		n := min(len(lanes), maxReportTargets)
-		out = append(out, loadReport{service: r.service, targets: lanes[:n]})
-		lanes = lanes[n:]
+	for rest := r.targets; len(rest) > 0; {
+		n := min(len(rest), maxReportTargets)
+		out = append(out, loadReport{service: r.service, targets: rest[:n]})
+		rest = rest[n:]
 	}
 	return out
 }
@@ -182,12 +182,12 @@
 	}
 }
 
-func (h *Host) sendReport(v *view, lead place.Host, r *loadReport) {
-	if lead == h.site.Host {
+func (h *Host) sendReport(v *view, leader place.Host, r *loadReport) {
+	if leader == h.site.Host {
 		h.deliverReport(*r)
 		return
 	}
-	to, ok := v.members.Host(lead)
+	to, ok := v.members.Host(leader)
 	if !ok {
 		return
 	}
@@ -213,9 +213,9 @@
 
 func (h *Host) deliverReport(r loadReport) {
 	h.mu.Lock()
-	runner := h.controllers[r.service]
+	c := h.controllers[r.service]
 	h.mu.Unlock()
-	if runner != nil {
-		runner.receiveReport(r)
+	if c != nil {
+		c.receiveReport(r)
 	}
 }
--- a/internal/host/notice.go
+++ b/internal/host/notice.go
@@ -67,47 +67,47 @@
 		return
 	}
 	h.mu.Lock()
-	runner := h.controllers[n.service]
+	c := h.controllers[n.service]
 	h.mu.Unlock()
-	if runner != nil {
-		runner.tryPost(func(now time.Time) { runner.handleNotice(now, n) })
+	if c != nil {
+		c.tryPost(func(now time.Time) { c.handleNotice(now, n) })
 	}
 }
 
 // sendNotice sends a notice to a host.
-func (r *controller) sendNotice(to place.Host, kind noticeKind) {
-	addr, ok := r.host.ticketAddress(to)
+func (c *controller) sendNotice(to place.Host, kind noticeKind) {
+	addr, ok := c.host.ticketAddress(to)
 	if !ok {
 		return
 	}
-	n := notice{kind: kind, service: r.service, host: r.host.site.Host, incarnation: r.host.incarnation, term: r.core.Term()}
+	n := notice{kind: kind, service: c.service, host: c.host.site.Host, incarnation: c.host.incarnation, term: c.core.Term()}
 	body, err := n.encode()
 	if err != nil {
-		r.log.Error("Notice not encoded.", slog.Any("error", err))
+		c.log.Error("Notice not encoded.", slog.Any("error", err))
 		return
 	}
-	r.host.dispatcher.write(addr, datagramNotice, body)
+	c.host.dispatcher.write(addr, datagramNotice, body)
 }
 
 // handleNotice handles a notice on the controller's goroutine.
-func (r *controller) handleNotice(now time.Time, n notice) {
+func (c *controller) handleNotice(now time.Time, n notice) {
 	switch n.kind {
 	case noticeLeading:
-		if !r.core.Leading() || n.term > r.core.Term() {
-			r.leaderHeardAt = now
+		if !c.core.Leading() || n.term > c.core.Term() {
+			c.leaderHeardAt = now
 		}
 	case noticeStop:
-		if r.core.Leading() && n.term > r.core.Term() {
-			r.log.Warn("Another host leads a later term, stepping down.", slog.String("lead", string(n.host)), slog.Uint64("term", uint64(n.term)))
-			r.core.StepDown()
+		if c.core.Leading() && n.term > c.core.Term() {
+			c.log.Warn("Another host leads a later term, stepping down.", slog.String("lead", string(n.host)), slog.Uint64("term", uint64(n.term)))
+			c.core.StepDown()
 		}
-		if !r.core.Leading() && r.inFlight.Load() == 0 {
-			r.sendNotice(n.host, noticeStopped)
+		if !c.core.Leading() && c.inFlight.Load() == 0 {
+			c.sendNotice(n.host, noticeStopped)
 		}
 	case noticeStopped:
-		if r.core.Leading() && n.host == r.predecessor.host && n.incarnation == r.predecessor.incarnation && !r.predecessor.ended {
-			r.log.Info("Predecessor has stopped.", slog.String("host", string(n.host)), slog.Uint64("term", uint64(r.core.Term())))
-			r.predecessorEnded(now)
+		if c.core.Leading() && n.host == c.predecessor.host && n.incarnation == c.predecessor.incarnation && !c.predecessor.ended {
+			c.log.Info("Predecessor has stopped.", slog.String("host", string(n.host)), slog.Uint64("term", uint64(c.core.Term())))
+			c.predecessorEnded(now)
 		}
 	}
 }
@@ -138,10 +138,10 @@
 }
 
 // predecessorEnded records that the predecessor sends no more orders.
-func (r *controller) predecessorEnded(now time.Time) {
-	r.predecessor.ended = true
-	if r.predecessor.prior() == owner.PriorEnded {
-		r.core.PriorEnded(now)
+func (c *controller) predecessorEnded(now time.Time) {
+	c.predecessor.ended = true
+	if c.predecessor.prior() == owner.PriorEnded {
+		c.core.PriorEnded(now)
 	}
 }
 
@@ -156,26 +156,26 @@
 )
 
 // announceLeadership sends notices to the candidates and asks the predecessor to stop.
-func (r *controller) announceLeadership(now time.Time, v *view) {
-	if now.Sub(r.announcedAt) < noticeInterval {
+func (c *controller) announceLeadership(now time.Time, v *view) {
+	if now.Sub(c.announcedAt) < noticeInterval {
 		return
 	}
-	r.announcedAt = now
-	for i, name := range v.candidates(r.service) {
+	c.announcedAt = now
+	for i, name := range v.candidates(c.service) {
 		if i >= candidateCount {
 			break
 		}
-		if name != r.host.site.Host {
-			r.sendNotice(name, noticeLeading)
+		if name != c.host.site.Host {
+			c.sendNotice(name, noticeLeading)
 		}
 	}
-	if r.predecessor.ended {
+	if c.predecessor.ended {
 		return
 	}
-	if v.members.Replaced(r.predecessor.host, r.predecessor.incarnation, r.predecessor.revision) {
-		r.log.Info("Predecessor has restarted.", slog.String("host", string(r.predecessor.host)))
-		r.predecessorEnded(now)
+	if v.members.Replaced(c.predecessor.host, c.predecessor.incarnation, c.predecessor.revision) {
+		c.log.Info("Predecessor has restarted.", slog.String("host", string(c.predecessor.host)))
+		c.predecessorEnded(now)
 		return
 	}
-	r.sendNotice(r.predecessor.host, noticeStop)
+	c.sendNotice(c.predecessor.host, noticeStop)
 }
--- a/internal/host/panic_test.go
+++ b/internal/host/panic_test.go
@@ -21,27 +21,27 @@
 	d := deploy(t, 1, 1, 1)
 	d.awaitServed()
 	h := d.hosts[0]
-	told := func(part string) func() bool {
+	logged := func(part string) func() bool {
 		return func() bool { return strings.Contains(h.logs.String(), `"panicked":"`+part+`"`) }
 	}
 
 	d.store.Set(platform.PathConfig, []byte(panickingConfig))
-	d.eventually("the panic of the configuration decoder is logged", 5*time.Second, told("view"))
+	d.eventually("the panic of the configuration decoder is logged", 5*time.Second, logged("view"))
 	d.awaitServed()
 	d.putConfig(testConfig(2))
 	d.eventually("a later one is in force", 5*time.Second, func() bool {
 		return h.views.view().routes.Config().Version == traffic.Version(2)
 	})
 
-	r := h.controllers["span"]
-	r.post(func(time.Time) bool { panic("test panic") })
-	d.eventually("the panic of the controller is logged", 5*time.Second, told("lead"))
+	c := h.controllers["span"]
+	c.post(func(time.Time) bool { panic("test panic") })
+	d.eventually("the panic of the controller is logged", 5*time.Second, logged("lead"))
 	d.awaitServed()
 
 	conn, err := net.Dial("udp4", h.site.Ticket.String())
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
-	for _, kind := range []byte{datagramTicket, datagramReport, datagramNotice, datagramDigest, datagramPresence, 0, 255} {
+	for _, kind := range []byte{datagramTicket, datagramReport, datagramNotice, datagramDigest, datagramHeartbeat, 0, 255} {
 		_, err = conn.Write([]byte{kind, 0x9f, 0xff, 0x00})
 		assert.NilError(t, err)
 	}
--- a/internal/host/registrar.go
+++ b/internal/host/registrar.go
@@ -59,16 +59,16 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		list := &r.host.views.view().members
-		rest := r.announceSelf(ctx, now, list)
+		wait := r.announceSelf(ctx, now, list)
 		r.mu.Lock()
 		enter, remove := r.registry.Due(now, list)
 		if r.registry.Active(now) {
-			rest = registryInterval
+			wait = registryInterval
 		}
 		r.mu.Unlock()
 		r.enter(ctx, enter)
 		r.remove(ctx, remove)
-		sleep(ctx, rest)
+		sleep(ctx, wait)
 	}
 	return nil
 }
@@ -92,9 +92,9 @@
 // announceSelf sends a heartbeat if one is due, and enters this host if no registrar
 // does. It returns the time until the next check.
 func (r *registrar) announceSelf(ctx context.Context, now time.Time, list *member.List) time.Duration {
-	every := member.HeartbeatInterval
+	interval := member.HeartbeatInterval
 	if r.host.stopping.Load() {
-		return every
+		return interval
 	}
 	listed, ok := list.Host(r.self.Name)
 	missing := !ok || listed.Incarnation != r.self.Incarnation
@@ -105,9 +105,9 @@
 		r.missingSince, r.selfEntryDelay = now, selfEntryDelay+rand.N(selfEntryJitter)
 	}
 	if missing {
-		every = member.JoinInterval
+		interval = member.JoinInterval
 	}
-	if now.Sub(r.announcedAt) >= every {
+	if now.Sub(r.announcedAt) >= interval {
 		r.announcedAt = now
 		r.sendHeartbeat(now, list)
 	}
@@ -115,13 +115,13 @@
 		r.enteredAt = now
 		r.enter(ctx, []member.Host{r.self})
 	}
-	return every
+	return interval
 }
 
 // sendHeartbeat sends this host's heartbeat to its registrars.
 func (r *registrar) sendHeartbeat(now time.Time, list *member.List) {
-	for turn, addr := range r.registrars(list) {
-		p := member.Heartbeat{Host: r.self, Rank: turn}
+	for rank, addr := range r.registrars(list) {
+		p := member.Heartbeat{Host: r.self, Rank: rank}
 		if addr == r.self.TicketAddr {
 			r.receive(now, p)
 			continue
@@ -131,7 +131,7 @@
 			r.log.Error("Heartbeat not encoded.", slog.Any("error", err))
 			return
 		}
-		r.host.dispatcher.write(addr, datagramPresence, body)
+		r.host.dispatcher.write(addr, datagramHeartbeat, body)
 	}
 }
 
@@ -160,10 +160,10 @@
 // heartbeats.
 func (r *registrar) enter(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
-		part := hosts[:min(len(hosts), maxEntriesPerTxn)]
-		hosts = hosts[len(part):]
+		batch := hosts[:min(len(hosts), maxEntriesPerTxn)]
+		hosts = hosts[len(batch):]
 		var txn platform.Txn
-		for _, h := range part {
+		for _, h := range batch {
 			value, err := member.EncodeHost(h)
 			if err != nil {
 				r.log.Error("Host entry not encoded.", slog.String("host", string(h.Name)), slog.Any("error", err))
@@ -172,10 +172,10 @@
 			txn.Put = append(txn.Put, platform.Put{Path: member.HostPath(h.Name), Value: value})
 		}
 		if err := r.commit(ctx, txn); err != nil {
-			r.log.Warn("Host entries not written to the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
+			r.log.Warn("Host entries not written to the store.", slog.Int("hosts", len(batch)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Host entries written to the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
+		r.log.Info("Host entries written to the store.", slog.Int("hosts", len(batch)), slog.Any("names", hostNames(batch)))
 		r.host.watcher.trigger(time.Now())
 	}
 }
@@ -183,19 +183,19 @@
 // remove removes the entries of unresponsive hosts, unless they were written again.
 func (r *registrar) remove(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
-		part := hosts[:min(len(hosts), maxRemovalsPerTxn)]
-		hosts = hosts[len(part):]
+		batch := hosts[:min(len(hosts), maxRemovalsPerTxn)]
+		hosts = hosts[len(batch):]
 		var txn platform.Txn
-		for _, h := range part {
+		for _, h := range batch {
 			path := member.HostPath(h.Name)
 			txn.If = append(txn.If, platform.Condition{Path: path, Revision: h.Revision})
 			txn.Remove = append(txn.Remove, path)
 		}
 		if err := r.commit(ctx, txn); err != nil {
-			r.log.Warn("Entries of unresponsive hosts not removed from the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
+			r.log.Warn("Entries of unresponsive hosts not removed from the store.", slog.Int("hosts", len(batch)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Entries of unresponsive hosts removed from the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
+		r.log.Info("Entries of unresponsive hosts removed from the store.", slog.Int("hosts", len(batch)), slog.Any("names", hostNames(batch)))
 	}
 }
 
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -102,12 +102,12 @@
 
 func (h *Host) movesOf(service key.Service, r key.Range) []status.Move {
 	h.mu.Lock()
-	runner := h.controllers[service]
+	c := h.controllers[service]
 	h.mu.Unlock()
-	if runner == nil {
+	if c == nil {
 		return nil
 	}
-	return runner.moveLog.overlapping(r)
+	return c.moveLog.overlapping(r)
 }
 
 // keyOf returns the owner of a key according to this host's routing table.
--- a/internal/host/resign.go
+++ b/internal/host/resign.go
@@ -13,21 +13,21 @@
 
 // resignIfDue hands leadership over when this host stops. During a store outage no
 // other host can take over, so this host keeps renewing grants until the outage ends.
-func (r *controller) resignIfDue(ctx context.Context, now time.Time) {
-	if r.resigning || !r.host.stopping.Load() || !r.core.Leading() {
+func (c *controller) resignIfDue(ctx context.Context, now time.Time) {
+	if c.resigning || !c.host.stopping.Load() || !c.core.Leading() {
 		return
 	}
-	if !r.core.LeaseFresh(now) {
-		r.core.Resume()
+	if !c.core.LeaseFresh(now) {
+		c.core.Resume()
 		return
 	}
-	r.core.Stop()
-	if !r.core.Idle() {
+	c.core.Stop()
+	if !c.core.Idle() {
 		return
 	}
-	r.resigning = true
-	t := &resignation{controller: r, doc: r.core.Doc(now), expect: r.core.Revision(), leadRevision: r.leadRevision}
-	r.tasks.Add(1)
+	c.resigning = true
+	t := &resignation{controller: c, doc: c.core.Doc(now), expect: c.core.Revision(), leaderRevision: c.leaderRevision}
+	c.tasks.Add(1)
 	go t.run(ctx)
 }
 
@@ -36,9 +36,9 @@
 type resignation struct {
 	*controller
 
-	doc          owner.Doc
-	expect       platform.Revision
-	leadRevision platform.Revision
+	doc            owner.Doc
+	expect         platform.Revision
+	leaderRevision platform.Revision
 }
 
 // run runs the resignation and posts its outcome.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	txn := docTxn(t.service, value, t.expect, t.leadRevision)
+	txn := docTxn(t.service, value, t.expect, t.leaderRevision)
 	txn.Remove = []platform.Path{member.LeaderPath(t.service)}
 	_, err = commitUntilKnown(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.doc.WriteID)
 	return err
@@ -93,8 +93,8 @@
 func (h *Host) leadsAnyService() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range h.controllers {
-		if r.leading.Load() {
+	for _, c := range h.controllers {
+		if c.leading.Load() {
 			return true
 		}
 	}
--- a/internal/host/restore_test.go
+++ b/internal/host/restore_test.go
@@ -115,17 +115,17 @@
 			assert.Equal(t, d.send(late, "POST", "/new/x", 0).status, http.StatusOK)
 			d.eventually("all hosts and the leader are listed", 5*time.Second, func() bool {
 				v := d.hosts[0].views.view()
-				lead, ok := v.members.Leader("span")
-				return len(v.members.Hosts) == 4 && ok && !lead.Restored()
+				leader, ok := v.members.Leader("span")
+				return len(v.members.Hosts) == 4 && ok && !leader.Restored()
 			})
 			before := left.Arrived()
 			d.sendFor(200*time.Millisecond, "POST", "/new/x", 0)
 			assert.Equal(t, left.Arrived(), before, "requests reached a target that left")
-			told := 0
+			logged := 0
 			for _, h := range d.hosts[:3] {
-				told += strings.Count(h.logs.String(), `"msg":"Store was restored from an older snapshot."`)
+				logged += strings.Count(h.logs.String(), `"msg":"Store was restored from an older snapshot."`)
 			}
-			assert.Assert(t, told > 0)
+			assert.Assert(t, logged > 0)
 		})
 	}
 }
--- a/internal/host/retrybudget.go
+++ b/internal/host/retrybudget.go
@@ -89,13 +89,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(service)
-	cell := w.bucketAt(now, r.budget.Window)
-	requests, repeats := w.sum()
+	b := w.bucketAt(now, r.budget.Window)
+	requests, retried := w.sum()
 	allowed := retryBudgetShare * (r.budget.Ratio*float64(requests) + float64(r.budget.Slack)/float64(r.hosts))
-	if float64(repeats+1) > allowed {
+	if float64(retried+1) > allowed {
 		return false
 	}
-	cell.retries++
+	b.retries++
 	return true
 }
 
@@ -114,24 +114,24 @@
 
 // bucketAt returns the bucket of the current time and clears expired ones.
 func (w *slidingWindow) bucketAt(now time.Time, length time.Duration) *bucket {
-	step := max(length/windowBuckets, time.Millisecond)
-	turn := now.UnixNano() / int64(step)
-	c := &w.buckets[turn%windowBuckets]
-	if c.index != turn {
-		*c = bucket{index: turn}
+	width := max(length/windowBuckets, time.Millisecond)
+	current := now.UnixNano() / int64(width)
+	b := &w.buckets[current%windowBuckets]
+	if b.index != current {
+		*b = bucket{index: current}
 	}
 	for i := range w.buckets {
-		if w.buckets[i].index <= turn-windowBuckets {
+		if w.buckets[i].index <= current-windowBuckets {
 			w.buckets[i] = bucket{index: w.buckets[i].index}
 		}
 	}
-	return c
+	return b
 }
 
-func (w *slidingWindow) sum() (requests, repeats int) {
+func (w *slidingWindow) sum() (requests, retried int) {
 	for i := range w.buckets {
 		requests += w.buckets[i].requests
-		repeats += w.buckets[i].retries
+		retried += w.buckets[i].retries
 	}
-	return requests, repeats
+	return requests, retried
 }
--- a/internal/host/servers.go
+++ b/internal/host/servers.go
@@ -94,15 +94,15 @@
 // checkIsolated reports whether a network partition isolates this host from most
 // targets, so that other hosts serve clients better. A change is logged.
 func (h *Host) checkIsolated(now time.Time) bool {
-	cut := h.dispatcher.isolated(now, h.views.view())
-	if h.isolated.Swap(cut) != cut {
-		if cut {
+	result := h.dispatcher.isolated(now, h.views.view())
+	if h.isolated.Swap(result) != result {
+		if result {
 			h.log.Warn("Isolated from most targets by a network partition, sending clients to other hosts.")
 		} else {
 			h.log.Info("Most targets are reachable again.")
 		}
 	}
-	return cut
+	return result
 }
 
 // usable reports whether the view suffices to serve requests.
@@ -112,7 +112,7 @@
 
 // stop shuts the host down gracefully: it reports not ready, asks clients to close
 // their connections, lets requests in flight finish and hands over leadership.
-func (h *Host) stop(ctx context.Context, s *servers, stopLeads context.CancelFunc) error {
+func (h *Host) stop(ctx context.Context, s *servers, stopControllers context.CancelFunc) error {
 	start := time.Now()
 	grace := h.bounds.Load().Grace
 	h.log.Info("Stopping.", millisAttr("grace", grace))
@@ -120,16 +120,16 @@
 	s.front.Drain(stopIdleTimeout)
 	h.dispatcher.announceStop(h.views.view().members.Hosts)
 	end := start.Add(grace - stopMargin)
-	bound, cancel := context.WithDeadline(ctx, end)
+	stopCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	// The load balancer notices after two probes a second apart. Until then new
 	// connections are still accepted.
-	sleep(bound, min(stopAcceptTime, grace/2))
-	if err := s.front.Shutdown(bound); err != nil {
+	sleep(stopCtx, min(stopAcceptTime, grace/2))
+	if err := s.front.Shutdown(stopCtx); err != nil {
 		h.log.Warn("Requests aborted at the end of the stop.", slog.Any("error", err))
 	}
-	h.awaitSuccessors(bound)
-	stopLeads()
+	h.awaitSuccessors(stopCtx)
+	stopControllers()
 	h.log.Info("Stopped.", millisAttr("took", time.Since(start)))
 	return s.close()
 }
--- a/internal/host/targetsignal_test.go
+++ b/internal/host/targetsignal_test.go
@@ -55,8 +55,8 @@
 		t.Parallel()
 		d := deploy(t, 2, 1, 2)
 		d.awaitServed()
-		leaver := d.targets["desk-0"]
-		leaver.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
+		leavingTarget := d.targets["desk-0"]
+		leavingTarget.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
 		d.eventually("a host received the signal, which tells the home", 5*time.Second, func() bool {
 			heard := false
 			for _, h := range d.hosts {
@@ -67,7 +67,7 @@
 			return heard
 		})
 		d.sendFor(100*time.Millisecond, "POST", "/free/x", 0)
-		n := arrivalsDuring(leaver, func() {
+		n := arrivalsDuring(leavingTarget, func() {
 			for _, a := range d.sendFor(time.Second, "POST", "/free/x", 0) {
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			}
@@ -78,12 +78,12 @@
 		t.Parallel()
 		d := deploy(t, 2, 2, 1)
 		d.awaitServed()
-		leaver := d.targets["span-0"]
-		leaver.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
+		leavingTarget := d.targets["span-0"]
+		leavingTarget.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
 		points := []key.Point{100, 20000, 40000, key.Points - 1}
 		drain := d.hosts[0].bounds.Load().Drain
 		d.sendFor(drain, "GET", "/keys/x", points...)
-		n := arrivalsDuring(leaver, func() {
+		n := arrivalsDuring(leavingTarget, func() {
 			for _, a := range d.sendFor(time.Second, "GET", "/keys/x", points...) {
 				assert.Equal(t, a.status, http.StatusOK, a.body)
 			}
@@ -94,10 +94,10 @@
 		t.Parallel()
 		d := deploy(t, 1, 1, 0)
 		d.eventually("all keys are served", 15*time.Second, func() bool { return d.send(d.hosts[0], "GET", "/keys/x", 30000).status == http.StatusOK })
-		leaver := d.targets["span-0"]
-		leaver.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
+		leavingTarget := d.targets["span-0"]
+		leavingTarget.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
 		d.sendFor(d.hosts[0].bounds.Load().Drain, "GET", "/keys/x", 30000)
-		n := arrivalsDuring(leaver, func() {
+		n := arrivalsDuring(leavingTarget, func() {
 			for range 5 {
 				a := d.send(d.hosts[0], "GET", "/keys/x", 30000)
 				assert.Equal(t, a.status, http.StatusServiceUnavailable, a.body)
@@ -108,7 +108,7 @@
 }
 
 // TestTargetBackoff: a target that asks for a pause gets no requests from this host
-// until the pause ends. Clients are served by another target or get a Retry-After hint.
+// until the pause ends. Callers are served by another target or get a Retry-After hint.
 func TestTargetBackoff(t *testing.T) {
 	t.Parallel()
 	const pause, grace = 3 * time.Second, 500 * time.Millisecond
--- a/internal/host/tasks.go
+++ b/internal/host/tasks.go
@@ -76,8 +76,8 @@
 type writeTask struct {
 	*controller
 
-	effect       owner.WriteDoc
-	leadRevision platform.Revision
+	effect         owner.WriteDoc
+	leaderRevision platform.Revision
 }
 
 func (t *writeTask) run(ctx context.Context) {
@@ -88,17 +88,17 @@
 		t.post(func(now time.Time) bool { t.core.NotWritten(now, t.effect); return true })
 		return
 	}
-	txn := docTxn(t.service, value, t.effect.Expect, t.leadRevision)
+	txn := docTxn(t.service, value, t.effect.Expect, t.leaderRevision)
 	revision, err := commitUntilKnown(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.effect.Doc.WriteID)
 	t.post(func(now time.Time) bool { t.handleResult(now, revision, err); return true })
 }
 
 // docTxn returns the transaction by which a leader writes its service's ownership
 // document. It requires that the leader entry and the document are unchanged.
-func docTxn(service key.Service, value []byte, expect, leadRevision platform.Revision) platform.Txn {
+func docTxn(service key.Service, value []byte, expect, leaderRevision platform.Revision) platform.Txn {
 	path := rangesPath(service)
 	return platform.Txn{
-		If:  []platform.Condition{{Path: member.LeaderPath(service), Revision: leadRevision}, {Path: path, Revision: expect}},
+		If:  []platform.Condition{{Path: member.LeaderPath(service), Revision: leaderRevision}, {Path: path, Revision: expect}},
 		Put: []platform.Put{{Path: path, Value: value}},
 	}
 }
--- a/internal/host/view.go
+++ b/internal/host/view.go
@@ -126,8 +126,8 @@
 		}
 	}
 	const candidates = 4
-	work := string(pool.Service) + "/" + string(pool.Zone) + "/" + string(pool.Target)
-	out := member.Rank(work, hosts)
+	rankKey := string(pool.Service) + "/" + string(pool.Zone) + "/" + string(pool.Target)
+	out := member.Rank(rankKey, hosts)
 	out = append(out[:min(len(out), candidates):min(len(out), candidates)], self)
 	v.rankCache.pools[pool] = out
 	return out
@@ -350,12 +350,12 @@
 func departures(now time.Time, v *view, targets map[place.Target]place.TargetRow) map[place.Target]time.Time {
 	out := make(map[place.Target]time.Time)
 	for name, at := range v.departed {
-		if _, there := targets[name]; !there && now.Sub(at) < departedTTL {
+		if _, listed := targets[name]; !listed && now.Sub(at) < departedTTL {
 			out[name] = at
 		}
 	}
 	for name := range v.targets {
-		if _, there := targets[name]; !there {
+		if _, listed := targets[name]; !listed {
 			out[name] = now
 		}
 	}
@@ -439,8 +439,8 @@
 // chooseTable returns the table to use for a service now, and its time.
 func (v *viewBuilder) chooseTable(now time.Time, service key.Service) (*owner.Table, time.Time) {
 	heard, stored := v.published[service], v.stored[service]
-	// Use the store's document where there is no leader's table, or where the owners
-	// changed after the last one arrived.
+	// Use the store's document where there is no leader's table, or where the leader's
+	// is old and the owners have changed since.
 	if stored != nil && (heard.Table == nil || now.Sub(heard.receivedAt) >= maxTableAge && stored.revision() > heard.DocRevision) {
 		if table := v.decodeOwners(stored); table != nil {
 			return table, now
--- a/internal/host/watcher.go
+++ b/internal/host/watcher.go
@@ -149,12 +149,12 @@
 	ctx, cancel := context.WithTimeout(ctx, w.firstReadDelay)
 	defer cancel()
 	w.firstReadDelay = 0
-	heard := w.replica.Subscribe(docMembers)
+	updated := w.replica.Subscribe(docMembers)
 	for ctx.Err() == nil && !w.knowsHosts() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-heard:
+		case <-updated:
 		}
 	}
 	sleep(ctx, roleSettleTime)
@@ -177,9 +177,9 @@
 		last = at
 	}
 	w.mu.Lock()
-	stirred := w.triggeredAt.After(last)
+	triggered := w.triggeredAt.After(last)
 	w.mu.Unlock()
-	if stirred {
+	if triggered {
 		return last.Add(minPollInterval).Sub(now)
 	}
 	return last.Add(pollInterval + w.jitter).Sub(now)
@@ -269,15 +269,15 @@
 // configuration whose version can't be decoded takes the version of the one before, so
 // that it reaches all hosts and each logs that it can't decode it.
 func (w *watcher) publishConfig(e platform.Entry) {
-	last, there := w.replica.Get(docTraffic)
-	if there && bytes.Equal(last.Body, e.Value) {
+	last, exists := w.replica.Get(docTraffic)
+	if exists && bytes.Equal(last.Body, e.Value) {
 		return
 	}
 	v := docsync.Version{Major: last.Version.Major, Minor: uint64(e.Revision)}
 	if version, ok := w.configVersion(e.Value); ok {
 		v.Major = uint64(version)
 	}
-	if there && v.Major < last.Version.Major {
+	if exists && v.Major < last.Version.Major {
 		if w.rejected[e.Path] != e.Revision {
 			w.rejected[e.Path] = e.Revision
 			w.log.Warn("Older configuration in the store, keeping the accepted one.",
@@ -328,20 +328,20 @@
 
 // digest returns the versions of the replica's store documents.
 func (w *watcher) digest() digest {
-	r := digest{versions: make(map[docsync.Name]uint64)}
+	d := digest{versions: make(map[docsync.Name]uint64)}
 	for _, prefix := range []docsync.Name{docTraffic, docTargets, docMembers, docOwners} {
 		for _, doc := range w.replica.List(prefix) {
-			r.versions[doc.Name] = doc.Version.Major
+			d.versions[doc.Name] = doc.Version.Major
 		}
 	}
-	return r
+	return d
 }
 
 // receive stores the digest of another watcher.
-func (w *watcher) receive(r digest) {
+func (w *watcher) receive(d digest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.peerDigest = r
+	w.peerDigest = d
 }
 
 // coveredAt returns the time of another watcher's last read if all documents that it
--- a/internal/host/watcher_test.go
+++ b/internal/host/watcher_test.go
@@ -87,9 +87,9 @@
 // refused it, so that the others read the store themselves.
 func TestUnsureWatcherSendsNoDigest(t *testing.T) {
 	store, board := fake.NewSessionStore(), docsync.New()
-	var told atomic.Int32
+	var sent atomic.Int32
 	w := &watcher{
-		store: store, replica: board, log: logging.Nop(), broadcast: func(digest) { told.Add(1) }, configVersion: noVersion,
+		store: store, replica: board, log: logging.Nop(), broadcast: func(digest) { sent.Add(1) }, configVersion: noVersion,
 		decodeTarget: func(place.Target, []byte) (place.TargetRow, error) { return place.TargetRow{}, nil },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,7 +121,7 @@
 	assert.NilError(t, <-done)
 	d, _ := listed()
 	assert.Assert(t, d.RecentOutage && !d.StoreStable)
-	assert.Equal(t, told.Load(), int32(0))
+	assert.Equal(t, sent.Load(), int32(0))
 }
 
 // noVersion is a decoder for configurations without a decodable version.
