--- a/internal/host/view.go
+++ b/internal/host/view.go
@@ -303,7 +303,7 @@
 	}
 	for _, h := range list.Hosts {
 		if was, ok := old.Host(h.Name); !ok || was.Incarnation != h.Incarnation {
-			v.log.Info("Host joined.", slog.String("host", string(h.Name)), slog.Uint64("life", uint64(h.Incarnation)),
+			v.log.Info("Host joined or restarted.", slog.String("host", string(h.Name)), slog.Uint64("life", uint64(h.Incarnation)),
 				slog.Uint64("revision", revision))
 		}
 	}
