--- a/internal/host/registrar.go
+++ b/internal/host/registrar.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// selfEntryDelay is how long a host waits to be entered by a registrar, and
-	// aloneSpread what is drawn on top of it; then it enters itself. Without a
-	// registrar all hosts may do so at the same moment.
+	// selfEntryDelay is how long a host waits for a registrar to enter it before it
+	// enters itself. selfEntryJitter is the maximum of the random delay added: without
+	// a registrar all hosts may do so at the same time.
 	selfEntryDelay  = 2 * time.Second
 	selfEntryJitter = time.Second
-	// registryInterval is the time between two looks at who is to be entered, where
-	// hosts tell their presence here.
+	// registryInterval is the time between two checks of the registry while hosts send
+	// heartbeats here.
 	registryInterval = 200 * time.Millisecond
-	// registerTimeout bounds one write of entries.
+	// registerTimeout limits one write of entries.
 	registerTimeout = 600 * time.Millisecond
-	// maxEntriesPerTxn is how many entries one transaction writes, and removalsMost
-	// how many it removes, each of which needs a condition: the platform takes 32
-	// parts.
+	// maxEntriesPerTxn and maxRemovalsPerTxn limit the entries that one transaction
+	// writes or removes. The platform accepts 32 operations, and each removal needs a
+	// condition as well.
 	maxEntriesPerTxn  = 30
 	maxRemovalsPerTxn = 15
 )
 
-// registrar sees to it that this host is listed among the members. It tells its
-// presence to the watchers of its zone, or to the seeds before it knows any, and
-// enters and removes the hosts that tell theirs here.
+// registrar keeps this host listed among the members. It sends heartbeats to the
+// watchers of its zone, or to the seeds before it knows any. For the hosts that send
+// theirs here it writes and removes the entries.
 type registrar struct {
 	host *Host
 	log  *slog.Logger
@@ -43,10 +43,10 @@
 	mu       sync.Mutex
 	registry *member.Registry
 
-	// missingSince is since when this host is not listed, told when it last told
-	// its presence, enteredAt when it last entered itself.
+	// missingSince is the time since which this host is not listed, announcedAt the
+	// time of its last heartbeat, enteredAt the last time that it entered itself.
 	missingSince, announcedAt, enteredAt time.Time
-	// selfEntryDelay is how long it waits for others to enter it.
+	// selfEntryDelay is how long this host waits for a registrar to enter it.
 	selfEntryDelay time.Duration
 }
 
@@ -54,49 +54,47 @@
 	return &registrar{host: h, log: h.log, self: h.memberEntry(), registry: member.NewRegistry(h.site.Zone)}
 }
 
-// run keeps this host and those that tell it their presence listed until ctx
-// ends.
+// run keeps this host, and those that send heartbeats here, listed until ctx ends.
 func (r *registrar) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		now := time.Now()
 		list := &r.host.views.view().members
-		rest := r.announceSelf(ctx, now, list)
+		wait := r.announceSelf(ctx, now, list)
 		r.mu.Lock()
 		enter, remove := r.registry.Due(now, list)
 		if r.registry.Active(now) {
-			rest = registryInterval
+			wait = registryInterval
 		}
 		r.mu.Unlock()
 		r.enter(ctx, enter)
 		r.remove(ctx, remove)
-		sleep(ctx, rest)
+		sleep(ctx, wait)
 	}
 	return nil
 }
 
-// receive takes the presence of a host.
 func (r *registrar) receive(now time.Time, p member.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.registry.HandleHeartbeat(now, p)
 }
 
-// handleHeartbeat takes a datagram with the presence of another host.
+// handleHeartbeat handles the heartbeat of another host.
 func (h *Host) handleHeartbeat(body []byte) {
 	p, err := member.DecodeHeartbeat(body)
 	if err != nil {
-		h.log.Warn("Presence not readable, dropped.", slog.Any("error", err))
+		h.log.Warn("Heartbeat not decodable, dropped.", slog.Any("error", err))
 		return
 	}
 	h.registrar.receive(time.Now(), p)
 }
 
-// announceSelf tells this host's presence when that is due, and enters it where
-// nobody else has. It returns the time until the next look.
+// announceSelf sends a heartbeat if one is due, and enters this host if no registrar
+// does. It returns the time until the next check.
 func (r *registrar) announceSelf(ctx context.Context, now time.Time, list *member.List) time.Duration {
-	every := member.HeartbeatInterval
+	interval := member.HeartbeatInterval
 	if r.host.stopping.Load() {
-		return every
+		return interval
 	}
 	listed, ok := list.Host(r.self.Name)
 	missing := !ok || listed.Incarnation != r.self.Incarnation
@@ -107,9 +105,9 @@
 		r.missingSince, r.selfEntryDelay = now, selfEntryDelay+rand.N(selfEntryJitter)
 	}
 	if missing {
-		every = member.JoinInterval
+		interval = member.JoinInterval
 	}
-	if now.Sub(r.announcedAt) >= every {
+	if now.Sub(r.announcedAt) >= interval {
 		r.announcedAt = now
 		r.sendHeartbeat(now, list)
 	}
@@ -117,28 +115,27 @@
 		r.enteredAt = now
 		r.enter(ctx, []member.Host{r.self})
 	}
-	return every
+	return interval
 }
 
-// sendHeartbeat sends this host's presence to its registrars.
+// sendHeartbeat sends this host's heartbeat to its registrars.
 func (r *registrar) sendHeartbeat(now time.Time, list *member.List) {
-	for turn, addr := range r.registrars(list) {
-		p := member.Heartbeat{Host: r.self, Rank: turn}
+	for rank, addr := range r.registrars(list) {
+		p := member.Heartbeat{Host: r.self, Rank: rank}
 		if addr == r.self.TicketAddr {
 			r.receive(now, p)
 			continue
 		}
 		body, err := p.Encode()
 		if err != nil {
-			r.log.Error("Presence not written.", slog.Any("error", err))
+			r.log.Error("Heartbeat not encoded.", slog.Any("error", err))
 			return
 		}
-		r.host.dispatcher.write(addr, datagramPresence, body)
+		r.host.dispatcher.write(addr, datagramHeartbeat, body)
 	}
 }
 
-// registrars returns the hosts that this one tells its presence, the first one
-// first.
+// registrars returns the addresses of this host's registrars, by rank.
 func (r *registrar) registrars(list *member.List) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, w := range docsync.Watchers(r.self.Zone, list.HostRows()) {
@@ -159,47 +156,46 @@
 	return out
 }
 
-// enter writes the entries of hosts. What fails is tried again: the hosts go on
-// telling that they are there.
+// enter writes the entries of hosts. Failures are retried, as the hosts keep sending
+// heartbeats.
 func (r *registrar) enter(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
-		part := hosts[:min(len(hosts), maxEntriesPerTxn)]
-		hosts = hosts[len(part):]
+		batch := hosts[:min(len(hosts), maxEntriesPerTxn)]
+		hosts = hosts[len(batch):]
 		var txn platform.Txn
-		for _, h := range part {
+		for _, h := range batch {
 			value, err := member.EncodeHost(h)
 			if err != nil {
-				r.log.Error("Entry of a host not written.", slog.String("host", string(h.Name)), slog.Any("error", err))
+				r.log.Error("Host entry not encoded.", slog.String("host", string(h.Name)), slog.Any("error", err))
 				continue
 			}
 			txn.Put = append(txn.Put, platform.Put{Path: member.HostPath(h.Name), Value: value})
 		}
 		if err := r.commit(ctx, txn); err != nil {
-			r.log.Warn("Hosts not entered in the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
+			r.log.Warn("Host entries not written to the store.", slog.Int("hosts", len(batch)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Hosts entered in the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
+		r.log.Info("Host entries written to the store.", slog.Int("hosts", len(batch)), slog.Any("names", hostNames(batch)))
 		r.host.watcher.trigger(time.Now())
 	}
 }
 
-// remove removes the entries of hosts that are silent, unless they have entered
-// again.
+// remove removes the entries of unresponsive hosts, unless they were written again.
 func (r *registrar) remove(ctx context.Context, hosts []member.Host) {
 	for len(hosts) > 0 {
-		part := hosts[:min(len(hosts), maxRemovalsPerTxn)]
-		hosts = hosts[len(part):]
+		batch := hosts[:min(len(hosts), maxRemovalsPerTxn)]
+		hosts = hosts[len(batch):]
 		var txn platform.Txn
-		for _, h := range part {
+		for _, h := range batch {
 			path := member.HostPath(h.Name)
 			txn.If = append(txn.If, platform.Condition{Path: path, Revision: h.Revision})
 			txn.Remove = append(txn.Remove, path)
 		}
 		if err := r.commit(ctx, txn); err != nil {
-			r.log.Warn("Silent hosts not removed from the store.", slog.Int("hosts", len(part)), slog.Any("error", err))
+			r.log.Warn("Entries of unresponsive hosts not removed from the store.", slog.Int("hosts", len(batch)), slog.Any("error", err))
 			continue
 		}
-		r.log.Info("Silent hosts removed from the store.", slog.Int("hosts", len(part)), slog.Any("names", hostNames(part)))
+		r.log.Info("Entries of unresponsive hosts removed from the store.", slog.Int("hosts", len(batch)), slog.Any("names", hostNames(batch)))
 	}
 }
 
--- a/internal/host/resign.go
+++ b/internal/host/resign.go
@@ -11,59 +11,59 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// resignIfDue hands the lead on where this host stops. While the store does not
-// answer nobody else can lead: the grants are renewed until it does.
-func (r *controller) resignIfDue(ctx context.Context, now time.Time) {
-	if r.resigning || !r.host.stopping.Load() || !r.core.Leading() {
+// resignIfDue hands leadership over when this host stops. During a store outage no
+// other host can take over, so this host keeps renewing grants until the outage ends.
+func (c *controller) resignIfDue(ctx context.Context, now time.Time) {
+	if c.resigning || !c.host.stopping.Load() || !c.core.Leading() {
 		return
 	}
-	if !r.core.LeaseFresh(now) {
-		r.core.Resume()
+	if !c.core.LeaseFresh(now) {
+		c.core.Resume()
 		return
 	}
-	r.core.Stop()
-	if !r.core.Idle() {
+	c.core.Stop()
+	if !c.core.Idle() {
 		return
 	}
-	r.resigning = true
-	t := &resignation{controller: r, doc: r.core.Doc(now), expect: r.core.Revision(), leadRevision: r.leadRevision}
-	r.tasks.Add(1)
+	c.resigning = true
+	t := &resignation{controller: c, doc: c.core.Doc(now), expect: c.core.Revision(), leaderRevision: c.leaderRevision}
+	c.tasks.Add(1)
 	go t.run(ctx)
 }
 
-// resignation is one try to hand the lead on. Its document names no lead, which
-// tells the next one that nothing more will be sent.
+// resignation is one attempt to hand leadership over. The document that it writes names
+// no leader, which tells the next one that no more orders will be sent.
 type resignation struct {
 	*controller
 
-	doc          owner.Doc
-	expect       platform.Revision
-	leadRevision platform.Revision
+	doc            owner.Doc
+	expect         platform.Revision
+	leaderRevision platform.Revision
 }
 
-// run carries the resignation out and posts its outcome.
+// run runs the resignation and posts its outcome.
 func (t *resignation) run(ctx context.Context) {
 	defer t.tasks.Done()
 	err := t.resign(ctx)
 	t.post(func(now time.Time) bool {
 		switch {
 		case err == nil:
-			t.log.Info("Lead handed on.", slog.Uint64("term", uint64(t.core.Term())))
+			t.log.Info("Leadership handed over.", slog.Uint64("term", uint64(t.core.Term())))
 			t.core.StepDown()
 		case errors.Is(err, platform.ErrUnavailable):
-			// Surely not carried out: this host leads on until the store is back.
-			t.log.Warn("Lead not handed on, renewing meanwhile.", slog.Any("error", err))
+			// Certainly not committed: this host leads on until the outage ends.
+			t.log.Warn("Leadership not handed over, renewing grants meanwhile.", slog.Any("error", err))
 			t.resigning = false
 			t.core.Resume()
 		case errors.Is(err, platform.ErrRestored):
-			// What was written is of a copy that is gone, or refused.
-			t.log.Warn("Lead not handed on, renewing meanwhile.", slog.Any("error", err))
+			// The write was refused or went to a store state that is gone.
+			t.log.Warn("Leadership not handed over, renewing grants meanwhile.", slog.Any("error", err))
 			t.resigning = false
 			t.core.Resume()
 			t.core.StoreRestored(now, t.doc.Term)
 		default:
-			// The next lead may go by it already: nothing is sent any more.
-			t.log.Warn("Lead given up.", slog.Any("error", err))
+			// The next leader may rely on the document already, so send nothing more.
+			t.log.Warn("Stepped down without a confirmed handover.", slog.Any("error", err))
 			t.core.StepDown()
 		}
 		return true
@@ -76,13 +76,13 @@
 	if err != nil {
 		return err
 	}
-	txn := docTxn(t.service, value, t.expect, t.leadRevision)
+	txn := docTxn(t.service, value, t.expect, t.leaderRevision)
 	txn.Remove = []platform.Path{member.LeaderPath(t.service)}
 	_, err = commitUntilKnown(ctx, t.log, t.host.env.Store, txn, rangesPath(t.service), t.doc.WriteID)
 	return err
 }
 
-// awaitSuccessors waits until this host leads no service, or until ctx ends.
+// awaitSuccessors waits until this host leads no service or ctx ends.
 func (h *Host) awaitSuccessors(ctx context.Context) {
 	const pause = 50 * time.Millisecond
 	for h.leadsAnyService() && ctx.Err() == nil {
@@ -93,8 +93,8 @@
 func (h *Host) leadsAnyService() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range h.controllers {
-		if r.leading.Load() {
+	for _, c := range h.controllers {
+		if c.leading.Load() {
 			return true
 		}
 	}
