--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -8,37 +8,39 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// Backoffs are what targets have asked of this host in their answers: to send
-// nothing for a while, or nothing new at all, as they leave. Another life of a
-// target has asked nothing yet. It is not safe for concurrent use.
+// Backoffs holds what targets have signaled to this host in their responses: a
+// pause, or that they are leaving. A signal holds for one incarnation of a target.
+// It is not safe for concurrent use.
 type Backoffs struct{ targets map[place.Target]*backoff }
 
+// backoff is the state of one target.
 type backoff struct {
 	incarnation place.Incarnation
-	// leaving is since when the target has said that it leaves; zero if it has not.
+	// leaving is when the target first signaled that it is leaving; zero if it
+	// has not.
 	leaving time.Time
-	// notifiedAt is when the home of its pool was last told so.
+	// notifiedAt is when the home of its pool was last sent a Drain.
 	notifiedAt time.Time
-	// pauseUntil is the end of the pause that it has asked for.
+	// pauseUntil is the end of the pause that the target asked for.
 	pauseUntil time.Time
 }
 
-// drainNoticeInterval is the time between two words to a home that a target leaves: the first
-// one may have been lost, or the home be another one now.
+// drainNoticeInterval is the time between two Drain messages for one target. They
+// are repeated because a datagram may be lost and the pool's home may change.
 const drainNoticeInterval = time.Second
 
-// NewBackoffs returns what no target has asked yet.
+// NewBackoffs returns an empty Backoffs.
 func NewBackoffs() *Backoffs { return &Backoffs{targets: make(map[place.Target]*backoff)} }
 
-// Record takes the signal in an answer of a target, and reports whether the home of its
-// pool should be told that it leaves.
-func (b *Backoffs) Record(now time.Time, name place.Target, born place.Incarnation, s target.Signal) bool {
+// Record records the signal in a target's response. It reports whether the home of
+// the target's pool should be sent a Drain now.
+func (b *Backoffs) Record(now time.Time, name place.Target, inc place.Incarnation, s target.Signal) bool {
 	if !s.Leaving && s.Pause <= 0 {
 		return false
 	}
 	t := b.targets[name]
-	if t == nil || t.incarnation != born {
-		t = &backoff{incarnation: born}
+	if t == nil || t.incarnation != inc {
+		t = &backoff{incarnation: inc}
 		b.targets[name] = t
 	}
 	if until := now.Add(s.Pause); until.After(t.pauseUntil) {
@@ -54,21 +56,22 @@
 	return true
 }
 
-// State returns since when a life of a target has said that it leaves, zero if it has
-// not, and how much longer it wants no requests.
-func (b *Backoffs) State(now time.Time, name place.Target, born place.Incarnation) (leaving time.Time, pause time.Duration) {
+// State returns when an incarnation of a target first signaled that it is leaving,
+// zero if it has not, and how much longer it wants no requests.
+func (b *Backoffs) State(now time.Time, name place.Target, inc place.Incarnation) (leaving time.Time, pause time.Duration) {
 	t := b.targets[name]
-	if t == nil || t.incarnation != born {
+	if t == nil || t.incarnation != inc {
 		return time.Time{}, 0
 	}
 	return t.leaving, max(t.pauseUntil.Sub(now), 0)
 }
 
-// maxExcluded bounds the list of targets that an ask excludes: it fits a datagram,
-// and what is not in it is found out when the slot is given.
+// maxExcluded bounds the excluded targets in an Acquire so that it fits a datagram.
+// Targets beyond the bound are checked again when a slot is assigned.
 const maxExcluded = 8
 
-// Excluded returns the targets among rows that no new request should go to.
+// Excluded returns the targets among rows that should get no new request, at most
+// maxExcluded of them.
 func (b *Backoffs) Excluded(now time.Time, rows []place.TargetRow) []place.Target {
 	if len(b.targets) == 0 {
 		return nil
@@ -84,12 +87,13 @@
 	return out[:min(len(out), maxExcluded)]
 }
 
-// leavingRetention is how long the word of a target that is not listed any more is kept: a
-// store that comes back from an older copy lists it again some seconds later.
+// leavingRetention is how long the leaving signal of an unlisted target is kept: a
+// store that was restored from an older snapshot lists the target again some
+// seconds later.
 const leavingRetention = 10 * time.Minute
 
-// Prune forgets the targets that are not listed any more, once their pause is over and
-// they have left long ago.
+// Prune removes targets that are no longer listed, once their pause is over and
+// leavingRetention has passed since their leaving signal.
 func (b *Backoffs) Prune(now time.Time, listed func(place.Target) bool) {
 	for name, t := range b.targets {
 		if !listed(name) && now.After(t.pauseUntil) && now.Sub(t.leaving) > leavingRetention {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -10,22 +10,23 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// TestBackoffs: what a target asks holds for its life and its time, and no longer.
+// TestBackoffs checks that a signal holds for one incarnation of a target, and a pause
+// for its duration.
 func TestBackoffs(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for name, test := range map[string]struct {
 		signals []target.Signal
 		after   time.Duration
-		born    place.Incarnation
+		inc     place.Incarnation
 		leaving bool
 		pause   time.Duration
 	}{
-		"nothing asked":        {[]target.Signal{{}}, 0, 1, false, 0},
+		"no signal":            {[]target.Signal{{}}, 0, 1, false, 0},
 		"a pause":              {[]target.Signal{{Pause: 3 * time.Second}}, time.Second, 1, false, 2 * time.Second},
 		"a pause that is over": {[]target.Signal{{Pause: 3 * time.Second}}, 3 * time.Second, 1, false, 0},
 		"the longer pause":     {[]target.Signal{{Pause: 3 * time.Second}, {Pause: time.Second}}, 0, 1, false, 3 * time.Second},
-		"leaving for good":     {[]target.Signal{{Leaving: true}, {}}, time.Minute, 1, true, 0},
-		"another life":         {[]target.Signal{{Leaving: true, Pause: time.Minute}}, 0, 2, false, 0},
+		"leaving stays":        {[]target.Signal{{Leaving: true}, {}}, time.Minute, 1, true, 0},
+		"another incarnation":  {[]target.Signal{{Leaving: true, Pause: time.Minute}}, 0, 2, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewBackoffs()
@@ -33,30 +34,30 @@
 				b.Record(start, "a", 1, s)
 			}
 			now := start.Add(test.after)
-			leaving, pause := b.State(now, "a", test.born)
+			leaving, pause := b.State(now, "a", test.inc)
 			assert.Equal(t, !leaving.IsZero(), test.leaving)
 			assert.Equal(t, pause, test.pause)
-			rows := []place.TargetRow{{Target: "a", Incarnation: test.born}, {Target: "b", Incarnation: 1}}
+			rows := []place.TargetRow{{Target: "a", Incarnation: test.inc}, {Target: "b", Incarnation: 1}}
 			assert.Equal(t, len(b.Excluded(now, rows)) > 0, test.leaving || test.pause > 0)
 		})
 	}
 }
 
-// TestDrainNoticeRepeats: homes are told again that a target leaves, but not in each
-// answer.
+// TestDrainNoticeRepeats checks that the Drain for a leaving target is repeated, but not
+// for each response.
 func TestDrainNoticeRepeats(t *testing.T) {
-	b, now, told := NewBackoffs(), time.Unix(1000, 0), 0
+	b, now, notices := NewBackoffs(), time.Unix(1000, 0), 0
 	for range 100 {
 		if b.Record(now, "a", 1, target.Signal{Leaving: true}) {
-			told++
+			notices++
 		}
 		now = now.Add(drainNoticeInterval / 20)
 	}
-	assert.Equal(t, told, 5)
+	assert.Equal(t, notices, 5)
 }
 
-// TestLeavingRetained: a target that has said that it leaves is not taken for another one
-// where the platform's list loses it and has it back.
+// TestLeavingRetained checks that the leaving signal of a target survives while the
+// platform's list loses the target and lists it again.
 func TestLeavingRetained(t *testing.T) {
 	b, now := NewBackoffs(), time.Unix(1000, 0)
 	b.Record(now, "a", 1, target.Signal{Leaving: true})
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -7,52 +7,54 @@
 )
 
 const (
-	// breakerThreshold is how many targets of one zone must be out of reach in a row
-	// for the whole zone to count as cut off: single ones crash.
+	// breakerThreshold is how many distinct targets of a zone must fail to connect,
+	// with no success in between, to open the zone's breaker. Single failures are
+	// more likely crashed targets.
 	breakerThreshold = 3
-	// breakerProbeInterval is the time between two requests that find out whether it still
-	// is.
+	// breakerProbeInterval is the time between two requests that probe a zone whose
+	// breaker is open.
 	breakerProbeInterval = 300 * time.Millisecond
 )
 
-// breakers are the zones that this host can't reach. They answer a zone that is
-// cut off: each host has hundreds of targets there, and would find out one by
-// one, at the cost of a connect timeout a request, that none can be reached. They
-// count only in pools whose homes can't be reached either.
+// breakers holds a circuit breaker for each zone. Without them, a host that is
+// partitioned from a zone with hundreds of targets would find each of them
+// unreachable in turn, at the cost of one connect timeout per request. They apply
+// only to pools for which this host is isolated from every other home.
 type breakers struct{ zones map[place.Zone]*breaker }
 
+// breaker is the circuit breaker of one zone.
 type breaker struct {
-	// failed are the targets that took no connection since one last answered.
+	// failed holds the targets that failed to connect since the zone's last response.
 	failed map[place.Target]struct{}
-	// probeAt is when the next request may try.
+	// probeAt is when the next request may probe the zone.
 	probeAt time.Time
 }
 
 func newBreakers() *breakers { return &breakers{zones: make(map[place.Zone]*breaker)} }
 
-// available reports whether a target of the zone may be tried now.
-func (c *breakers) available(now time.Time, zone place.Zone) bool {
-	z := c.zones[zone]
+// available reports whether a request may be sent to the zone now.
+func (b *breakers) available(now time.Time, zone place.Zone) bool {
+	z := b.zones[zone]
 	return z == nil || len(z.failed) < breakerThreshold || !now.Before(z.probeAt)
 }
 
-// attempted notes that a request goes to the zone.
-func (c *breakers) attempted(now time.Time, zone place.Zone) {
-	if z := c.zones[zone]; z != nil {
+// attempted records that a request is sent to the zone.
+func (b *breakers) attempted(now time.Time, zone place.Zone) {
+	if z := b.zones[zone]; z != nil {
 		z.probeAt = now.Add(breakerProbeInterval)
 	}
 }
 
-// connectFailed notes that a target of the zone took no connection.
-func (c *breakers) connectFailed(now time.Time, zone place.Zone, name place.Target) {
-	z := c.zones[zone]
+// connectFailed records that no connection to a target of the zone could be made.
+func (b *breakers) connectFailed(now time.Time, zone place.Zone, name place.Target) {
+	z := b.zones[zone]
 	if z == nil {
 		z = &breaker{failed: make(map[place.Target]struct{})}
-		c.zones[zone] = z
+		b.zones[zone] = z
 	}
 	z.failed[name] = struct{}{}
 	z.probeAt = now.Add(breakerProbeInterval)
 }
 
-// reset notes that a target of the zone answered.
-func (c *breakers) reset(zone place.Zone) { delete(c.zones, zone) }
+// reset closes the zone's breaker after a response from one of its targets.
+func (b *breakers) reset(zone place.Zone) { delete(b.zones, zone) }
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	// ReportInterval is the time between two reports of a host to a home.
+	// ReportInterval is the time between two reports from a host to a home.
 	ReportInterval = 400 * time.Millisecond
-	// minReportAge is how long a ticket is in use before it is reported: most have
-	// been given back by then, and a report that says nothing new wakes two hosts.
+	// minReportAge is how long a ticket must be in use to be reported. Most are
+	// released before, and a report without news wakes two hosts for nothing.
 	minReportAge = 300 * time.Millisecond
-	// resendInterval is when an ask that nobody answered is sent again: a few times
-	// the way between two zones and a turn of a busy processor.
+	// resendInterval is the time after which an unanswered Acquire is sent again: a
+	// few times the latency between two zones plus the scheduling delay of a busy
+	// CPU.
 	resendInterval = 25 * time.Millisecond
-	// homeTimeout is how long a home may leave an ask unanswered before the next
-	// host in the pool's order is asked.
+	// homeTimeout is how long an Acquire may be unanswered before its home is suspected
+	// and the next host in the pool's ranking is tried.
 	homeTimeout = 80 * time.Millisecond
-	// pingInterval is the time between two pings of a host that did not
-	// answer; it is left out until it does.
+	// pingInterval is the time between two pings of a suspected host. It is skipped as
+	// a home until it replies.
 	pingInterval = 200 * time.Millisecond
-	// suspectExpiry is how long a host is left out that is never heard again.
+	// suspectExpiry is how long a host that never replies is suspected.
 	suspectExpiry = 10 * time.Second
-	// leaveExpiry is how long a host that stops is no home; it ends sooner, and
-	// starts again with another life.
+	// leaveExpiry is how long a host that sent a Leave is skipped as a home. It has
+	// stopped before then, and starts again with another incarnation.
 	leaveExpiry = 5 * time.Second
-	// queuedResendInterval is the time between two asks of one that waits in a queue, so
+	// queuedResendInterval is the time after which a queued Acquire is sent again, so
 	// that a home that restarted learns of it.
 	queuedResendInterval = 200 * time.Millisecond
-	// maxReportTickets is how many tickets one report lists: with names of 20
-	// bytes, it fits a datagram.
+	// maxReportTickets bounds the tickets in one report so that it fits a datagram
+	// with names of 20 bytes.
 	maxReportTickets = 16
 )
 
-// Homes ranks the hosts that may be the home of a pool, best first. The list
-// is never empty: it ends with the asking host itself.
+// Homes ranks the hosts that may be the home of a pool, best first. The list is never
+// empty: the requesting host itself is the last one.
 type Homes interface {
 	Ranked(pool PoolID) []place.Host
 }
 
-// HostMessage is a message to a host.
+// HostMessage is a message and the host that it is for.
 type HostMessage struct {
 	To      place.Host
 	Message Message
 }
 
-// Reply is the end of an ask, Placed or Refused, with the home that gave it.
+// Reply is the final reply to an Acquire, Assigned or Refused, and the home that sent
+// it.
 type Reply struct {
 	ID      TicketID
 	Message Message
 	Home    place.Host
-	// Isolated tells that no other host could be asked: this one may be cut off
-	// from where the targets are.
+	// Isolated tells that no other host could be asked: a network partition may
+	// separate this one from the targets.
 	Isolated bool
 }
 
-// Client asks homes for tickets on behalf of one host. It is not safe for
-// concurrent use.
+// Client acquires tickets from homes for one host. It is not safe for concurrent use.
 type Client struct {
 	homes         Homes
 	lastID        TicketID
@@ -68,27 +69,27 @@
 	held          map[TicketID]*heldTicket
 	suspects      map[place.Host]*suspect
 	reportedAt    time.Time
-	reportedHomes map[place.Host]struct{} // homes that have tickets in use by the last report
+	reportedHomes map[place.Host]struct{} // homes whose last report was not empty
 	outbox        []HostMessage
 	replies       []Reply
 }
 
-// suspect is a host that left an ask unanswered, or that stops.
+// suspect is a host that did not reply in time, or that is leaving.
 type suspect struct {
 	since, pingedAt time.Time
 	leaving         bool
 }
 
-// pendingAcquire is an ask without an end yet.
+// pendingAcquire is an Acquire without a final reply yet.
 type pendingAcquire struct {
 	Acquire
 
 	home place.Host
-	// deadline is Left as a time; aimAt is Aim.
+	// deadline and softDeadline are Timeout and SoftTimeout as points in time.
 	deadline        time.Time
 	softDeadline    time.Time
-	sentAt          time.Time // last time
-	unansweredSince time.Time // first time to this home without an answer since
+	sentAt          time.Time // when it was last sent
+	unansweredSince time.Time // when it was first sent to this home since its last reply
 	answered        bool
 }
 
@@ -111,34 +112,35 @@
 	}
 }
 
-// Acquire starts an ask and returns its id; its end comes as a Verdict.
+// Acquire requests a ticket and returns its id. Flush returns the final reply.
 func (c *Client) Acquire(now time.Time, a Acquire) TicketID {
 	c.lastID++
 	a.ID = c.lastID
-	q := &pendingAcquire{Acquire: a, deadline: now.Add(a.Timeout), softDeadline: now.Add(a.SoftTimeout)}
-	c.pending[a.ID] = q
-	c.sendAcquire(now, q)
+	p := &pendingAcquire{Acquire: a, deadline: now.Add(a.Timeout), softDeadline: now.Add(a.SoftTimeout)}
+	c.pending[a.ID] = p
+	c.sendAcquire(now, p)
 	return a.ID
 }
 
-// sendAcquire sends an ask to the first host in the pool's order that answers.
-func (c *Client) sendAcquire(now time.Time, q *pendingAcquire) {
-	home, alone := c.home(q.Pool)
-	if home != q.home {
-		if q.home != "" {
-			c.send(q.home, Cancel{ID: q.ID, Pool: q.Pool})
+// sendAcquire sends an Acquire to the pool's current home, and cancels it at an
+// earlier one.
+func (c *Client) sendAcquire(now time.Time, p *pendingAcquire) {
+	home, isolated := c.home(p.Pool)
+	if home != p.home {
+		if p.home != "" {
+			c.send(p.home, Cancel{ID: p.ID, Pool: p.Pool})
 		}
-		q.home, q.unansweredSince, q.answered = home, now, false
+		p.home, p.unansweredSince, p.answered = home, now, false
 	}
-	q.sentAt, q.Isolated = now, alone
-	a := q.Acquire
-	a.Timeout, a.SoftTimeout = q.deadline.Sub(now), q.softDeadline.Sub(now)
-	c.send(q.home, a)
+	p.sentAt, p.Isolated = now, isolated
+	a := p.Acquire
+	a.Timeout, a.SoftTimeout = p.deadline.Sub(now), p.softDeadline.Sub(now)
+	c.send(p.home, a)
 }
 
-// home returns the host to ask for a pool now, and whether it is only this
-// host itself for want of another.
-func (c *Client) home(pool PoolID) (host place.Host, alone bool) {
+// home returns the current home of a pool: the first host in its ranking that is not
+// suspected. isolated tells that it is this host only because all others are.
+func (c *Client) home(pool PoolID) (host place.Host, isolated bool) {
 	ranked := c.homes.Ranked(pool)
 	for i, host := range ranked {
 		if c.suspects[host] == nil {
@@ -148,7 +150,7 @@
 	return ranked[len(ranked)-1], true
 }
 
-// Receive takes a home's message.
+// Receive handles a message from a home.
 func (c *Client) Receive(now time.Time, from place.Host, m Message) {
 	if s := c.suspects[from]; s != nil && !s.leaving {
 		delete(c.suspects, from)
@@ -157,51 +159,51 @@
 	case Assigned:
 		c.assign(now, from, m)
 	case Queued:
-		if q := c.pending[m.ID]; q != nil && q.home == from {
-			q.answered, q.unansweredSince = true, now
+		if p := c.pending[m.ID]; p != nil && p.home == from {
+			p.answered, p.unansweredSince = true, now
 		}
 	case Refused:
-		if q := c.pending[m.ID]; q != nil && q.home == from {
+		if p := c.pending[m.ID]; p != nil && p.home == from {
 			delete(c.pending, m.ID)
-			c.replies = append(c.replies, Reply{m.ID, m, from, q.Isolated})
+			c.replies = append(c.replies, Reply{m.ID, m, from, p.Isolated})
 		}
 	case Leave:
 		c.suspects[from] = &suspect{since: now, leaving: true}
-		c.reportedAt = time.Time{} // its tickets go to the next home at once
+		c.reportedAt = time.Time{} // report its tickets to the next home at once
 	case Acquire, Done, Drain, Cancel, Report, Ping, Pong:
-		// A Pong has said all by arriving; the others are for homes.
+		// A Pong only ends the suspicion above. The others are for homes.
 	}
 }
 
 func (c *Client) assign(now time.Time, from place.Host, m Assigned) {
-	q := c.pending[m.ID]
-	if q == nil || q.home != from {
+	p := c.pending[m.ID]
+	if p == nil || p.home != from {
 		if h := c.held[m.ID]; h == nil || h.home != from {
-			// An ask that was taken back, or has a ticket from elsewhere.
+			// The Acquire was canceled, or another home has replied.
 			c.send(from, Done{ID: m.ID, Target: m.Target, Result: ResultUnused})
 		}
 		return
 	}
 	delete(c.pending, m.ID)
 	c.held[m.ID] = &heldTicket{
-		Held:  Held{ID: m.ID, Pool: q.Pool, Target: m.Target, Class: q.Class},
+		Held:  Held{ID: m.ID, Pool: p.Pool, Target: m.Target, Class: p.Class},
 		home:  from,
 		since: now,
 	}
-	c.replies = append(c.replies, Reply{m.ID, m, from, q.Isolated})
+	c.replies = append(c.replies, Reply{m.ID, m, from, p.Isolated})
 }
 
-// Done gives a ticket back.
-func (c *Client) Done(now time.Time, id TicketID, end Result, took time.Duration) {
+// Done releases a ticket.
+func (c *Client) Done(now time.Time, id TicketID, result Result, took time.Duration) {
 	h := c.held[id]
 	if h == nil {
 		return
 	}
 	delete(c.held, id)
-	c.send(h.home, Done{ID: id, Pool: h.Pool, Target: h.Target, Class: h.Class, Result: end, Took: took})
+	c.send(h.home, Done{ID: id, Pool: h.Pool, Target: h.Target, Class: h.Class, Result: result, Took: took})
 }
 
-// Drain tells the home of a pool that a target there leaves.
+// Drain tells the home of a pool that a target in it is leaving.
 func (c *Client) Drain(pool PoolID, name place.Target) {
 	home, _ := c.home(pool)
 	c.send(home, Drain{Pool: pool, Target: name})
@@ -215,39 +217,39 @@
 	return ""
 }
 
-// Suspects reports whether a host leaves asks and pings unanswered.
+// Suspects reports whether a host does not reply to Acquires and Pings.
 func (c *Client) Suspects(host place.Host) bool {
 	s := c.suspects[host]
 	return s != nil && !s.leaving
 }
 
-// Started tells that a host has started again: it may be a home.
+// Started records that a host has started again, so that it may be a home.
 func (c *Client) Started(host place.Host) { delete(c.suspects, host) }
 
-// Cancel takes an ask back that has no end yet.
+// Cancel withdraws an Acquire without a final reply.
 func (c *Client) Cancel(id TicketID) {
-	q := c.pending[id]
-	if q == nil {
+	p := c.pending[id]
+	if p == nil {
 		return
 	}
 	delete(c.pending, id)
-	c.send(q.home, Cancel{ID: id, Pool: q.Pool})
+	c.send(p.home, Cancel{ID: id, Pool: p.Pool})
 }
 
-// Tick sends asks again and reports what is in use.
+// Tick resends Acquires, pings suspects and reports tickets.
 func (c *Client) Tick(now time.Time) {
-	for _, q := range c.pending {
+	for _, p := range c.pending {
 		switch {
-		case !q.answered && now.Sub(q.unansweredSince) >= homeTimeout:
-			if c.suspects[q.home] == nil {
-				c.suspects[q.home] = &suspect{since: now, pingedAt: now}
+		case !p.answered && now.Sub(p.unansweredSince) >= homeTimeout:
+			if c.suspects[p.home] == nil {
+				c.suspects[p.home] = &suspect{since: now, pingedAt: now}
 			}
-			c.sendAcquire(now, q)
-		case !q.answered && now.Sub(q.sentAt) >= resendInterval, q.answered && now.Sub(q.sentAt) >= queuedResendInterval:
-			if q.answered {
-				q.answered, q.unansweredSince = false, now
+			c.sendAcquire(now, p)
+		case !p.answered && now.Sub(p.sentAt) >= resendInterval, p.answered && now.Sub(p.sentAt) >= queuedResendInterval:
+			if p.answered {
+				p.answered, p.unansweredSince = false, now
 			}
-			c.sendAcquire(now, q)
+			c.sendAcquire(now, p)
 		}
 	}
 	for host, s := range c.suspects {
@@ -265,12 +267,12 @@
 	}
 }
 
-// report tells each home which tickets have been in use there for a while. One
-// whose home changed moves to the new one.
+// report sends each home the tickets that have been in use for minReportAge. A ticket
+// whose pool has another home now moves to that one.
 func (c *Client) report(now time.Time) {
 	lists := make(map[place.Host][]Held)
 	for home := range c.reportedHomes {
-		lists[home] = nil // once more, now empty
+		lists[home] = nil // a last, empty report if no ticket is left
 	}
 	for _, h := range c.held {
 		if now.Sub(h.since) < minReportAge {
@@ -293,7 +295,7 @@
 	}
 }
 
-// reportTo sends a list in parts that fit a datagram.
+// reportTo sends a list in reports that fit a datagram.
 func (c *Client) reportTo(home place.Host, list []Held) {
 	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.ID, b.ID) })
 	first := TicketID(0)
@@ -306,27 +308,27 @@
 	c.send(home, Report{First: first, Last: c.lastID, Held: list})
 }
 
-// NextTick returns when Tick has something to do again, if nothing else happens;
-// zero for never.
+// NextTick returns when Tick is due next if no message comes before, or zero for
+// never.
 func (c *Client) NextTick() time.Time {
 	var next time.Time
-	report := c.reportedAt.Add(ReportInterval)
+	nextReport := c.reportedAt.Add(ReportInterval)
 	if len(c.reportedHomes) > 0 {
-		next = report
+		next = nextReport
 	}
 	for _, h := range c.held {
 		due := h.since.Add(minReportAge)
-		if due.Before(report) {
-			due = report
+		if due.Before(nextReport) {
+			due = nextReport
 		}
 		next = earlier(next, due)
 	}
-	for _, q := range c.pending {
-		if q.answered {
-			next = earlier(next, q.sentAt.Add(queuedResendInterval))
+	for _, p := range c.pending {
+		if p.answered {
+			next = earlier(next, p.sentAt.Add(queuedResendInterval))
 			continue
 		}
-		next = earlier(next, earlier(q.sentAt.Add(resendInterval), q.unansweredSince.Add(homeTimeout)))
+		next = earlier(next, earlier(p.sentAt.Add(resendInterval), p.unansweredSince.Add(homeTimeout)))
 	}
 	for _, s := range c.suspects {
 		if !s.leaving {
@@ -336,7 +338,7 @@
 	return next
 }
 
-// earlier returns the earlier of two times; a zero one stands for never.
+// earlier returns the earlier of two times. Zero stands for never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -346,9 +348,9 @@
 
 func (c *Client) send(to place.Host, m Message) { c.outbox = append(c.outbox, HostMessage{to, m}) }
 
-// Flush returns what is to be sent and what has ended since the last call.
+// Flush returns the messages to send and the final replies since the last call.
 func (c *Client) Flush() ([]HostMessage, []Reply) {
-	out, verdicts := c.outbox, c.replies
+	out, finished := c.outbox, c.replies
 	c.outbox, c.replies = nil, nil
-	return out, verdicts
+	return out, finished
 }
--- a/internal/dispatch/codec.go
+++ b/internal/dispatch/codec.go
@@ -12,7 +12,7 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// messageKind tells the messages apart on the wire.
+// messageKind identifies the type of a message on the wire.
 type messageKind uint8
 
 const (
@@ -29,8 +29,9 @@
 	kindDrain
 )
 
-// wireMessage is any message: each kind uses some of the fields. Durations are
-// in microseconds.
+// wireMessage is the encoding of every message; each kind uses some of the fields.
+// Durations are in microseconds. ID also carries Report.First, Timeout also carries
+// Refused.RetryAfter and Done.Took, and Code carries Refused.Reason and Done.Result.
 type wireMessage struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        messageKind
@@ -81,7 +82,7 @@
 
 func duration(micros int64) time.Duration { return time.Duration(micros) * time.Microsecond }
 
-// Encode returns a message as it travels, with the peer that sends it.
+// Encode encodes a message and the peer that sends it.
 func Encode(from Peer, m Message) ([]byte, error) {
 	w := wireMessage{Host: string(from.Host), Incarnation: uint64(from.Incarnation), Zone: string(from.Zone)}
 	switch m := m.(type) {
@@ -125,7 +126,7 @@
 	return body, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes a datagram that Encode returned.
 func Decode(body []byte) (Peer, Message, error) {
 	var w wireMessage
 	if err := cbor.Unmarshal(body, &w); err != nil {
--- a/internal/dispatch/codec_test.go
+++ b/internal/dispatch/codec_test.go
@@ -10,7 +10,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// oneTarget is a Catalog with one target in each pool, and Homes with one host.
+// oneTarget is a Catalog with the same target in each pool, and Homes with one host.
 type oneTarget struct{}
 
 func (oneTarget) Members(PoolID) []place.TargetRow {
@@ -19,7 +19,7 @@
 
 func (oneTarget) Ranked(PoolID) []place.Host { return []place.Host{"self"} }
 
-// FuzzMessage: no datagram makes the decoder or a home that takes it panic.
+// FuzzMessage checks that no datagram makes the decoder, a home or a client panic.
 func FuzzMessage(f *testing.F) {
 	pool := PoolID{Service: "s", Zone: "z", Target: "t"}
 	for _, m := range []Message{
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// hostTimeout is how long a host may go without a message before its tickets
-	// count as given back; it reports those that are in use for long every
+	// hostTimeout is how long after a host's last message its tickets expire. A host
+	// with tickets in use for longer than minReportAge sends a report every
 	// ReportInterval.
 	hostTimeout = 2*ReportInterval + ReportInterval/2
-	// reportGrace is how long a ticket may be missing from its host's reports: they
-	// list those that are in use for reportFrom, and the report may have left before
-	// the ticket arrived.
+	// reportGrace is how long a ticket may be missing from its host's reports. They
+	// list only tickets older than minReportAge, and a report may have been sent
+	// before the ticket arrived.
 	reportGrace = minReportAge + ReportInterval/2
-	// poolIdleTimeout is how long a pool without asks is kept.
+	// poolIdleTimeout is how long an unused pool is kept.
 	poolIdleTimeout = 30 * time.Second
 )
 
-// Peer is one life of a host that asks.
+// Peer is one incarnation of a host that acquires tickets.
 type Peer struct {
 	Host        place.Host
 	Incarnation place.Incarnation
@@ -33,12 +33,13 @@
 	Message Message
 }
 
-// Catalog tells which targets belong to a pool now.
+// Catalog lists the current targets of a pool.
 type Catalog interface {
 	Members(pool PoolID) []place.TargetRow
 }
 
-// Home holds the pools of one host. It is not safe for concurrent use.
+// Home schedules the pools whose home this host is. It is not safe for concurrent
+// use.
 type Home struct {
 	catalog  Catalog
 	pools    map[PoolID]*pool
@@ -47,27 +48,27 @@
 	peers    map[place.Host]*peerState
 	out      []PeerMessage
 	refusals []Refusal
-	// observed are the times of the classes of requests that this host sent
-	// itself, whoever their home was: where a pool starts from.
+	// observed holds the service times of this host's own requests by class, whatever
+	// their home was. They are the priors of new pools.
 	observed map[traffic.RouteName]*serviceTime
 	breakers *breakers
 }
 
-// Refusal is a refusal with what decided it.
+// Refusal describes a refused request and the state that led to it, for the log.
 type Refusal struct {
 	Pool       PoolID
 	Host       place.Host
 	ID         TicketID
 	Reason     Reason
 	RetryAfter time.Duration
-	// Wait is how long the request waited here, End when it was expected to
-	// end, Left what it had.
+	// Wait is how long the request was queued, Estimate the expected time to its end,
+	// Remaining the time to its deadline.
 	Wait, Estimate, Remaining time.Duration
-	// Waiting is the queue at that moment, Open the targets that could be
-	// tried, Pressure the share of free slots that requests on time wait for.
+	// Waiting is the length of the queue, Available the number of available targets,
+	// Pressure that of the pool.
 	Waiting, Available int
 	Pressure           float64
-	// Cold tells that its key was.
+	// Cold tells that the request's key was cold.
 	Cold bool
 }
 
@@ -78,14 +79,15 @@
 	return out
 }
 
-// peerState is what a home knows of a host that asks.
+// peerState is what a home knows of a peer.
 type peerState struct {
 	Peer
 
 	heardAt time.Time
 }
 
-// NewHome returns a home without pools; they come with the first ask.
+// NewHome returns a home without pools. They are created by the first message about
+// them.
 func NewHome(catalog Catalog) *Home {
 	return &Home{
 		catalog:  catalog,
@@ -98,17 +100,17 @@
 	}
 }
 
-// Observe notes how long a request of this host took at a target.
+// Observe records how long a request of this host took at a target.
 func (h *Home) Observe(class traffic.RouteName, took time.Duration) {
-	c := h.observed[class]
-	if c == nil {
-		c = &serviceTime{}
-		h.observed[class] = c
+	s := h.observed[class]
+	if s == nil {
+		s = &serviceTime{}
+		h.observed[class] = s
 	}
-	c.add(took)
+	s.add(took)
 }
 
-// Handle takes a message of a peer and returns what to send.
+// Handle handles a peer's message and returns the messages to send.
 func (h *Home) Handle(now time.Time, from Peer, m Message) []PeerMessage {
 	h.markAlive(now, from)
 	switch m := m.(type) {
@@ -125,12 +127,12 @@
 	case Ping:
 		h.send(from, Pong{})
 	case Assigned, Queued, Refused, Pong, Leave:
-		// These are a home's own words.
+		// Sent by homes only.
 	}
 	return h.flush()
 }
 
-// Refresh takes over changes of the catalog.
+// Refresh applies changes of the catalog.
 func (h *Home) Refresh(now time.Time) []PeerMessage {
 	for _, p := range h.pools {
 		p.setTargets(now, h.catalog.Members(p.id))
@@ -139,11 +141,11 @@
 	return h.flush()
 }
 
-// Tick lets what depends on the passing of time happen.
+// Tick expires silent hosts and idle pools, and schedules the queues.
 func (h *Home) Tick(now time.Time) []PeerMessage {
-	for name, c := range h.peers {
-		if now.Sub(c.heardAt) > hostTimeout {
-			h.expireHost(now, c)
+	for name, peer := range h.peers {
+		if now.Sub(peer.heardAt) > hostTimeout {
+			h.expireHost(now, peer)
 			delete(h.peers, name)
 		}
 	}
@@ -157,15 +159,16 @@
 }
 
 const (
-	// queueTickInterval is the time between two looks at queues in which somebody
-	// waits: who can't be served in time is told that much later.
+	// queueTickInterval is the time between two ticks while requests are queued. It
+	// delays the refusal of those that can't be served in time.
 	queueTickInterval = 20 * time.Millisecond
-	// ticketTickInterval is the same for slots in use, which hosts may have lost.
+	// ticketTickInterval is the time between two ticks while tickets are in use, whose
+	// hosts may have failed.
 	ticketTickInterval = hostTimeout
 )
 
-// NextTick returns when Tick has something to do again, if nothing else happens;
-// zero for never.
+// NextTick returns when Tick is due next if no message comes before, or zero for
+// never.
 func (h *Home) NextTick(now time.Time) time.Time {
 	switch {
 	case len(h.waiting) > 0:
@@ -184,38 +187,39 @@
 
 func (h *Home) send(to Peer, m Message) { h.out = append(h.out, PeerMessage{to, m}) }
 
-// markAlive notes a sign of life. Tickets of a host's earlier life are given back.
+// markAlive records that a message came from a host. It releases the tickets of the
+// host's earlier incarnation.
 func (h *Home) markAlive(now time.Time, from Peer) {
-	c := h.peers[from.Host]
-	if c != nil && c.Incarnation != from.Incarnation {
-		h.expireHost(now, c)
-		c = nil
+	peer := h.peers[from.Host]
+	if peer != nil && peer.Incarnation != from.Incarnation {
+		h.expireHost(now, peer)
+		peer = nil
 	}
-	if c == nil {
-		c = &peerState{Peer: from}
-		h.peers[from.Host] = c
+	if peer == nil {
+		peer = &peerState{Peer: from}
+		h.peers[from.Host] = peer
 	}
-	c.heardAt = now
+	peer.heardAt = now
 }
 
-// expireHost gives back all tickets of a host, drops its asks and forgets its
-// connections.
-func (h *Home) expireHost(now time.Time, c *peerState) {
-	touched := make(map[*pool]bool)
+// expireHost releases all tickets of a host, drops its queued Acquires and forgets
+// its connections.
+func (h *Home) expireHost(now time.Time, peer *peerState) {
+	changed := make(map[*pool]bool)
 	for key, t := range h.tickets {
-		if key.host == c.Host && key.incarnation == c.Incarnation {
-			touched[h.releaseTicket(now, t, ResultUnused, 0)] = true
+		if key.host == peer.Host && key.incarnation == peer.Incarnation {
+			changed[h.releaseTicket(now, t, ResultUnused, 0)] = true
 		}
 	}
 	for key, p := range h.waiting {
-		if key.host == c.Host && key.incarnation == c.Incarnation {
+		if key.host == peer.Host && key.incarnation == peer.Incarnation {
 			h.dequeue(key, p)
 		}
 	}
 	for _, p := range h.pools {
-		delete(p.affinity, c.Host)
+		delete(p.affinity, peer.Host)
 	}
-	for p := range touched {
+	for p := range changed {
 		h.runQueue(now, p)
 	}
 }
@@ -234,7 +238,7 @@
 func (h *Home) acquire(now time.Time, from Peer, a Acquire) {
 	key := ticketKey{from.Host, from.Incarnation, a.ID}
 	if t, ok := h.tickets[key]; ok {
-		// The answer to the first ask was lost.
+		// A resend: the first reply was lost.
 		h.send(from, Assigned{ID: a.ID, Target: t.target.Target, Addr: t.target.Addr})
 		return
 	}
@@ -262,29 +266,29 @@
 	}
 }
 
-// runQueue starts and dismisses what the pool's queue says.
+// runQueue schedules the pool's queue and sends the replies.
 func (h *Home) runQueue(now time.Time, p *pool) {
-	starts, out := p.schedule(now)
-	for _, s := range starts {
-		t := p.acquire(now, s)
+	assignments, refused := p.schedule(now)
+	for _, a := range assignments {
+		t := p.acquire(now, a)
 		delete(h.waiting, t.key)
 		h.tickets[t.key] = t
-		h.send(h.peerOf(t.key), Assigned{ID: t.key.id, Target: s.target.Target, Addr: s.target.Addr})
+		h.send(h.peerOf(t.key), Assigned{ID: t.key.id, Target: a.target.Target, Addr: a.target.Addr})
 	}
-	for _, d := range out {
-		delete(h.waiting, d.waiter.key)
+	for _, r := range refused {
+		delete(h.waiting, r.waiter.key)
 		h.refusals = append(h.refusals, Refusal{
-			Pool: p.id, Host: d.waiter.key.host, ID: d.waiter.ID, Reason: d.reason, RetryAfter: d.retryAfter,
-			Wait: now.Sub(d.waiter.arrivedAt), Estimate: d.estimate, Remaining: d.waiter.deadline.Sub(now),
-			Waiting: len(p.waiting), Available: d.available, Pressure: p.pressure, Cold: d.waiter.Cold,
+			Pool: p.id, Host: r.waiter.key.host, ID: r.waiter.ID, Reason: r.reason, RetryAfter: r.retryAfter,
+			Wait: now.Sub(r.waiter.arrivedAt), Estimate: r.estimate, Remaining: r.waiter.deadline.Sub(now),
+			Waiting: len(p.waiting), Available: r.available, Pressure: p.pressure, Cold: r.waiter.Cold,
 		})
-		h.send(h.peerOf(d.waiter.key), Refused{ID: d.waiter.ID, RetryAfter: d.retryAfter, Reason: d.reason})
+		h.send(h.peerOf(r.waiter.key), Refused{ID: r.waiter.ID, RetryAfter: r.retryAfter, Reason: r.reason})
 	}
 }
 
 func (h *Home) peerOf(key ticketKey) Peer {
-	if c := h.peers[key.host]; c != nil && c.Incarnation == key.incarnation {
-		return c.Peer
+	if peer := h.peers[key.host]; peer != nil && peer.Incarnation == key.incarnation {
+		return peer.Peer
 	}
 	return Peer{Host: key.host, Incarnation: key.incarnation}
 }
@@ -297,10 +301,10 @@
 	h.runQueue(now, h.releaseTicket(now, t, d.Result, d.Took))
 }
 
-// releaseTicket gives a slot back and returns its pool.
-func (h *Home) releaseTicket(now time.Time, t *ticket, end Result, took time.Duration) *pool {
+// releaseTicket releases a ticket and returns its pool.
+func (h *Home) releaseTicket(now time.Time, t *ticket, result Result, took time.Duration) *pool {
 	delete(h.tickets, t.key)
-	t.pool.release(now, t, end, took)
+	t.pool.release(now, t, result, took)
 	return t.pool
 }
 
@@ -311,13 +315,14 @@
 	}
 }
 
-// drain notes that a target leaves. Requests to a pool with others go to those from
-// now on; what a single target owns stays there until its lead has moved it.
+// drain records that a target is leaving. It gets no new requests in a pool of several
+// targets. In the pool of a single target it does, until the service's leader has
+// moved its keys.
 func (h *Home) drain(now time.Time, d Drain) {
 	p := h.pool(now, d.Pool)
-	if l := p.targets[d.Target]; l != nil {
-		l.leaving = true
-		l.usable = l.usable && d.Pool.Target != ""
+	if s := p.targets[d.Target]; s != nil {
+		s.leaving = true
+		s.usable = s.usable && d.Pool.Target != ""
 		h.runQueue(now, p)
 	}
 }
@@ -332,10 +337,10 @@
 	}
 }
 
-// report takes over what a host says it has in use: tickets that this home
-// does not know are added, those that it lists no more are given back.
+// report reconciles the tickets with a host's report: unknown tickets are adopted,
+// and those that are missing for longer than reportGrace are released.
 func (h *Home) report(now time.Time, from Peer, r Report) {
-	touched := make(map[*pool]bool)
+	changed := make(map[*pool]bool)
 	listed := make(map[ticketKey]bool, len(r.Held))
 	for _, held := range r.Held {
 		key := ticketKey{from.Host, from.Incarnation, held.ID}
@@ -349,56 +354,56 @@
 	for key, t := range h.tickets {
 		mine := key.host == from.Host && key.incarnation == from.Incarnation && r.First <= key.id && key.id <= r.Last
 		if mine && !listed[key] && now.Sub(t.confirmedAt) > reportGrace {
-			touched[h.releaseTicket(now, t, ResultUnused, 0)] = true
+			changed[h.releaseTicket(now, t, ResultUnused, 0)] = true
 		}
 	}
-	for p := range touched {
+	for p := range changed {
 		h.runQueue(now, p)
 	}
 }
 
-// adopt enters a ticket that another home gave.
+// adopt adds a ticket that another home granted.
 func (h *Home) adopt(now time.Time, key ticketKey, held Held) {
 	p := h.pool(now, held.Pool)
-	l := p.targets[held.Target]
-	if l == nil {
+	s := p.targets[held.Target]
+	if s == nil {
 		return
 	}
 	t := &ticket{
-		key: key, pool: p, class: held.Class, target: l, started: now.Add(-held.Since),
-		mean: p.mean(held.Class), queued: len(l.running) >= l.slots(), confirmedAt: now,
+		key: key, pool: p, class: held.Class, target: s, started: now.Add(-held.Since),
+		mean: p.mean(held.Class), queued: len(s.running) >= s.slots(), confirmedAt: now,
 	}
-	l.running[key] = t
+	s.running[key] = t
 	h.tickets[key] = t
 }
 
-// TargetStats is what a home knows of a target by the requests that went there.
+// TargetStats holds a home's statistics of one target.
 type TargetStats struct {
 	Pool   PoolID
 	Target place.Target
-	// Mean is the time of a usual request there by those that went there alone, zero
-	// where none has ended yet, Slow that time over the mean of its class; Requests
-	// is how many Mean rests on.
+	// Mean is the mean service time of the pool's dominant class by the pool's own
+	// samples, zero without any. Slowdown is the target's timeFactor. Samples is the
+	// number of samples in Mean.
 	Mean     time.Duration
 	Slowdown float64
 	Samples  float64
-	// Down tells that it takes no connections.
+	// Down tells that the target accepts no connections.
 	Down bool
-	// Leaving tells that it has said that it leaves.
+	// Leaving tells that the target signaled that it is leaving.
 	Leaving bool
-	// Used tells whether anything went there lately.
+	// Used tells that the statistics are from the last maxStatsAge.
 	Used bool
 }
 
-// TargetStats returns the opinions of all targets of all pools held here.
+// TargetStats returns the statistics of the targets of all pools.
 func (h *Home) TargetStats(now time.Time) []TargetStats {
 	var out []TargetStats
 	for _, p := range h.pools {
-		mean, requests := dominantMean(p.classes)
-		for _, l := range p.sorted {
+		mean, samples := dominantMean(p.classes)
+		for _, s := range p.sorted {
 			out = append(out, TargetStats{
-				Pool: p.id, Target: l.Target, Mean: mean, Slowdown: l.timeFactor(now), Samples: requests,
-				Down: l.connectFailures >= minConnectFailures, Leaving: l.leaving, Used: requests > 0 && now.Sub(l.updatedAt) < maxStatsAge,
+				Pool: p.id, Target: s.Target, Mean: mean, Slowdown: s.timeFactor(now), Samples: samples,
+				Down: s.connectFailures >= minConnectFailures, Leaving: s.leaving, Used: samples > 0 && now.Sub(s.updatedAt) < maxStatsAge,
 			})
 		}
 	}
@@ -406,28 +411,29 @@
 }
 
 const (
-	// minConnectFailures is how many connections in a row must fail before a target
-	// counts as down for others than its home.
+	// minConnectFailures is how many failures to connect in a row are reported as
+	// TargetStats.Down. The home itself backs off after the first one.
 	minConnectFailures = 2
-	// maxStatsAge is how old an opinion may be to count.
+	// maxStatsAge is the age from which statistics are not reported as TargetStats.Used.
 	maxStatsAge = 2 * time.Second
 )
 
-// PoolState is what a home has in one pool now.
+// PoolState is the current load of one pool.
 type PoolState struct {
 	ID               PoolID
 	Waiting, Running int
-	// Pressure is the share of free slots that requests on time wait for.
+	// Pressure is how often a request that can be on time was waiting when a slot
+	// became free, from 0 to 1.
 	Pressure float64
 }
 
-// Pools returns the state of all pools held here.
+// Pools returns the state of all pools.
 func (h *Home) Pools() []PoolState {
 	out := make([]PoolState, 0, len(h.pools))
 	for _, p := range h.pools {
 		s := PoolState{ID: p.id, Waiting: len(p.waiting), Pressure: p.pressure}
-		for _, l := range p.sorted {
-			s.Running += len(l.running)
+		for _, t := range p.sorted {
+			s.Running += len(t.running)
 		}
 		out = append(out, s)
 	}
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -1,12 +1,13 @@
-// Package dispatch shares the slots of targets among all hosts. Each target
-// belongs to one pool, and each pool has a home: the one host that knows who
-// uses which slot, holds the queue, and decides which request goes where next
-// and which is refused. Other hosts ask it for tickets. What a home knows is
-// rebuilt from the hosts' reports within moments, so any host can become one,
-// and two homes of one pool do no more harm than a fuller target.
+// Package dispatch schedules the requests of all hosts onto the slots of targets.
+// Each target belongs to one pool, and each pool has a home: the one host that
+// tracks which slots are in use, keeps the queue, and decides which request runs
+// next, on which target, and which is refused. Other hosts acquire tickets from it;
+// a ticket is the permission to use one slot. A home's state is rebuilt from the
+// hosts' reports within about a second, so that any host can take over. Two homes of
+// one pool at the same time only overload its targets for a while.
 //
-// Homes and clients are pure: messages and the present time go in, messages
-// come out.
+// Homes and clients do no I/O and read no clock: messages and the current time go
+// in, messages come out.
 package dispatch
 
 import (
@@ -18,70 +19,71 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// TicketID numbers the tickets of one life of a host.
+// TicketID numbers the tickets of one incarnation of a host.
 type TicketID uint64
 
-// PoolID names a pool: all targets of a service, those of one zone, or one
-// target alone.
+// PoolID names a pool: all targets of a service, those in one zone, or a single
+// target.
 type PoolID struct {
 	Service key.Service
 	Zone    place.Zone
 	Target  place.Target
 }
 
-// Acquire wants a slot for one request.
+// Acquire asks for a ticket for one request.
 type Acquire struct {
 	ID   TicketID
 	Pool PoolID
-	// Class is the route, whose requests take about the same time.
+	// Class is the request's route. Requests of one route take about the same time.
 	Class    traffic.RouteName
 	Priority traffic.Priority
-	// Timeout is the time until the request must be answered, Aim the time until
-	// its answer loses worth; Aim may be negative.
+	// Timeout is the time until the deadline. SoftTimeout is the time until the soft
+	// deadline, after which the response loses utility; it may be negative.
 	Timeout     time.Duration
 	SoftTimeout time.Duration
-	// Excluded are targets that failed this request already.
+	// Excluded are targets that failed this request before, or that are paused or
+	// leaving.
 	Excluded []place.Target
-	// Cold tells that the request's key is slow, as its owner took it without a
-	// handover a moment ago.
+	// Cold tells that the request's key is still slow, since its owner took it over
+	// recently without a handover.
 	Cold bool
-	// Isolated tells that the asking host is its own home because it reaches no
-	// other that could be.
+	// Isolated tells that the requesting host is its own home only because it reaches
+	// no other candidate.
 	Isolated bool
 }
 
-// Assigned gives a slot of a target.
+// Assigned grants a ticket for a slot of a target.
 type Assigned struct {
 	ID     TicketID
 	Target place.Target
 	Addr   netip.AddrPort
 }
 
-// Queued tells that the home knows the ask and that it waits.
+// Queued confirms that the home has queued an Acquire.
 type Queued struct{ ID TicketID }
 
-// Refused tells that the request will not be served in time, and when there
-// will be room.
+// Refused tells that a request can't be served in time, and after which delay a
+// retry makes sense.
 type Refused struct {
 	ID         TicketID
 	RetryAfter time.Duration
 	Reason     Reason
 }
 
-// Reason is why a home refuses.
+// Reason is why a home refused a request.
 type Reason uint8
 
-// The reasons of a home.
+// The reasons for Refused.
 const (
-	// ReasonFull: those ahead in the queue take all the time that is left.
+	// ReasonFull: the request is not expected to be served in time.
 	ReasonFull Reason = iota + 1
-	// ReasonLate: the time ran out while waiting.
+	// ReasonLate: the deadline passed in the queue.
 	ReasonLate
-	// ReasonNoTarget: the pool has no target that could take the request.
+	// ReasonNoTarget: no target of the pool is available.
 	ReasonNoTarget
 )
 
-// String returns the reason's word in logs.
+// String returns the reason's name in logs.
 func (r Reason) String() string {
 	switch r {
 	case ReasonFull:
@@ -94,39 +96,40 @@
 	return "unknown"
 }
 
-// Result is how a try at a target ended.
+// Result is the result of an attempt at a target.
 type Result uint8
 
-// The ends of a try.
+// The results of an attempt.
 const (
-	// ResultServed: a whole answer that is no failure of the target.
+	// ResultServed: a complete response that is no failure of the target.
 	ResultServed Result = iota + 1
-	// ResultFailed: a whole answer with a failure of the target's own.
+	// ResultFailed: a complete response that reports a failure of the target.
 	ResultFailed
-	// ResultBusy: the target had no room; nothing ran.
+	// ResultBusy: the target refused the request for lack of a slot; it did not run.
 	ResultBusy
-	// ResultMisdirected: the target does not own the key, or is another one.
+	// ResultMisdirected: the target does not own the key, or another target has the
+	// address.
 	ResultMisdirected
-	// ResultUnreachable: no connection; nothing was sent.
+	// ResultUnreachable: no connection could be made; nothing was sent.
 	ResultUnreachable
-	// ResultCut: the connection broke, or the answer was unusable.
+	// ResultCut: the connection broke, or the response was unusable.
 	ResultCut
-	// ResultTimeout: no answer in the time given.
+	// ResultTimeout: no response before the deadline.
 	ResultTimeout
-	// ResultUnused: the slot was not used.
+	// ResultUnused: no attempt was made.
 	ResultUnused
 )
 
-// String returns the end's word in logs and metrics.
-func (e Result) String() string {
+// String returns the result's name in logs and metrics.
+func (r Result) String() string {
 	names := [...]string{"", "served", "failed", "busy", "foreign", "unreachable", "cut", "timeout", "unused"}
-	if int(e) < len(names) {
-		return names[e]
+	if int(r) < len(names) {
+		return names[r]
 	}
 	return "unknown"
 }
 
-// Done gives a slot back.
+// Done releases a ticket.
 type Done struct {
 	ID     TicketID
 	Pool   PoolID
@@ -136,13 +139,13 @@
 	Took   time.Duration
 }
 
-// Drain tells that a target of the pool has said that it leaves.
+// Drain tells that a target of the pool has signaled that it is leaving.
 type Drain struct {
 	Pool   PoolID
 	Target place.Target
 }
 
-// Cancel takes a waiting ask back.
+// Cancel withdraws an Acquire that is queued.
 type Cancel struct {
 	ID   TicketID
 	Pool PoolID
@@ -154,27 +157,27 @@
 	Pool   PoolID
 	Target place.Target
 	Class  traffic.RouteName
-	// Since is how long it has been in use.
+	// Since is how long the ticket has been in use.
 	Since time.Duration
 }
 
-// Report lists all tickets of a host, with ids from First to Last, in use at
-// the home it is sent to. A long list goes out as several reports.
+// Report lists the tickets that a host has in use at the home that it is sent to, all
+// those with an id from First to Last. A long list is sent as several reports.
 type Report struct {
 	First, Last TicketID
 	Held        []Held
 }
 
-// Ping asks a home that did not answer for a sign of life.
+// Ping asks a host that did not reply for a Pong.
 type Ping struct{}
 
-// Pong is the answer to a Ping.
+// Pong is the reply to a Ping.
 type Pong struct{}
 
-// Leave tells clients that the sending host stops and will be no home any more.
+// Leave tells clients that the sending host is stopping and is no home any more.
 type Leave struct{}
 
-// Message is what hosts and homes send each other.
+// Message is a message between the hosts and homes of pools.
 type Message interface{ message() }
 
 func (Acquire) message()  {}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -10,49 +10,48 @@
 )
 
 const (
-	// softDeadlineMargin is the share of the time to its aim within which a request's
-	// expected end must lie to count as on time: times vary by about half.
+	// softDeadlineMargin is the share of the time to its soft deadline within which a
+	// request must be expected to end to count as on time: service times vary by
+	// about half.
 	softDeadlineMargin = 0.8
-	// deadlineMargin is the same for the deadline of a request that is late
-	// already.
+	// deadlineMargin is the same share of the time to the deadline, for a request
+	// that will miss its soft deadline.
 	deadlineMargin = 0.6
-	// pressureWeight is the weight of the newest free slot in the decayed share
-	// of slots that requests on time wait for.
+	// pressureWeight is the weight of the newest sample in the pool's pressure.
 	pressureWeight = 0.1
-	// maxPressure is the share from which late requests are refused: the
-	// slots go to those that can be on time.
+	// maxPressure is the pressure above which late requests are refused, so that the
+	// slots go to requests that can still be on time.
 	maxPressure = 0.7
-	// retryShare is the part of the expected wait after which a refused
-	// client is told to come back; the queue shrinks meanwhile.
+	// retryShare is the retry delay of a refused client as a share of the expected
+	// wait. It is below 1 because the queue shrinks meanwhile.
 	retryShare = 0.75
-	// minRetryAfter is the shortest time that a refused client is sent away for.
+	// minRetryAfter is the shortest retry delay of a refused client.
 	minRetryAfter = 50 * time.Millisecond
-	// overloadRetryShare is the part of its remaining time that a client is sent
-	// away for while there are more requests than slots: coming back sooner
-	// would find the same.
+	// overloadRetryShare is the shortest retry delay under overload, as a share of
+	// the time to the deadline: an earlier retry would be refused again.
 	overloadRetryShare = 0.3
-	// coldKeyFactor is how many times as long a request for a cold key takes: from 3
-	// to 6 where it was seen. It is late nearly always, so that it gets a slot
-	// that nobody else wants.
+	// coldKeyFactor is how many times as long a request for a cold key takes: such
+	// requests take 3 to 6 times as long. With it they nearly always count as late,
+	// so that they only get slots that no other request wants.
 	coldKeyFactor = 4
-	// warmWindow is how long after a request for a warm key others are expected:
-	// a target of a few requests a second gets one by then.
+	// warmWindow is how long after a request for a warm key more are expected. A
+	// target with a few requests per second gets one within it.
 	warmWindow = time.Second
-	// noTargetRetryAfter is that time where no target can take the request at all.
+	// noTargetRetryAfter is the retry delay while no target is available.
 	noTargetRetryAfter = 400 * time.Millisecond
 )
 
-// waiter is an ask in a pool's queue.
+// waiter is an Acquire in a pool's queue.
 type waiter struct {
 	Acquire
 
 	key  ticketKey
 	zone place.Zone
-	// mean is the mean time of its class, and late tells whether it would miss
-	// its aim if it started now; both are of the present round.
+	// mean is the expected service time, and late tells whether the request would
+	// miss its soft deadline if it started now. Both are set in each round.
 	mean time.Duration
 	late bool
-	// deadline is when the answer must be there, aimAt when it should be.
+	// deadline is when the response must be there, softDeadline when it should be.
 	deadline     time.Time
 	softDeadline time.Time
 	arrivedAt    time.Time
@@ -62,86 +61,87 @@
 type pool struct {
 	id       PoolID
 	targets  map[place.Target]*targetState
-	sorted   []*targetState // sorted by name, so that equal lanes are tried in one order
+	sorted   []*targetState // by name, so that ties go to the same target every time
 	classes  map[traffic.RouteName]*serviceTime
 	observed map[traffic.RouteName]*serviceTime
 	waiting  []*waiter
 	usedAt   time.Time
-	// isolatedAt and sharedAt are when a host last asked that is its own home for
-	// want of another, and when any other did.
+	// isolatedAt is when the last Acquire from an isolated host came, sharedAt when
+	// the last one from any other host came.
 	isolatedAt, sharedAt time.Time
-	// warmAskedAt is when a request for a warm key last came.
+	// warmAskedAt is when the last Acquire for a warm key came.
 	warmAskedAt time.Time
-	// pressure is the decayed share of free slots that requests on time waited
-	// for.
+	// pressure is the moving average of how often a request that can be on time was
+	// waiting when a slot became free, from 0 to 1.
 	pressure float64
 	breakers *breakers
 	affinity affinity
-	// marks counts the askers that lanes were marked for.
+	// marks is the last mark used for connMark.
 	marks uint64
 }
 
-func newPool(id PoolID, learned map[traffic.RouteName]*serviceTime, cut *breakers) *pool {
+func newPool(id PoolID, priors map[traffic.RouteName]*serviceTime, zoneBreakers *breakers) *pool {
 	return &pool{
 		id:       id,
-		observed: learned,
-		breakers: cut,
+		observed: priors,
+		breakers: zoneBreakers,
 		targets:  make(map[place.Target]*targetState),
 		classes:  make(map[traffic.RouteName]*serviceTime),
 		affinity: make(affinity),
 	}
 }
 
-// setTargets takes over the targets that belong to the pool now. Tickets at
-// targets that are gone stay until they are given back.
+// setTargets replaces the targets of the pool. A target that is no longer listed is
+// kept until its tickets are released.
 func (p *pool) setTargets(now time.Time, rows []place.TargetRow) {
-	named := make(map[place.Target]bool, len(rows))
+	listed := make(map[place.Target]bool, len(rows))
 	for _, row := range rows {
-		named[row.Target] = true
-		if l, ok := p.targets[row.Target]; ok {
-			l.update(row, now)
-			l.usable = l.usable && (!l.leaving || p.id.Target != "")
+		listed[row.Target] = true
+		if s, ok := p.targets[row.Target]; ok {
+			s.update(row, now)
+			s.usable = s.usable && (!s.leaving || p.id.Target != "")
 			continue
 		}
 		p.targets[row.Target] = newTargetState(row, now)
 	}
-	for name, l := range p.targets {
-		if named[name] {
+	for name, s := range p.targets {
+		if listed[name] {
 			continue
 		}
-		l.usable = false
-		if len(l.running) == 0 {
+		s.usable = false
+		if len(s.running) == 0 {
 			delete(p.targets, name)
 		}
 	}
 	p.sorted = p.sorted[:0]
-	for _, l := range p.targets {
-		p.sorted = append(p.sorted, l)
+	for _, s := range p.targets {
+		p.sorted = append(p.sorted, s)
 	}
 	slices.SortFunc(p.sorted, func(a, b *targetState) int { return cmp.Compare(a.Target, b.Target) })
 }
 
 func (p *pool) class(name traffic.RouteName) *serviceTime {
-	c := p.classes[name]
-	if c == nil {
-		c = &serviceTime{}
-		if known := p.observed[name]; known != nil {
-			c.mean, c.priorSamples = known.mean, priorWeight
+	s := p.classes[name]
+	if s == nil {
+		s = &serviceTime{}
+		if prior := p.observed[name]; prior != nil {
+			s.mean, s.priorSamples = prior.mean, priorWeight
 		}
-		p.classes[name] = c
+		p.classes[name] = s
 	}
-	return c
+	return s
 }
 
-// mean returns the mean time of a class, or of all where it has none yet.
+// mean returns the mean service time of a class, or of all classes if the class has
+// no samples yet.
 func (p *pool) mean(name traffic.RouteName) time.Duration {
-	known := []map[traffic.RouteName]*serviceTime{p.classes, p.observed}
-	for _, classes := range known {
-		if c := classes[name]; c != nil && c.mean > 0 {
-			return c.mean
+	sources := []map[traffic.RouteName]*serviceTime{p.classes, p.observed}
+	for _, classes := range sources {
+		if s := classes[name]; s != nil && s.mean > 0 {
+			return s.mean
 		}
 	}
-	for _, classes := range known {
+	for _, classes := range sources {
 		if mean, ok := overallMean(classes); ok {
 			return mean
 		}
@@ -149,37 +149,37 @@
 	return defaultMean
 }
 
-// overallMean returns the mean time of all requests that were seen, and false where
-// there were none. Each class counts by its requests: many routes with a few
-// short ones stand beside the one that has them all.
-func overallMean(classes map[traffic.RouteName]*serviceTime) (time.Duration, bool) {
-	var sum, seen float64
-	for _, c := range classes {
-		sum += float64(c.mean) * float64(c.samples)
-		seen += float64(c.samples)
+// overallMean returns the mean service time of all samples, and false if there are
+// none. Classes are weighted by their samples: otherwise many routes with a few
+// short requests would outweigh the one with most of the load.
+func overallMean(times map[traffic.RouteName]*serviceTime) (time.Duration, bool) {
+	var sum, count float64
+	for _, s := range times {
+		sum += float64(s.mean) * float64(s.samples)
+		count += float64(s.samples)
 	}
-	if seen == 0 {
+	if count == 0 {
 		return 0, false
 	}
-	return time.Duration(sum / seen), true
+	return time.Duration(sum / count), true
 }
 
-// dominantMean returns the mean time of the requests that make up most of a target's
-// work, and how many it rests on. A target that has begun a moment ago may have had
-// more requests of routes that are over in a moment than of the one that keeps it
-// busy.
-func dominantMean(classes map[traffic.RouteName]*serviceTime) (mean time.Duration, requests float64) {
-	var most float64
-	for _, c := range classes {
-		if work := float64(c.samples) * float64(c.ownMean); work > most {
-			most, mean, requests = work, c.ownMean, min(float64(c.samples), 1/meanWeight)
+// dominantMean returns the mean service time of the class that makes up most of the
+// work, and the number of its samples in the moving average. A target that has just
+// started may have had more requests of short classes than of the dominant one.
+func dominantMean(times map[traffic.RouteName]*serviceTime) (mean time.Duration, count float64) {
+	var maxWork float64
+	for _, s := range times {
+		if work := float64(s.samples) * float64(s.ownMean); work > maxWork {
+			maxWork, mean, count = work, s.ownMean, min(float64(s.samples), 1/meanWeight)
 		}
 	}
-	return mean, requests
+	return mean, count
 }
 
-// compareWaiters orders the queue: by priority, then those that can still be on time
-// by their aim, then those that can't by their deadline.
+// compareWaiters orders the queue by priority, then earliest deadline first: requests
+// that can be on time by their soft deadline, and after them late ones by their
+// deadline.
 func compareWaiters(a, b *waiter) int {
 	if c := cmp.Compare(a.Priority, b.Priority); c != 0 {
 		return c
@@ -195,31 +195,32 @@
 	return cmp.Or(a.softDeadline.Compare(b.softDeadline), a.arrivedAt.Compare(b.arrivedAt))
 }
 
-// assignment is a waiter that gets a slot now.
+// assignment is a waiter and the target whose slot it gets.
 type assignment struct {
 	waiter *waiter
 	target *targetState
 }
 
-// refusedWaiter is a waiter that will not be served in time.
+// refusedWaiter is a waiter that can't be served in time.
 type refusedWaiter struct {
 	waiter     *waiter
 	reason     Reason
 	retryAfter time.Duration
-	// estimate is when it was expected to end, open the lanes that could be tried.
+	// estimate is the expected time to the end of the request, available the number
+	// of available targets.
 	estimate  time.Duration
 	available int
 }
 
-// candidate is one lane in a round of scheduling.
+// candidate is an available target in a round.
 type candidate struct {
 	*targetState
 
-	// timeFactor is the time of a request here over its class's mean.
+	// timeFactor is the result of targetState.timeFactor at the start of the round.
 	timeFactor float64
-	// load counts the requests that the lane has or gets in this round.
+	// load counts the requests that the target has or gets in this round.
 	load int
-	// capacity is how many requests it may work on at once.
+	// capacity is the number of its slots that this home may use.
 	capacity int
 }
 
@@ -229,62 +230,63 @@
 
 	now        time.Time
 	candidates []candidate
-	// free counts the slots that nobody has taken.
+	// free counts the slots that are neither in use nor assigned in this round.
 	free int
 }
 
 func (p *pool) round(now time.Time) *round {
 	r := &round{pool: p, now: now, candidates: make([]candidate, 0, len(p.sorted))}
-	for _, l := range p.sorted {
-		if l.available(now) && (!p.isolated(now) || p.breakers.available(now, l.Zone)) {
-			at := candidate{targetState: l, timeFactor: l.timeFactor(now), load: l.busy(now), capacity: p.usableSlots(now, l.slots())}
-			r.candidates = append(r.candidates, at)
-			r.free += max(at.capacity-at.load, 0)
+	for _, s := range p.sorted {
+		if s.available(now) && (!p.isolated(now) || p.breakers.available(now, s.Zone)) {
+			c := candidate{targetState: s, timeFactor: s.timeFactor(now), load: s.busy(now), capacity: p.usableSlots(now, s.slots())}
+			r.candidates = append(r.candidates, c)
+			r.free += max(c.capacity-c.load, 0)
 		}
 	}
 	return r
 }
 
-// best returns the seat at which a request is best served, with the time until
-// it would end there, or nil where no lane may take it.
+// best returns the candidate with the lowest score for a request and the expected
+// time to the request's end there, or nil if no candidate may take it.
 func (r *round) best(w *waiter) (*candidate, time.Duration) {
 	var (
-		best        *candidate
-		lowest, end time.Duration
+		best          *candidate
+		minScore, end time.Duration
 	)
-	// Where all slots are taken, whichever is free first counts.
-	connected := len(r.candidates) > 1 && r.hasFree()
-	if connected {
+	// Connections matter only while a slot is free: otherwise the target that
+	// becomes free first is the best one.
+	preferConnected := len(r.candidates) > 1 && r.hasFree()
+	if preferConnected {
 		r.marks++
 		r.affinity.mark(r.now, w.key.host, r.marks)
 	}
 	for i := range r.candidates {
-		at := &r.candidates[i]
-		if len(w.Excluded) > 0 && len(r.candidates) > 1 && slices.Contains(w.Excluded, at.Target) {
+		c := &r.candidates[i]
+		if len(w.Excluded) > 0 && len(r.candidates) > 1 && slices.Contains(w.Excluded, c.Target) {
 			continue
 		}
-		service := time.Duration(float64(w.mean) * at.timeFactor)
+		service := time.Duration(float64(w.mean) * c.timeFactor)
 		total := service
-		if at.load >= at.capacity {
-			total += service * time.Duration(at.load-at.capacity+1) / time.Duration(at.capacity)
+		if c.load >= c.capacity {
+			total += service * time.Duration(c.load-c.capacity+1) / time.Duration(c.capacity)
 		}
 		score := total
-		if at.Zone != w.zone {
+		if c.Zone != w.zone {
 			score += time.Duration(crossZoneCost * float64(w.mean))
 		}
-		if connected && at.connMark != r.marks {
+		if preferConnected && c.connMark != r.marks {
 			score += time.Duration(newConnectionCost * float64(w.mean))
 		}
-		if best == nil || score < lowest {
-			best, lowest, end = at, score, total
+		if best == nil || score < minScore {
+			best, minScore, end = c, score, total
 		}
 	}
 	return best, end
 }
 
-// schedule goes through the queue in its order. It returns who starts where,
-// and who is dismissed; both leave the queue.
-func (p *pool) schedule(now time.Time) (starts []assignment, out []refusedWaiter) {
+// schedule runs one round over the queue. It removes and returns the waiters that
+// get a slot and those that are refused.
+func (p *pool) schedule(now time.Time) (assignments []assignment, refused []refusedWaiter) {
 	if len(p.waiting) == 0 {
 		return nil, nil
 	}
@@ -299,28 +301,28 @@
 	r := p.round(now)
 	kept := p.waiting[:0]
 	for _, w := range p.waiting {
-		at, cost := r.best(w)
+		c, cost := r.best(w)
 		switch {
-		case at == nil:
-			out = append(out, refusedWaiter{w, ReasonNoTarget, noTargetRetryAfter, 0, len(r.candidates)})
-		case w.Cold && r.reserved(at), r.unserviceable(w, cost):
-			out = append(out, refusedWaiter{w, ReasonFull, r.retryAfter(w, cost), cost, len(r.candidates)})
-		case at.load < at.capacity+maxQueuedAtTarget:
-			r.assign(at)
-			starts = append(starts, assignment{w, at.targetState})
+		case c == nil:
+			refused = append(refused, refusedWaiter{w, ReasonNoTarget, noTargetRetryAfter, 0, len(r.candidates)})
+		case w.Cold && r.reserved(c), r.unserviceable(w, cost):
+			refused = append(refused, refusedWaiter{w, ReasonFull, r.retryAfter(w, cost), cost, len(r.candidates)})
+		case c.load < c.capacity+maxQueuedAtTarget:
+			r.assign(c)
+			assignments = append(assignments, assignment{w, c.targetState})
 		default:
-			r.assign(at)
+			r.assign(c)
 			kept = append(kept, w)
 		}
 	}
 	clear(p.waiting[len(kept):])
 	p.waiting = kept
-	return starts, out
+	return assignments, refused
 }
 
-// unserviceable reports whether a request that would end after cost is not worth
-// waiting for. One that would be late takes a slot only where no request on
-// time wants it, and is refused at once where they want nearly all.
+// unserviceable reports whether a request that is expected to end after cost should
+// be refused. A late request only gets slots that no request on time wants, so its
+// wait grows with the pressure; above maxPressure it is refused at once.
 func (r *round) unserviceable(w *waiter, cost time.Duration) bool {
 	if !w.late && cost <= time.Duration(softDeadlineMargin*float64(w.softDeadline.Sub(r.now))) {
 		return false
@@ -336,25 +338,25 @@
 	return wait > deadlineMargin*float64(left)
 }
 
-// reserved reports whether the last free slot of a target is kept for requests
-// of warm keys, which take a fraction of the time.
-func (r *round) reserved(at *candidate) bool {
-	return r.now.Sub(r.warmAskedAt) < warmWindow && at.load >= max(at.capacity-1, 1)
+// reserved reports whether the candidate's last free slot is kept for requests for
+// warm keys, which take a fraction of the time.
+func (r *round) reserved(c *candidate) bool {
+	return r.now.Sub(r.warmAskedAt) < warmWindow && c.load >= max(c.capacity-1, 1)
 }
 
-// assign gives a request a place at a target.
-func (r *round) assign(at *candidate) {
-	if at.load < at.capacity {
+// assign counts a request at a candidate.
+func (r *round) assign(c *candidate) {
+	if c.load < c.capacity {
 		r.free--
 	}
-	at.load++
+	c.load++
 }
 
-// hasFree reports whether a slot is free for which nobody waits.
+// hasFree reports whether any slot is free in this round.
 func (r *round) hasFree() bool { return r.free > 0 }
 
-// updatePressure notes that a slot became free, and whether requests on time wait for
-// it.
+// updatePressure records, when a slot becomes free, whether a request that can be on
+// time waits for it.
 func (p *pool) updatePressure() {
 	wanted := 0.0
 	for _, w := range p.waiting {
@@ -366,12 +368,12 @@
 	p.pressure += pressureWeight * (wanted - p.pressure)
 }
 
-// sharedWindow is how long a pool counts as shared after an ask of a host that
-// chose this home.
+// sharedWindow is how long after an Acquire from a host that is not isolated this
+// home counts as the only one of its pool.
 const sharedWindow = time.Second
 
-// usableSlots returns how many of a target's slots this home may count on. One that
-// is home for want of another does not know who else uses them.
+// usableSlots returns how many of a target's slots this home may assign. An isolated
+// one assigns a single slot, since it does not know which slots other homes assign.
 func (p *pool) usableSlots(now time.Time, slots int) int {
 	if p.isolated(now) {
 		return 1
@@ -379,13 +381,14 @@
 	return slots
 }
 
-// isolated reports whether this host is the pool's home only for want of another.
+// isolated reports whether this host is the pool's home only because it reaches no
+// other.
 func (p *pool) isolated(now time.Time) bool {
 	return p.isolatedAt.After(p.sharedAt) && now.Sub(p.sharedAt) > sharedWindow
 }
 
-// retryAfter returns when a client should come back whose request would have
-// ended after cost.
+// retryAfter returns the retry delay of a refused request that was expected to end
+// after cost.
 func (r *round) retryAfter(w *waiter, cost time.Duration) time.Duration {
 	wait := max(time.Duration(retryShare*float64(cost-w.mean)), minRetryAfter)
 	if r.pressure > maxPressure {
@@ -394,34 +397,34 @@
 	return wait
 }
 
-// acquire notes that a waiter uses a slot.
-func (p *pool) acquire(now time.Time, s assignment) *ticket {
+// acquire creates the ticket of a waiter that got a slot.
+func (p *pool) acquire(now time.Time, a assignment) *ticket {
 	t := &ticket{
-		key:         s.waiter.key,
+		key:         a.waiter.key,
 		pool:        p,
-		class:       s.waiter.Class,
-		target:      s.target,
+		class:       a.waiter.Class,
+		target:      a.target,
 		started:     now,
-		mean:        s.waiter.mean,
-		cold:        s.waiter.Cold,
-		queued:      s.target.busy(now) >= s.target.slots(),
+		mean:        a.waiter.mean,
+		cold:        a.waiter.Cold,
+		queued:      a.target.busy(now) >= a.target.slots(),
 		confirmedAt: now,
 	}
-	s.target.running[t.key] = t
+	a.target.running[t.key] = t
 	if len(p.sorted) > 1 {
-		p.affinity.begin(now, t.key.host, s.target)
+		p.affinity.begin(now, t.key.host, a.target)
 	}
-	p.breakers.attempted(now, s.target.Zone)
+	p.breakers.attempted(now, a.target.Zone)
 	return t
 }
 
-// release frees a slot and draws the conclusions from how its use ended.
-func (p *pool) release(now time.Time, t *ticket, end Result, took time.Duration) {
-	l := t.target
-	delete(l.running, t.key)
-	p.affinity.finish(now, t.key.host, l)
+// release frees a ticket's slot and updates the statistics by the attempt's result.
+func (p *pool) release(now time.Time, t *ticket, result Result, took time.Duration) {
+	s := t.target
+	delete(s.running, t.key)
+	p.affinity.finish(now, t.key.host, s)
 	p.updatePressure()
-	l.promote(now)
+	s.promote(now)
 	if t.promoted {
 		took = now.Sub(t.started)
 	}
@@ -429,33 +432,33 @@
 	if mean := p.mean(t.class); mean > 0 && took > 0 {
 		ratio = float64(took) / float64(mean)
 	}
-	switch end {
+	switch result {
 	case ResultUnreachable, ResultUnused, ResultTimeout, ResultCut:
 	case ResultServed, ResultFailed, ResultBusy, ResultMisdirected:
-		p.breakers.reset(l.Zone)
+		p.breakers.reset(s.Zone)
 	}
-	switch end {
+	switch result {
 	case ResultServed:
-		l.connectFailures, l.servedAt = 0, now
+		s.connectFailures, s.servedAt = 0, now
 		if t.queued || t.cold {
-			break // the time includes a wait at the target, or says little of it
+			break // no sample of the service time
 		}
 		p.class(t.class).add(took)
-		l.observe(now, ratio, false)
+		s.observe(now, ratio, false)
 	case ResultFailed, ResultCut:
-		l.connectFailures = 0
-		slow, _ := l.decayed(now)
-		l.observe(now, slow, true)
+		s.connectFailures = 0
+		slow, _ := s.decayed(now)
+		s.observe(now, slow, true)
 	case ResultTimeout:
-		l.observe(now, max(ratio, 1), true)
+		s.observe(now, max(ratio, 1), true)
 	case ResultBusy:
-		l.connectFailures = 0
-		slow, _ := l.decayed(now)
-		l.observe(now, slow, true)
+		s.connectFailures = 0
+		slow, _ := s.decayed(now)
+		s.observe(now, slow, true)
 	case ResultUnreachable:
-		l.connectFailed(now)
+		s.connectFailed(now)
 		if p.isolated(now) {
-			p.breakers.connectFailed(now, l.Zone, l.Target)
+			p.breakers.connectFailed(now, s.Zone, s.Target)
 		}
 	case ResultMisdirected, ResultUnused:
 	}
--- a/internal/dispatch/reachability.go
+++ b/internal/dispatch/reachability.go
@@ -7,68 +7,70 @@
 )
 
 const (
-	// zoneSilenceTimeout is how long no host of a zone must have been heard, to which asks
-	// and pings go several times a second, for the zone to count as cut off.
+	// zoneSilenceTimeout is how long no message must have come from any host of a
+	// zone for the zone to count as partitioned. Suspected hosts are pinged every
+	// pingInterval, so that a reachable one replies within it.
 	zoneSilenceTimeout = 400 * time.Millisecond
-	// minZoneSuspects is how many hosts of the zone must leave those unanswered: single
-	// ones crash.
+	// minZoneSuspects is how many hosts of the zone must be suspected. Single ones are
+	// more likely to have crashed.
 	minZoneSuspects = 2
-	// minReachableShare is the share of the targets that a host must reach to take clients:
-	// with less, they are better served by other hosts.
+	// minReachableShare is the share of all targets that a host must reach to accept
+	// clients. Below it, other hosts serve them better.
 	minReachableShare = 0.5
 )
 
-// Reachability tells whether a cut has left this host with too few targets. A zone is cut
-// off where neither its hosts nor its targets answer: hosts that were all killed
-// leave their zone's targets in reach, and targets that crash its hosts. It is not
-// safe for concurrent use.
+// Reachability detects that a network partition leaves this host with too few
+// targets. A zone counts as partitioned only if neither its hosts nor its targets
+// respond: if all its hosts were killed, its targets still respond, and if its
+// targets crash, its hosts do. It is not safe for concurrent use.
 type Reachability struct {
-	// failed are the zones whose targets took no connection by the latest tries.
+	// failed holds the zones in which the latest attempt failed to connect.
 	failed map[place.Zone]bool
-	// heardAt is when a host of each zone last wrote.
+	// heardAt is when the last message came from a host of each zone.
 	heardAt map[place.Zone]time.Time
 }
 
-// NewReachability returns a reach of which nothing is known.
+// NewReachability returns a Reachability without observations.
 func NewReachability() *Reachability {
 	return &Reachability{failed: make(map[place.Zone]bool), heardAt: make(map[place.Zone]time.Time)}
 }
 
-// ZoneState is what a host knows of a zone.
+// ZoneState counts the targets and hosts of a zone.
 type ZoneState struct {
-	// Targets are all that are listed there, Hosts likewise.
+	// Targets and Hosts count those that are listed in the zone.
 	Targets, Hosts int
-	// Suspects are the hosts that leave asks and pings unanswered.
+	// Suspects counts the hosts that do not reply to Acquires and Pings.
 	Suspects int
 }
 
-// RecordAttempt takes the end of an attempt at a target of the zone.
-func (r *Reachability) RecordAttempt(zone place.Zone, end Result) {
-	switch end {
+// RecordAttempt records the result of an attempt at a target of the zone.
+func (r *Reachability) RecordAttempt(zone place.Zone, result Result) {
+	switch result {
 	case ResultUnreachable:
 		r.failed[zone] = true
 	case ResultServed, ResultFailed, ResultBusy, ResultMisdirected:
 		delete(r.failed, zone)
-	case ResultUnused, ResultCut, ResultTimeout: // these say nothing of the way there
+	case ResultUnused, ResultCut, ResultTimeout: // no evidence for or against reachability
 	}
 }
 
-// RecordMessage notes that a host of the zone wrote.
+// RecordMessage records a message from a host of the zone.
 func (r *Reachability) RecordMessage(now time.Time, zone place.Zone) { r.heardAt[zone] = now }
 
-// Suspected reports whether any zone may be cut off, without which Lost needs no
-// look.
+// Suspected reports whether any zone may be partitioned. If not, Partitioned
+// returns false for any zones.
 func (r *Reachability) Suspected() bool { return len(r.failed) > 0 }
 
-// Partitioned reports whether too few targets are within reach.
+// Partitioned reports whether fewer than minReachableShare of the targets are
+// reachable.
 func (r *Reachability) Partitioned(now time.Time, self place.Zone, zones map[place.Zone]ZoneState) bool {
-	all, lost := 0, 0
+	all, unreachable := 0, 0
 	for name, z := range zones {
 		all += z.Targets
 		silent := z.Suspects > 0 && z.Suspects >= min(minZoneSuspects, z.Hosts) && now.Sub(r.heardAt[name]) >= zoneSilenceTimeout
 		if name != self && r.failed[name] && silent {
-			lost += z.Targets
+			unreachable += z.Targets
 		}
 	}
-	return float64(all-lost) < minReachableShare*float64(all)
+	return float64(all-unreachable) < minReachableShare*float64(all)
 }
--- a/internal/dispatch/reachability_test.go
+++ b/internal/dispatch/reachability_test.go
@@ -9,9 +9,9 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// TestReach: a host sends its clients elsewhere where a cut has left it with too
-// few targets, and for nothing else.
-func TestReach(t *testing.T) {
+// TestReachability checks that only a network partition that leaves a host with too few
+// targets counts as one, and not crashed hosts or targets.
+func TestReachability(t *testing.T) {
 	now := time.Unix(1000, 0)
 	whole := map[place.Zone]ZoneState{"a": {Targets: 10, Hosts: 4}, "b": {Targets: 10, Hosts: 4}, "c": {Targets: 10, Hosts: 4}}
 	suspects := func(n map[place.Zone]int) map[place.Zone]ZoneState {
@@ -28,19 +28,19 @@
 		heard  map[place.Zone]time.Duration
 		want   bool
 	}{
-		"nothing is wrong":                {zones: whole},
-		"both other zones cut":            {suspects(map[place.Zone]int{"b": 2, "c": 3}), []place.Zone{"b", "c"}, nil, true},
-		"one of two other zones cut":      {suspects(map[place.Zone]int{"b": 4}), []place.Zone{"b"}, nil, false},
-		"hosts there are killed":          {suspects(map[place.Zone]int{"b": 4, "c": 4}), nil, nil, false},
-		"targets there crash":             {whole, []place.Zone{"b", "c"}, nil, false},
-		"one host of each zone is silent": {suspects(map[place.Zone]int{"b": 1, "c": 1}), []place.Zone{"b", "c"}, nil, false},
-		"a host is heard again": {
+		"no failures":                  {zones: whole},
+		"both other zones partitioned": {suspects(map[place.Zone]int{"b": 2, "c": 3}), []place.Zone{"b", "c"}, nil, true},
+		"one other zone partitioned":   {suspects(map[place.Zone]int{"b": 4}), []place.Zone{"b"}, nil, false},
+		"hosts crashed":                {suspects(map[place.Zone]int{"b": 4, "c": 4}), nil, nil, false},
+		"targets crashed":              {whole, []place.Zone{"b", "c"}, nil, false},
+		"one suspect per zone":         {suspects(map[place.Zone]int{"b": 1, "c": 1}), []place.Zone{"b", "c"}, nil, false},
+		"a host replied recently": {
 			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"c": 100 * time.Millisecond}, false,
 		},
-		"heard before the cut": {
+		"replies before the timeout": {
 			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"b": time.Second, "c": zoneSilenceTimeout}, true,
 		},
-		"zones of one host": {
+		"one host per zone": {
 			map[place.Zone]ZoneState{"a": {Targets: 1, Hosts: 1}, "b": {Targets: 1, Hosts: 1, Suspects: 1}, "c": {Targets: 1, Hosts: 1, Suspects: 1}},
 			[]place.Zone{"b", "c"},
 			nil, true,
@@ -58,7 +58,7 @@
 			assert.Equal(t, r.Suspected(), len(test.failed) > 0)
 			assert.Equal(t, r.Partitioned(now, "a", test.zones), test.want)
 			for _, zone := range test.failed {
-				r.RecordAttempt(zone, ResultServed) // the way is open again
+				r.RecordAttempt(zone, ResultServed) // the zone is reachable again
 			}
 			assert.Assert(t, !r.Partitioned(now, "a", test.zones))
 		})
--- a/internal/dispatch/simulate_test.go
+++ b/internal/dispatch/simulate_test.go
@@ -16,43 +16,43 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// workload is one class of requests in a played load.
+// workload is one class of simulated requests.
 type workload struct {
 	class     traffic.RouteName
 	priority  traffic.Priority
-	rate      float64
-	work      time.Duration
+	rate      float64       // requests per second
+	work      time.Duration // mean service time at speed 1
 	objective time.Duration
 	deadline  time.Duration
-	// cold requests are of the route that is named here, take longer, and are
-	// marked.
+	// cold, if set, is the route of the requests, which are marked as for cold keys.
 	cold traffic.RouteName
 }
 
-// simConfig is a load on one pool, and the targets that it meets.
+// simConfig is the load on one pool and the targets of the pool.
 type simConfig struct {
 	workloads []workload
 	speeds    []float64 // of the targets
 	slots     int
-	queue     int // of a target
+	queue     int // length of a target's own queue
 	hosts     int
 	duration  time.Duration
 	seed      uint64
 	pool      PoolID
-	perturb   func(p *simulator, now time.Time) // called every 100 ms
+	perturb   func(s *simulator, now time.Time) // called every 100 ms
 }
 
-// workloadResult counts what the clients of one kind got.
+// workloadResult counts the results of one workload.
 type workloadResult struct {
 	sent, onTime, late, refused, failed int
 	waits                               time.Duration // of refused requests, before the refusal
 }
 
-func (o *workloadResult) utility() float64 {
-	return (float64(o.onTime) + 0.3*float64(o.late)) / float64(max(o.sent, 1))
+// utility returns the mean utility per request: 1 on time, 0.3 late, 0 otherwise.
+func (r *workloadResult) utility() float64 {
+	return (float64(r.onTime) + 0.3*float64(r.late)) / float64(max(r.sent, 1))
 }
 
-// event is something that happens at a time in a played load.
+// simEvent is a simulated event.
 type simEvent struct {
 	at time.Time
 	do func(now time.Time)
@@ -71,18 +71,18 @@
 	return last
 }
 
-// simTarget serves requests with slots and a short queue of its own.
+// simTarget serves requests with its slots and a short queue of its own.
 type simTarget struct {
 	row         place.TargetRow
 	speed       float64
 	running     int
 	queue       []func(now time.Time)
-	dead        bool
+	unreachable bool
 	refuseShare float64 // share of requests that it refuses
-	loseShare   float64 // share of requests that it runs, and whose answer is lost
+	loseShare   float64 // share of requests that run and whose response is lost
 }
 
-// simulator plays a load against real clients and one real home.
+// simulator runs a simulated load against real clients and one real home.
 type simulator struct {
 	simConfig
 
@@ -95,177 +95,180 @@
 	clients       []*Client
 	replyHandlers []map[TicketID]func(now time.Time, m Message)
 	results       map[traffic.RouteName]*workloadResult
-	// conns are the connections of each client to each target, dials counts
-	// those that were opened.
+	// conns holds the connections of each client to each target. dials counts the
+	// connections that were opened.
 	conns map[connID]*connState
 	dials int
 }
 
-// connID names a client and a target.
+// connID identifies the connections of a client to a target.
 type connID struct {
 	client int
 	target place.Target
 }
 
-// connState is the connections between the two, which are kept.
+// connState counts the connections of a client to a target. They stay open.
 type connState struct{ open, busy int }
 
-// connect uses a connection, and opens one where none is idle.
-func (p *simulator) connect(id connID) *connState {
-	l := p.conns[id]
-	if l == nil {
-		l = &connState{}
-		p.conns[id] = l
+// connect uses an idle connection or opens one.
+func (s *simulator) connect(id connID) *connState {
+	conn := s.conns[id]
+	if conn == nil {
+		conn = &connState{}
+		s.conns[id] = conn
 	}
-	l.busy++
-	if l.busy > l.open {
-		l.open++
-		p.dials++
+	conn.busy++
+	if conn.busy > conn.open {
+		conn.open++
+		s.dials++
 	}
-	return l
+	return conn
 }
 
-const networkDelay = time.Millisecond // between any two processes
+const networkDelay = time.Millisecond // one way, between any two processes
 
-func (p *simulator) Members(PoolID) []place.TargetRow {
-	out := make([]place.TargetRow, 0, len(p.names))
-	for _, name := range p.names {
-		out = append(out, p.targets[name].row)
+func (s *simulator) Members(PoolID) []place.TargetRow {
+	out := make([]place.TargetRow, 0, len(s.names))
+	for _, name := range s.names {
+		out = append(out, s.targets[name].row)
 	}
 	return out
 }
 
-func (p *simulator) Ranked(PoolID) []place.Host { return []place.Host{"home"} }
+func (s *simulator) Ranked(PoolID) []place.Host { return []place.Host{"home"} }
 
-func (p *simulator) after(d time.Duration, do func(now time.Time)) {
-	heap.Push(&p.events, simEvent{p.now.Add(d), do})
+func (s *simulator) after(d time.Duration, do func(now time.Time)) {
+	heap.Push(&s.events, simEvent{s.now.Add(d), do})
 }
 
-func simulate(l simConfig) map[traffic.RouteName]*workloadResult { return newSimulator(l).simulate() }
+func simulate(cfg simConfig) map[traffic.RouteName]*workloadResult {
+	return newSimulator(cfg).simulate()
+}
 
-func newSimulator(l simConfig) *simulator {
-	p := &simulator{
-		simConfig: l, rng: rand.New(rand.NewPCG(l.seed, 1)), now: time.Unix(1000, 0),
+func newSimulator(cfg simConfig) *simulator {
+	s := &simulator{
+		simConfig: cfg, rng: rand.New(rand.NewPCG(cfg.seed, 1)), now: time.Unix(1000, 0),
 		targets: make(map[place.Target]*simTarget), results: make(map[traffic.RouteName]*workloadResult),
 		conns: make(map[connID]*connState),
 	}
-	for i, speed := range l.speeds {
+	for i, speed := range cfg.speeds {
 		name := place.Target(fmt.Sprintf("t%02d", i))
-		p.names = append(p.names, name)
-		p.targets[name] = &simTarget{speed: speed, row: place.TargetRow{
-			Target: name, Zone: "z", Slots: l.slots, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
+		s.names = append(s.names, name)
+		s.targets[name] = &simTarget{speed: speed, row: place.TargetRow{
+			Target: name, Zone: "z", Slots: cfg.slots, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
 		}}
 	}
-	p.home = NewHome(p)
-	for range l.hosts {
-		p.clients = append(p.clients, NewClient(p))
-		p.replyHandlers = append(p.replyHandlers, make(map[TicketID]func(time.Time, Message)))
+	s.home = NewHome(s)
+	for range cfg.hosts {
+		s.clients = append(s.clients, NewClient(s))
+		s.replyHandlers = append(s.replyHandlers, make(map[TicketID]func(time.Time, Message)))
 	}
-	return p
+	return s
 }
 
-func (p *simulator) simulate() map[traffic.RouteName]*workloadResult {
-	end := p.now.Add(p.duration)
-	for _, k := range p.workloads {
-		p.results[k.class] = &workloadResult{}
-		p.arrive(k, end)
+func (s *simulator) simulate() map[traffic.RouteName]*workloadResult {
+	end := s.now.Add(s.duration)
+	for _, w := range s.workloads {
+		s.results[w.class] = &workloadResult{}
+		s.arrive(w, end)
 	}
-	p.tick(end)
-	for len(p.events) > 0 {
-		e := heap.Pop(&p.events).(simEvent)
-		p.now = e.at
-		e.do(p.now)
+	s.tick(end)
+	for len(s.events) > 0 {
+		event := heap.Pop(&s.events).(simEvent)
+		s.now = event.at
+		event.do(s.now)
 	}
-	return p.results
+	return s.results
 }
 
-func (p *simulator) arrive(k workload, end time.Time) {
-	p.after(time.Duration(p.rng.ExpFloat64()/k.rate*float64(time.Second)), func(now time.Time) {
+func (s *simulator) arrive(w workload, end time.Time) {
+	s.after(time.Duration(s.rng.ExpFloat64()/w.rate*float64(time.Second)), func(now time.Time) {
 		if now.After(end) {
 			return
 		}
-		p.results[k.class].sent++
-		p.request(now, k, now, 1, nil)
-		p.arrive(k, end)
+		s.results[w.class].sent++
+		s.request(now, w, now, 1, nil)
+		s.arrive(w, end)
 	})
 }
 
-func (p *simulator) tick(end time.Time) {
-	p.after(10*time.Millisecond, func(now time.Time) {
-		for i, c := range p.clients {
+func (s *simulator) tick(end time.Time) {
+	s.after(10*time.Millisecond, func(now time.Time) {
+		for i, c := range s.clients {
 			c.Tick(now)
-			p.flush(i)
+			s.flush(i)
 		}
-		p.deliver(p.home.Tick(now))
-		if p.perturb != nil && now.UnixMilli()%100 < 10 {
-			p.perturb(p, now)
+		s.deliver(s.home.Tick(now))
+		if s.perturb != nil && now.UnixMilli()%100 < 10 {
+			s.perturb(s, now)
 		}
 		if now.Before(end.Add(5 * time.Second)) {
-			p.tick(end)
+			s.tick(end)
 		}
 	})
 }
 
-// request is one attempt of a client; retries are what it may still do.
-func (p *simulator) request(now time.Time, k workload, first time.Time, retries int, tried []place.Target) {
-	i := p.rng.IntN(len(p.clients))
-	c := p.clients[i]
-	result := p.results[k.class]
-	left := k.deadline - now.Sub(first)
-	class := k.class
-	if k.cold != "" {
-		class = k.cold
+// request sends an Acquire for a request. retries is how often its client may still
+// retry after a refusal.
+func (s *simulator) request(now time.Time, w workload, start time.Time, retries int, tried []place.Target) {
+	i := s.rng.IntN(len(s.clients))
+	c := s.clients[i]
+	result := s.results[w.class]
+	left := w.deadline - now.Sub(start)
+	class := w.class
+	if w.cold != "" {
+		class = w.cold
 	}
 	id := c.Acquire(now, Acquire{
-		Cold: k.cold != "",
-		Pool: p.pool, Class: class, Priority: k.priority, Timeout: left, SoftTimeout: k.objective - now.Sub(first), Excluded: tried,
+		Cold: w.cold != "",
+		Pool: s.pool, Class: class, Priority: w.priority, Timeout: left, SoftTimeout: w.objective - now.Sub(start), Excluded: tried,
 	})
-	p.replyHandlers[i][id] = func(now time.Time, m Message) {
+	s.replyHandlers[i][id] = func(now time.Time, m Message) {
 		switch m := m.(type) {
 		case Assigned:
-			p.after(networkDelay, func(now time.Time) { p.serve(now, i, id, m.Target, k, first, retries, tried) })
+			s.after(networkDelay, func(now time.Time) { s.serve(now, i, id, m.Target, w, start, retries, tried) })
 		case Refused:
 			back := now.Add(m.RetryAfter)
-			if retries > 0 && m.RetryAfter <= (k.deadline-now.Sub(first))/3 {
-				p.after(m.RetryAfter, func(now time.Time) { p.request(now, k, first, retries-1, nil) })
+			if retries > 0 && m.RetryAfter <= (w.deadline-now.Sub(start))/3 {
+				s.after(m.RetryAfter, func(now time.Time) { s.request(now, w, start, retries-1, nil) })
 				return
 			}
 			_ = back
 			result.refused++
-			result.waits += now.Sub(first)
+			result.waits += now.Sub(start)
 		}
 	}
-	p.flush(i)
+	s.flush(i)
 }
 
-// serve lets a target work on a request.
-func (p *simulator) serve(now time.Time, i int, id TicketID, name place.Target, k workload, first time.Time, retries int, tried []place.Target) {
-	t := p.targets[name]
+// serve runs a request at a target.
+func (s *simulator) serve(now time.Time, i int, id TicketID, name place.Target, w workload, start time.Time, retries int, tried []place.Target) {
+	t := s.targets[name]
 	started := now
-	l := p.connect(connID{i, name})
-	done := func(now time.Time, end Result) {
-		l.busy--
-		p.clients[i].Done(now, id, end, now.Sub(started))
-		p.flush(i)
+	conn := s.connect(connID{i, name})
+	done := func(now time.Time, result Result) {
+		conn.busy--
+		s.clients[i].Done(now, id, result, now.Sub(started))
+		s.flush(i)
 	}
-	again := func(now time.Time) {
+	retry := func(now time.Time) {
 		if len(tried) >= 2 {
-			p.results[k.class].failed++
+			s.results[w.class].failed++
 			return
 		}
-		p.request(now, k, first, retries, append(tried, name))
+		s.request(now, w, start, retries, append(tried, name))
 	}
-	if t.dead {
-		p.after(300*time.Millisecond, func(now time.Time) { done(now, ResultUnreachable); again(now) })
+	if t.unreachable {
+		s.after(300*time.Millisecond, func(now time.Time) { done(now, ResultUnreachable); retry(now) })
 		return
 	}
-	if p.rng.Float64() < t.refuseShare || len(t.queue) >= p.queue {
-		p.after(2*networkDelay, func(now time.Time) { done(now, ResultBusy); again(now) })
+	if s.rng.Float64() < t.refuseShare || len(t.queue) >= s.queue {
+		s.after(2*networkDelay, func(now time.Time) { done(now, ResultBusy); retry(now) })
 		return
 	}
 	begin := func(time.Time) {
-		work := time.Duration(float64(k.work) * math.Exp(0.5*p.rng.NormFloat64()-0.125) / t.speed)
-		p.after(work, func(now time.Time) {
+		work := time.Duration(float64(w.work) * math.Exp(0.5*s.rng.NormFloat64()-0.125) / t.speed)
+		s.after(work, func(now time.Time) {
 			t.running--
 			if len(t.queue) > 0 {
 				next := t.queue[0]
@@ -273,27 +276,27 @@
 				t.running++
 				next(now)
 			}
-			if p.rng.Float64() < t.loseShare {
-				p.after(k.deadline-now.Sub(first), func(now time.Time) {
+			if s.rng.Float64() < t.loseShare {
+				s.after(w.deadline-now.Sub(start), func(now time.Time) {
 					done(now, ResultTimeout)
-					p.results[k.class].failed++
+					s.results[w.class].failed++
 				})
 				return
 			}
-			p.after(networkDelay, func(now time.Time) {
+			s.after(networkDelay, func(now time.Time) {
 				done(now, ResultServed)
-				switch took := now.Sub(first); {
-				case took <= k.objective:
-					p.results[k.class].onTime++
-				case took <= k.deadline:
-					p.results[k.class].late++
+				switch took := now.Sub(start); {
+				case took <= w.objective:
+					s.results[w.class].onTime++
+				case took <= w.deadline:
+					s.results[w.class].late++
 				default:
-					p.results[k.class].failed++
+					s.results[w.class].failed++
 				}
 			})
 		})
 	}
-	if t.running >= p.slots {
+	if t.running >= s.slots {
 		t.queue = append(t.queue, begin)
 		return
 	}
@@ -301,28 +304,28 @@
 	begin(now)
 }
 
-// flush carries a client's messages to the home.
-func (p *simulator) flush(i int) {
-	out, verdicts := p.clients[i].Flush()
+// flush delivers a client's messages to the home and handles its replies.
+func (s *simulator) flush(i int) {
+	out, replies := s.clients[i].Flush()
 	from := Peer{Host: place.Host(fmt.Sprintf("h%d", i)), Incarnation: 1, Zone: "z"}
-	for _, d := range out {
-		p.after(networkDelay, func(now time.Time) { p.deliver(p.home.Handle(now, from, d.Message)) })
+	for _, m := range out {
+		s.after(networkDelay, func(now time.Time) { s.deliver(s.home.Handle(now, from, m.Message)) })
 	}
-	for _, v := range verdicts {
-		if f := p.replyHandlers[i][v.ID]; f != nil {
-			delete(p.replyHandlers[i], v.ID)
-			f(p.now, v.Message)
+	for _, reply := range replies {
+		if handle := s.replyHandlers[i][reply.ID]; handle != nil {
+			delete(s.replyHandlers[i], reply.ID)
+			handle(s.now, reply.Message)
 		}
 	}
 }
 
-func (p *simulator) deliver(out []PeerMessage) {
-	for _, l := range out {
+func (s *simulator) deliver(out []PeerMessage) {
+	for _, m := range out {
 		var i int
-		_, _ = fmt.Sscanf(string(l.To.Host), "h%d", &i)
-		p.after(networkDelay, func(now time.Time) {
-			p.clients[i].Receive(now, "home", l.Message)
-			p.flush(i)
+		_, _ = fmt.Sscanf(string(m.To.Host), "h%d", &i)
+		s.after(networkDelay, func(now time.Time) {
+			s.clients[i].Receive(now, "home", m.Message)
+			s.flush(i)
 		})
 	}
 }
@@ -337,9 +340,9 @@
 	class: "cold look-up", cold: lookups.class, priority: lookups.priority, work: 5 * lookups.work, objective: lookups.objective, deadline: lookups.deadline,
 }
 
-func (k workload) withRate(perS float64) workload {
-	k.rate = perS
-	return k
+func (w workload) withRate(perSecond float64) workload {
+	w.rate = perSecond
+	return w
 }
 
 func unevenSpeeds(n int) []float64 {
@@ -354,60 +357,61 @@
 func TestSimulatedLoads(t *testing.T) {
 	tests := map[string]struct {
 		load simConfig
-		// least is the worth per request that clients must get at least.
+		// least is the lowest acceptable utility per request.
 		least map[traffic.RouteName]float64
 	}{
-		// 12 uneven targets at three quarters of what they can do.
+		// 12 targets of different speeds at three quarters of their capacity.
 		"heavy": {
 			load:  simConfig{workloads: []workload{notices.withRate(225)}, speeds: unevenSpeeds(12), slots: 3, queue: 12},
 			least: map[traffic.RouteName]float64{"notice": 0.97},
 		},
-		// Twice what one target can do, as a hot key brings it.
+		// Twice the capacity of one target, as with a hot key.
 		"one target at twice its load": {
 			load:  simConfig{workloads: []workload{lookups.withRate(66)}, speeds: []float64{1}, slots: 3, queue: 12},
 			least: map[traffic.RouteName]float64{"look-up": 0.4},
 		},
-		// Urgent work beside look-ups that alone would fill the targets.
-		"urgent beside too many": {
+		// Urgent requests beside look-ups that alone exceed the capacity.
+		"urgent beside overload": {
 			load:  simConfig{workloads: []workload{lookups.withRate(300), plans.withRate(60)}, speeds: unevenSpeeds(6), slots: 3, queue: 12},
 			least: map[traffic.RouteName]float64{"plan": 0.97, "look-up": 0.4},
 		},
-		// A sixth of the targets twelve times slower for a while.
+		// A sixth of the targets becomes twelve times slower.
 		"slow targets": {
-			load: simConfig{workloads: []workload{notices.withRate(170)}, speeds: unevenSpeeds(12), slots: 3, queue: 12, perturb: func(p *simulator, now time.Time) {
+			load: simConfig{workloads: []workload{notices.withRate(170)}, speeds: unevenSpeeds(12), slots: 3, queue: 12, perturb: func(s *simulator, now time.Time) {
 				if now.Unix() == 1003 {
-					p.targets["t01"].speed, p.targets["t05"].speed = 0.08, 0.08
+					s.targets["t01"].speed, s.targets["t05"].speed = 0.08, 0.08
 				}
 			}},
 			least: map[traffic.RouteName]float64{"notice": 0.93},
 		},
-		// Two targets that refuse half of their requests.
-		"grey targets": {
-			load: simConfig{workloads: []workload{notices.withRate(170)}, speeds: unevenSpeeds(12), slots: 3, queue: 12, perturb: func(p *simulator, now time.Time) {
+		// Two targets start to refuse half of their requests.
+		"refusing targets": {
+			load: simConfig{workloads: []workload{notices.withRate(170)}, speeds: unevenSpeeds(12), slots: 3, queue: 12, perturb: func(s *simulator, now time.Time) {
 				if now.Unix() == 1003 {
-					p.targets["t01"].refuseShare, p.targets["t05"].refuseShare = 0.5, 0.5
+					s.targets["t01"].refuseShare, s.targets["t05"].refuseShare = 0.5, 0.5
 				}
 			}},
 			least: map[traffic.RouteName]float64{"notice": 0.97},
 		},
-		// Targets that run everything and lose one answer in twenty.
-		"lost answers": {
-			load: simConfig{workloads: []workload{lookups.withRate(20)}, speeds: []float64{1}, slots: 3, queue: 12, perturb: func(p *simulator, now time.Time) {
-				p.targets["t00"].loseShare = 0.05
+		// A target that runs all requests and loses one response in twenty.
+		"lost responses": {
+			load: simConfig{workloads: []workload{lookups.withRate(20)}, speeds: []float64{1}, slots: 3, queue: 12, perturb: func(s *simulator, now time.Time) {
+				s.targets["t00"].loseShare = 0.05
 			}},
 			least: map[traffic.RouteName]float64{"look-up": 0.85},
 		},
-		// A target that took keys of a lost one without a handover: as many
-		// requests for cold keys as for warm ones, each worth a late answer.
+		// A target that took over keys without a handover: one request for a cold key
+		// per two for warm ones. The cold ones would be late anyway, and must not make
+		// the others late.
 		"cold keys beside warm ones": {
 			load:  simConfig{workloads: []workload{lookups.withRate(22), coldLookups.withRate(11)}, speeds: []float64{1}, slots: 3, queue: 12},
 			least: map[traffic.RouteName]float64{"look-up": 0.9},
 		},
-		// Two targets that take no connection any more.
-		"dead targets": {
-			load: simConfig{workloads: []workload{notices.withRate(170)}, speeds: unevenSpeeds(12), slots: 3, queue: 12, perturb: func(p *simulator, now time.Time) {
+		// Two targets stop accepting connections.
+		"unreachable targets": {
+			load: simConfig{workloads: []workload{notices.withRate(170)}, speeds: unevenSpeeds(12), slots: 3, queue: 12, perturb: func(s *simulator, now time.Time) {
 				if now.Unix() == 1003 {
-					p.targets["t01"].dead, p.targets["t05"].dead = true, true
+					s.targets["t01"].unreachable, s.targets["t05"].unreachable = true, true
 				}
 			}},
 			least: map[traffic.RouteName]float64{"notice": 0.93},
@@ -415,46 +419,46 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			l := test.load
-			l.hosts, l.duration, l.seed, l.pool = 12, 20*time.Second, 7, PoolID{Service: "s"}
-			for class, o := range simulate(l) {
-				t.Logf("%s: asked %d, in aim %d, late %d, refused %d, failed %d, worth %.3f", class, o.sent, o.onTime, o.late, o.refused, o.failed, o.utility())
-				if o.utility() < test.least[class] {
-					t.Errorf("%s: worth %.3f, want %.2f at least", class, o.utility(), test.least[class])
+			cfg := test.load
+			cfg.hosts, cfg.duration, cfg.seed, cfg.pool = 12, 20*time.Second, 7, PoolID{Service: "s"}
+			for class, result := range simulate(cfg) {
+				t.Logf("%s: sent %d, on time %d, late %d, refused %d, failed %d, utility %.3f", class, result.sent, result.onTime, result.late, result.refused, result.failed, result.utility())
+				if result.utility() < test.least[class] {
+					t.Errorf("%s: utility %.3f, want at least %.2f", class, result.utility(), test.least[class])
 				}
 			}
 		})
 	}
 }
 
-// TestConnectionAffinity: hosts are sent to targets that they have a connection to, and
-// get no less for it.
+// TestConnectionAffinity checks that hosts mostly get targets that they have a
+// connection to, at no loss of utility.
 func TestConnectionAffinity(t *testing.T) {
 	tests := map[string]struct {
-		perS  float64
-		worth float64
-		dials float64 // a request
+		perSecond float64
+		least     float64
+		dials     float64 // per request
 	}{
 		"a third of the slots": {320, 0.97, 0.12},
 		"three quarters":       {720, 0.97, 0.12},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := newSimulator(simConfig{
-				workloads: []workload{notices.withRate(test.perS)}, speeds: slices.Repeat([]float64{1}, 40), slots: 3, queue: 12,
+			s := newSimulator(simConfig{
+				workloads: []workload{notices.withRate(test.perSecond)}, speeds: slices.Repeat([]float64{1}, 40), slots: 3, queue: 12,
 				hosts: 40, duration: 20 * time.Second, seed: 7, pool: PoolID{Service: "s"},
 			})
-			o := p.simulate()["notice"]
-			dials := float64(p.dials) / float64(o.sent)
-			t.Logf("worth %.3f, %.3f dials a request", o.utility(), dials)
-			assert.Assert(t, o.utility() >= test.worth)
+			result := s.simulate()["notice"]
+			dials := float64(s.dials) / float64(result.sent)
+			t.Logf("utility %.3f, %.3f dials per request", result.utility(), dials)
+			assert.Assert(t, result.utility() >= test.least)
 			assert.Assert(t, dials <= test.dials)
 		})
 	}
 }
 
-// TestAffinityForgotten: what a home remembers of where it sent a host ends with the
-// host's life, as its connections do.
+// TestAffinityForgotten checks that a host's affinity entries end with its incarnation,
+// as its connections do.
 func TestAffinityForgotten(t *testing.T) {
 	tests := map[string]func(h *Home, now time.Time){
 		"started again": func(h *Home, now time.Time) {
@@ -465,17 +469,17 @@
 	for name, end := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			p := newSimulator(simConfig{speeds: []float64{1, 1}, slots: 3})
-			p.home.Handle(now, Peer{Host: "a", Incarnation: 1, Zone: "z"}, Acquire{ID: 1, Timeout: time.Second, SoftTimeout: time.Second})
-			visits := p.home.pool(now, PoolID{}).affinity
-			assert.Equal(t, len(visits), 1)
-			end(p.home, now)
-			assert.Equal(t, len(visits), 0)
+			s := newSimulator(simConfig{speeds: []float64{1, 1}, slots: 3})
+			s.home.Handle(now, Peer{Host: "a", Incarnation: 1, Zone: "z"}, Acquire{ID: 1, Timeout: time.Second, SoftTimeout: time.Second})
+			entries := s.home.pool(now, PoolID{}).affinity
+			assert.Equal(t, len(entries), 1)
+			end(s.home, now)
+			assert.Equal(t, len(entries), 0)
 		})
 	}
 }
 
-// BenchmarkOverload plays a second of a pool with more work than it can do.
+// BenchmarkOverload simulates a second of a pool under overload.
 func BenchmarkOverload(b *testing.B) {
 	for i := range b.N {
 		simulate(simConfig{
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -8,189 +8,191 @@
 )
 
 const (
-	// defaultMean is the time of a request of which nothing is known yet.
+	// defaultMean is the assumed service time while none has been observed.
 	defaultMean = 100 * time.Millisecond
-	// meanWeight is the weight of the newest time in a class's decayed mean:
-	// about the last fifty requests count. Until there were as many, all count
-	// alike, and what was known before counts as priorWeight requests: a home
-	// starts from the times of other targets.
+	// meanWeight is the weight of the newest sample in a class's moving average:
+	// about the last fifty requests count. Until there are as many, all samples
+	// weigh the same, and the prior, which comes from other targets, counts as
+	// priorWeight samples.
 	meanWeight  = 0.02
 	priorWeight = 4
-	// slowdownWeight is the same for the slowness of one target: with three slots
-	// and 100 ms a request, it follows within about a quarter of a second.
+	// slowdownWeight is the weight of the newest sample in a target's slowdown. With
+	// three slots and 100 ms per request, the average follows a change within about
+	// a quarter of a second.
 	slowdownWeight = 0.15
-	// failureWeight is the same for the share of failures.
+	// failureWeight is the weight of the newest sample in a target's failure rate.
 	failureWeight = 0.15
-	// statsHalfTime is the time in which a bad opinion of an unused target
-	// halves, so that it is tried again.
+	// statsHalfTime is the time in which the excess slowdown and the failure rate of
+	// an unused target fall to half, so that it gets requests again.
 	statsHalfTime = 2 * time.Second
-	// stallFactor is how many times its expected time a request may run
-	// before its target counts as that slow.
+	// stallFactor is how many times its expected time a request may run before its
+	// own running time counts as the target's slowdown.
 	stallFactor = 2.5
-	// minBackoff and downMost bound the pause after a target took no
-	// connection; it doubles each time.
+	// minBackoff and maxBackoff bound the exponential backoff after a failure to
+	// connect to a target.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 1600 * time.Millisecond
-	// maxDoublings keeps the doubling from overflowing.
+	// maxDoublings keeps the backoff from overflowing.
 	maxDoublings = 6
-	// maxQueuedAtTarget is how many requests may wait at a target itself: one covers the
-	// time in which its answer and the next request are on their way.
+	// maxQueuedAtTarget is how many requests may wait at a target itself. One keeps
+	// its slots busy while a response and the next request are in transit.
 	maxQueuedAtTarget = 1
-	// defaultSlots is used where the platform does not say.
+	// defaultSlots is used if the platform lists no number of slots.
 	defaultSlots = 1
-	// crossZoneCost is what a target in another zone than the asking host costs on
-	// top, as a share of the request's mean time: bytes between zones are
-	// billed, and half a mean time is waited for often.
+	// crossZoneCost is added to the score of a target in another zone than the
+	// requesting host, as a share of the request's mean time. Traffic between zones
+	// is billed, and a wait of half a mean time is common anyway.
 	crossZoneCost = 0.5
 )
 
-// serviceTime is the time that requests of one class take at an average target.
+// serviceTime is the moving average of the time that requests of one class take.
 type serviceTime struct {
 	mean time.Duration
-	// ownMean is the mean without what was known before.
+	// ownMean is the mean without the prior.
 	ownMean time.Duration
-	// samples counts the requests, prior those that what was known before them
+	// samples counts the observed requests, priorSamples those that the prior
 	// stands for.
 	samples, priorSamples int
 }
 
-func (c *serviceTime) add(took time.Duration) {
-	c.samples++
-	weight := max(meanWeight, 1/float64(c.priorSamples+c.samples))
-	c.mean += time.Duration(weight * float64(took-c.mean))
-	c.ownMean += time.Duration(max(meanWeight, 1/float64(c.samples)) * float64(took-c.ownMean))
+func (s *serviceTime) add(took time.Duration) {
+	s.samples++
+	weight := max(meanWeight, 1/float64(s.priorSamples+s.samples))
+	s.mean += time.Duration(weight * float64(took-s.mean))
+	s.ownMean += time.Duration(max(meanWeight, 1/float64(s.samples)) * float64(took-s.ownMean))
 }
 
-// targetState is one target as the home of its pool sees it.
+// targetState is what the home of a pool knows of one target.
 type targetState struct {
 	place.TargetRow
 
 	running map[ticketKey]*ticket
-	// slowdown is the time of requests here over their class's mean.
+	// slowdown is the moving average of a request's time over its class's mean.
 	slowdown float64
-	// failureRate is the decayed share of tries that failed.
+	// failureRate is the moving average of failed attempts.
 	failureRate float64
-	// updatedAt is when slow and failing were last updated.
+	// updatedAt is when slowdown and failureRate were last updated.
 	updatedAt time.Time
-	// warmUpUntil is when the target's start-up slowness ends.
+	// warmUpUntil is the end of the target's warm-up after its start.
 	warmUpUntil time.Time
-	// downUntil is when a target that took no connection is tried again.
+	// downUntil is the end of the backoff after a failure to connect.
 	downUntil       time.Time
 	connectFailures int
-	// servedAt is when a request here last ended well.
+	// servedAt is when a request last ended with ResultServed.
 	servedAt time.Time
-	// usable is false for targets that get no new work.
+	// usable is false for targets that get no new requests.
 	usable bool
-	// leaving tells that this life of the target has said that it leaves.
+	// leaving tells that this incarnation of the target signaled that it is leaving.
 	leaving bool
-	// connMark is that of the last asker that probably has a connection here.
+	// connMark is the mark of the last Acquire whose host probably has an idle
+	// connection to the target.
 	connMark uint64
 }
 
 func newTargetState(row place.TargetRow, now time.Time) *targetState {
-	l := &targetState{TargetRow: row, running: make(map[ticketKey]*ticket), slowdown: 1, updatedAt: now}
-	l.update(row, now)
-	return l
+	s := &targetState{TargetRow: row, running: make(map[ticketKey]*ticket), slowdown: 1, updatedAt: now}
+	s.update(row, now)
+	return s
 }
 
-// update takes over what the platform says of the target.
-func (l *targetState) update(row place.TargetRow, now time.Time) {
-	if row.Incarnation != l.Incarnation || row.Addr != l.Addr {
-		l.slowdown, l.failureRate, l.connectFailures, l.downUntil, l.leaving = 1, 0, 0, time.Time{}, false
+// update replaces the target's row of the platform's list. Another incarnation or
+// address starts with empty statistics.
+func (s *targetState) update(row place.TargetRow, now time.Time) {
+	if row.Incarnation != s.Incarnation || row.Addr != s.Addr {
+		s.slowdown, s.failureRate, s.connectFailures, s.downUntil, s.leaving = 1, 0, 0, time.Time{}, false
 	}
 	if row.WarmupLeft > 0 {
-		l.warmUpUntil = now.Add(row.WarmupLeft)
+		s.warmUpUntil = now.Add(row.WarmupLeft)
 	}
-	l.TargetRow = row
-	l.usable = row.State == place.Live
+	s.TargetRow = row
+	s.usable = row.State == place.Live
 }
 
-func (l *targetState) slots() int { return max(l.Slots, defaultSlots) }
+func (s *targetState) slots() int { return max(s.Slots, defaultSlots) }
 
-// decayed returns the slowness and the share of failures, faded since they
-// were last confirmed.
-func (l *targetState) decayed(now time.Time) (slow, failing float64) {
-	fade := 1 / (1 + now.Sub(l.updatedAt).Seconds()/statsHalfTime.Seconds())
-	slow = l.slowdown
+// decayed returns the slowdown and the failure rate, decayed since the last update.
+func (s *targetState) decayed(now time.Time) (slow, failRate float64) {
+	decay := 1 / (1 + now.Sub(s.updatedAt).Seconds()/statsHalfTime.Seconds())
+	slow = s.slowdown
 	if slow > 1 {
-		slow = 1 + (slow-1)*fade
+		slow = 1 + (slow-1)*decay
 	}
-	return slow, l.failureRate * fade
+	return slow, s.failureRate * decay
 }
 
-// observe updates the opinion of a target by one try.
-func (l *targetState) observe(now time.Time, ratio float64, failed bool) {
-	slow, failing := l.decayed(now)
-	l.slowdown = slow + slowdownWeight*(ratio-slow)
-	share := 0.0
+// observe updates the target's statistics by one attempt.
+func (s *targetState) observe(now time.Time, ratio float64, failed bool) {
+	slow, failRate := s.decayed(now)
+	s.slowdown = slow + slowdownWeight*(ratio-slow)
+	sample := 0.0
 	if failed {
-		share = 1
+		sample = 1
 	}
-	l.failureRate = failing + failureWeight*(share-failing)
-	l.updatedAt = now
+	s.failureRate = failRate + failureWeight*(sample-failRate)
+	s.updatedAt = now
 }
 
-// connectFailed notes that the target took no connection.
-func (l *targetState) connectFailed(now time.Time) {
-	l.downUntil = now.Add(min(minBackoff<<min(l.connectFailures, maxDoublings), maxBackoff))
-	l.connectFailures++
+// connectFailed records a failure to connect and starts the backoff.
+func (s *targetState) connectFailed(now time.Time) {
+	s.downUntil = now.Add(min(minBackoff<<min(s.connectFailures, maxDoublings), maxBackoff))
+	s.connectFailures++
 }
 
-// timeFactor returns the time that a request probably takes here over the mean of
-// its class.
-func (l *targetState) timeFactor(now time.Time) float64 {
-	slow, failing := l.decayed(now)
-	for _, t := range l.running {
-		if t.mean <= 0 || now.Sub(t.confirmedAt) > 2*ReportInterval || l.servedAt.After(t.started) {
+// timeFactor returns the expected time of a request at the target over the mean of
+// its class, retries after failures included.
+func (s *targetState) timeFactor(now time.Time) float64 {
+	slow, failRate := s.decayed(now)
+	for _, t := range s.running {
+		if t.mean <= 0 || now.Sub(t.confirmedAt) > 2*ReportInterval || s.servedAt.After(t.started) {
 			continue
 		}
-		// A request that runs far too long tells before it ends, if its host
-		// still says that it runs, and nothing else has ended since.
+		// A request that runs far too long shows a slowdown before it ends, if its
+		// host still reports it and no request has ended since it started.
 		if stalled := float64(now.Sub(t.started)) / float64(t.mean); stalled > stallFactor*max(slow, 1) {
 			slow = max(slow, stalled)
 		}
 	}
-	if now.Before(l.warmUpUntil) {
+	if now.Before(s.warmUpUntil) {
 		slow *= warmUpFactor
 	}
-	const mostFailing = 0.9
-	return slow / (1 - min(failing, mostFailing))
+	const maxFailRate = 0.9
+	return slow / (1 - min(failRate, maxFailRate))
 }
 
-// stragglerFactor is how many times its expected time a request may run, while
-// others that started later have ended, before it counts as over: its answer is
-// lost, and its slot is in use no more.
+// stragglerFactor is how many times its expected time a request may run, if another
+// has ended since it started, before it no longer counts as using its slot. Its
+// response is probably lost.
 const stragglerFactor = 5
 
-// busy returns how many requests have a slot of the target or wait there.
-func (l *targetState) busy(now time.Time) int {
-	n := len(l.running)
-	for _, t := range l.running {
-		if t.mean > 0 && l.servedAt.After(t.started) && now.Sub(t.started) > time.Duration(stragglerFactor*max(l.slowdown, 1)*float64(t.mean)) {
+// busy returns how many requests run or wait at the target, without stragglers.
+func (s *targetState) busy(now time.Time) int {
+	n := len(s.running)
+	for _, t := range s.running {
+		if t.mean > 0 && s.servedAt.After(t.started) && now.Sub(t.started) > time.Duration(stragglerFactor*max(s.slowdown, 1)*float64(t.mean)) {
 			n--
 		}
 	}
 	return n
 }
 
-// warmUpFactor is how much slower a target is while it starts, before its own
-// times show it.
+// warmUpFactor is the assumed slowdown of a target during warm-up, while its own times
+// do not show it yet.
 const warmUpFactor = 1.5
 
-// available reports whether the target may be tried now.
-func (l *targetState) available(now time.Time) bool {
-	if !l.usable || now.Before(l.downUntil) {
+// available reports whether a request may be sent to the target now.
+func (s *targetState) available(now time.Time) bool {
+	if !s.usable || now.Before(s.downUntil) {
 		return false
 	}
-	// After a pause one request at a time finds out.
-	return l.connectFailures == 0 || len(l.running) == 0
+	// After the backoff, one request at a time probes the target.
+	return s.connectFailures == 0 || len(s.running) == 0
 }
 
-// promote notes that a slot became free for the request that has waited at the
-// target longest.
-func (l *targetState) promote(now time.Time) {
+// promote moves the request that has waited longest at the target to the slot that
+// became free.
+func (s *targetState) promote(now time.Time) {
 	var next *ticket
-	for _, t := range l.running {
+	for _, t := range s.running {
 		if t.queued && (next == nil || t.started.Before(next.started)) {
 			next = t
 		}
@@ -200,31 +202,30 @@
 	}
 }
 
-// ticketKey tells the tickets of all hosts apart.
+// ticketKey identifies a ticket among those of all hosts.
 type ticketKey struct {
 	host        place.Host
 	incarnation place.Incarnation
 	id          TicketID
 }
 
-// ticket is a slot in use.
+// ticket is a host's permission to use one slot, as its home tracks it.
 type ticket struct {
 	key     ticketKey
 	pool    *pool
 	class   traffic.RouteName
 	target  *targetState
 	started time.Time
-	// mean is the mean time of its class when it started.
+	// mean is the mean service time of its class when it started.
 	mean time.Duration
-	// queued tells that the target had no free slot when it was sent there,
-	// so that its time says little about the target.
+	// queued tells that the target had no free slot when the request was sent: its
+	// time includes a wait and is no sample of the service time.
 	queued bool
-	// promoted tells that it was queued there and has a slot now, as far as
-	// the home can tell.
+	// promoted tells that it was queued at the target and probably has a slot now.
 	promoted bool
-	// cold tells that its key was, so that its time says little about the
-	// target.
+	// cold tells that the request is for a cold key: its time is no sample of the
+	// service time.
 	cold bool
-	// confirmedAt is when its host last said that it is in use.
+	// confirmedAt is when its host last reported it as in use.
 	confirmedAt time.Time
 }
