--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome holds what a caller may learn of its request: that it is
-// done, that it certainly did not run, or that it may have run.
+// Package outcome defines the outcomes that a caller is told of its request: that it
+// is done, that it certainly did not run, or that it may have run.
 package outcome
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Header carries the Outcome on every answer to a caller; HeaderReason says
-// why on those that are not Done.
+// Header carries the Outcome in every response to a caller. HeaderReason carries the
+// Reason if the outcome is not Done.
 const (
 	Header       = "Citrontray-Outcome"
 	HeaderReason = "Citrontray-Reason"
@@ -17,8 +17,8 @@
 // Outcome is the value of Header.
 type Outcome string
 
-// The outcomes. A request with the outcome NotRun did not run and will not:
-// it is safe to send it again. One with Unknown may have run, or may run yet.
+// The outcomes. A request with the outcome NotRun did not run and will not, so that a
+// retry is safe. One with the outcome Unknown may have run, or may still run.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "not-run"
@@ -32,39 +32,40 @@
 const (
 	Credential   Reason = "credential"     // no caller has this credential
 	NoRoute      Reason = "no-route"       // the caller has no route for the path
-	Method       Reason = "method"         // the caller's routes bar the method
-	BadPath      Reason = "bad-path"       // the path is not in its plain form
-	BadKey       Reason = "bad-key"        // no key, a malformed one or another's
-	BadHeader    Reason = "bad-header"     // a header that may not be sent
-	BodyTooBig   Reason = "body-too-big"   // the body is over the service's bound
-	HeaderTooBig Reason = "header-too-big" // the headers are over their bound
+	Method       Reason = "method"         // no route of the caller allows the method
+	BadPath      Reason = "bad-path"       // the path is not in canonical form
+	BadKey       Reason = "bad-key"        // no key, a malformed one, or one of another caller
+	BadHeader    Reason = "bad-header"     // a header that callers may not send
+	BodyTooBig   Reason = "body-too-big"   // the body exceeds the service's limit
+	HeaderTooBig Reason = "header-too-big" // the headers exceed their limit
 	BodyCut      Reason = "body-cut"       // the body ended early
-	KeyReused    Reason = "key-reused"     // idempotency key of another request
-	Limited      Reason = "limited"        // over the caller's own limit
-	Overload     Reason = "overload"       // the queue is full or too long
-	Deadline     Reason = "deadline"       // the time ran out before it was sent
-	CallerGone   Reason = "caller-gone"    // the caller hung up before it was sent
-	NoOwner      Reason = "no-owner"       // no target owns the key now
-	Unreachable  Reason = "unreachable"    // the target takes no connection
-	Refused      Reason = "refused"        // the target refused it unrun
+	KeyReused    Reason = "key-reused"     // the idempotency key was used for another request
+	Limited      Reason = "limited"        // the caller exceeds its own limit
+	Overload     Reason = "overload"       // refused by admission control: the queue is full or too long
+	Deadline     Reason = "deadline"       // the deadline passed before the request was sent
+	CallerGone   Reason = "caller-gone"    // the caller disconnected before the request was sent
+	NoOwner      Reason = "no-owner"       // no target currently owns the key
+	Unreachable  Reason = "unreachable"    // no connection to the target could be made
+	Refused      Reason = "refused"        // the target refused the request without running it
 	Stopping     Reason = "stopping"       // this entry host is stopping
 	Starting     Reason = "starting"       // this entry host has no settings yet
 )
 
 // The reasons for Unknown.
 const (
-	SendCut      Reason = "send-cut"       // the connection broke while sending
-	AnswerCut    Reason = "answer-cut"     // no answer, or part of one
-	AnswerLate   Reason = "answer-late"    // no whole answer within the deadline
-	AnswerWrong  Reason = "answer-wrong"   // the answer belongs to another request
-	AnswerTooBig Reason = "answer-too-big" // the answer is over the bound
-	AnswerBad    Reason = "answer-bad"     // the answer is malformed or unframed
+	SendCut      Reason = "send-cut"       // the connection broke while the request was sent
+	AnswerCut    Reason = "answer-cut"     // the connection broke before the end of the response
+	AnswerLate   Reason = "answer-late"    // no complete response before the deadline
+	AnswerWrong  Reason = "answer-wrong"   // the response belongs to another request
+	AnswerTooBig Reason = "answer-too-big" // the response exceeds its limit or the memory left
+	AnswerBad    Reason = "answer-bad"     // the response is malformed or has no framing
 )
 
-// Result is the end of a request: an Answer, a Failure of either kind.
+// Result is the result of a request: a Response, a NotRunFailure or an
+// UnknownFailure.
 type Result interface{ result() }
 
-// Response is the whole answer of a target.
+// Response is the complete response of a target.
 type Response struct {
 	Status int
 	Header http.Header
@@ -74,7 +75,7 @@
 // NotRunFailure tells that the request did not run and will not.
 type NotRunFailure struct {
 	Reason Reason
-	// RetryAfter tells when a new try makes sense; zero stands for never.
+	// RetryAfter is the delay after which a retry makes sense; zero stands for never.
 	RetryAfter time.Duration
 }
 
@@ -107,7 +108,7 @@
 	Starting:     http.StatusServiceUnavailable,
 }
 
-// Status returns the HTTP status of a failure.
+// Status returns the HTTP status of a result.
 func Status(r Result) int {
 	switch r := r.(type) {
 	case Response:
@@ -137,7 +138,7 @@
 	return Unknown
 }
 
-// ReasonOf returns the reason of a failure, or "" for an answer.
+// ReasonOf returns the reason of a failure, or "" for a response.
 func ReasonOf(r Result) Reason {
 	switch r := r.(type) {
 	case NotRunFailure:
--- a/internal/outcome/write.go
+++ b/internal/outcome/write.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Write sends a result to the caller: the answer as it came, or a small JSON
-// body with the outcome, the reason and the retry hint. Nothing internal, such
-// as a target's name or address, is in it.
+// Write writes a result to the caller: the target's response unchanged, or a small
+// JSON body with the outcome, the reason and the retry delay. The body contains
+// nothing internal, such as a target's name or address.
 func Write(w http.ResponseWriter, r Result) {
 	write(w, r, strconv.Itoa(retrySeconds(r)))
 }
 
-// WriteFractional is Write for callers that read fractions of a second in
-// Retry-After, which RFC 9110 does not have: work that takes a tenth of a
-// second has room again long before a second has passed.
+// WriteFractional is Write for callers that accept fractions of a second in
+// Retry-After, which RFC 9110 does not allow. If requests take a tenth of a second,
+// slots become free long before a whole second has passed.
 func WriteFractional(w http.ResponseWriter, r Result) {
 	retry := "0"
 	if f, ok := r.(NotRunFailure); ok && f.RetryAfter > 0 {
@@ -25,7 +25,7 @@
 	write(w, r, retry)
 }
 
-// write writes a result with a retry hint in seconds, "0" for none.
+// write writes a result with a retry delay in seconds, "0" for none.
 func write(w http.ResponseWriter, r Result, retry string) {
 	h := w.Header()
 	if a, ok := r.(Response); ok {
@@ -49,27 +49,29 @@
 	_, _ = w.Write(body)
 }
 
-func writeAnswer(w http.ResponseWriter, a Response) {
+func writeAnswer(w http.ResponseWriter, resp Response) {
 	h := w.Header()
-	for name, values := range a.Header {
+	for name, values := range resp.Header {
 		h[name] = values
 	}
 	h[Header] = []string{string(Done)}
-	if bodyAllowed(a.Status) {
-		h["Content-Length"] = []string{strconv.Itoa(len(a.Body))}
+	if bodyAllowed(resp.Status) {
+		h["Content-Length"] = []string{strconv.Itoa(len(resp.Body))}
 	}
-	w.WriteHeader(a.Status)
-	if len(a.Body) > 0 {
-		_, _ = w.Write(a.Body)
+	w.WriteHeader(resp.Status)
+	if len(resp.Body) > 0 {
+		_, _ = w.Write(resp.Body)
 	}
 }
 
-// bodyAllowed follows RFC 9110: no body with 204 and 304.
+// bodyAllowed reports whether a response may have a body. RFC 9110 allows none with
+// 204 and 304.
 func bodyAllowed(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// retrySeconds rounds a retry hint up: the header counts whole seconds.
+// retrySeconds returns the retry delay in seconds, rounded up to whole ones for
+// Retry-After.
 func retrySeconds(r Result) int {
 	f, ok := r.(NotRunFailure)
 	if !ok || f.RetryAfter <= 0 {
@@ -78,8 +80,8 @@
 	return int((f.RetryAfter + time.Second - 1) / time.Second)
 }
 
-// failureBody writes the body by hand: all its strings are from closed sets
-// without characters that JSON escapes.
+// failureBody returns the JSON body of a failure. It needs no escaping, since all
+// strings are from closed sets without characters that JSON escapes.
 func failureBody(o Outcome, reason Reason, retry string) []byte {
 	b := make([]byte, 0, 96)
 	b = append(b, `{"outcome":"`...)
--- a/internal/traffic/split.go
+++ b/internal/traffic/split.go
@@ -5,41 +5,42 @@
 	"sync"
 )
 
-// Splitter deals the requests of split routes out to their parts, each by its
-// weight. Safe for concurrent use.
+// Splitter distributes the requests of a split route among its destinations by
+// weight. It is safe for concurrent use.
 //
-// It is smooth weighted round robin: after n requests, no part is further than
-// one request from n times its share, so the shares of a few hundred requests
-// are exact however many hosts deal independently.
+// It uses smooth weighted round robin: after n requests, each destination is within
+// one request of n times its share. The split of a few hundred requests is therefore
+// accurate even if many hosts split them independently.
 type Splitter struct {
 	mu     sync.Mutex
 	routes map[RouteName]*splitState
 }
 
-// splitState is what a splitter remembers of one route.
+// splitState is the state of one route. current holds the destinations' current
+// weights of smooth weighted round robin.
 type splitState struct {
 	destinations []Destination
 	current      []float64
 }
 
-// NewSplitter returns a splitter that has dealt nothing.
+// NewSplitter returns a Splitter without routes.
 func NewSplitter() *Splitter {
 	return &Splitter{routes: make(map[RouteName]*splitState)}
 }
 
-// Next returns the part that the route's next request goes to.
+// Next returns the destination of the route's next request.
 func (s *Splitter) Next(r *Route) Destination {
 	if len(r.Destinations) == 1 {
 		return r.Destinations[0]
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.routes[r.Name]
-	if d == nil || !sameDestinations(d.destinations, r.Destinations) {
-		d = newSplitState(r.Destinations)
-		s.routes[r.Name] = d
+	state := s.routes[r.Name]
+	if state == nil || !sameDestinations(state.destinations, r.Destinations) {
+		state = newSplitState(r.Destinations)
+		s.routes[r.Name] = state
 	}
-	return d.next()
+	return state.next()
 }
 
 func sameDestinations(a, b []Destination) bool {
@@ -54,44 +55,44 @@
 	return true
 }
 
-// newSplitState starts at a random phase, so that hosts that start together do
-// not all send their first requests to the heaviest part.
-func newSplitState(parts []Destination) *splitState {
-	d := &splitState{destinations: parts, current: make([]float64, len(parts))}
-	for i, p := range parts {
-		d.current[i] = (rand.Float64() - 0.5) * p.Weight
+// newSplitState returns a state with a random phase, so that hosts that start at the
+// same time do not all send their first requests to the heaviest destination.
+func newSplitState(dests []Destination) *splitState {
+	s := &splitState{destinations: dests, current: make([]float64, len(dests))}
+	for i, dest := range dests {
+		s.current[i] = (rand.Float64() - 0.5) * dest.Weight
 	}
-	return d
+	return s
 }
 
-func (d *splitState) next() Destination {
+func (s *splitState) next() Destination {
 	var total float64
 	best := -1
-	for i, p := range d.destinations {
-		if p.Weight <= 0 {
-			continue // gets nothing, also where all others are in debt
+	for i, dest := range s.destinations {
+		if dest.Weight <= 0 {
+			continue // never chosen, even if all others have a negative current weight
 		}
-		d.current[i] += p.Weight
-		total += p.Weight
-		if best < 0 || d.current[i] > d.current[best] {
+		s.current[i] += dest.Weight
+		total += dest.Weight
+		if best < 0 || s.current[i] > s.current[best] {
 			best = i
 		}
 	}
 	if best < 0 {
-		return d.destinations[0]
+		return s.destinations[0]
 	}
-	d.current[best] -= total
-	return d.destinations[best]
+	s.current[best] -= total
+	return s.destinations[best]
 }
 
-// Prune forgets the routes that the configuration no longer has.
+// Prune drops the state of routes that are not in the configuration.
 func (s *Splitter) Prune(c *Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := make(map[RouteName]*splitState, len(s.routes))
 	for i := range c.Routes {
-		if d, ok := s.routes[c.Routes[i].Name]; ok {
-			kept[c.Routes[i].Name] = d
+		if state, ok := s.routes[c.Routes[i].Name]; ok {
+			kept[c.Routes[i].Name] = state
 		}
 	}
 	s.routes = kept
--- a/internal/traffic/table.go
+++ b/internal/traffic/table.go
@@ -15,7 +15,7 @@
 	services map[key.Service]*Service
 }
 
-// NewTable compiles the routes of a configuration.
+// NewTable returns the table of a configuration's routes.
 func NewTable(c *Config) *Table {
 	t := &Table{
 		config:   c,
@@ -36,11 +36,10 @@
 	return t
 }
 
-// Config returns the configuration that the table was made of.
+// Config returns the configuration that the table was made from.
 func (t *Table) Config() *Config { return t.config }
 
-// Find returns the route with the longest prefix that begins the path, among
-// those of the host, or nil.
+// Find returns the host's route with the longest prefix of the path, or nil.
 func (t *Table) Find(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -57,5 +56,5 @@
 	return nil
 }
 
-// Service returns a service of the configuration, or nil.
+// Service returns a service of the configuration by its name, or nil.
 func (t *Table) Service(name key.Service) *Service { return t.services[name] }
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic holds what operators open to everyone: services, and routes
-// that lead requests to them by host name and path prefix.
+// Package traffic holds the configuration of public traffic: services, and routes that
+// map requests to them by host name and path prefix.
 package traffic
 
 import (
@@ -19,60 +19,60 @@
 	Limits   Limits
 }
 
-// KeySpace tells how a service's work is divided among its targets.
+// KeySpace tells how a service's requests are divided among its targets.
 type KeySpace uint8
 
-// A keyless service takes a request at any target, a ranged one at the owner
-// of the range that the request's key lies in.
+// Any target of a Keyless service may take a request. A request to a Ranged service
+// goes to the owner of the range that contains its key.
 const (
 	Keyless KeySpace = iota
 	Ranged
 )
 
-// Service is a group of targets that do the same work.
+// Service is a group of targets that serve the same requests.
 type Service struct {
 	Name key.Service
 	Keys KeySpace
-	// MaxConnections is how many connections one target takes of all callers.
+	// MaxConnections bounds the connections of all hosts to one target.
 	MaxConnections int
-	// WarmUp is how long keys stay slow at an owner that took them without a
+	// WarmUp is how long keys stay cold at an owner that took them over without a
 	// handover.
 	WarmUp time.Duration
-	// HealthPath is the path of the targets' health page.
+	// HealthPath is the path of the targets' health check.
 	HealthPath string
 }
 
-// Destination is one service of a split route, with its share of the requests.
+// Destination is one service of a route and the weight of its share of the requests.
 type Destination struct {
 	Service key.Service
 	Weight  float64
 }
 
-// Priority ranks routes; 0 is the most urgent.
+// Priority is the priority of a route; 0 is the highest.
 type Priority int
 
-// RouteName names a route.
+// RouteName is the name of a route.
 type RouteName string
 
-// Route leads requests to one service, or to several by weight.
+// Route maps requests to one service, or splits them among several by weight.
 type Route struct {
 	Name RouteName
-	// Host is compared with the request's host name without its port.
+	// Host is the host name of the requests, without a port.
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix       string
 	Destinations []Destination
 	Idempotent   bool
-	// Timeout bounds a request from its arrival to its answer.
+	// Timeout bounds the time from a request's arrival to its response.
 	Timeout time.Duration
-	// LatencyObjective is the latency within which an answer is worth most.
+	// LatencyObjective is the latency up to which a response has its full utility.
 	LatencyObjective time.Duration
-	// MaxAttempts is how many targets one request may be sent to.
+	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
 	Priority    Priority
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bounds the size of a client's request and the time to receive it.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
