--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -14,20 +14,20 @@
 	"citrontray.example/citrontray/internal/grant"
 )
 
-// maxControlConnections is how many connections for orders one target sees of
-// one process; two let an order pass one that hangs.
+// maxControlConnections is how many connections for orders a process opens to one
+// target. With two, an order can pass one that hangs.
 const maxControlConnections = 2
 
-// controlIdleTimeout is how long an unused connection is kept; renewals come much
-// more often.
+// controlIdleTimeout is how long an idle connection is kept. Renewals are much more
+// frequent.
 const controlIdleTimeout = 30 * time.Second
 
-// HTTPControl carries orders over HTTP. It implements Control.
+// HTTPControl sends orders over HTTP. It implements Control.
 type HTTPControl struct {
 	client *http.Client
 }
 
-// NewControl returns a control whose orders take at most timeout.
+// NewControl returns an HTTPControl whose orders time out after timeout.
 func NewControl(timeout time.Duration) *HTTPControl {
 	return &HTTPControl{client: &http.Client{
 		Timeout: timeout,
@@ -40,44 +40,44 @@
 	}}
 }
 
-// Order implements Control. Any error leaves open whether the order took
+// Order implements Control. After an error, the order may or may not have taken
 // effect.
 func (c *HTTPControl) Order(ctx context.Context, addr netip.AddrPort, order grant.Order) (grant.Response, error) {
 	body, err := EncodeOrder(order)
 	if err != nil {
-		return grant.Response{}, oops.Wrapf(err, "target: encode the order")
+		return grant.Response{}, oops.Wrapf(err, "target: encode order")
 	}
 	url := "http://" + addr.String() + OrderPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return grant.Response{}, oops.Wrapf(err, "target: order for %s", addr)
+		return grant.Response{}, oops.Wrapf(err, "target: create order for %s", addr)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
 	if err != nil {
-		return grant.Response{}, oops.Wrapf(err, "target: order for %s", addr)
+		return grant.Response{}, oops.Wrapf(err, "target: send order to %s", addr)
 	}
 	defer response.Body.Close()
-	return readAnswer(response)
+	return readResponse(response)
 }
 
-// Close closes the kept connections.
+// Close closes the idle connections.
 func (c *HTTPControl) Close() { c.client.CloseIdleConnections() }
 
-func readAnswer(response *http.Response) (grant.Response, error) {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes+1))
+func readResponse(resp *http.Response) (grant.Response, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxMessageBytes+1))
 	if err != nil {
-		return grant.Response{}, oops.Wrapf(err, "target: read the answer")
+		return grant.Response{}, oops.Wrapf(err, "target: read response")
 	}
 	if len(body) > maxMessageBytes {
-		return grant.Response{}, fmt.Errorf("target: answer is longer than %d bytes", maxMessageBytes)
+		return grant.Response{}, fmt.Errorf("target: response is longer than %d bytes", maxMessageBytes)
 	}
-	if response.StatusCode != http.StatusOK {
-		return grant.Response{}, fmt.Errorf("target: order answered with status %d", response.StatusCode)
+	if resp.StatusCode != http.StatusOK {
+		return grant.Response{}, fmt.Errorf("target: order failed with status %d", resp.StatusCode)
 	}
-	answer, err := DecodeAnswer(body)
+	response, err := DecodeAnswer(body)
 	if err != nil {
-		return grant.Response{}, oops.Wrapf(err, "target: decode the answer")
+		return grant.Response{}, oops.Wrapf(err, "target: decode response")
 	}
-	return answer, nil
+	return response, nil
 }
--- a/internal/target/holdings.go
+++ b/internal/target/holdings.go
@@ -9,9 +9,9 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Holdings is a target's side of the rules of ownership: what it holds, until
-// when by its own clock, and which orders it takes. It does no I/O and reads
-// no clock; it is not safe for concurrent use.
+// Holdings is a target's state of ownership: the shards that it holds, the end of each
+// grant by its own clock, and which orders it accepts. It does no I/O and reads no
+// clock. It is not safe for concurrent use.
 type Holdings struct {
 	name        place.Target
 	service     key.Service
@@ -21,38 +21,39 @@
 	term     grant.Term
 	draining bool
 	rows     map[key.Shard]*holding
-	floors   map[key.Shard]grant.Epoch
-	// inFlight counts work by shard, of all epochs: work that outlives its
-	// grant must still end before a later release is confirmed.
+	// floors holds the lowest epoch that is still accepted for a shard.
+	floors map[key.Shard]grant.Epoch
+	// inFlight counts the work in flight by shard, of all epochs: work that outlives
+	// its grant must also end before a later release is confirmed.
 	inFlight map[key.Shard]int
 }
 
-// holding is one shard that the target was granted.
+// holding is the grant of one shard.
 type holding struct {
 	epoch     grant.Epoch
 	end       grant.Stamp
 	releasing bool
 }
 
-// HoldingsConfig names a target and the way it judges orders.
+// HoldingsConfig identifies a target and tells how it checks orders.
 type HoldingsConfig struct {
 	Target      place.Target
 	Service     key.Service
 	Incarnation place.Incarnation
-	// ChecksTerms tells whether orders of an older term are refused.
+	// ChecksTerms tells whether orders of a lower term are rejected.
 	ChecksTerms bool
 }
 
-// Holding is one shard that a target holds, as Each reports it.
+// Holding is one shard that a target holds, as List returns it.
 type Holding struct {
 	grant.ShardEpoch
-	// End is the reading of the target's clock at which the grant ends.
+	// End is when the grant ends, by the target's clock.
 	End grant.Stamp
-	// Releasing tells that no new work starts; work in flight goes on.
+	// Releasing tells that no new work starts; work in flight continues.
 	Releasing bool
 }
 
-// NewHoldings returns the holdings of a target that has just started: none.
+// NewHoldings returns empty holdings, those of a target that has just started.
 func NewHoldings(config HoldingsConfig) *Holdings {
 	return &Holdings{
 		name:        config.Target,
@@ -65,12 +66,12 @@
 	}
 }
 
-// SetDraining makes the answers tell that the target itself asks to leave.
+// SetDraining sets whether responses tell that the target is leaving.
 func (h *Holdings) SetDraining(draining bool) { h.draining = draining }
 
-// Apply takes one order at the reading now of the target's clock and returns
-// the answer. An order of a lower term, of another service or for another
-// incarnation changes nothing.
+// Apply applies an order at time now of the target's clock and returns the response.
+// An order of a lower term, of another service or for another incarnation changes
+// nothing.
 func (h *Holdings) Apply(now grant.Stamp, order grant.Order) grant.Response {
 	h.expire(now)
 	accepted := h.accepts(order)
@@ -80,10 +81,11 @@
 		h.release(order.Release)
 		full = !h.extend(now, order) || full
 	}
-	return h.answer(now, accepted, full)
+	return h.response(now, accepted, full)
 }
 
-// accepts reports whether the order's sender may order anything.
+// accepts reports whether the order is of this service and, if terms are checked, of
+// no lower term.
 func (h *Holdings) accepts(order grant.Order) bool {
 	if order.Service != h.service {
 		return false
@@ -91,13 +93,14 @@
 	return !h.checksTerms || order.Term >= h.term
 }
 
-// sameIncarnation reports whether the order is meant for this life of the target.
+// sameIncarnation reports whether the order is for this incarnation of the target, or
+// for any.
 func (h *Holdings) sameIncarnation(order grant.Order) bool {
 	return order.Incarnation == 0 || order.Incarnation == h.incarnation
 }
 
-// release stops new work on the shards. The floor rises at once, so that a
-// late renewal of the released epoch has no effect.
+// release stops new work on the shards. It raises their floors at once, so that a late
+// renewal of the released epoch has no effect.
 func (h *Holdings) release(shards []grant.ShardEpoch) {
 	for _, r := range shards {
 		h.raiseFloor(r.Shard, r.Epoch+1)
@@ -110,8 +113,8 @@
 	}
 }
 
-// extend makes and lengthens grants. It reports false where the order
-// relied on a digest of other holdings.
+// extend creates and extends grants. It returns false if the order's digest does not
+// match the holdings.
 func (h *Holdings) extend(now grant.Stamp, order grant.Order) bool {
 	if order.Incarnation == 0 {
 		return true
@@ -127,8 +130,8 @@
 	return matched
 }
 
-// extendAll lengthens every grant, where digest is that of the holdings with
-// or without those being released.
+// extendAll extends every grant if digest matches the holdings, with or without those
+// being released. It reports whether it matched.
 func (h *Holdings) extendAll(digest uint64, end grant.Stamp) bool {
 	if digest != grant.Digest(h.held(true)) && digest != grant.Digest(h.held(false)) {
 		return false
@@ -141,8 +144,8 @@
 	return true
 }
 
-// apply makes or lengthens one grant that ends at end. A renewal that was
-// read late may name an end that has passed: it then changes no ownership.
+// apply creates or extends one grant to end. An order that is read late may have an
+// end that has passed: it then creates no grant.
 func (h *Holdings) apply(now grant.Stamp, item grant.Item, end grant.Stamp) {
 	if item.Epoch < h.floors[item.Shard] {
 		return
@@ -162,13 +165,14 @@
 	h.rows[item.Shard] = &holding{epoch: item.Epoch, end: end}
 }
 
-// Owns reports whether new work for the shard at that epoch may start.
+// Owns reports whether new work for the shard may start at that epoch.
 func (h *Holdings) Owns(now grant.Stamp, shard key.Shard, epoch grant.Epoch) bool {
 	row := h.rows[shard]
 	return row != nil && row.epoch == epoch && row.end > now && !row.releasing
 }
 
-// Begin starts one piece of work, if Owns allows it. Call End after it.
+// Begin records the start of work on a shard if Owns allows it. The caller must call
+// End after the work.
 func (h *Holdings) Begin(now grant.Stamp, shard key.Shard, epoch grant.Epoch) bool {
 	if !h.Owns(now, shard, epoch) {
 		return false
@@ -177,7 +181,7 @@
 	return true
 }
 
-// End reports that work which Begin allowed has ended.
+// End records the end of work that Begin allowed.
 func (h *Holdings) End(shard key.Shard) {
 	if h.inFlight[shard]--; h.inFlight[shard] <= 0 {
 		delete(h.inFlight, shard)
@@ -187,7 +191,7 @@
 	}
 }
 
-// List returns what the target holds at now, sorted by shard.
+// List returns the holdings at time now, sorted by shard.
 func (h *Holdings) List(now grant.Stamp) []Holding {
 	out := make([]Holding, 0, len(h.rows))
 	for shard, row := range h.rows {
@@ -204,10 +208,10 @@
 	return out
 }
 
-// Term returns the highest term accepted so far.
+// Term returns the highest accepted term.
 func (h *Holdings) Term() grant.Term { return h.term }
 
-// expire drops the grants that have ended. The floors stay.
+// expire removes the grants that have ended. Their floors stay.
 func (h *Holdings) expire(now grant.Stamp) {
 	for shard, row := range h.rows {
 		if row.end <= now {
@@ -226,7 +230,8 @@
 	h.floors[shard] = max(h.floors[shard], epoch)
 }
 
-// held returns the holdings, sorted by shard.
+// held returns the shards held, with or without those being released, sorted by
+// shard.
 func (h *Holdings) held(releasing bool) []grant.ShardEpoch {
 	out := make([]grant.ShardEpoch, 0, len(h.rows))
 	for shard, row := range h.rows {
@@ -238,9 +243,9 @@
 	return out
 }
 
-func (h *Holdings) answer(now grant.Stamp, accepted, full bool) grant.Response {
+func (h *Holdings) response(now grant.Stamp, accepted, full bool) grant.Response {
 	held := h.held(true)
-	answer := grant.Response{
+	response := grant.Response{
 		Target:      h.name,
 		Incarnation: h.incarnation,
 		Clock:       now,
@@ -251,10 +256,10 @@
 		Draining:    h.draining,
 	}
 	if full {
-		answer.Held = held
-		answer.Floors = h.floorList()
+		response.Held = held
+		response.Floors = h.floorList()
 	}
-	return answer
+	return response
 }
 
 func (h *Holdings) floorList() []grant.ShardEpoch {
--- a/internal/target/holdings_test.go
+++ b/internal/target/holdings_test.go
@@ -31,15 +31,15 @@
 	tests := map[string]struct {
 		checksTerms bool
 		orders      []grant.Order
-		at          grant.Stamp // when the last order is read
-		owns        bool        // shard 1 at epoch 3, after the last order
+		at          grant.Stamp // time of the last order
+		owns        bool        // whether shard 1 is owned at epoch 3 after the last order
 	}{
 		"grant":                          {checksTerms: true, orders: []grant.Order{order(1, 10, granted(3))}, at: 20, owns: true},
-		"grant read after its end":       {checksTerms: true, orders: []grant.Order{order(1, 10, granted(3))}, at: 110},
+		"grant applied after its end":    {checksTerms: true, orders: []grant.Order{order(1, 10, granted(3))}, at: 110},
 		"extend creates nothing":         {checksTerms: true, orders: []grant.Order{order(1, 10, grant.Item{Shard: 1, Epoch: 3})}, at: 20},
 		"extend of an ended grant":       {checksTerms: true, orders: []grant.Order{order(1, 10, granted(3)), order(1, 150, grant.Item{Shard: 1, Epoch: 3})}, at: 160},
 		"lower epoch after a higher one": {checksTerms: true, orders: []grant.Order{order(1, 10, granted(4)), order(1, 10, granted(3))}, at: 20},
-		"lower term is fenced":           {checksTerms: true, orders: []grant.Order{order(2, 10), order(1, 10, granted(3))}, at: 20},
+		"lower term is rejected":         {checksTerms: true, orders: []grant.Order{order(2, 10), order(1, 10, granted(3))}, at: 20},
 		"lower term without checks":      {orders: []grant.Order{order(2, 10), order(1, 10, granted(3))}, at: 20, owns: true},
 		"other incarnation":              {checksTerms: true, orders: []grant.Order{{Service: "balance", Incarnation: 6, Anchor: 10, Duration: 100, Items: []grant.Item{granted(3)}}}, at: 20},
 		"other service":                  {checksTerms: true, orders: []grant.Order{{Service: "plans", Incarnation: 7, Anchor: 10, Duration: 100, Items: []grant.Item{granted(3)}}}, at: 20},
@@ -69,24 +69,24 @@
 	h.Apply(10, order(1, 10, granted(3)))
 	assert.Assert(t, h.Begin(11, 1, 3))
 	release := grant.Order{Service: "balance", Term: 1, Incarnation: 7, Release: []grant.ShardEpoch{{Shard: 1, Epoch: 3}}}
-	answer := h.Apply(12, release)
-	assert.Equal(t, len(answer.Held), 1)
+	response := h.Apply(12, release)
+	assert.Equal(t, len(response.Held), 1)
 	assert.Assert(t, !h.Begin(13, 1, 3))
 	h.End(1)
-	answer = h.Apply(14, release)
-	assert.Equal(t, len(answer.Held), 0)
-	assert.DeepEqual(t, answer.Floors, []grant.ShardEpoch{{Shard: 1, Epoch: 4}})
+	response = h.Apply(14, release)
+	assert.Equal(t, len(response.Held), 0)
+	assert.DeepEqual(t, response.Floors, []grant.ShardEpoch{{Shard: 1, Epoch: 4}})
 }
 
 func TestHoldingsExtendAllNeedsTheDigest(t *testing.T) {
 	h := newHoldings(true)
-	answer := h.Apply(10, order(1, 10, granted(3)))
+	response := h.Apply(10, order(1, 10, granted(3)))
 	all := order(1, 50)
 	all.ExtendAll = true
-	all.Digest = answer.Digest + 1
+	all.Digest = response.Digest + 1
 	assert.Assert(t, h.Apply(60, all).Full)
 	assert.Assert(t, !h.Owns(120, 1, 3))
-	all.Digest = answer.Digest
+	all.Digest = response.Digest
 	assert.Assert(t, !h.Apply(61, all).Full)
 	assert.Assert(t, h.Owns(120, 1, 3))
 }
@@ -100,13 +100,13 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, sent)
 
-	answer := newHoldings(true).Apply(10, order(1, 10, granted(3)))
-	answer.Held, answer.Floors = []grant.ShardEpoch{{Shard: 1, Epoch: 3}}, []grant.ShardEpoch{{Shard: 1, Epoch: 3}}
-	body, err = target.EncodeAnswer(answer)
+	response := newHoldings(true).Apply(10, order(1, 10, granted(3)))
+	response.Held, response.Floors = []grant.ShardEpoch{{Shard: 1, Epoch: 3}}, []grant.ShardEpoch{{Shard: 1, Epoch: 3}}
+	body, err = target.EncodeAnswer(response)
 	assert.NilError(t, err)
-	back, err := target.DecodeAnswer(body)
+	decoded, err := target.DecodeAnswer(body)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, back, answer)
+	assert.DeepEqual(t, decoded, response)
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/target/order.go
+++ b/internal/target/order.go
@@ -11,16 +11,16 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// FencingToken orders the owners of a point: a target refuses an order on points for
-// which it has seen a higher one.
+// FencingToken orders the owners of a point. A target rejects an order for points for
+// which it has seen a higher token.
 type FencingToken uint64
 
-// Handover is what a target hands on with the points that it released; the
-// next owner that gets it starts warm.
+// Handover is opaque state that a target returns for points that it released. The next
+// owner starts warm if it gets it.
 type Handover string
 
-// Grant lets a target own a range for Hold, counted by the target from the
-// arrival of the order. The same order again renews it.
+// Grant lets a target own a range for Duration, which the target counts from the
+// arrival of the order. Sending the same order again renews it.
 type Grant struct {
 	Range        key.Range
 	FencingToken FencingToken
@@ -28,29 +28,29 @@
 	Handover     Handover
 }
 
-// Release takes a range, or a part of one, back at once. It is answered when
-// the work that was running there has ended.
+// Release revokes the ownership of a range, or of a part of one, at once. The response
+// comes after the work in flight there has ended.
 type Release struct {
 	Range        key.Range
 	FencingToken FencingToken
 }
 
 var (
-	// ErrFenced is returned where the target has seen a higher fence.
-	ErrFenced = errors.New("target: has seen a higher fence")
-	// ErrMisdirected is returned where another target has the address now.
-	ErrMisdirected = errors.New("target: another target has the address")
-	// ErrRejected is returned where whoever has the address takes no such
-	// order.
-	ErrRejected = errors.New("target: takes no such order")
-	// ErrNotSent is returned where the order certainly did not reach anyone.
+	// ErrFenced is returned if the target has seen a higher fencing token.
+	ErrFenced = errors.New("target: fenced by a higher fencing token")
+	// ErrMisdirected is returned if another target has the address now.
+	ErrMisdirected = errors.New("target: address belongs to another target")
+	// ErrRejected is returned if the process at the address does not accept such
+	// orders.
+	ErrRejected = errors.New("target: order not supported at this address")
+	// ErrNotSent is returned if the order certainly reached no process.
 	ErrNotSent = errors.New("target: order not sent")
-	// ErrUnanswered is returned where the order may have taken effect, or may
-	// take effect later.
-	ErrUnanswered = errors.New("target: order not answered")
-	// ErrDuplicateResponse tells that an answer came more than once. Answers do not say which order they
-	// are to, so all orders on the connection count as unanswered.
-	ErrDuplicateResponse = fmt.Errorf("%w: answers came twice", ErrUnanswered)
+	// ErrUnanswered is returned if the order may have taken effect, or may still take
+	// effect.
+	ErrUnanswered = errors.New("target: no response to order")
+	// ErrDuplicateResponse is returned if a response came more than once. Responses
+	// don't identify their order, so all orders on the connection count as unanswered.
+	ErrDuplicateResponse = fmt.Errorf("%w: duplicate response", ErrUnanswered)
 )
 
 // OrderDialer opens connections for orders to targets that own ranges.
@@ -58,14 +58,14 @@
 	Dial(ctx context.Context, addr netip.AddrPort, to place.Target) (OrderConn, error)
 }
 
-// OrderConn is one connection to one life of a target: an answer on it proves
-// that this life has not ended since it was opened. One order at a time. After
-// an error other than ErrFenced, ErrMisdirected and ErrRejected it must be closed, which
-// also destroys what has not arrived yet.
+// OrderConn is a connection to one incarnation of a target: a response on it proves
+// that the incarnation has not ended since the connection was opened. It carries one
+// order at a time. After an error other than ErrFenced, ErrMisdirected and ErrRejected
+// it must be closed, which also discards what has not arrived yet.
 type OrderConn interface {
 	Grant(ctx context.Context, g Grant) error
 	Release(ctx context.Context, r Release) (Handover, error)
-	// Leaving reports whether the target has said in an answer that it stops soon.
+	// Leaving reports whether a response signaled that the target is leaving.
 	Leaving() bool
 	Close() error
 }
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -1,6 +1,5 @@
-// Package target is the one place that meets the targets: orders of ownership
-// and the headers of forwarded requests. Changing the targets' protocol
-// touches this package alone.
+// Package target defines the protocol with the targets: ownership orders and the
+// headers of forwarded requests. No other package knows it.
 package target
 
 import (
@@ -11,68 +10,69 @@
 	"citrontray.example/citrontray/internal/grant"
 )
 
-// Headers of a forwarded request and of its answer.
+// Headers of a forwarded request and of its response.
 const (
-	// HeaderService, HeaderShard and HeaderEpoch name what the request needs.
+	// HeaderService, HeaderShard and HeaderEpoch identify the grant that the request
+	// needs.
 	HeaderService = "Citrontray-Service"
 	HeaderShard   = "Citrontray-Shard"
 	HeaderEpoch   = "Citrontray-Epoch"
-	// HeaderRequest is the request's id; the answer carries it back.
+	// HeaderRequest carries the request's id, also in the response.
 	HeaderRequest = "Citrontray-Request"
-	// HeaderDeadline is the time left, in milliseconds.
+	// HeaderDeadline carries the time to the deadline, in milliseconds.
 	HeaderDeadline = "Citrontray-Deadline"
 	// HeaderIdempotency carries the caller's idempotency key.
 	HeaderIdempotency = "Idempotency-Key"
-	// HeaderNotRun is set by a target on an answer that refuses the request
-	// and guarantees that nothing ran. Its value is a Refusal.
+	// HeaderNotRun is set by a target in a response that refuses the request and
+	// guarantees that it did not run. Its value is a Refusal.
 	HeaderNotRun = "Citrontray-Not-Run"
 )
 
-// Refusal is the reason in HeaderNotRun.
+// Refusal is the value of HeaderNotRun.
 type Refusal string
 
 // The reasons for which a target refuses a request without running it.
 const (
-	RefusalOwner    Refusal = "owner"    // does not hold the shard at that epoch
+	RefusalOwner    Refusal = "owner"    // the target does not hold the shard at that epoch
 	RefusalBusy     Refusal = "busy"     // no free slot
-	RefusalDeadline Refusal = "deadline" // deadline passed on arrival
+	RefusalDeadline Refusal = "deadline" // the deadline had passed on arrival
 	RefusalDraining Refusal = "draining"
 )
 
-// HeaderNames are the header names that are spoken with targets whose requests name
-// a key or nothing in place of a shard, and with their clients. An empty name
+// HeaderNames holds the header names of a protocol without shards, in which requests
+// name a key or nothing. Targets and their clients use the same names. An empty name
 // stands for a header that the protocol does not have.
 type HeaderNames struct {
-	// Request is the id of a request; the answer carries it back.
+	// Request carries the request's id, also in the response.
 	Request string
-	// Deadline is the time left, in milliseconds.
+	// Deadline carries the time to the deadline, in milliseconds.
 	Deadline string
-	// Key is the number of the key in a ranged key space.
+	// Key carries the number of the key in a ranged key space.
 	Key string
-	// Expect names the only target that may take the request.
+	// Expect names the only target that may run the request.
 	Expect string
-	// Target names the target that answers.
+	// Target names the target that responds.
 	Target string
-	// NotRun marks an answer that guarantees that nothing ran.
+	// NotRun marks a response that guarantees that the request did not run.
 	NotRun string
-	// Stamp is the target's own mark on what it answered.
+	// Stamp is set by the target in every successful response.
 	Stamp string
-	// Handover carries what a target hands on with released keys.
+	// Handover carries a Handover.
 	Handover string
-	// Leaving is "1" in all answers of a target that stops soon.
+	// Leaving is "1" in every response of a target that is leaving.
 	Leaving string
 }
 
-// Signal is what a target asks of the host that it answers, beside the answer.
+// Signal is what a target's response tells the host about further requests.
 type Signal struct {
-	// Leaving: it stops soon and wants no new work.
+	// Leaving tells that the target stops soon and should get no new requests.
 	Leaving bool
-	// Pause is how long it wants no request from this host, after it has turned one
-	// away; zero for none.
+	// Pause is how long this host should send no requests after a refused one; zero
+	// for none.
 	Pause time.Duration
 }
 
-// DefaultHeaderNames are the names of the product's own protocol.
+// DefaultHeaderNames returns the names of Citrontray's own protocol.
 func DefaultHeaderNames() *HeaderNames {
 	return &HeaderNames{
 		Request:  HeaderRequest,
@@ -86,8 +86,8 @@
 	}
 }
 
-// Control carries orders of ownership to targets.
+// Control sends ownership orders to targets.
 type Control interface {
-	// Order sends one order and waits for the answer.
+	// Order sends an order and waits for the response.
 	Order(ctx context.Context, addr netip.AddrPort, order grant.Order) (grant.Response, error)
 }
--- a/internal/target/wire.go
+++ b/internal/target/wire.go
@@ -9,11 +9,11 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// OrderPath is where targets take orders of ownership.
+// OrderPath is the URL path at which targets accept ownership orders.
 const OrderPath = "/citrontray/order"
 
-// maxMessageBytes bounds an order and an answer: 64 Ki shards of about 30
-// bytes each.
+// maxMessageBytes bounds an order and a response: 64 Ki shards of about 30 bytes
+// each.
 const maxMessageBytes = 2 << 20
 
 // wireHeld is (shard, epoch); wireItem is (shard, epoch, kind).
@@ -22,7 +22,7 @@
 	wireItem [3]uint64
 )
 
-// wireOrder is an order in JSON. Durations and stamps are in nanoseconds.
+// wireOrder is the JSON form of an order. Durations and stamps are in nanoseconds.
 type wireOrder struct {
 	Service     string     `json:"service"`
 	Zone        string     `json:"zone"`
@@ -37,8 +37,8 @@
 	Release     []wireHeld `json:"release,omitempty"`
 }
 
-// wireAnswer is an answer in JSON.
-type wireAnswer struct {
+// wireResponse is the JSON form of a response.
+type wireResponse struct {
 	Target      string     `json:"target"`
 	Incarnation uint64     `json:"incarnation"`
 	Clock       int64      `json:"clock"`
@@ -51,7 +51,7 @@
 	Draining    bool       `json:"draining,omitempty"`
 }
 
-// EncodeOrder returns the order as it travels.
+// EncodeOrder encodes an order in JSON.
 func EncodeOrder(order grant.Order) ([]byte, error) {
 	items := make([]wireItem, len(order.Items))
 	for i, item := range order.Items {
@@ -72,7 +72,7 @@
 	})
 }
 
-// DecodeOrder reads an order; the error tells that body is none.
+// DecodeOrder decodes an order. It returns an error if body is not a valid one.
 func DecodeOrder(body []byte) (grant.Order, error) {
 	var w wireOrder
 	if err := json.Unmarshal(body, &w); err != nil {
@@ -97,25 +97,25 @@
 	}, nil
 }
 
-// EncodeAnswer returns the answer as it travels.
-func EncodeAnswer(answer grant.Response) ([]byte, error) {
-	return json.Marshal(wireAnswer{
-		Target:      string(answer.Target),
-		Incarnation: uint64(answer.Incarnation),
-		Clock:       int64(answer.Clock),
-		Term:        uint64(answer.Term),
-		Accepted:    answer.Accepted,
-		Digest:      answer.Digest,
-		Full:        answer.Full,
-		Held:        toWire(answer.Held),
-		Floors:      toWire(answer.Floors),
-		Draining:    answer.Draining,
+// EncodeAnswer encodes a response in JSON.
+func EncodeAnswer(response grant.Response) ([]byte, error) {
+	return json.Marshal(wireResponse{
+		Target:      string(response.Target),
+		Incarnation: uint64(response.Incarnation),
+		Clock:       int64(response.Clock),
+		Term:        uint64(response.Term),
+		Accepted:    response.Accepted,
+		Digest:      response.Digest,
+		Full:        response.Full,
+		Held:        toWire(response.Held),
+		Floors:      toWire(response.Floors),
+		Draining:    response.Draining,
 	})
 }
 
-// DecodeAnswer reads an answer; the error tells that body is none.
+// DecodeAnswer decodes a response. It returns an error if body is not a valid one.
 func DecodeAnswer(body []byte) (grant.Response, error) {
-	var w wireAnswer
+	var w wireResponse
 	if err := json.Unmarshal(body, &w); err != nil {
 		return grant.Response{}, err
 	}
