--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -10,23 +10,23 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Bounds of what a caller sends, in bytes.
+// Limits of what a caller sends.
 const (
 	maxCredentialBytes = 512
 	maxPathBytes       = 2048
 	maxKeyBytes        = 256
 )
 
-// reservedPrefix starts the paths on which targets take orders of ownership; no
-// caller may reach them through a route such as /{any}/{key}.
+// reservedPrefix is the prefix of the paths on which targets accept ownership orders.
+// No caller may reach them through a route such as /{any}/{key}.
 const reservedPrefix = "/citrontray"
 
-// bearerPrefix starts the value of the Authorization header.
+// bearerPrefix is the authentication scheme in the Authorization header.
 const bearerPrefix = "Bearer "
 
-// caller returns the caller whose credential the request carries, or nil.
-// The credential is compared by its hash alone, so the time that the lookup
-// takes tells nothing of it.
+// caller returns the caller whose credential the request carries, or nil. It looks the
+// credential up by its hash, so that the time it takes reveals nothing about the
+// credential.
 func (t *Table) caller(h http.Header) *Caller {
 	values := h["Authorization"]
 	if len(values) != 1 || !strings.HasPrefix(values[0], bearerPrefix) {
@@ -39,9 +39,9 @@
 	return t.callers[sha256.Sum256([]byte(credential))]
 }
 
-// canonicalPath returns the path as it was sent, if it is in its plain form: no
-// empty, "." or ".." part, no encoded slash, no backslash, nothing encoded
-// that need not be. "/a/%2e%2e/b" and "/a//b" are not plain.
+// canonicalPath returns the escaped path and whether it is in canonical form: no empty,
+// "." or ".." segment, no encoded slash, no backslash, and no needless escape.
+// "/a/%2e%2e/b" and "/a//b" are not canonical.
 func canonicalPath(r *http.Request) (string, bool) {
 	path := r.URL.EscapedPath()
 	if len(path) < 2 || len(path) > maxPathBytes || path[0] != '/' || r.URL.Opaque != "" || r.URL.Host != "" {
@@ -50,27 +50,27 @@
 	if len(path) >= len(reservedPrefix) && strings.EqualFold(path[:len(reservedPrefix)], reservedPrefix) {
 		return "", false
 	}
-	for text := range strings.SplitSeq(path[1:], "/") {
-		if !canonicalSegment(text) {
+	for segment := range strings.SplitSeq(path[1:], "/") {
+		if !canonicalSegment(segment) {
 			return "", false
 		}
 	}
 	return path, true
 }
 
-func canonicalSegment(text string) bool {
-	if text == "" || text == "." || text == ".." {
+func canonicalSegment(segment string) bool {
+	if segment == "" || segment == "." || segment == ".." {
 		return false
 	}
-	for i := 0; i < len(text); i++ {
-		b := text[i]
+	for i := 0; i < len(segment); i++ {
+		b := segment[i]
 		if b != '%' {
 			if !pathByte(b) {
 				return false
 			}
 			continue
 		}
-		decoded, ok := decodeEscape(text[i:])
+		decoded, ok := decodeEscape(segment[i:])
 		if !ok || pathByte(decoded) || forbiddenByte(decoded) {
 			return false
 		}
@@ -79,7 +79,7 @@
 	return true
 }
 
-// pathByte reports whether a byte stands in a path as itself.
+// pathByte reports whether a byte stands unescaped in a canonical path.
 func pathByte(b byte) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
@@ -88,18 +88,18 @@
 	return strings.IndexByte("-._~!$&'()*+,=:@", b) >= 0
 }
 
-// forbiddenByte reports whether a byte must not stand in a path even encoded.
+// forbiddenByte reports whether a path must not contain a byte, even escaped.
 func forbiddenByte(b byte) bool {
 	return b < ' ' || b == 0x7f || b == '/' || b == '\\' || b == '%' || b == ';'
 }
 
-// decodeEscape reads %XX with capital hexadecimal digits, the one plain form.
-func decodeEscape(text string) (byte, bool) {
-	if len(text) < 3 {
+// decodeEscape decodes %XX with upper-case hexadecimal digits, its canonical form.
+func decodeEscape(escape string) (byte, bool) {
+	if len(escape) < 3 {
 		return 0, false
 	}
-	high, ok1 := hexDigit(text[1])
-	low, ok2 := hexDigit(text[2])
+	high, ok1 := hexDigit(escape[1])
+	low, ok2 := hexDigit(escape[2])
 	return high<<4 | low, ok1 && ok2
 }
 
@@ -113,15 +113,15 @@
 	return 0, false
 }
 
-// key returns the request's key. It must be there once, be valid UTF-8
-// without control characters, and be below the route's key prefix.
-func (c *compiledRoute) key(r *http.Request, inPath string) (string, bool) {
+// key returns the request's key. It must occur once, be valid UTF-8 without control
+// characters, and start with the route's key prefix.
+func (c *compiledRoute) key(r *http.Request, escapedKey string) (string, bool) {
 	var k string
 	var ok bool
 	switch c.route.KeySource {
 	case settings.KeyInPath:
 		var err error
-		k, err = url.PathUnescape(inPath)
+		k, err = url.PathUnescape(escapedKey)
 		ok = err == nil
 	case settings.KeyInQuery:
 		k, ok = queryKey(r.URL.RawQuery, c.route.KeyName)
@@ -137,8 +137,8 @@
 	return k, ok && validKey(k) && strings.HasPrefix(k, c.route.KeyPrefix)
 }
 
-// queryKey returns a parameter that must stand in the query exactly once, in
-// any case: a target may read "Span" and "span" as the same.
+// queryKey returns a query parameter. Its name must occur exactly once regardless of
+// case, since a target may treat "Span" and "span" as the same.
 func queryKey(raw, name string) (string, bool) {
 	values, err := url.ParseQuery(raw)
 	if err != nil || len(values[name]) != 1 {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,8 +1,8 @@
-// Package route maps a caller's request onto a service, a key and a class.
+// Package route maps a caller's request to a service, a key and a class.
 //
-// A path is taken as it stands: it must be in its one plain form. Nothing is
-// cleaned or redirected, since a form that this package and a target read
-// differently would let a caller reach another's keys.
+// A path must be in canonical form. It is neither cleaned nor redirected: a path that
+// this package and a target interpret differently would let a caller reach the keys
+// of another.
 package route
 
 import (
@@ -15,7 +15,7 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Match is where a request leads.
+// Match is the result of routing a request.
 type Match struct {
 	Caller  *Caller
 	Route   *settings.Route
@@ -30,15 +30,15 @@
 	routes []*compiledRoute
 }
 
-// compiledRoute is a route with its path split into parts.
+// compiledRoute is a route with its service and the segments of its path pattern.
 type compiledRoute struct {
 	route    *settings.Route
 	service  *settings.Service
 	segments []segment
 }
 
-// segment is one part of a path pattern: a literal, or the place of the key or of
-// any other value.
+// segment is one segment of a path pattern: a literal, or a placeholder for the key or
+// for any other value.
 type segment struct {
 	literal string
 	isKey   bool
@@ -50,19 +50,19 @@
 	callers map[[sha256.Size]byte]*Caller
 }
 
-// New compiles the routes of accepted settings. Routes to services that are
-// not there lead nowhere.
+// New compiles the routes of accepted settings. Routes to unknown services are
+// ignored.
 func New(s *settings.Settings) *Table {
 	t := &Table{callers: make(map[[sha256.Size]byte]*Caller, len(s.Callers))}
 	byName := make(map[settings.Caller]*Caller, len(s.Callers))
 	for i := range s.Callers {
-		c := &Caller{CallerRow: s.Callers[i]}
-		byName[c.Name] = c
-		t.callers[c.CredentialHash] = c
+		caller := &Caller{CallerRow: s.Callers[i]}
+		byName[caller.Name] = caller
+		t.callers[caller.CredentialHash] = caller
 	}
 	for i := range s.Limits {
-		if c := byName[s.Limits[i].Caller]; c != nil {
-			c.Limits = append(c.Limits, s.Limits[i])
+		if caller := byName[s.Limits[i].Caller]; caller != nil {
+			caller.Limits = append(caller.Limits, s.Limits[i])
 		}
 	}
 	for i := range s.Routes {
@@ -72,15 +72,15 @@
 }
 
 func (t *Table) addRoute(s *settings.Settings, r *settings.Route, byName map[settings.Caller]*Caller) {
-	at := slices.IndexFunc(s.Services, func(v settings.Service) bool { return v.Name == r.Service })
-	if at < 0 {
+	i := slices.IndexFunc(s.Services, func(svc settings.Service) bool { return svc.Name == r.Service })
+	if i < 0 {
 		return
 	}
 	parts, ok := parsePattern(r.Path)
 	if !ok {
 		return
 	}
-	c := &compiledRoute{route: r, service: &s.Services[at], segments: parts}
+	c := &compiledRoute{route: r, service: &s.Services[i], segments: parts}
 	for _, name := range r.Callers {
 		if caller := byName[name]; caller != nil {
 			caller.routes = append(caller.routes, c)
@@ -88,7 +88,7 @@
 	}
 }
 
-// parsePattern reads a pattern such as /balance/{key}.
+// parsePattern parses a path pattern such as /balance/{key}.
 func parsePattern(pattern string) ([]segment, bool) {
 	if !strings.HasPrefix(pattern, "/") {
 		return nil, false
@@ -107,8 +107,8 @@
 	return parts, true
 }
 
-// Find returns where a request leads, or the reason why nowhere. Callers
-// learn nothing of routes that are not theirs: those do not exist for them.
+// Find returns the match of a request, or the reason why there is none. It only
+// considers the caller's own routes, so that callers learn nothing about others.
 func (t *Table) Find(r *http.Request) (Match, outcome.Reason) {
 	caller := t.caller(r.Header)
 	if caller == nil {
@@ -125,7 +125,7 @@
 	m := Match{Caller: c}
 	reason := outcome.NoRoute
 	for _, candidate := range c.routes {
-		inPath, ok := candidate.matchPath(path)
+		escapedKey, ok := candidate.matchPath(path)
 		if !ok {
 			continue
 		}
@@ -133,18 +133,18 @@
 			reason = closerMatch(reason, outcome.Method)
 			continue
 		}
-		k, ok := candidate.key(r, inPath)
+		foundKey, ok := candidate.key(r, escapedKey)
 		if !ok {
 			reason = closerMatch(reason, outcome.BadKey)
 			continue
 		}
-		m.Route, m.Service, m.Key = candidate.route, candidate.service, k
+		m.Route, m.Service, m.Key = candidate.route, candidate.service, foundKey
 		return m, ""
 	}
 	return m, reason
 }
 
-// closerMatch keeps the reason that got furthest.
+// closerMatch returns the reason of the candidate that matched more of the request.
 func closerMatch(a, b outcome.Reason) outcome.Reason {
 	if a == outcome.BadKey || b == outcome.NoRoute {
 		return a
@@ -152,11 +152,11 @@
 	return b
 }
 
-// matchPath compares a plain path with the pattern; it returns the key part
-// as it stands in the path.
+// matchPath matches a canonical path with the pattern. It returns the segment that
+// holds the key, still escaped.
 func (c *compiledRoute) matchPath(path string) (string, bool) {
 	rest := path[1:]
-	inPath := ""
+	escapedKey := ""
 	for i := range c.segments {
 		text, after, more := strings.Cut(rest, "/")
 		if more == (i == len(c.segments)-1) {
@@ -165,7 +165,7 @@
 		p := &c.segments[i]
 		switch {
 		case p.isKey:
-			inPath = text
+			escapedKey = text
 		case p.isAny:
 			if text == "" {
 				return "", false
@@ -175,5 +175,5 @@
 		}
 		rest = after
 	}
-	return inPath, true
+	return escapedKey, true
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,7 +15,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// newTable has two partners that share a service, each with its key prefix.
+// newTable returns a table with two partners that share a service, each with its own
+// key prefix.
 func newTable() *route.Table {
 	partner := func(name settings.Caller, prefix string) settings.Route {
 		return settings.Route{
@@ -37,13 +38,13 @@
 	})
 }
 
-// request parses a request as the server does.
+// request parses a request with net/http's reader, as the server does.
 func request(t testing.TB, method, target, credential string, header ...string) *http.Request {
 	t.Helper()
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s\r\n", method, target, credential, strings.Join(header, ""))
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
-		t.Skip("the server's parser refuses it")
+		t.Skip("rejected by the parser of the server")
 	}
 	return r
 }
@@ -66,8 +67,8 @@
 		"method":                   {"POST", "/span/north-1", "n", nil, "", outcome.Method},
 		"no route":                 {"GET", "/spans/north-1", "n", nil, "", outcome.NoRoute},
 		"path in another case":     {"GET", "/Span/north-1", "n", nil, "", outcome.NoRoute},
-		"more parts":               {"GET", "/span/north-1/x", "n", nil, "", outcome.NoRoute},
-		"fewer parts":              {"GET", "/span", "n", nil, "", outcome.NoRoute},
+		"more segments":            {"GET", "/span/north-1/x", "n", nil, "", outcome.NoRoute},
+		"fewer segments":           {"GET", "/span", "n", nil, "", outcome.NoRoute},
 		"trailing slash":           {"GET", "/span/north-1/", "n", nil, "", outcome.BadPath},
 		"double slash":             {"GET", "//span/north-1", "n", nil, "", outcome.BadPath},
 		"dots":                     {"GET", "/x/../span/north-1", "n", nil, "", outcome.BadPath},
@@ -81,7 +82,7 @@
 		"encoded zero":             {"GET", "/span/north-1%00", "n", nil, "", outcome.BadPath},
 		"bad UTF-8":                {"GET", "/span/north-%FF", "n", nil, "", outcome.BadKey},
 		"absolute form":            {"GET", "http://other/span/north-1", "n", nil, "", outcome.BadPath},
-		"order of ownership":       {"POST", "/citrontray/order", "n", nil, "", outcome.BadPath},
+		"ownership order":          {"POST", "/citrontray/order", "n", nil, "", outcome.BadPath},
 		"query key":                {"GET", "/search?span=north-1", "n", nil, "north-1", ""},
 		"query key twice":          {"GET", "/search?span=north-1&span=south-1", "n", nil, "", outcome.BadKey},
 		"query key in two cases":   {"GET", "/search?span=north-1&Span=south-1", "n", nil, "", outcome.BadKey},
@@ -103,8 +104,8 @@
 	}
 }
 
-// FuzzFind: whatever the path, a caller reaches keys below its own prefix
-// alone, and nothing panics.
+// FuzzFind checks that with any path and header, a caller reaches only keys with its
+// own prefix, and that nothing panics.
 func FuzzFind(f *testing.F) {
 	for _, target := range []string{"/span/north-1", "/span/north-1%2F..%2Fsouth-1", "/search?span=south-1", "/span/../x", "/%", "*"} {
 		f.Add(target, "Span: north-1\r\n")
