--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// maxHeaderBytes bounds the status line and headers of an answer.
+	// maxHeaderBytes bounds the status line and headers of a response.
 	maxHeaderBytes = 64 << 10
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
-	// maxInterimResponses bounds the 1xx answers before the final one.
+	// maxInterimResponses bounds the responses that are read until the final one, that
+	// one included.
 	maxInterimResponses = 4
 )
 
-// conn is one connection to a target; one request at a time uses it.
+// conn is a connection to a target. It carries one request at a time.
 type conn struct {
 	net.Conn
 	raw      syscall.RawConn
 	br       *bufio.Reader
 	limit    io.LimitedReader
 	writeBuf []byte
-	request  http.Request // what ReadResponse wants to know of the request
+	request  http.Request // for http.ReadResponse: the method of the current request
 	broken   bool
-	// idleSince is when its last request ended; zero for a new connection.
+	// idleSince is when the last request ended; zero for a new connection.
 	idleSince time.Time
 }
 
-// idleFor returns how long the connection has been idle, zero for a new one.
+// idleFor returns how long the connection has been idle, or zero for a new one.
 func (c *conn) idleFor(now time.Time) time.Duration {
 	if c.idleSince.IsZero() {
 		return 0
@@ -49,14 +50,15 @@
 	k := &conn{Conn: c}
 	k.limit.R = c
 	k.br = bufio.NewReaderSize(&k.limit, readBufferBytes)
-	if s, ok := c.(syscall.Conn); ok {
-		k.raw, _ = s.SyscallConn()
+	if sc, ok := c.(syscall.Conn); ok {
+		k.raw, _ = sc.SyscallConn()
 	}
 	return k
 }
 
-// reusable reports whether a kept connection is still open and silent. Bytes that
-// wait on it are a late or doubled answer: the connection is not used again.
+// reusable reports whether an idle connection is still open, with no bytes to read.
+// Such bytes are a late or duplicate response, after which a connection must not be
+// used again.
 func (c *conn) reusable() bool {
 	if c.broken || c.br.Buffered() > 0 {
 		return false
@@ -64,42 +66,42 @@
 	return c.raw == nil || Idle(c.raw)
 }
 
-// ReadState is what a read of a connection would find now.
+// ReadState is the result that a read of a connection would have now.
 type ReadState uint8
 
-// PendingNothing is an open connection without bytes to read, PendingBytes one
-// with some, PendingEnd one that the other side has ended or that has failed.
+// ReadBlocks stands for an open connection without bytes to read, ReadData for one with
+// bytes to read, ReadClosed for one that the peer has closed or that has failed.
 const (
 	ReadBlocks ReadState = iota
 	ReadData
 	ReadClosed
 )
 
-// Peek returns what a read of a connection would find. It does not wait, also
-// where another goroutine is reading.
+// Peek returns the ReadState of a connection. It does not block, even while another
+// goroutine reads from the connection.
 func Peek(raw syscall.RawConn) ReadState {
-	found := ReadClosed
+	state := ReadClosed
 	err := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			found = ReadBlocks
+			state = ReadBlocks
 		case err == nil && n > 0:
-			found = ReadData
+			state = ReadData
 		}
 	})
 	if err != nil {
 		return ReadClosed
 	}
-	return found
+	return state
 }
 
-// Idle reports whether a connection is open and no bytes wait on it.
+// Idle reports whether a connection is open and has no bytes to read.
 func Idle(raw syscall.RawConn) bool { return Peek(raw) == ReadBlocks }
 
-// roundTrip sends a request and reads its answer. After anything but a whole answer
-// the connection is broken and must be closed.
+// roundTrip sends a request and reads its response. Unless the response is complete,
+// the connection is broken afterwards and must be closed.
 func (c *conn) roundTrip(r *Request, host string, now time.Time) Result {
 	c.broken = true
 	c.writeBuf = appendHead(c.writeBuf[:0], r, host, r.Deadline.Sub(now))
@@ -109,7 +111,7 @@
 	c.writeBuf = append(c.writeBuf, r.Body...)
 	n, err := c.Write(c.writeBuf)
 	if cap(c.writeBuf) > readBufferBytes {
-		c.writeBuf = nil // a large body's buffer is not kept per connection
+		c.writeBuf = nil // don't keep a large body's buffer
 	}
 	if err != nil && n == 0 {
 		return NotSent{Err: err}
@@ -128,13 +130,13 @@
 	}
 	defer c.closeBody(resp)
 	if ids := resp.Header[target.HeaderRequest]; len(ids) != 1 || ids[0] != r.ID {
-		return Uncertain{Reason: outcome.AnswerWrong, Err: errors.New("forward: answer to another request")}
+		return Uncertain{Reason: outcome.AnswerWrong, Err: errors.New("forward: response to another request")}
 	}
 	if !framed(resp) {
-		return Uncertain{Reason: outcome.AnswerBad, Err: errors.New("forward: answer without a length")}
+		return Uncertain{Reason: outcome.AnswerBad, Err: errors.New("forward: response without framing")}
 	}
 	if resp.ContentLength > r.MaxBody {
-		return Uncertain{Reason: outcome.AnswerTooBig, Err: fmt.Errorf("forward: answer of %d bytes", resp.ContentLength)}
+		return Uncertain{Reason: outcome.AnswerTooBig, Err: fmt.Errorf("forward: response body of %d bytes is too large", resp.ContentLength)}
 	}
 	body, failure := c.readBody(resp, r)
 	if failure != nil {
@@ -147,8 +149,8 @@
 	return Completed{Response: outcome.Response{Status: resp.StatusCode, Header: SanitizeHeader(resp.Header), Body: body}}
 }
 
-// closeBody closes the body of an answer. Closing reads what is left of it, so a
-// broken connection is closed first: its target may send nothing more.
+// closeBody closes the body of a response. It closes a broken connection first: closing
+// the body reads the rest of it, which the target may never send.
 func (c *conn) closeBody(resp *http.Response) {
 	if c.broken {
 		_ = c.Close()
@@ -156,7 +158,8 @@
 	_ = resp.Body.Close()
 }
 
-// readHead reads the final answer's head. An upgrade was never asked for.
+// readHead reads the head of the final response. It rejects upgrades, since no request
+// asks for one.
 func (c *conn) readHead(method string) (*http.Response, error) {
 	c.request.Method = method
 	for range maxInterimResponses {
@@ -169,46 +172,47 @@
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("forward: target switches protocols")
+			return nil, errors.New("forward: target switched protocols")
 		}
 	}
-	return nil, errors.New("forward: too many interim answers")
+	return nil, errors.New("forward: too many interim responses")
 }
 
-// framed reports whether the end of the body shows a cut answer: a length, or
-// chunks. A body that ends with the connection does not.
+// framed reports whether the body has a length or is chunked, so that a truncated body
+// can be detected. A body that ends with the connection can't be checked.
 func framed(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
 const (
 	// firstBodyRead is the memory in bytes that is reserved first for a body of unknown
-	// length, bodyMost that at once for any: an answer that claims to be long may be
-	// bytes without end.
+	// length. maxBodyRead bounds each reservation for any body, since a body need not
+	// be as long as its header claims.
 	firstBodyRead = 4 << 10
 	maxBodyRead   = 64 << 10
 )
 
 var (
-	errBodyTooLarge = errors.New("forward: answer over the bound")
-	errNoMemory     = errors.New("forward: no memory left for the answer")
+	errBodyTooLarge = errors.New("forward: response body is too large")
+	errNoMemory     = errors.New("forward: no memory left for the response")
 )
 
-// readBody reads a body, within the request's bound and the memory that is left.
+// readBody reads a body of at most r.MaxBody bytes. It reserves the memory for each
+// part before reading it.
 func (c *conn) readBody(resp *http.Response, r *Request) ([]byte, Result) {
-	c.limit.N = r.MaxBody + maxHeaderBytes // chunk heads and trailers included
-	step := int64(firstBodyRead)
+	c.limit.N = r.MaxBody + maxHeaderBytes // with chunk headers and trailers
+	size := int64(firstBodyRead)
 	if n := resp.ContentLength; n >= 0 {
-		step = n + 1 // the last read finds the end
+		size = n + 1 // one more, to reach the end
 	}
 	var body []byte
 	for {
-		step = min(step, maxBodyRead, r.MaxBody+1-int64(len(body)))
-		if r.Reserve != nil && !r.Reserve(step) {
+		size = min(size, maxBodyRead, r.MaxBody+1-int64(len(body)))
+		if r.Reserve != nil && !r.Reserve(size) {
 			return nil, Uncertain{Reason: outcome.AnswerTooBig, Err: errNoMemory}
 		}
-		body = slices.Grow(body, int(step))
-		for end := len(body) + int(step); len(body) < end; {
+		body = slices.Grow(body, int(size))
+		for end := len(body) + int(size); len(body) < end; {
 			n, err := resp.Body.Read(body[len(body):end])
 			body = body[:len(body)+n]
 			switch {
@@ -220,14 +224,15 @@
 				return nil, Uncertain{Reason: outcome.AnswerTooBig, Err: errBodyTooLarge}
 			}
 		}
-		step = int64(len(body))
+		size = int64(len(body))
 	}
 }
 
-// uncertain tells a deadline from a broken connection.
+// uncertain returns an Uncertain with the reason, or with AnswerLate if err is a
+// timeout.
 func uncertain(reason outcome.Reason, err error) Uncertain {
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		reason = outcome.AnswerLate
 	}
 	return Uncertain{Reason: reason, Err: err}
--- a/internal/forward/endless_test.go
+++ b/internal/forward/endless_test.go
@@ -17,13 +17,13 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// endlessServer sends a start and then a piece again and again, until the other side
-// closes.
+// endlessServer responds with start and then with piece over and over, until the client
+// closes the connection.
 type endlessServer struct {
 	start, piece string
 	pause        time.Duration
 	sent         atomic.Int64
-	// closed gets when the other side had closed.
+	// closed gets the time at which the client had closed the connection.
 	closed chan time.Time
 }
 
@@ -46,29 +46,29 @@
 	}
 }
 
-// TestEndlessResponse: bytes without end that are no answer cost bounded memory, and end
-// with the connection, at the request's deadline at the latest.
+// TestEndlessResponse checks that a target that sends bytes without end takes bounded
+// memory, and that its connection is closed by the request's deadline.
 func TestEndlessResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\n"
 	block := strings.Repeat("x", 8<<10)
-	// The kernel's buffers of both sides, and one read of ours.
+	// Socket buffers of both sides, and one read of the pool.
 	const slack = 12 << 20
 	for name, test := range map[string]struct {
 		start, piece string
 		pause        time.Duration
 		memory       int64
 	}{
-		"no line":               {"", block, 0, 1 << 20},
-		"a head":                {head, "X-A: " + block + "\r\n", 0, 1 << 20},
-		"a head, slowly":        {head, "X", 20 * time.Millisecond, 1 << 20},
-		"interim answers":       {"", "HTTP/1.1 100 Continue\r\n\r\n", 0, 1 << 20},
-		"a body to the end":     {head + "Connection: close\r\n\r\n", block, 0, 1 << 20},
-		"a body in chunks":      {head + "Transfer-Encoding: chunked\r\n\r\n", "2000\r\n" + block + "\r\n", 0, 1 << 20},
-		"chunk extensions":      {head + "Transfer-Encoding: chunked\r\n\r\n2000;", block, 0, 1 << 20},
-		"a body, slowly":        {head + "Connection: close\r\n\r\n", "x", 20 * time.Millisecond, 1 << 20},
-		"more than it says":     {head + "Content-Length: 2\r\n\r\n", block, 0, 1 << 20},
-		"a length of a million": {head + "Content-Length: 1000000\r\n\r\n", "x", 20 * time.Millisecond, 1 << 20},
-		"no memory left":        {head + "Connection: close\r\n\r\n", block, 0, 32 << 10},
+		"no line feed":             {"", block, 0, 1 << 20},
+		"endless header":           {head, "X-A: " + block + "\r\n", 0, 1 << 20},
+		"slow header":              {head, "X", 20 * time.Millisecond, 1 << 20},
+		"interim responses":        {"", "HTTP/1.1 100 Continue\r\n\r\n", 0, 1 << 20},
+		"body until close":         {head + "Connection: close\r\n\r\n", block, 0, 1 << 20},
+		"chunked body":             {head + "Transfer-Encoding: chunked\r\n\r\n", "2000\r\n" + block + "\r\n", 0, 1 << 20},
+		"chunk extension":          {head + "Transfer-Encoding: chunked\r\n\r\n2000;", block, 0, 1 << 20},
+		"slow body":                {head + "Connection: close\r\n\r\n", "x", 20 * time.Millisecond, 1 << 20},
+		"more than Content-Length": {head + "Content-Length: 2\r\n\r\n", block, 0, 1 << 20},
+		"long Content-Length":      {head + "Content-Length: 1000000\r\n\r\n", "x", 20 * time.Millisecond, 1 << 20},
+		"no memory left":           {head + "Connection: close\r\n\r\n", block, 0, 32 << 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -83,7 +83,7 @@
 			r.MaxBody, r.Deadline = 1<<20, time.Now().Add(500*time.Millisecond)
 			result := p.Do(context.Background(), r, time.Now())
 			if a, ok := result.(forward.Completed); ok {
-				assert.Equal(t, string(a.Body), "xx") // whole, before the bytes too many
+				assert.Equal(t, string(a.Body), "xx") // complete, before the excess bytes
 			} else {
 				_, ok := result.(forward.Uncertain)
 				assert.Assert(t, ok, "%#v", result)
@@ -93,13 +93,13 @@
 			select {
 			case <-e.closed:
 			case <-time.After(5 * time.Second):
-				t.Fatal("the connection stays open")
+				t.Fatal("connection is still open")
 			}
-			assert.Assert(t, e.sent.Load() < r.MaxBody+slack, "%d bytes were taken", e.sent.Load())
-			assert.Assert(t, taken <= r.MaxBody+reserveSlack, "%d bytes reserved", taken)
+			assert.Assert(t, e.sent.Load() < r.MaxBody+slack, "%d bytes were read", e.sent.Load())
+			assert.Assert(t, taken <= r.MaxBody+reserveSlack, "%d bytes were reserved", taken)
 		})
 	}
 }
 
-// reserveSlack is what a pool may reserve beyond a body's bound.
+// reserveSlack is how many bytes a pool may reserve beyond MaxBody.
 const reserveSlack = 128 << 10
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,7 +19,7 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// pipeTo returns a pool whose connections end in serve.
+// pipeTo returns a pool whose connections are pipes to serve.
 func pipeTo(serve func(net.Conn)) *forward.Pool {
 	return forward.New(forward.Config{
 		Addr: netip.MustParseAddrPort("127.0.0.1:1"), MaxOpen: 2, MinOpen: 1, DialTimeout: time.Second,
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestForwardedHeader shows what of a caller's headers reaches a target.
+// TestForwardedHeader checks which of a caller's headers reach a target.
 func TestForwardedHeader(t *testing.T) {
 	heads := make(chan *http.Request, 1)
 	p := pipeTo(func(c net.Conn) {
@@ -66,13 +66,13 @@
 	assert.Equal(t, r.RequestURI, "/plan/k?x=1")
 }
 
-// TestLimit shows that a pool opens no more connections than it may.
+// TestLimit checks that a pool opens no more than MaxOpen connections.
 func TestLimit(t *testing.T) {
-	entered, free := make(chan struct{}), make(chan struct{})
+	entered, unblock := make(chan struct{}), make(chan struct{})
 	p := pipeTo(func(c net.Conn) {
 		_, _ = io.CopyN(io.Discard, c, 1)
 		entered <- struct{}{}
-		<-free
+		<-unblock
 		_ = c.Close()
 	})
 	for range 2 {
@@ -85,11 +85,11 @@
 	notSent, ok := result.(forward.NotSent)
 	assert.Assert(t, ok)
 	assert.ErrorIs(t, notSent.Err, forward.ErrFull)
-	close(free)
+	close(unblock)
 }
 
-// FuzzAnswer: whatever a target sends, only a whole answer to this request
-// within the bound comes out, and nothing panics.
+// FuzzAnswer checks that whatever a target sends, only a complete response to the
+// request within its limit is returned, and that nothing panics.
 func FuzzAnswer(f *testing.F) {
 	const head = "HTTP/1.1 200 OK\r\nCitrontray-Request: id-1\r\n"
 	f.Add([]byte(head + "Content-Length: 2\r\n\r\nok"))
@@ -98,13 +98,13 @@
 	f.Add([]byte(strings.Replace(head, "id-1", "id-2", 1) + "Content-Length: 0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n" + head + "Content-Length: 0\r\n\r\n"))
 	f.Add([]byte(head + "Citrontray-Not-Run: owner\r\nContent-Length: 0\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, answer []byte) {
+	f.Fuzz(func(t *testing.T, response []byte) {
 		p := pipeTo(func(c net.Conn) {
 			br := bufio.NewReader(c)
 			r, err := http.ReadRequest(br)
 			if err == nil {
 				_, _ = io.ReadAll(r.Body)
-				_, _ = c.Write(answer)
+				_, _ = c.Write(response)
 			}
 			_ = c.Close()
 		})
@@ -112,8 +112,8 @@
 		r.Deadline = time.Now().Add(5 * time.Second)
 		switch result := p.Do(context.Background(), r, time.Now()).(type) {
 		case forward.Completed:
-			if len(result.Body) > 100 || !bytes.Contains(answer, []byte("id-1")) {
-				t.Fatalf("answer %q", result.Body)
+			if len(result.Body) > 100 || !bytes.Contains(response, []byte("id-1")) {
+				t.Fatalf("response %q", result.Body)
 			}
 		case forward.NotSent:
 			t.Fatalf("not sent: %v", result.Err)
--- a/internal/forward/header.go
+++ b/internal/forward/header.go
@@ -9,10 +9,10 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// reservedPrefix starts the names of the headers that only the system may set.
+// reservedPrefix is the prefix of the headers that only Citrontray may set.
 const reservedPrefix = "Citrontray-"
 
-// strippedHeaders are the headers that end at this hop or that a caller may not set.
+// strippedHeaders holds the headers that are hop-by-hop or that a caller may not set.
 var strippedHeaders = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
@@ -34,10 +34,10 @@
 	"X-Real-Ip":           true,
 }
 
-// SanitizeHeader removes from the headers of a caller's request, or of an answer,
-// what may not pass: hop-by-hop headers, those that Connection names, and
-// ours. A name with an underscore goes too, since some servers read
-// "Citrontray_Shard" as "Citrontray-Shard". It changes h and returns it.
+// SanitizeHeader removes the headers of a caller's request or of a response that must
+// not be forwarded: strippedHeaders, those that Connection names, and Citrontray's own.
+// It also removes names with an underscore, since some servers read "Citrontray_Shard"
+// as "Citrontray-Shard". It changes h and returns it.
 func SanitizeHeader(h http.Header) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -52,8 +52,8 @@
 	return h
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1),
-// and those that the next request's own framing replaces.
+// hopByHop holds the headers that apply to one connection only (RFC 9110, 7.6.1), and
+// those that are set anew for the next hop.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -69,8 +69,8 @@
 	"Upgrade":             true,
 }
 
-// StripHopByHop removes from h the headers that concern one connection only, and
-// those that Connection names. It changes h and returns it.
+// StripHopByHop removes the headers in hopByHop and those that Connection names. It
+// changes h and returns it.
 func StripHopByHop(h http.Header) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -85,7 +85,7 @@
 	return h
 }
 
-// appendUnsharded writes the headers for targets without shards.
+// appendUnsharded appends the headers of a request without a shard.
 func appendUnsharded(b []byte, r *Request, left time.Duration) []byte {
 	b = appendField(b, "Host", r.Host)
 	for name, values := range r.Header {
@@ -101,8 +101,8 @@
 	return b
 }
 
-// appendHead writes the request line and the headers. All strings of a caller
-// went through net/http's parser; a line break left in one is dropped.
+// appendHead appends the request line and the headers. A caller's strings come from
+// net/http's parser; line breaks that are left in them are removed.
 func appendHead(b []byte, r *Request, host string, left time.Duration) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -119,7 +119,7 @@
 	return append(b, "\r\n"...)
 }
 
-// appendSharded writes the headers for targets that own shards.
+// appendSharded appends the headers of a request for a shard.
 func appendSharded(b []byte, r *Request, host string, left time.Duration) []byte {
 	b = appendField(b, "Host", host)
 	for name, values := range r.Header {
@@ -134,7 +134,8 @@
 	return appendNumber(b, target.HeaderDeadline, uint64(max(left.Milliseconds(), 0)))
 }
 
-// hasBody reports whether a request of the method announces even an empty body.
+// hasBody reports whether a request with the method has a Content-Length even if its
+// body is empty.
 func hasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// ErrClosed is returned once the pool is closed.
-var ErrClosed = errors.New("forward: pool closed")
+// ErrClosed is returned if the pool is closed.
+var ErrClosed = errors.New("forward: pool is closed")
 
-// ErrFull is returned where all connections that the pool may open are in use.
-var ErrFull = errors.New("forward: no free connection")
+// ErrFull is returned if Config.MaxOpen connections are in use.
+var ErrFull = errors.New("forward: all connections are in use")
 
 // Dial opens a connection to a target.
 type Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 
-// DialTCP is the Dial of the daemons.
+// DialTCP opens a TCP connection.
 func DialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Config bounds a pool.
+// Config configures a Pool.
 type Config struct {
 	Addr netip.AddrPort
-	// MaxOpen is the largest number of open connections.
+	// MaxOpen bounds the open connections.
 	MaxOpen int
-	// MinOpen is the number of idle connections that Warm keeps open.
+	// MinOpen is the number of open connections that Warm ensures.
 	MinOpen int
 	Dial    Dial
-	// DialTimeout bounds one attempt to connect.
+	// DialTimeout bounds one attempt to connect; zero stands for no bound.
 	DialTimeout time.Duration
 }
 
-// Pool keeps the connections to one target. Safe for concurrent use.
+// Pool holds the connections to one target. It is safe for concurrent use.
 type Pool struct {
 	cfg  Config
 	host string
@@ -55,8 +55,8 @@
 	return &Pool{cfg: cfg, host: cfg.Addr.String()}
 }
 
-// Do makes one try. Closing ctx breaks the connection, which asks the target
-// to cancel; the result is then Uncertain.
+// Do makes one attempt. If ctx ends meanwhile, Do closes the connection, which asks the
+// target to cancel the request, and returns Uncertain unless the response is complete.
 func (p *Pool) Do(ctx context.Context, r *Request, now time.Time) Result {
 	if ctx.Err() != nil {
 		return NotSent{Err: ctx.Err()}
@@ -87,7 +87,7 @@
 	return result
 }
 
-// take returns a kept connection that is still good, or opens one.
+// take returns an idle connection that is reusable, or opens one.
 func (p *Pool) take(ctx context.Context, r *Request, now time.Time) (*conn, error) {
 	for {
 		c, err := p.takeIdle()
@@ -105,8 +105,8 @@
 	}
 }
 
-// takeIdle returns the connection used last, or nil after counting a new one
-// against the limit.
+// takeIdle returns the idle connection that was used last. If there is none, it
+// reserves a new connection and returns nil.
 func (p *Pool) takeIdle() (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +148,7 @@
 }
 
 func (p *Pool) put(c *conn) {
-	// A deadline of the last request would end the next look at the connection.
+	// The deadline of this request must not be left on the connection.
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		c.broken = true
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-// Warm opens connections until Config.Warm are idle or in use. It stops at
-// the first failure and returns it.
+// Warm opens connections until Config.MinOpen are idle or in use. It returns the first
+// error.
 func (p *Pool) Warm(ctx context.Context, now time.Time) error {
 	for p.reserveWarm() {
 		c, err := p.connect(ctx, now.Add(p.cfg.DialTimeout))
@@ -196,7 +196,7 @@
 	return p.open
 }
 
-// Close closes the idle connections; those in use close after their request.
+// Close closes the idle connections. Those in use are closed after their request.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -1,9 +1,9 @@
-// Package forward sends requests to targets over kept connections and says of
-// each failure whether the request may have run.
+// Package forward sends requests to targets over pooled connections, and tells of each
+// failure whether the request may have run.
 //
-// It has its own small pool over net/http's reader, not http.Transport: that
-// one sends a request again by itself when a kept connection breaks, for every
-// request with an Idempotency-Key header, and so would run it twice.
+// It has its own small connection pool on top of net/http's reader instead of
+// http.Transport, which retries every request with an Idempotency-Key header when an
+// idle connection breaks, and so could run it twice.
 package forward
 
 import (
@@ -17,39 +17,39 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// Request is one request to a target. Header holds only what may be
-// forwarded; the headers of package target are added here.
+// Request is a request to a target. Header holds only headers that may be forwarded;
+// the headers of package target are added to them.
 type Request struct {
 	ID       string
 	Method   string
-	URI      string // path and query as the caller sent them
+	URI      string // escaped path and query, as the caller sent them
 	Header   http.Header
 	Body     []byte
 	Service  key.Service
 	Shard    key.Shard
 	Epoch    grant.Epoch
 	Deadline time.Time
-	// MaxBody bounds the body of the answer, in bytes.
+	// MaxBody bounds the body of the response, in bytes.
 	MaxBody int64
-	// Reserve reserves memory for that many more bytes of the answer, and reports whether
-	// there is any left; nil takes no account.
+	// Reserve reserves memory for more bytes of the response and reports whether it
+	// was available. If nil, memory is not accounted for.
 	Reserve func(bytes int64) bool
-	// MaxIdle is how long a connection may have been idle to be used; zero
-	// stands for any time.
+	// MaxIdle is how long a connection may have been idle to be reused; zero stands
+	// for no limit.
 	MaxIdle time.Duration
-	// HeaderNames are set for targets without shards; Service, Shard and Epoch are
-	// not sent to them.
+	// HeaderNames is set for targets without shards. Service, Shard and Epoch are not
+	// sent to them.
 	HeaderNames *target.HeaderNames
-	// Host is the client's Host header, and Expect the only target that may
-	// take the request. Both are sent only with Names.
+	// Host is the client's Host header, and Expect the only target that may run the
+	// request. They are sent only if HeaderNames is set.
 	Host   string
 	Expect place.Target
 }
 
-// Result is what is known of a request after one try.
+// Result is the result of one attempt: Completed, Refused, NotSent or Uncertain.
 type Result interface{ result() }
 
-// Completed is the whole answer to this very request.
+// Completed is a complete response to the request.
 type Completed struct {
 	outcome.Response
 
@@ -59,19 +59,20 @@
 // Refused tells that the target refused the request and did not run it.
 type Refused struct {
 	Refusal target.Refusal
-	// Status is the status of the refusal.
+	// Status is the HTTP status of the refusal.
 	Status int
 	Signal target.Signal
 }
 
-// NotSent tells that no byte of the request left: it did not run.
+// NotSent tells that no byte of the request was sent, so that it did not run.
 type NotSent struct{ Err error }
 
 // Uncertain tells that the request may have run.
 type Uncertain struct {
 	Reason outcome.Reason
 	Err    error
-	// Idle is how long the connection had been idle before; zero for a new one.
+	// Idle is how long the connection had been idle before the request; zero for a
+	// new one.
 	Idle time.Duration
 }
 
--- a/internal/forward/unsharded.go
+++ b/internal/forward/unsharded.go
@@ -13,22 +13,21 @@
 )
 
 const (
-	// maxStaleResponses is how many late answers to earlier requests are skipped before
-	// the connection is given up.
+	// maxStaleResponses is how many late responses to earlier requests are skipped
+	// before the connection is closed.
 	maxStaleResponses = 2
-	// longBodyBytes is the size in bytes from which a body is sent beside the
-	// reading of the answer: a target may answer before it has read all of it,
-	// and then stops reading.
+	// longBodyBytes is the size from which a body is sent while the response is read:
+	// a target may respond before it has read the whole body, and then stop reading.
 	longBodyBytes = 32 << 10
 )
 
 var (
-	errOtherRequest    = errors.New("forward: answer to another request")
-	errContentEncoding = errors.New("forward: answer with an encoding that was not asked for")
-	errNoStamp         = errors.New("forward: success without the target's mark")
+	errOtherRequest    = errors.New("forward: response to another request")
+	errContentEncoding = errors.New("forward: response has a content encoding that was not requested")
+	errNoStamp         = errors.New("forward: successful response without the target's stamp")
 )
 
-// roundTripUnsharded writes the request and reads its answer.
+// roundTripUnsharded sends a request without a shard and reads its response.
 func (c *conn) roundTripUnsharded(r *Request) Result {
 	if len(r.Body) < longBodyBytes {
 		if sent := c.write(r.Body); sent != nil {
@@ -45,12 +44,12 @@
 			c.broken = true
 		}
 	default:
-		c.broken = true // the rest of the body is not sent any more
+		c.broken = true // the rest of the body will not be sent
 	}
 	return result
 }
 
-// bodyWriter sends one request while its answer is awaited.
+// bodyWriter sends a request while its response is read.
 type bodyWriter struct {
 	conn *conn
 	body []byte
@@ -59,13 +58,13 @@
 
 func (w *bodyWriter) run() { w.done <- w.conn.write(w.body) }
 
-// write sends the head, which stands in c.out, and the body; it returns nil
-// once all is sent.
+// write sends the head, which is in c.writeBuf, and the body. It returns nil if all was
+// sent.
 func (c *conn) write(body []byte) Result {
 	c.writeBuf = append(c.writeBuf, body...)
 	n, err := c.Write(c.writeBuf)
 	if cap(c.writeBuf) > readBufferBytes {
-		c.writeBuf = nil // a large body's buffer is not kept per connection
+		c.writeBuf = nil // don't keep a large body's buffer
 	}
 	switch {
 	case err == nil:
@@ -76,10 +75,10 @@
 	return uncertain(outcome.SendCut, err)
 }
 
-// readUnsharded reads the answer to r, which carries its id; a refusal may come
-// without one, but only on a connection that has had no other request: it could be
-// a second copy of an earlier one. Late answers to earlier requests, which carry
-// other ids, are skipped; the connection is not used again after one.
+// readUnsharded reads the response to r, which carries its id. A refusal without an id
+// is accepted only on a connection without earlier requests; otherwise it could be a
+// duplicate of an earlier refusal. Late responses to earlier requests, which carry other
+// ids, are skipped, and the connection is not used again after one.
 func (c *conn) readUnsharded(r *Request) Result {
 	skipped := 0
 	for {
@@ -104,16 +103,17 @@
 	}
 }
 
-// refused reports whether a target says that it did not run the request.
+// refused reports whether a response tells that the request did not run.
 func refused(resp *http.Response, names *target.HeaderNames) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(names.NotRun) != ""
 }
 
-// finishUnsharded reads the body of the request's own answer.
+// finishUnsharded reads the body of the response to r and returns the result. stale
+// tells that other responses were skipped before.
 func (c *conn) finishUnsharded(resp *http.Response, r *Request, stale bool) Result {
 	defer c.closeBody(resp)
 	if resp.ContentLength > r.MaxBody {
-		return Uncertain{Reason: outcome.AnswerTooBig, Err: fmt.Errorf("forward: answer of %d bytes", resp.ContentLength)}
+		return Uncertain{Reason: outcome.AnswerTooBig, Err: fmt.Errorf("forward: response body of %d bytes is too large", resp.ContentLength)}
 	}
 	body, failure := c.readBody(resp, r)
 	if failure != nil {
@@ -132,30 +132,30 @@
 		return Uncertain{Reason: outcome.AnswerBad, Err: errContentEncoding}
 	}
 	signal := signalOf(resp, r.HeaderNames)
-	resp.Header.Del(r.HeaderNames.Leaving) // it is for this hop
+	resp.Header.Del(r.HeaderNames.Leaving) // meant for this host only
 	return Completed{outcome.Response{Status: resp.StatusCode, Header: StripHopByHop(resp.Header), Body: body}, signal}
 }
 
-// maxPauseSeconds bounds the pause that a target may ask for, in seconds: more is not
-// meant as one.
+// maxPauseSeconds bounds the pause that a target may ask for: a longer one is not
+// meant as a pause.
 const maxPauseSeconds = 24 * 60 * 60
 
-// signalOf reads what the target asks of this host. A Retry-After that is no number
-// of seconds asks for nothing.
+// signalOf returns the signal in a response. A Retry-After that is not a number of
+// seconds is ignored.
 func signalOf(resp *http.Response, names *target.HeaderNames) target.Signal {
-	var s target.Signal
-	s.Leaving = names.Leaving != "" && resp.Header.Get(names.Leaving) == "1"
+	var signal target.Signal
+	signal.Leaving = names.Leaving != "" && resp.Header.Get(names.Leaving) == "1"
 	if resp.StatusCode != http.StatusServiceUnavailable {
-		return s
+		return signal
 	}
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(resp.Header.Get("Retry-After")), 64)
 	if err == nil && seconds > 0 {
-		s.Pause = time.Duration(min(seconds, maxPauseSeconds) * float64(time.Second))
+		signal.Pause = time.Duration(min(seconds, maxPauseSeconds) * float64(time.Second))
 	}
-	return s
+	return signal
 }
 
-// refusalOf returns what a refusal's status says.
+// refusalOf returns the Refusal for the status of a refusal.
 func refusalOf(status int) target.Refusal {
 	if status == http.StatusMisdirectedRequest {
 		return target.RefusalOwner
--- a/internal/forward/unsharded_test.go
+++ b/internal/forward/unsharded_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// answerWith serves raw answers: each request gets answer with its id in place
-// of ID.
-func answerWith(answer string, conns *atomic.Int32) func(net.Conn) {
+// respondWith returns a server that responds to each request with response, in which the
+// request's id replaces ID.
+func respondWith(response string, conns *atomic.Int32) func(net.Conn) {
 	return func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		conns.Add(1)
@@ -42,15 +42,15 @@
 				return
 			}
 			_, _ = io.ReadAll(r.Body)
-			raw := strings.ReplaceAll(answer, "ID", r.Header.Get(target.HeaderRequest))
-			if _, err := io.WriteString(c, raw); err != nil || !strings.Contains(answer, "Content-Length") {
+			raw := strings.ReplaceAll(response, "ID", r.Header.Get(target.HeaderRequest))
+			if _, err := io.WriteString(c, raw); err != nil || !strings.Contains(response, "Content-Length") {
 				return
 			}
 		}
 	}
 }
 
-// listenTo returns a pool whose connections are real ones to serve.
+// listenTo returns a pool whose connections are TCP connections to serve.
 func listenTo(t *testing.T, serve func(net.Conn)) *forward.Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,11 +70,11 @@
 	return p
 }
 
-// TestReuseAfterDeadline sends a second request after the first one's deadline has
-// passed: the connection has no deadline left from it.
+// TestReuseAfterDeadline sends a second request after the deadline of the first one has
+// passed. The deadline must not be left on the connection.
 func TestReuseAfterDeadline(t *testing.T) {
 	var conns atomic.Int32
-	p := listenTo(t, answerWith("HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok", &conns))
+	p := listenTo(t, respondWith("HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok", &conns))
 	for i := range 2 {
 		r := unshardedRequest("r-" + strconv.Itoa(i))
 		r.Deadline = time.Now().Add(200 * time.Millisecond)
@@ -86,13 +86,13 @@
 	assert.Equal(t, conns.Load(), int32(1))
 }
 
-// TestIdleConnection: a request that trusts no connection that was idle for long
-// gets a new one, and one that was cut after a pause says how long that was.
+// TestIdleConnection checks that a request gets a new connection if the idle one exceeds
+// its MaxIdle, and that Uncertain tells how long a broken connection was idle.
 func TestIdleConnection(t *testing.T) {
 	const pause = 50 * time.Millisecond
 	var conns atomic.Int32
-	answer := "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
-	p := listenTo(t, answerWith(answer, &conns))
+	response := "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
+	p := listenTo(t, respondWith(response, &conns))
 	do := func(maxIdle time.Duration) forward.Result {
 		r := unshardedRequest("r")
 		r.Deadline, r.MaxIdle = time.Now().Add(time.Second), maxIdle
@@ -106,15 +106,15 @@
 	assert.Equal(t, conns.Load(), int32(2))
 
 	p = listenTo(t, func(c net.Conn) {
-		answerWith(answer, &conns)(&oneRequestConn{Conn: c}) // closes after one answer, when the next request is read
+		respondWith(response, &conns)(&oneRequestConn{Conn: c}) // closes when the second request is read
 	})
 	do(0)
-	cut, ok := do(0).(forward.Uncertain)
+	broken, ok := do(0).(forward.Uncertain)
 	assert.Assert(t, ok)
-	assert.Assert(t, cut.Idle >= pause, "idle for %v", cut.Idle)
+	assert.Assert(t, broken.Idle >= pause, "idle for %v", broken.Idle)
 }
 
-// oneRequestConn is a connection that breaks with the second read of a request.
+// oneRequestConn is a connection that breaks at its second read.
 type oneRequestConn struct {
 	net.Conn
 
@@ -132,31 +132,31 @@
 
 func TestUnshardedResponses(t *testing.T) {
 	const (
-		head  = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\n"
-		whole = head + "Content-Length: 2\r\n\r\nok"
-		stale = "HTTP/1.1 200 OK\r\nCitrontray-Request: other\r\nCitrontray-Stamp: s\r\nContent-Length: 3\r\n\r\nold"
+		head     = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\n"
+		complete = head + "Content-Length: 2\r\n\r\nok"
+		stale    = "HTTP/1.1 200 OK\r\nCitrontray-Request: other\r\nCitrontray-Stamp: s\r\nContent-Length: 3\r\n\r\nold"
 	)
 	tests := map[string]struct {
-		answer string
-		want   string // answered, refused, or the reason why it is uncertain
+		response string
+		want     string // answered, refused, or the reason of Uncertain
 	}{
-		"whole":                 {whole, "answered"},
-		"late one of another":   {stale + whole, "answered"},
-		"two late ones":         {stale + stale + whole, "answered"},
-		"three late ones":       {stale + stale + stale + whole, string(outcome.AnswerWrong)},
-		"ends with connection":  {head + "\r\nok", "answered"},
-		"cut short":             {head + "Content-Length: 20\r\n\r\nok", string(outcome.AnswerLate)},
-		"no mark":               {strings.Replace(whole, "Citrontray-Stamp: s\r\n", "", 1), string(outcome.AnswerBad)},
-		"encoded":               {strings.Replace(whole, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1), string(outcome.AnswerBad)},
-		"no id":                 {strings.Replace(whole, "Citrontray-Request: ID\r\n", "", 1), string(outcome.AnswerWrong)},
-		"refused without an id": {"HTTP/1.1 503 Full\r\nCitrontray-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "refused"},
-		"another target":        {"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n", "refused"},
-		"own failure":           {"HTTP/1.1 500 No\r\nCitrontray-Request: ID\r\nContent-Length: 0\r\n\r\n", "answered"},
+		"whole":                    {complete, "answered"},
+		"one stale response":       {stale + complete, "answered"},
+		"two stale responses":      {stale + stale + complete, "answered"},
+		"three stale responses":    {stale + stale + stale + complete, string(outcome.AnswerWrong)},
+		"ends with the connection": {head + "\r\nok", "answered"},
+		"truncated body":           {head + "Content-Length: 20\r\n\r\nok", string(outcome.AnswerLate)},
+		"no stamp":                 {strings.Replace(complete, "Citrontray-Stamp: s\r\n", "", 1), string(outcome.AnswerBad)},
+		"encoded":                  {strings.Replace(complete, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1), string(outcome.AnswerBad)},
+		"no id":                    {strings.Replace(complete, "Citrontray-Request: ID\r\n", "", 1), string(outcome.AnswerWrong)},
+		"refused without an id":    {"HTTP/1.1 503 Full\r\nCitrontray-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "refused"},
+		"another target":           {"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n", "refused"},
+		"failure of the target":    {"HTTP/1.1 500 No\r\nCitrontray-Request: ID\r\nContent-Length: 0\r\n\r\n", "answered"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var conns atomic.Int32
-			p := listenTo(t, answerWith(test.answer, &conns))
+			p := listenTo(t, respondWith(test.response, &conns))
 			r := unshardedRequest("r-1")
 			r.Deadline = time.Now().Add(300 * time.Millisecond)
 			got := ""
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestEarlyResponse meets a target that answers before it has read a
-// body and never reads the rest.
+// TestEarlyResponse checks the response of a target that responds before it has read
+// the body and never reads the rest.
 func TestEarlyResponse(t *testing.T) {
 	p := listenTo(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
@@ -191,58 +191,59 @@
 	r := unshardedRequest("r-1")
 	r.Method, r.Body = "PUT", make([]byte, 8<<20)
 	result := p.Do(context.Background(), r, time.Now())
-	answered, ok := result.(forward.Completed)
+	completed, ok := result.(forward.Completed)
 	assert.Assert(t, ok, "%#v", result)
-	assert.Equal(t, answered.Status, 413)
+	assert.Equal(t, completed.Status, 413)
 }
 
-// TestDuplicateResponse: a target sends another copy of an answer while the connection's
-// next request runs. That request gets its own answer or an uncertain end, never
-// the copy's; above all it is not said to have not run.
+// TestDuplicateResponse sends a duplicate of a response while the connection's next
+// request runs. That request must get its own response or end as Uncertain. It must
+// never get the duplicate, above all not a duplicate refusal, which would tell that it
+// did not run.
 func TestDuplicateResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 	const refusal = "HTTP/1.1 503 Busy\r\nCitrontray-Not-Run: busy\r\nContent-Length: 2\r\n\r\nno"
-	labelled := strings.Replace(refusal, "\r\n", "\r\nCitrontray-Request: ID\r\n", 1)
+	refusalWithID := strings.Replace(refusal, "\r\n", "\r\nCitrontray-Request: ID\r\n", 1)
 	tests := map[string]struct {
-		first, copy string // of the first request
-		own         bool   // the second request's answer may still be had
+		first, copy string // responses to the first request
+		answered    bool   // the second request may get its own response
 	}{
-		"whole answer":              {ok, ok, true},
-		"refusal with its id":       {labelled, labelled, true},
+		"complete response":         {ok, ok, true},
+		"refusal with its id":       {refusalWithID, refusalWithID, true},
 		"refusal without an id":     {ok, refusal, false},
 		"misdirected without an id": {ok, "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n", false},
-		"answer without an id":      {ok, "HTTP/1.1 200 OK\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok", false},
-		"cut answer":                {ok, "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nContent-Length: 90\r\n\r\nok", false},
-		"without a length":          {ok, "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\n\r\nok", false},
-		"no answer at all":          {ok, "ok", false},
-		"end of another":            {ok, "\r\n\r\n", false},
+		"response without an id":    {ok, "HTTP/1.1 200 OK\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok", false},
+		"truncated response":        {ok, "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nContent-Length: 90\r\n\r\nok", false},
+		"without framing":           {ok, "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\n\r\nok", false},
+		"no response at all":        {ok, "ok", false},
+		"end of a header":           {ok, "\r\n\r\n", false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			p := listenTo(t, func(c net.Conn) {
 				defer func() { _ = c.Close() }()
 				br := bufio.NewReader(c)
-				earlier := ""
+				firstID := ""
 				for {
 					r, err := http.ReadRequest(br)
 					if err != nil {
 						return
 					}
-					id, answer := r.Header.Get(target.HeaderRequest), test.first
-					if earlier != "" {
-						answer = strings.ReplaceAll(test.copy, "ID", earlier) + ok
+					id, response := r.Header.Get(target.HeaderRequest), test.first
+					if firstID != "" {
+						response = strings.ReplaceAll(test.copy, "ID", firstID) + ok
 					}
-					if _, err := io.WriteString(c, strings.ReplaceAll(answer, "ID", id)); err != nil {
+					if _, err := io.WriteString(c, strings.ReplaceAll(response, "ID", id)); err != nil {
 						return
 					}
-					earlier = id
+					firstID = id
 				}
 			})
 			p.Do(context.Background(), unshardedRequest("r-1"), time.Now())
 			result := p.Do(context.Background(), unshardedRequest("r-2"), time.Now())
 			switch r := result.(type) {
 			case forward.Completed:
-				assert.Assert(t, test.own)
+				assert.Assert(t, test.answered)
 				assert.Equal(t, string(r.Body), "ok")
 			case forward.Uncertain:
 			default:
