--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// maxTrailerBytes bounds what may follow the last chunk of a body, in bytes.
+	// maxTrailerBytes bounds the trailer of a chunked body.
 	maxTrailerBytes = 4 << 10
-	// bodyReadTimeout is how long a client may send nothing of a body.
+	// bodyReadTimeout bounds the wait for more bytes of a body.
 	bodyReadTimeout = 10 * time.Second
 )
 
-// body is the body of a request that is being read. Once it has ended, the
-// connection's reader goes on behind it.
+// body is the body of a request. After its end, the connection's reader continues with
+// the next request.
 type body struct {
 	conn *conn
 	src  io.Reader
-	// chunked bodies are followed by a trailer.
+	// chunked tells that a trailer follows.
 	chunked bool
-	// expectContinue tells that the client waits for word before it sends the body.
+	// expectContinue tells that the client waits for 100 Continue before it sends the
+	// body.
 	expectContinue bool
 
 	once sync.Once
 	err  error
-	// done is closed when the body was read, or is not read any more.
+	// done is closed when the body was read, or will not be read any more.
 	done chan struct{}
 }
 
-// newBody returns the body of a request, nil where it has none.
+// newBody returns the body of a request, or nil if it has none.
 func newBody(c *conn, r *http.Request) *body {
 	b := &body{
 		conn: c, done: make(chan struct{}),
@@ -52,7 +53,8 @@
 	return b
 }
 
-// exactReader turns an end before all bytes have come into an error.
+// exactReader returns an error if the connection ends before all bytes of a body were
+// read. left is the number of bytes to come.
 type exactReader struct {
 	io.Reader
 
@@ -90,8 +92,8 @@
 	}
 	n, err := b.src.Read(p)
 	if errors.Is(err, io.EOF) && b.chunked {
-		if failed := skipTrailer(b.conn.br); failed != nil {
-			err = failed
+		if trailerErr := skipTrailer(b.conn.br); trailerErr != nil {
+			err = trailerErr
 		}
 	}
 	if err != nil {
@@ -100,30 +102,30 @@
 	return n, err
 }
 
-// end notes how the body ended.
+// end records the end of the body, io.EOF or an error.
 func (b *body) end(err error) {
 	b.err = err
 	b.once.Do(func() {
-		_ = b.conn.SetReadDeadline(time.Time{}) // a closed connection needs none
+		_ = b.conn.SetReadDeadline(time.Time{}) // fails only if the connection is closed
 		close(b.done)
 	})
 }
 
-// Close implements io.Closer; the server closes the body itself.
+// Close implements io.Closer. It does nothing, since the connection ends the body.
 func (b *body) Close() error { return nil }
 
-// finish ends a body that the handler is done with. It reports whether the next
-// request begins behind it.
+// finish ends the body after the handler has returned. It reports whether the body was
+// read to its end, so that the next request can be read.
 func (b *body) finish() bool {
 	if b.err == nil {
-		b.end(errors.New("ingress: body not read"))
+		b.end(errors.New("ingress: body was not read"))
 	}
 	return errors.Is(b.err, io.EOF)
 }
 
-// skipTrailer reads what follows the last chunk, up to the empty line.
+// skipTrailer reads the trailer after the last chunk, up to the empty line.
 func skipTrailer(br *bufio.Reader) error {
-	read := 0
+	size := 0
 	for {
 		line, err := br.ReadSlice('\n')
 		if err != nil {
@@ -132,8 +134,8 @@
 		if bytes.Equal(line, []byte("\r\n")) {
 			return nil
 		}
-		if read += len(line); read > maxTrailerBytes {
-			return errors.New("ingress: trailer too long")
+		if size += len(line); size > maxTrailerBytes {
+			return errors.New("ingress: trailer is too long")
 		}
 	}
 }
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	// readBufferBytes is the size of a connection's read buffer, headBuffer that of
-	// the reader that parses a head.
+	// readBufferBytes is the size of a connection's read buffer, headBufferBytes that
+	// of the reader that parses a head.
 	readBufferBytes = 4 << 10
 	headBufferBytes = 512
 )
 
-// conn is one connection of a client. Its own goroutine reads requests, each
-// request has one that runs it; whoever ends the first in line writes answers.
+// conn is a connection of a client. One goroutine reads its requests, and each request
+// runs in another one. The goroutine whose request completes the front of the queue
+// writes the responses.
 type conn struct {
 	net.Conn
 	server     *Server
@@ -35,19 +36,20 @@
 	head       []byte
 	parser     *bufio.Reader
 	headSource bytes.Reader
-	// ctx ends when the client has gone.
+	// ctx ends when the client has disconnected.
 	ctx    context.Context
 	cancel context.CancelFunc
 	work   sync.WaitGroup
 
 	mu sync.Mutex
-	// queue are the requests that were taken and not answered yet, oldest first.
+	// queue holds the accepted requests whose response was not written yet, oldest
+	// first.
 	queue []*exchange
-	// reading tells that a request is being read, writing that somebody writes
-	// answers, over that no more requests are taken, lost that nothing can be
-	// written any more.
+	// reading tells that a request is being read, writing that a goroutine writes
+	// responses, closing that no more requests are accepted, broken that a write
+	// failed.
 	reading, writing, closing, broken bool
-	// progress gets a token when an answer was written.
+	// progress gets a token when a response was written.
 	progress chan struct{}
 }
 
@@ -57,7 +59,7 @@
 	k.parser = bufio.NewReaderSize(&k.headSource, headBufferBytes)
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	if raw, ok := c.(syscall.Conn); ok {
-		k.raw, _ = raw.SyscallConn() // without one, nothing can be peeked at
+		k.raw, _ = raw.SyscallConn() // if nil, handleTimeout can't peek
 	}
 	return k
 }
@@ -68,9 +70,9 @@
 	defer c.cancel()
 	c.startIdle(c.server.idleTimeout())
 	err := c.readRequests()
-	var refused *requestError
-	if errors.As(err, &refused) {
-		c.reject(refused)
+	var malformed *requestError
+	if errors.As(err, &malformed) {
+		c.reject(malformed)
 	}
 	if c.drain(err) {
 		c.linger()
@@ -79,8 +81,8 @@
 	c.work.Wait()
 }
 
-// readRequests takes requests one after the other. It returns nil where the connection
-// ends behind the last one that was taken.
+// readRequests reads and starts requests one after the other. It returns nil if the
+// connection closes after the last one.
 func (c *conn) readRequests() error {
 	for {
 		if err := c.awaitRequest(); err != nil {
@@ -105,8 +107,8 @@
 	}
 }
 
-// errIdle ends a connection that was idle for its time.
-var errIdle = errors.New("ingress: idle")
+// errIdle is returned when a connection exceeds its idle timeout.
+var errIdle = errors.New("ingress: idle timeout")
 
 // awaitRequest waits for the first byte of the next request.
 func (c *conn) awaitRequest() error {
@@ -121,8 +123,8 @@
 	}
 }
 
-// handleTimeout decides what follows from a read that ran out of time: the end of a
-// connection that is over, or was idle for its time.
+// handleTimeout handles a read timeout. It reports whether the connection ends, with
+// errIdle if it exceeded its idle timeout.
 func (c *conn) handleTimeout() (ended bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +132,8 @@
 	case c.closing && len(c.queue) == 0:
 		return true, nil
 	case len(c.queue) > 0, c.raw != nil && !forward.Idle(c.raw):
-		// A busy processor may run the timer before the reader: a request that
-		// waits is taken.
+		// On a busy CPU the timer may run before the reader, although a request has
+		// already arrived.
 		c.setReadDeadline(time.Time{})
 		return false, nil
 	}
@@ -139,57 +141,57 @@
 	return true, errIdle
 }
 
-// readHead reads the head of a request, of which the first byte is there.
+// readHead reads the head of a request whose first byte has arrived.
 func (c *conn) readHead() (*http.Request, error) {
 	c.mu.Lock()
 	c.reading = true
 	c.setReadDeadline(time.Now().Add(c.server.cfg.HeaderTimeout))
 	c.mu.Unlock()
-	var h framing
+	var f framing
 	var err error
-	if c.head, err = h.read(c.br, c.head, c.server.cfg.MaxHeaderBytes); err != nil {
+	if c.head, err = f.read(c.br, c.head, c.server.cfg.MaxHeaderBytes); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, &requestError{http.StatusRequestTimeout, "head not read in time"}
 		}
 		return nil, err
 	}
-	r, err := h.parse(c.head, c.parser, &c.headSource)
+	r, err := f.parse(c.head, c.parser, &c.headSource)
 	if err != nil {
 		return nil, err
 	}
 	if cap(c.head) > readBufferBytes {
-		c.head = nil // a large head's buffer is not kept
+		c.head = nil // don't keep a large head's buffer
 	}
 	r.RemoteAddr = c.RemoteAddr().String()
 	return r.WithContext(c.ctx), nil
 }
 
-// setReadDeadline sets when a read fails. The caller holds mu.
+// setReadDeadline sets the read deadline. The caller holds mu.
 func (c *conn) setReadDeadline(at time.Time) {
 	if err := c.SetReadDeadline(at); err != nil && !errors.Is(err, net.ErrClosed) {
-		c.server.cfg.Log.Debug("Deadline of a connection not set.", slog.Any("error", err))
+		c.server.cfg.Log.Debug("Read deadline of a connection not set.", slog.Any("error", err))
 	}
 }
 
-// startIdle starts the idle time of a connection without a request.
-func (c *conn) startIdle(idle time.Duration) {
+// startIdle starts the idle timeout if the connection has no request.
+func (c *conn) startIdle(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) == 0 && !c.reading {
-		c.setReadDeadline(time.Now().Add(idle))
+		c.setReadDeadline(time.Now().Add(timeout))
 	}
 }
 
-// isClosing reports whether no more requests are taken.
+// isClosing reports whether no more requests are accepted.
 func (c *conn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-// enqueue enters a request in the line, once it may run beside those before it. It
-// reports false where the connection ends behind one of these: the request was
-// not passed on, and the client sends it again.
+// enqueue appends a request to the queue as soon as it may run concurrently with those
+// before it. It returns false if the connection closes after one of those: the request
+// does not run, and the client sends it again.
 func (c *conn) enqueue(x *exchange) bool {
 	for {
 		c.mu.Lock()
@@ -214,18 +216,18 @@
 	}
 }
 
-// flush writes the answers that are first in line and there.
+// flush writes the available responses from the front of the queue.
 func (c *conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing {
-		return // who writes now looks again
+		return // the writing goroutine checks the queue again
 	}
 	c.writing = true
 	for len(c.queue) > 0 && c.queue[0].answered {
 		x := c.queue[0]
-		// The connection ends behind the last request that was taken, never
-		// before one that runs; in a planned stop no more are taken.
+		// While the server drains, no more requests are accepted. The connection
+		// closes after the last accepted one, never before one that runs.
 		c.closing = c.closing || c.server.draining()
 		x.closeAfter = c.closing && len(c.queue) == 1
 		c.mu.Unlock()
@@ -235,35 +237,36 @@
 		c.queue = c.queue[1:]
 		if err != nil {
 			c.broken, c.closing = true, true
-			c.cancel() // nobody gets the other answers either
+			c.cancel() // the other responses can't be written either
 		}
 		select {
 		case c.progress <- struct{}{}:
-		default: // a token is waiting already
+		default: // there is a token already
 		}
 	}
 	c.writing = false
 	switch {
 	case len(c.queue) > 0:
 	case c.closing:
-		c.setReadDeadline(time.Unix(1, 0)) // the reader ends the connection
+		c.setReadDeadline(time.Unix(1, 0)) // wakes the reader, which closes the connection
 	case !c.reading:
 		c.setReadDeadline(time.Now().Add(c.server.idleTimeout()))
 	}
 }
 
-// write writes one answer.
+// write writes one response.
 func (c *conn) write(x *exchange) error {
 	c.mu.Lock()
-	lost := c.broken
+	failed := c.broken
 	c.mu.Unlock()
-	if lost {
+	if failed {
 		return net.ErrClosed
 	}
 	return c.send(x.encode(time.Now()))
 }
 
-// writeInterim writes an interim answer; the request that it is for is first in line.
+// writeInterim writes an interim response. Its request must be at the front of the
+// queue.
 func (c *conn) writeInterim(text string) error { return c.send([]byte(text)) }
 
 func (c *conn) send(out []byte) error {
@@ -274,13 +277,13 @@
 	return err
 }
 
-// reject answers a request that can't be read, in its turn.
-func (c *conn) reject(why *requestError) {
-	x := &exchange{conn: c, status: why.status, header: make(http.Header), closeAfter: true, answered: true}
+// reject queues the response to a request that can't be read.
+func (c *conn) reject(cause *requestError) {
+	x := &exchange{conn: c, status: cause.status, header: make(http.Header), closeAfter: true, answered: true}
 	x.header.Set("Content-Type", "text/plain; charset=utf-8")
-	x.response = []byte(why.text + "\n")
-	c.server.cfg.Log.Info("Request not readable, connection ended.", slog.String("client", c.RemoteAddr().String()),
-		slog.Int("status", why.status), slog.String("reason", why.text))
+	x.response = []byte(cause.text + "\n")
+	c.server.cfg.Log.Info("Request head rejected, connection closed.", slog.String("client", c.RemoteAddr().String()),
+		slog.Int("status", cause.status), slog.String("reason", cause.text))
 	c.mu.Lock()
 	if c.closing {
 		c.mu.Unlock()
@@ -292,15 +295,16 @@
 	c.flush()
 }
 
-// drain waits until all that was taken is answered, and reports whether the client
-// may still be reading. Where it has gone, what runs for it ends.
+// drain waits until all accepted requests have their response, and reports whether the
+// client may still be reading. If the client has disconnected, drain cancels its
+// requests instead.
 func (c *conn) drain(err error) bool {
-	var refused *requestError
-	gone := err != nil && !errors.As(err, &refused) && !errors.Is(err, errIdle)
+	var malformed *requestError
+	disconnected := err != nil && !errors.As(err, &malformed) && !errors.Is(err, errIdle)
 	c.mu.Lock()
 	c.closing, c.reading = true, false
 	c.mu.Unlock()
-	if gone {
+	if disconnected {
 		c.cancel()
 		return false
 	}
@@ -311,7 +315,7 @@
 	return !c.broken && !errors.Is(err, errIdle)
 }
 
-// linger lets the client read the last answer before the connection is closed.
+// linger lets the client read the last response before the connection is closed.
 func (c *conn) linger() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -320,10 +324,10 @@
 	c.mu.Lock()
 	c.setReadDeadline(time.Now().Add(lingerTimeout))
 	c.mu.Unlock()
-	_, _ = io.Copy(io.Discard, c.Conn) // until the client closes, or time is up
+	_, _ = io.Copy(io.Discard, c.Conn) // until the client closes or the deadline passes
 }
 
-// statusLine returns the first line of an answer.
+// statusLine returns the status line of a response.
 func statusLine(status int) string {
 	return "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n"
 }
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// exchange is one request and its answer. It is the http.ResponseWriter of its
+// exchange is a request and its response. It is the http.ResponseWriter of the request's
 // handler.
 type exchange struct {
 	conn    *conn
 	request *http.Request
 	body    *body
-	// concurrent tells that it may run beside others, last that the connection ends
-	// behind it.
+	// concurrent tells that the request may run concurrently with others of its
+	// connection, closeAfter that the connection closes after the response.
 	concurrent, closeAfter bool
 
 	header   http.Header
 	status   int
 	response []byte
-	// answered is the conn's, under its lock.
+	// answered tells that the response is complete. It is guarded by conn.mu.
 	answered bool
 }
 
@@ -36,15 +36,15 @@
 	return x
 }
 
-// run has the request handled and its answer written in its turn.
+// run handles the request and writes its response in its turn.
 func (x *exchange) run() {
 	defer x.conn.work.Done()
 	x.handle()
 	if x.body != nil && !x.body.finish() {
-		x.closeAfter = true // where the next request begins is not known
+		x.closeAfter = true // the start of the next request is unknown
 	}
 	if x.header.Get("Connection") == "close" {
-		x.closeAfter = true // the client shall connect to another host
+		x.closeAfter = true // the handler wants the client to connect to another host
 	}
 	x.conn.mu.Lock()
 	x.answered = true
@@ -53,7 +53,7 @@
 	x.conn.flush()
 }
 
-// handle runs the handler. One that panics ends this request alone.
+// handle runs the handler. A panic only fails this request.
 func (x *exchange) handle() {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -74,14 +74,14 @@
 	}
 }
 
-// Write implements http.ResponseWriter; the answer goes out whole.
+// Write implements http.ResponseWriter. It buffers the response.
 func (x *exchange) Write(p []byte) (int, error) {
 	x.WriteHeader(http.StatusOK)
 	x.response = append(x.response, p...)
 	return len(p), nil
 }
 
-// encode returns the answer as it is sent.
+// encode returns the encoded response.
 func (x *exchange) encode(now time.Time) []byte {
 	x.WriteHeader(http.StatusOK)
 	bodyless := x.status == http.StatusNoContent || x.status == http.StatusNotModified
@@ -94,10 +94,10 @@
 	if _, ok := x.header["Date"]; !ok {
 		x.header["Date"] = []string{now.UTC().Format(http.TimeFormat)}
 	}
-	const headGuess = 512
-	out := bytes.NewBuffer(make([]byte, 0, headGuess+len(x.response)))
+	const headSize = 512
+	out := bytes.NewBuffer(make([]byte, 0, headSize+len(x.response)))
 	out.WriteString(statusLine(x.status))
-	_ = x.header.Write(out) // a buffer takes everything
+	_ = x.header.Write(out) // writes to a buffer can't fail
 	out.WriteString("\r\n")
 	if !bodyless && (x.request == nil || x.request.Method != http.MethodHead) {
 		out.Write(x.response)
--- a/internal/ingress/head.go
+++ b/internal/ingress/head.go
@@ -10,8 +10,9 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// requestError is a request that can't be read. Its connection ends behind the answer:
-// where the next request begins is not known.
+// requestError is the error of a request that can't be read, with the response to it.
+// The connection closes after the response, since the start of the next request is
+// unknown.
 type requestError struct {
 	status int
 	text   string
@@ -21,17 +22,17 @@
 
 func badRequest(text string) error { return &requestError{http.StatusBadRequest, text} }
 
-// read reads the head of a request into buf, up to and with its empty line, and
-// checks how it is framed: a head that two readers could read in two ways is
-// refused.
-func (h *framing) read(br *bufio.Reader, buf []byte, most int) ([]byte, error) {
+// read reads the head of a request into buf, its empty line included, and checks its
+// framing. It rejects a head that other readers might parse differently, which would
+// allow request smuggling.
+func (f *framing) read(br *bufio.Reader, buf []byte, limit int) ([]byte, error) {
 	buf = buf[:0]
 	for first := true; ; {
 		start := len(buf)
 		for {
 			part, err := br.ReadSlice('\n')
 			buf = append(buf, part...)
-			if len(buf) > most {
+			if len(buf) > limit {
 				return buf, &requestError{http.StatusRequestHeaderFieldsTooLarge, "head too long"}
 			}
 			if err == nil {
@@ -46,17 +47,17 @@
 		case !ok:
 			return buf, badRequest("line without CR")
 		case first && len(line) == 0 && start == 0:
-			buf = buf[:0] // an empty line before a request (RFC 9112, 2.2)
+			buf = buf[:0] // ignore an empty line before a request (RFC 9112, 2.2)
 			first = false
 			continue
 		case len(line) == 0 && start > 0:
-			return buf, h.check()
+			return buf, f.check()
 		case start == 0:
 			if bytes.ContainsAny(line, "\r\x00") {
 				return buf, badRequest("control byte in the request line")
 			}
 		default:
-			if err := h.addLine(line); err != nil {
+			if err := f.addLine(line); err != nil {
 				return buf, err
 			}
 		}
@@ -64,21 +65,21 @@
 	}
 }
 
-// maxHeaderLines bounds the header lines of a request: each takes far more memory than
-// its bytes once it is parsed.
+// maxHeaderLines bounds the header lines of a request: a parsed line takes far more
+// memory than its bytes.
 const maxHeaderLines = 1000
 
-// framing is what the head says of where its request ends.
+// framing counts the lines of a head, and the headers that frame its request.
 type framing struct {
 	lines, hosts, lengths, codings int
 }
 
-// addLine checks one header line.
-func (h *framing) addLine(line []byte) error {
+// addLine checks and counts one header line.
+func (f *framing) addLine(line []byte) error {
 	name, value, ok := strings.Cut(string(line), ":")
-	h.lines++
+	f.lines++
 	switch {
-	case h.lines > maxHeaderLines:
+	case f.lines > maxHeaderLines:
 		return &requestError{http.StatusRequestHeaderFieldsTooLarge, "too many header lines"}
 	case !ok || !httpguts.ValidHeaderFieldName(name):
 		return badRequest("malformed header name")
@@ -87,16 +88,16 @@
 	}
 	switch http.CanonicalHeaderKey(name) {
 	case "Host":
-		h.hosts++
+		f.hosts++
 	case "Content-Length":
-		h.lengths++
+		f.lengths++
 		for _, c := range strings.Trim(value, " \t") {
 			if c < '0' || c > '9' {
 				return badRequest("malformed length")
 			}
 		}
 	case "Transfer-Encoding":
-		h.codings++
+		f.codings++
 		if !strings.EqualFold(strings.Trim(value, " \t"), "chunked") {
 			return &requestError{http.StatusNotImplemented, "unknown transfer coding"}
 		}
@@ -104,18 +105,18 @@
 	return nil
 }
 
-func (h *framing) check() error {
+func (f *framing) check() error {
 	switch {
-	case h.lengths > 1, h.codings > 1, h.lengths+h.codings > 1:
+	case f.lengths > 1, f.codings > 1, f.lengths+f.codings > 1:
 		return badRequest("more than one length")
-	case h.hosts > 1:
+	case f.hosts > 1:
 		return badRequest("more than one host")
 	}
 	return nil
 }
 
-// parse returns the request of a head that was read. Its body is not set.
-func (h *framing) parse(head []byte, br *bufio.Reader, src *bytes.Reader) (*http.Request, error) {
+// parse parses a head that was read. The returned request has no usable body.
+func (f *framing) parse(head []byte, br *bufio.Reader, src *bytes.Reader) (*http.Request, error) {
 	src.Reset(head)
 	br.Reset(src)
 	r, err := http.ReadRequest(br)
@@ -128,7 +129,7 @@
 	if r.Host == "" && r.ProtoAtLeast(1, 1) {
 		return nil, badRequest("no host")
 	}
-	if h.codings > 0 && !r.ProtoAtLeast(1, 1) {
+	if f.codings > 0 && !r.ProtoAtLeast(1, 1) {
 		return nil, badRequest("chunks before HTTP/1.1")
 	}
 	return r, nil
--- a/internal/ingress/head_test.go
+++ b/internal/ingress/head_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzHead compares what is accepted here with net/http's reader: a head that is
-// taken must be read there in the same way, to the same end.
+// FuzzHead compares framing with net/http's reader: a head that is accepted here must be
+// parsed there to the same request, with the same end.
 func FuzzHead(f *testing.F) {
 	for _, seed := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -44,7 +44,7 @@
 		}
 		rest, err := io.ReadAll(br)
 		assert.NilError(t, err)
-		sent = bytes.TrimPrefix(sent, []byte("\r\n")) // net/http takes no empty line before a request
+		sent = bytes.TrimPrefix(sent, []byte("\r\n")) // net/http accepts no empty line before a request
 		other := bufio.NewReader(bytes.NewReader(sent))
 		want, err := http.ReadRequest(other)
 		assert.NilError(t, err)
@@ -57,11 +57,12 @@
 		assert.Equal(t, r.Close, want.Close)
 		left, err := io.ReadAll(other)
 		assert.NilError(t, err)
-		assert.Assert(t, bytes.Equal(rest, left), "%q and %q are left", rest, left)
+		assert.Assert(t, bytes.Equal(rest, left), "rest is %q, want %q", rest, left)
 	})
 }
 
-// TestLeadingEmptyLines: one empty line before a request is passed over, more are not.
+// TestLeadingEmptyLines checks that one empty line before a request is ignored and more
+// are rejected.
 func TestLeadingEmptyLines(t *testing.T) {
 	for lines, want := range map[int]bool{0: true, 1: true, 2: false} {
 		var h framing
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,8 +1,7 @@
-// Package ingress serves HTTP/1.1 connections of clients that may send requests
-// before the ones ahead have been answered. Requests that may be repeated run
-// side by side; answers go out in the order of the requests. It answers clients
-// that save round trips on one connection, of which one slow request must not
-// cost the others their time.
+// Package ingress serves HTTP/1.1 connections with pipelining: clients may send requests
+// before earlier ones have their responses. Idempotent requests run concurrently, and
+// responses are written in the order of the requests. net/http would run them one after
+// the other, so that one slow request would delay all others on its connection.
 package ingress
 
 import (
@@ -16,33 +15,34 @@
 )
 
 const (
-	// maxPipelined is how many requests of one connection run at once: more wait
-	// unread, and a client that leaves meanwhile is noticed later.
+	// maxPipelined is how many requests of one connection run at once. More are left
+	// unread; meanwhile, a disconnect of the client is detected late.
 	maxPipelined = 16
-	// writeTimeout bounds the writing of one answer to a client that does not
+	// writeTimeout bounds the time to write one response to a client that does not
 	// read.
 	writeTimeout = 30 * time.Second
-	// lingerTimeout is how long a connection that ends is still read: closing it
-	// over unread bytes would reset it, and the last answer might be lost.
+	// lingerTimeout is how long a closing connection is still read. Closing it with
+	// unread bytes would reset it, and the last response might be lost.
 	lingerTimeout = 500 * time.Millisecond
-	// minAcceptBackoff and acceptMost bound the pause after a failed accept, where the
-	// process has no descriptor left.
+	// minAcceptBackoff and maxAcceptBackoff bound the backoff after a failed accept,
+	// for example if the process has no file descriptor left.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = time.Second
 )
 
-// Config is what a Server needs.
+// Config configures a Server.
 type Config struct {
 	Handler http.Handler
-	// Concurrent reports whether a request may run beside others of its connection.
+	// Concurrent reports whether a request may run concurrently with others of its
+	// connection.
 	Concurrent func(*http.Request) bool
-	// IdleTimeout returns how long a connection without a request is kept now.
+	// IdleTimeout returns how long a connection without a request is currently kept.
 	IdleTimeout func() time.Duration
 	// MaxHeaderBytes bounds the head of a request, HeaderTimeout the time from its
 	// first byte to its last.
 	MaxHeaderBytes int
 	HeaderTimeout  time.Duration
-	// OnPanic is told where a handler panicked.
+	// OnPanic is called after a panic of a handler.
 	OnPanic func(part string, cause any)
 	Log     *slog.Logger
 }
@@ -54,17 +54,16 @@
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[*conn]struct{}
-	// drainIdle is how long idle connections are kept in a planned stop; zero
-	// before it.
+	// drainIdle is the idle timeout while the server drains, zero before.
 	drainIdle time.Duration
 	closed    bool
 	work      sync.WaitGroup
 }
 
-// New returns a server that serves nothing yet.
+// New returns a server without a listener.
 func New(cfg Config) *Server { return &Server{cfg: cfg, conns: make(map[*conn]struct{})} }
 
-// Serve takes connections until Shutdown or Close.
+// Serve accepts connections until Shutdown or Close.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -103,7 +102,7 @@
 	go k.run()
 }
 
-// removeConn is told by a connection that it has ended.
+// removeConn removes a connection that has ended.
 func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,27 +110,27 @@
 	s.work.Done()
 }
 
-// idleTimeout returns how long a connection without a request is kept now.
+// idleTimeout returns how long a connection without a request is currently kept.
 func (s *Server) idleTimeout() time.Duration {
 	s.mu.Lock()
-	hurried := s.drainIdle
+	drainTimeout := s.drainIdle
 	s.mu.Unlock()
-	if hurried > 0 {
-		return hurried
+	if drainTimeout > 0 {
+		return drainTimeout
 	}
 	return s.cfg.IdleTimeout()
 }
 
-// draining reports whether a planned stop has begun: each connection ends behind
-// the last request that was taken from it.
+// draining reports whether the server drains: each connection closes after its last
+// accepted request.
 func (s *Server) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drainIdle > 0
 }
 
-// Drain begins a planned stop. New connections are still served; those without a
-// request are kept for idle, so that a request on its way is still taken.
+// Drain begins to drain the server. New connections are still served. Connections
+// without a request are kept for idle, so that a request in transit is still accepted.
 func (s *Server) Drain(idle time.Duration) {
 	s.mu.Lock()
 	s.drainIdle = idle
@@ -151,8 +150,7 @@
 	return out
 }
 
-// Shutdown takes no more connections and waits until all have ended, at most
-// until ctx ends.
+// Shutdown stops accepting connections and waits until all have ended or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closed = true
@@ -174,7 +172,7 @@
 	}
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -20,14 +20,14 @@
 	"citrontray.example/citrontray/internal/logging"
 )
 
-// testServer serves with a handler that waits for the test where a path says so.
+// testServer is a server whose handler waits for the test on some paths.
 type testServer struct {
 	*Server
 
 	t       *testing.T
 	addr    string
 	served  chan error
-	entered chan string // the paths whose handler has begun, but streamed
+	entered chan string // paths whose handler has started, without streamed
 
 	mu       sync.Mutex
 	gates    map[string]chan struct{}
@@ -40,7 +40,7 @@
 	return serveFor(t, time.Minute, time.Second)
 }
 
-// serveFor serves with an idle time and a time for the head of a request.
+// serveFor starts a server with an idle timeout and a header timeout.
 func serveFor(t *testing.T, idle, head time.Duration) *testServer {
 	t.Helper()
 	s := &testServer{t: t, served: make(chan error, 1), entered: make(chan string, 1024), gates: make(map[string]chan struct{})}
@@ -60,7 +60,7 @@
 	return s
 }
 
-// gate returns what a handler of a path under /wait waits for.
+// gate returns the channel that the handler of a path with /wait waits for.
 func (s *testServer) gate(path string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.Path, body)
 }
 
-// client is one connection to a server under test.
+// client is a connection to a server under test.
 type client struct {
 	net.Conn
 
@@ -131,7 +131,8 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// expectResponse reads an answer, and reports whether the connection ends behind it.
+// expectResponse reads a response and reports whether it announces the end of the
+// connection.
 func (c *client) expectResponse(status int, body string) (last bool) {
 	c.t.Helper()
 	r, err := http.ReadResponse(c.br, nil)
@@ -164,7 +165,7 @@
 		case p := <-s.entered:
 			assert.Assert(s.t, wanted[p], "%s", p)
 		case <-time.After(5 * time.Second):
-			s.t.Fatalf("not all of %v begin", paths)
+			s.t.Fatalf("not all of %v started", paths)
 		}
 	}
 }
@@ -173,18 +174,19 @@
 	s.t.Helper()
 	select {
 	case p := <-s.entered:
-		s.t.Fatalf("%s began", p)
+		s.t.Fatalf("%s started", p)
 	case <-time.After(d):
 	}
 }
 
 const shortWait = 50 * time.Millisecond
 
-// TestPipelining: requests sent ahead run side by side where they may; answers come in
-// the order of the requests, and one that waits holds no other request's work up.
+// TestPipelining checks that pipelined requests run concurrently if they may, that
+// responses come in the order of the requests, and that a slow request does not delay
+// the work of others.
 func TestPipelining(t *testing.T) {
 	tests := map[string]func(t *testing.T, s *testServer, c *client){
-		"side by side, in order": func(t *testing.T, s *testServer, c *client) {
+		"concurrent, responses in order": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + get("/2") + get("/wait/3"))
 			s.expectStarted("/wait/1", "/2", "/wait/3")
 			close(s.gate("/wait/3"))
@@ -194,13 +196,13 @@
 			c.expectResponse(http.StatusOK, "GET /2 ")
 			c.expectResponse(http.StatusOK, "GET /wait/3 ")
 		},
-		"a first answer does not wait for later ones": func(t *testing.T, s *testServer, c *client) {
+		"first response before later ones": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/1") + get("/wait/2"))
 			c.expectResponse(http.StatusOK, "GET /1 ")
 			close(s.gate("/wait/2"))
 			c.expectResponse(http.StatusOK, "GET /wait/2 ")
 		},
-		"one that may not run beside others waits": func(t *testing.T, s *testServer, c *client) {
+		"not concurrent: waits for earlier": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + get("/alone/2"))
 			s.expectStarted("/wait/1")
 			s.expectNoneStarted(shortWait)
@@ -208,7 +210,7 @@
 			c.expectResponse(http.StatusOK, "GET /wait/1 ")
 			c.expectResponse(http.StatusOK, "GET /alone/2 ")
 		},
-		"nothing is begun behind one that may not": func(t *testing.T, s *testServer, c *client) {
+		"not concurrent: later ones wait": func(t *testing.T, s *testServer, c *client) {
 			c.send(post("/wait/1", "x") + get("/2"))
 			s.expectStarted("/wait/1")
 			s.expectNoneStarted(shortWait)
@@ -216,7 +218,7 @@
 			c.expectResponse(http.StatusOK, "POST /wait/1 x")
 			c.expectResponse(http.StatusOK, "GET /2 ")
 		},
-		"a bound of them runs at once": func(t *testing.T, s *testServer, c *client) {
+		"at most maxPipelined at once": func(t *testing.T, s *testServer, c *client) {
 			var ahead strings.Builder
 			paths := make([]string, 0, maxPipelined+4)
 			for i := range maxPipelined + 4 {
@@ -230,13 +232,13 @@
 			c.expectResponse(http.StatusOK, "GET /wait/0 ")
 			s.expectStarted(paths[maxPipelined])
 		},
-		"bodies of both kinds": func(t *testing.T, s *testServer, c *client) {
+		"chunked body and Content-Length": func(t *testing.T, s *testServer, c *client) {
 			c.send("POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: x\r\n\r\n" + post("/2", "def") + get("/3"))
 			c.expectResponse(http.StatusOK, "POST /1 abc")
 			c.expectResponse(http.StatusOK, "POST /2 def")
 			c.expectResponse(http.StatusOK, "GET /3 ")
 		},
-		"a body that waits for word": func(t *testing.T, s *testServer, c *client) {
+		"Expect: 100-continue": func(t *testing.T, s *testServer, c *client) {
 			c.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
 			line, err := c.br.ReadString('\n')
 			assert.NilError(t, err)
@@ -246,7 +248,7 @@
 			c.send("ok")
 			c.expectResponse(http.StatusOK, "POST /1 ok")
 		},
-		"a handler that panics ends its request alone": func(t *testing.T, s *testServer, c *client) {
+		"panic fails only its request": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + get("/panic") + get("/3"))
 			s.expectStarted("/wait/1", "/panic", "/3")
 			close(s.gate("/wait/1"))
@@ -254,7 +256,7 @@
 			c.expectResponse(http.StatusInternalServerError, "")
 			c.expectResponse(http.StatusOK, "GET /3 ")
 		},
-		"the client asks for the end": func(t *testing.T, s *testServer, c *client) {
+		"Connection: close from the client": func(t *testing.T, s *testServer, c *client) {
 			c.send(get("/wait/1") + "GET /2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n" + get("/3"))
 			s.expectStarted("/wait/1", "/2")
 			s.expectNoneStarted(shortWait)
@@ -263,7 +265,7 @@
 			assert.Assert(t, c.expectResponse(http.StatusOK, "GET /2 "))
 			c.expectClosed()
 		},
-		"a body left unread ends the connection": func(t *testing.T, s *testServer, c *client) {
+		"unread body closes the connection": func(t *testing.T, s *testServer, c *client) {
 			c.send("POST /unread HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\nabc")
 			assert.Assert(t, c.expectResponse(http.StatusRequestEntityTooLarge, ""))
 			c.expectClosed()
@@ -277,8 +279,8 @@
 	}
 }
 
-// TestClientDisconnect: what runs for a client that has gone ends at once, however
-// many requests it has sent ahead.
+// TestClientDisconnect checks that the requests of a client that disconnects are
+// canceled at once, however many it has pipelined.
 func TestClientDisconnect(t *testing.T) {
 	for name, ahead := range map[string]int{"one": 1, "two": 2, "many": maxPipelined} {
 		t.Run(name, func(t *testing.T) {
@@ -289,42 +291,42 @@
 				s.expectStarted(fmt.Sprintf("/wait/%d", i))
 			}
 			assert.NilError(t, c.Close())
-			const bound = 500 * time.Millisecond // as long as work may go on for nobody
+			const bound = 500 * time.Millisecond // longest time that requests may run after the disconnect
 			for end := time.Now().Add(bound); s.canceled.Load() < int32(ahead); time.Sleep(time.Millisecond) {
-				assert.Assert(t, time.Now().Before(end), "%d of %d ended", s.canceled.Load(), ahead)
+				assert.Assert(t, time.Now().Before(end), "%d of %d canceled", s.canceled.Load(), ahead)
 			}
 		})
 	}
 }
 
-// TestMalformedHead: a head that can't be read, or could be read in two ways, ends
-// its connection behind one refusal; nothing of it or behind it is handled.
+// TestMalformedHead checks that a malformed or ambiguous head gets one error response,
+// after which the connection closes. Neither its request nor a later one is handled.
 func TestMalformedHead(t *testing.T) {
 	tests := map[string]struct {
 		head   string
 		status int
 	}{
-		"two lengths":         {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", http.StatusBadRequest},
-		"length and chunks":   {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", http.StatusBadRequest},
-		"signed length":       {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", http.StatusBadRequest},
-		"list of lengths":     {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", http.StatusBadRequest},
-		"negative length":     {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", http.StatusBadRequest},
-		"unknown coding":      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", http.StatusNotImplemented},
-		"chunks before 1.1":   {"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", http.StatusBadRequest},
-		"bare line feed":      {"GET / HTTP/1.1\nHost: a\n\n", http.StatusBadRequest},
-		"bare line feed last": {"GET / HTTP/1.1\r\nHost: a\r\n\n", http.StatusBadRequest},
-		"bare return":         {"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", http.StatusBadRequest},
-		"control byte":        {"GET / HTTP/1.1\r\nHo\x01st: a\r\n\r\n", http.StatusBadRequest},
-		"zero byte":           {"GET / HTTP/1.1\r\nHost: a\r\nX: \x00\r\n\r\n", http.StatusBadRequest},
-		"space before colon":  {"GET / HTTP/1.1\r\nHost : a\r\n\r\n", http.StatusBadRequest},
-		"folded line":         {"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", http.StatusBadRequest},
-		"no colon":            {"GET / HTTP/1.1\r\nHost\r\n\r\n", http.StatusBadRequest},
-		"no host":             {"GET / HTTP/1.1\r\n\r\n", http.StatusBadRequest},
-		"two hosts":           {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", http.StatusBadRequest},
-		"no request line":     {"nonsense\r\n\r\n", http.StatusBadRequest},
-		"another protocol":    {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", http.StatusHTTPVersionNotSupported},
-		"long head":           {"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 20<<10) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
-		"many lines":          {"GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: y\r\n", maxHeaderLines) + "\r\n", http.StatusRequestHeaderFieldsTooLarge},
+		"two lengths":             {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", http.StatusBadRequest},
+		"length and chunks":       {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", http.StatusBadRequest},
+		"signed length":           {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", http.StatusBadRequest},
+		"list of lengths":         {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", http.StatusBadRequest},
+		"negative length":         {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", http.StatusBadRequest},
+		"unknown transfer coding": {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", http.StatusNotImplemented},
+		"chunks before 1.1":       {"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", http.StatusBadRequest},
+		"bare line feed":          {"GET / HTTP/1.1\nHost: a\n\n", http.StatusBadRequest},
+		"bare line feed last":     {"GET / HTTP/1.1\r\nHost: a\r\n\n", http.StatusBadRequest},
+		"bare carriage return":    {"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", http.StatusBadRequest},
+		"control byte":            {"GET / HTTP/1.1\r\nHo\x01st: a\r\n\r\n", http.StatusBadRequest},
+		"zero byte":               {"GET / HTTP/1.1\r\nHost: a\r\nX: \x00\r\n\r\n", http.StatusBadRequest},
+		"space before colon":      {"GET / HTTP/1.1\r\nHost : a\r\n\r\n", http.StatusBadRequest},
+		"folded line":             {"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", http.StatusBadRequest},
+		"no colon":                {"GET / HTTP/1.1\r\nHost\r\n\r\n", http.StatusBadRequest},
+		"no host":                 {"GET / HTTP/1.1\r\n\r\n", http.StatusBadRequest},
+		"two hosts":               {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", http.StatusBadRequest},
+		"no request line":         {"nonsense\r\n\r\n", http.StatusBadRequest},
+		"HTTP/2 preface":          {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", http.StatusHTTPVersionNotSupported},
+		"long head":               {"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 20<<10) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
+		"many lines":              {"GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: y\r\n", maxHeaderLines) + "\r\n", http.StatusRequestHeaderFieldsTooLarge},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -341,7 +343,7 @@
 	}
 }
 
-// TestSlowHead: a head that does not come to its end in time is refused.
+// TestSlowHead checks that a head that takes longer than HeaderTimeout is rejected.
 func TestSlowHead(t *testing.T) {
 	c := serveFor(t, time.Minute, shortWait).dial()
 	c.send("GET / HT")
@@ -349,20 +351,20 @@
 	c.expectClosed()
 }
 
-// TestIdle: a connection is closed when it was idle for its time, but not while a
-// request waits on it that has not been read yet.
+// TestIdle checks that an idle connection is closed after its idle timeout, but not if a
+// request has arrived that was not read yet.
 func TestIdle(t *testing.T) {
-	t.Run("nothing waits", func(t *testing.T) {
+	t.Run("no request", func(t *testing.T) {
 		serveFor(t, shortWait, time.Second).dial().expectClosed()
 	})
-	t.Run("after an answer", func(t *testing.T) {
+	t.Run("after a response", func(t *testing.T) {
 		s := serveFor(t, shortWait, time.Second)
 		c := s.dial()
 		c.send(get("/1"))
 		c.expectResponse(http.StatusOK, "GET /1 ")
 		c.expectClosed()
 	})
-	t.Run("while one runs", func(t *testing.T) {
+	t.Run("not while a request runs", func(t *testing.T) {
 		s := serveFor(t, shortWait, time.Second)
 		c := s.dial()
 		c.send(get("/wait/1"))
@@ -370,7 +372,7 @@
 		close(s.gate("/wait/1"))
 		c.expectResponse(http.StatusOK, "GET /wait/1 ")
 	})
-	t.Run("a request waits", func(t *testing.T) {
+	t.Run("not with an unread request", func(t *testing.T) {
 		s := serve(t)
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		assert.NilError(t, err)
@@ -392,22 +394,22 @@
 	})
 }
 
-// TestDrain: in a planned stop all that was taken is answered, whenever it came;
-// each connection ends behind the last of it, and says so.
+// TestDrain drains a server under load. All accepted requests must get a response, and
+// each connection must announce its end in the last one.
 func TestDrain(t *testing.T) {
 	s := serve(t)
 	const clients, rounds = 20, 400
-	var asked, answered, cut atomic.Int64
+	var totalSent, answered, failed atomic.Int64
 	var work sync.WaitGroup
 	for i := range clients {
 		work.Add(1)
 		go func() {
 			defer work.Done()
 			n, err := streamRequests(s.addr, i%3+1, rounds)
-			asked.Add(int64(n.sent))
+			totalSent.Add(int64(n.sent))
 			answered.Add(int64(n.answered))
 			if err != nil {
-				cut.Add(1)
+				failed.Add(1)
 				t.Logf("client %d: %v", i, err)
 			}
 		}()
@@ -419,14 +421,14 @@
 	time.Sleep(shortWait)
 	assert.NilError(t, s.Shutdown(ctx))
 	work.Wait()
-	t.Logf("%d sent, %d answered, %d taken", asked.Load(), answered.Load(), s.handled.Load())
-	assert.Equal(t, cut.Load(), int64(0))
+	t.Logf("%d sent, %d answered, %d handled", totalSent.Load(), answered.Load(), s.handled.Load())
+	assert.Equal(t, failed.Load(), int64(0))
 	assert.Equal(t, answered.Load(), int64(s.handled.Load()))
 	assert.Assert(t, answered.Load() > 0)
 }
 
-// TestHandlerClosesConnection: a handler that sends a client elsewhere ends the connection behind
-// its answer, and what the client has sent behind the request is not run.
+// TestHandlerClosesConnection checks that the connection closes after a response with
+// Connection: close, and that later requests on it do not run.
 func TestHandlerClosesConnection(t *testing.T) {
 	c := serve(t).dial()
 	c.send(get("/first") + get("/elsewhere") + post("/alone/behind", "x"))
@@ -435,47 +437,47 @@
 	c.expectClosed()
 }
 
-// streamed is the path of the requests of streams.
+// streamed is the path of the requests of streamRequests.
 const streamed = "/x"
 
-// stream counts what a client sent and got.
+// stream counts the requests that a client sent and the responses that it got.
 type stream struct{ sent, answered int }
 
-// streamRequests keeps some requests ahead on one connection until the server ends
-// it. The error tells of an end that is not behind an answer that says so, or of
-// an idle connection.
+// streamRequests pipelines requests on one connection until the server closes it, and
+// keeps ahead of them in flight. It returns an error if the connection closes without
+// an announcement in the last response, or does not close.
 func streamRequests(addr string, ahead, rounds int) (stream, error) {
-	var n stream
+	var counts stream
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
-		return n, err
+		return counts, err
 	}
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for range rounds {
-		for n.sent < n.answered+ahead {
+		for counts.sent < counts.answered+ahead {
 			if _, err := io.WriteString(c, get(streamed)); err != nil {
-				break // the answers that are on their way are still read
+				break // responses in transit are still read
 			}
-			n.sent++
+			counts.sent++
 		}
 		r, err := http.ReadResponse(br, nil)
 		if err != nil {
-			return n, fmt.Errorf("after %d answers: %w", n.answered, err)
+			return counts, fmt.Errorf("after %d responses: %w", counts.answered, err)
 		}
 		_, err = io.Copy(io.Discard, r.Body)
 		if err = errors.Join(err, r.Body.Close()); err != nil {
-			return n, err
+			return counts, err
 		}
-		n.answered++
+		counts.answered++
 		if r.Close {
 			_, err := br.ReadByte()
 			if !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
-				return n, fmt.Errorf("behind the last answer: %w", err)
+				return counts, fmt.Errorf("after the last response: %w", err)
 			}
-			return n, nil
+			return counts, nil
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return n, errors.New("never ended")
+	return counts, errors.New("connection was not closed")
 }
