--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -74,7 +74,7 @@
 	replies       []Reply
 }
 
-// suspect is a host that did not reply in time, or that is leaving.
+// suspect is a host that did not reply in time, or that sent a Leave.
 type suspect struct {
 	since, pingedAt time.Time
 	leaving         bool
