--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -76,11 +76,11 @@
 	if i < 0 {
 		return
 	}
-	parts, ok := parsePattern(r.Path)
+	segs, ok := parsePattern(r.Path)
 	if !ok {
 		return
 	}
-	c := &compiledRoute{route: r, service: &s.Services[i], segments: parts}
+	c := &compiledRoute{route: r, service: &s.Services[i], segments: segs}
 	for _, name := range r.Callers {
 		if caller := byName[name]; caller != nil {
 			caller.routes = append(caller.routes, c)
@@ -93,18 +93,18 @@
 	if !strings.HasPrefix(pattern, "/") {
 		return nil, false
 	}
-	var parts []segment
+	var segs []segment
 	for text := range strings.SplitSeq(pattern[1:], "/") {
 		switch {
 		case text == "{key}":
-			parts = append(parts, segment{isKey: true})
+			segs = append(segs, segment{isKey: true})
 		case strings.HasPrefix(text, "{") && strings.HasSuffix(text, "}"):
-			parts = append(parts, segment{isAny: true})
+			segs = append(segs, segment{isAny: true})
 		default:
-			parts = append(parts, segment{literal: text})
+			segs = append(segs, segment{literal: text})
 		}
 	}
-	return parts, true
+	return segs, true
 }
 
 // Find returns the match of a request, or the reason why there is none. It only
