--- a/internal/settings/applied.go
+++ b/internal/settings/applied.go
@@ -7,8 +7,8 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// Applied holds the settings in force in one process. It takes revisions in
-// order and never goes back. Safe for concurrent use; the zero value is empty.
+// Applied holds the settings in force in one process. Revisions only increase.
+// It is safe for concurrent use; the zero value holds no settings.
 type Applied struct {
 	mu      sync.Mutex
 	current *Settings
@@ -16,8 +16,8 @@
 	changed chan struct{}
 }
 
-// Apply puts s in force at now unless s is not newer than what is; it reports
-// whether s is in force now because of this call.
+// Apply puts s in force at now, unless a revision at least as new is in force.
+// It reports whether it did so.
 func (a *Applied) Apply(now time.Time, s *Settings) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -32,8 +32,8 @@
 	return true
 }
 
-// ApplyDocument decodes a document of the store's revision and offers it. An
-// old revision is left out before it is decoded.
+// ApplyDocument decodes the document of a store revision and applies it. A
+// revision that is not newer is skipped before decoding.
 func (a *Applied) ApplyDocument(now time.Time, revision platform.Revision, body []byte) (bool, error) {
 	if s := a.Current(); s != nil && revision <= s.Revision {
 		return false, nil
@@ -46,15 +46,15 @@
 	return a.Apply(now, s), nil
 }
 
-// Current returns the settings in force, or nil before the first ones.
+// Current returns the settings in force, or nil if there are none yet.
 func (a *Applied) Current() *Settings {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.current
 }
 
-// InForce returns the revision and number in force and since when; zeros
-// before the first ones.
+// InForce returns the revision and number in force and since when, or zeros if
+// there are none yet.
 func (a *Applied) InForce() (revision platform.Revision, number uint64, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,7 +64,7 @@
 	return a.current.Revision, a.current.Number, a.since
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when other settings come into force.
 func (a *Applied) Changed() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -8,11 +8,11 @@
 	"citrontray.example/citrontray/internal/finding"
 )
 
-// compareNames orders fields in files and documents.
+// compareNames orders the names of fields and the paths of changes.
 func compareNames(a, b string) int { return cmp.Compare(a, b) }
 
-// With returns the settings after the changes, checked whole. The error is a
-// *finding.Error with every problem and its place. s itself stays as it is.
+// With returns the settings after the changes, validated as a whole. The error
+// is a *finding.Error with all problems. It does not modify s.
 func (s *Settings) With(changes []Change) (*Settings, error) {
 	byPath := make(map[Path]Item)
 	for _, item := range s.Items() {
@@ -42,14 +42,14 @@
 	return next, nil
 }
 
-// Difference is one path whose value differs between two settings.
+// Difference is a path whose value differs between two settings.
 type Difference struct {
 	Path Path
-	// Before and After are in the file format; empty where there is none.
+	// Before and After are in the file format, "" if the path does not exist.
 	Before, After string
 }
 
-// Diff returns what differs from old to next, sorted by path.
+// Diff returns the differences between old and next, sorted by path.
 func Diff(old, next *Settings) []Difference {
 	before, after := itemsByPath(old), itemsByPath(next)
 	paths := maps.Clone(before)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -8,7 +8,7 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// checker checks the references between settings.
+// checker validates settings against each other.
 type checker struct {
 	*Settings
 	items    map[Path]Item
@@ -17,7 +17,7 @@
 	callers  map[Caller]*CallerRow
 }
 
-// check records every problem between the settings. Items give the places.
+// check records all problems across settings. The items give their locations.
 func (s *Settings) check(items map[Path]Item, found *finding.List) {
 	c := checker{
 		Settings: s, items: items, found: found,
@@ -44,9 +44,9 @@
 	c.duplicateCredentials()
 }
 
-// add records a problem of a field at path.
-func (c *checker) add(path Path, field, problem, mend string) {
-	c.found.Add(c.items[path].location(field), problem, mend)
+// add records a problem with a field of the setting at path.
+func (c *checker) add(path Path, field, problem, hint string) {
+	c.found.Add(c.items[path].location(field), problem, hint)
 }
 
 func servicePath(s *Service) Path  { return join(teamsRoot, string(s.Team), "services", string(s.Name)) }
@@ -67,51 +67,50 @@
 func (c *checker) service(s *Service) {
 	path := servicePath(s)
 	if _, ok := c.services[s.Name]; ok {
-		c.add(path, "", "has the name of another service", "names of services are unique in the deployment")
+		c.add(path, "", "has the name of another service", "service names are unique in the deployment")
 	}
 	c.services[s.Name] = s
 	if !s.Shards.Valid() {
 		c.add(path, "shards", "is not a power of two", "")
 	}
 	if len(s.Zones) == 0 {
-		c.add(path, "zones", "names no zone", "a service needs targets somewhere")
+		c.add(path, "zones", "is empty", "a service needs at least one zone for its targets")
 	}
 	for _, t := range s.Targets {
 		if !slices.Contains(s.Zones, t.Zone) {
-			c.add(path, "targets", "puts "+string(t.Target)+" into a zone that is not in zones", "")
+			c.add(path, "targets", "assigns "+string(t.Target)+" to a zone that is not listed in zones", "")
 		}
 	}
 	for i, a := range s.Shares {
 		for _, b := range s.Shares[:i] {
 			if prefixesOverlap(a.Prefix, b.Prefix) {
-				c.add(path, "shares", "gives "+string(b.Team)+" and "+string(a.Team)+" prefixes that overlap", "neither may start with the other")
+				c.add(path, "shares", "gives "+string(b.Team)+" and "+string(a.Team)+" overlapping prefixes", "neither may start with the other")
 			}
 		}
 		if a.Team == s.Team {
-			c.add(path, "shares", "names the service's own team", "")
+			c.add(path, "shares", "lists the service's own team", "")
 		}
 	}
 }
 
-// checkImmutable records what may not change while a service is there: hosts that
-// count the shards of a key space in two ways would send one key to two
-// targets.
+// checkImmutable records changes to the shard count of existing services: hosts
+// with different shard counts would route one key to two targets.
 func (s *Settings) checkImmutable(old *Settings, items map[Path]Item, found *finding.List) {
 	for i := range s.Services {
 		service := &s.Services[i]
 		if before, ok := old.Service(service.Name); ok && before.Shards != service.Shards {
-			found.Add(items[servicePath(service)].location("shards"), "is fixed while the service is there", "make a new service with another name and lead the routes to it")
+			found.Add(items[servicePath(service)].location("shards"), "cannot be changed for an existing service", "create a service with another name and move the routes to it")
 		}
 	}
 }
 
 func (c *checker) caller(r *CallerRow) {
 	if _, ok := c.callers[r.Name]; ok {
-		c.add(callerPath(r), "", "has the name of another caller", "names of callers are unique in the deployment")
+		c.add(callerPath(r), "", "has the name of another caller", "caller names are unique in the deployment")
 	}
 	c.callers[r.Name] = r
 	if !validName(string(r.Tenant)) {
-		c.add(callerPath(r), "tenant", "is not a name", "")
+		c.add(callerPath(r), "tenant", "is not a valid name", "")
 	}
 }
 
@@ -122,22 +121,22 @@
 		caller, ok := c.callers[name]
 		switch {
 		case !ok:
-			c.add(path, "callers", "names the caller "+string(name)+", which is not there", "add it or take it out")
+			c.add(path, "callers", "refers to caller "+string(name)+", which does not exist", "add the caller or remove it from the list")
 		case caller.Team != r.Team:
-			c.add(path, "callers", "names the caller "+string(name)+", which is not of this team", "")
+			c.add(path, "callers", "refers to caller "+string(name)+", which belongs to another team", "")
 		}
 	}
 	if len(r.Callers) == 0 {
-		c.add(path, "callers", "names no caller", "")
+		c.add(path, "callers", "is empty", "")
 	}
 	if len(r.Methods) == 0 {
-		c.add(path, "methods", "names no method", "")
+		c.add(path, "methods", "is empty", "")
 	}
 	if problem := patternProblem(r); problem != "" {
 		c.add(path, "path", problem, "such as /balance/{key}")
 	}
 	if slices.Contains(r.Methods, "GET") && !r.Idempotent {
-		c.add(path, "idempotent", "is false for a route that takes GET", "GET is idempotent by its definition; give the others a route of their own")
+		c.add(path, "idempotent", "is false for a route that takes GET", "GET is idempotent by definition; give the other methods their own route")
 	}
 }
 
@@ -145,7 +144,7 @@
 func (c *checker) routeService(path Path, r *Route) {
 	s, ok := c.services[r.Service]
 	if !ok {
-		c.add(path, "service", "names the service "+string(r.Service)+", which is not there", "add it or take the route out")
+		c.add(path, "service", "refers to service "+string(r.Service)+", which does not exist", "add the service or delete the route")
 		return
 	}
 	if s.Team == r.Team {
@@ -153,7 +152,7 @@
 	}
 	at := slices.IndexFunc(s.Shares, func(h Share) bool { return h.Team == r.Team })
 	if at < 0 {
-		c.add(path, "service", "names a service of team "+string(s.Team)+" that it does not share", "its shares must name "+string(r.Team))
+		c.add(path, "service", "refers to a service that team "+string(s.Team)+" does not share", "its shares must list "+string(r.Team))
 		return
 	}
 	if want := s.Shares[at].Prefix; !strings.HasPrefix(r.KeyPrefix, want) {
@@ -161,7 +160,7 @@
 	}
 }
 
-// patternProblem says what is wrong with a route's pattern.
+// patternProblem describes the problem with a route's path pattern, if any.
 func patternProblem(r *Route) string {
 	if !strings.HasPrefix(r.Path, "/") {
 		return "does not start with /"
@@ -173,7 +172,7 @@
 			continue
 		}
 		if open != 1 || shut != 1 || part[0] != '{' || part[len(part)-1] != '}' {
-			return "has a part that is half a placeholder"
+			return "has a segment with an incomplete placeholder"
 		}
 		if part != "{"+r.KeyName+"}" || r.KeySource != KeyInPath {
 			return "has a placeholder that is not the key"
@@ -181,7 +180,7 @@
 		holes++
 	}
 	if r.KeySource == KeyInPath && holes != 1 {
-		return "does not have the placeholder {" + r.KeyName + "} once"
+		return "does not contain the placeholder {" + r.KeyName + "} exactly once"
 	}
 	return ""
 }
@@ -189,12 +188,12 @@
 func (c *checker) limit(l *Limit) {
 	caller, ok := c.callers[l.Caller]
 	if !ok || caller.Team != l.Team {
-		c.add(limitPath(l), "", "is for a caller that the team does not have", "")
+		c.add(limitPath(l), "", "refers to a caller that the team does not have", "")
 	}
 	switch l.Class {
 	case Interactive, Registering, Bulk:
 	default:
-		c.add(limitPath(l), "", "is for a class that is not there", "interactive, registering or bulk")
+		c.add(limitPath(l), "", "refers to an unknown class", "interactive, registering or bulk")
 	}
 }
 
@@ -202,21 +201,21 @@
 	own := join(teamsRoot, string(d.Team))
 	for _, below := range d.Below {
 		if d.Team != "" && !own.Covers(below) {
-			c.add(delegationPath(d), "below", "reaches out of the team's own paths", "paths start with "+string(own))
+			c.add(delegationPath(d), "below", "is outside of the team's paths", "paths must start with "+string(own))
 		}
 	}
 	if len(d.Below) == 0 {
-		c.add(delegationPath(d), "below", "names no path", "")
+		c.add(delegationPath(d), "below", "is empty", "")
 	}
 }
 
-// prefixesOverlap reports whether one prefix starts with the other.
+// prefixesOverlap reports whether one prefix is a prefix of the other.
 func prefixesOverlap(a, b string) bool {
 	return strings.HasPrefix(a, b) || strings.HasPrefix(b, a)
 }
 
 // keyOverlaps records routes to one service whose keys overlap although their
-// teams or tenants differ: each would see what belongs to the other.
+// teams or tenants differ: each could see the other's data.
 func (c *checker) keyOverlaps() {
 	byService := make(map[key.Service][]*Route, len(c.services))
 	for i := range c.Routes {
@@ -230,21 +229,22 @@
 	}
 }
 
-// addKeyOverlap records what is wrong with two routes to one service whose keys
-// overlap.
+// addKeyOverlap records the problem of two routes to one service whose keys
+// overlap, if their teams or tenants differ.
 func (c *checker) addKeyOverlap(a, b *Route) {
 	a, b = c.orderForFinding(a, b)
 	switch {
 	case a.Team != b.Team:
-		// Rivals do not learn each other's names from it.
+		// The message names no route: competing teams must not learn each
+		// other's names.
 		c.add(routePath(b), "prefix", "overlaps the keys of another team's route to "+string(b.Service), "neither prefix may start with the other")
 	case !c.sameTenant(a, b):
 		c.add(routePath(b), "prefix", "gives another tenant the keys of "+string(routePath(a)), "neither prefix may start with the other")
 	}
 }
 
-// orderForFinding orders two routes so that a finding stands at the one that is being
-// written.
+// orderForFinding returns the two routes so that the finding is reported at the
+// one that is being written.
 func (c *checker) orderForFinding(a, b *Route) (other, at *Route) {
 	if c.items[routePath(b)].At.Line == 0 && c.items[routePath(a)].At.Line > 0 {
 		return b, a
@@ -252,8 +252,8 @@
 	return a, b
 }
 
-// ambiguousRoutes records routes of one caller that take the same requests, also
-// where they lead to different services.
+// ambiguousRoutes records pairs of routes that match the same request of one
+// caller, even if they lead to different services.
 func (c *checker) ambiguousRoutes() {
 	byCaller := make(map[Caller][]*Route, len(c.callers))
 	type pair struct{ a, b *Route }
@@ -267,14 +267,14 @@
 				}
 				seen[pair{a, b}] = true
 				other, at := c.orderForFinding(a, b)
-				c.add(routePath(at), "path", "takes the same requests as "+string(routePath(other)), "a caller's method and path must lead to one route")
+				c.add(routePath(at), "path", "takes the same requests as "+string(routePath(other)), "a caller's method and path must match only one route")
 			}
 			byCaller[caller] = append(byCaller[caller], b)
 		}
 	}
 }
 
-// sameTenant reports whether all callers of both routes are of one tenant.
+// sameTenant reports whether all callers of both routes belong to one tenant.
 func (c *checker) sameTenant(a, b *Route) bool {
 	tenants := make(map[Tenant]bool)
 	for _, names := range [][]Caller{a.Callers, b.Callers} {
@@ -287,7 +287,7 @@
 	return len(tenants) <= 1
 }
 
-// ambiguous reports whether one request of a caller of both could match both.
+// ambiguous reports whether one request can match both routes.
 func ambiguous(a, b *Route) bool {
 	shared := slices.ContainsFunc(a.Methods, func(m string) bool { return slices.Contains(b.Methods, m) })
 	return shared && patternsOverlap(a.Path, b.Path)
@@ -301,12 +301,12 @@
 	})
 }
 
-// duplicateCredentials records hashes that two callers or two operators share.
+// duplicateCredentials records credentials that callers or operators share.
 func (c *checker) duplicateCredentials() {
 	seen := make(map[[32]byte]Path)
 	note := func(path Path, hash [32]byte) {
 		if other, ok := seen[hash]; ok {
-			c.add(path, "credential", "is that of "+string(other), "each needs one of its own")
+			c.add(path, "credential", "is also the credential of "+string(other), "each needs its own")
 		}
 		seen[hash] = path
 	}
--- a/internal/settings/codec.go
+++ b/internal/settings/codec.go
@@ -12,17 +12,17 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// documentVersion is raised where older releases could misread a document.
+// documentVersion is incremented when earlier releases could misread a document.
 const documentVersion = 1
 
-// MaxDocumentBytes bounds the encoded document; the platform's service takes
-// values up to a megabyte.
+// MaxDocumentBytes bounds the encoded document. The platform's service accepts
+// values of up to a megabyte.
 const MaxDocumentBytes = 1_000_000
 
 // maxUncompressedBytes bounds the document before compression.
 const maxUncompressedBytes = 32 << 20
 
-// ErrTooLarge is returned by Commit for settings past MaxDocumentBytes.
+// ErrTooLarge is returned by Commit for settings larger than MaxDocumentBytes.
 var ErrTooLarge = errors.New("settings: document too large")
 
 type wireDocument struct {
@@ -62,13 +62,13 @@
 func mustEncMode() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // fixed options, checked by every test
+		panic(err) // cannot happen: the options are fixed
 	}
 	return mode
 }
 
-// Encode returns the document of s: the same settings give the same bytes.
-// Revision is the store's and not part of it.
+// Encode encodes s as a document. The encoding is deterministic. It leaves out
+// Revision, which the store assigns.
 func Encode(s *Settings) []byte {
 	doc := wireDocument{Version: documentVersion, Number: s.Number}
 	for _, item := range s.Items() {
@@ -79,13 +79,13 @@
 	}
 	body, err := cborEncMode.Marshal(doc)
 	if err != nil {
-		panic(err) // plain structs of strings and numbers always encode
+		panic(err) // cannot happen: the document holds only strings, numbers and booleans
 	}
 	return zstdEncoder.EncodeAll(body, nil)
 }
 
-// Decode reads a document. Fields and paths of a later release are left out;
-// such settings can be read, but Commit refuses to write over them.
+// Decode decodes a document. Fields and paths of a later release are dropped;
+// the settings can be read, but Commit refuses to write over them.
 func Decode(body []byte) (*Settings, error) {
 	flat, err := zstdDecoder.DecodeAll(body, nil)
 	if err != nil {
@@ -98,13 +98,13 @@
 	if doc.Version == 0 || doc.Version > documentVersion {
 		return nil, fmt.Errorf("settings: document version %d, this release reads up to %d", doc.Version, documentVersion)
 	}
-	items, newer := knownItems(doc.Items)
+	items, unknown := knownItems(doc.Items)
 	var found finding.List
 	s := fromItems(items, &found)
 	if err := found.Err(); err != nil {
-		return nil, fmt.Errorf("settings: document: %w", err)
+		return nil, fmt.Errorf("settings: invalid document: %w", err)
 	}
-	s.Number, s.unknownFields = doc.Number, newer
+	s.Number, s.unknownFields = doc.Number, unknown
 	for _, w := range doc.History {
 		s.History = append(s.History, writeFromWire(w))
 	}
@@ -112,7 +112,7 @@
 	return s, nil
 }
 
-// decodeEntry reads the document as the store returned it.
+// decodeEntry decodes the document of a store entry.
 func decodeEntry(e platform.Entry) (*Settings, error) {
 	s, err := Decode(e.Value)
 	if err != nil {
@@ -122,25 +122,26 @@
 	return s, nil
 }
 
-// knownItems maps items and leaves out what this release does not know.
-func knownItems(wire []wireItem) (items []Item, newer bool) {
+// knownItems converts items and drops the paths and fields that this release
+// does not know.
+func knownItems(wire []wireItem) (items []Item, unknown bool) {
 	for _, w := range wire {
 		k := kindOf(Path(w.Path))
 		if k == nil {
-			newer = true
+			unknown = true
 			continue
 		}
 		item := Item{Path: Path(w.Path)}
 		for _, f := range w.Fields {
 			if !k.hasField(f.Name) {
-				newer = true
+				unknown = true
 				continue
 			}
 			item.Fields = append(item.Fields, Field{Name: f.Name, List: f.List, Values: f.Values})
 		}
 		items = append(items, item)
 	}
-	return items, newer
+	return items, unknown
 }
 
 func toWire(item Item) wireItem {
--- a/internal/settings/commit.go
+++ b/internal/settings/commit.go
@@ -14,42 +14,43 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// maxHistory and maxHistoryBytes bound the writes kept in the document.
+// maxHistory and maxHistoryBytes bound the history in the document.
 const (
 	maxHistory      = 200
 	maxHistoryBytes = 4 << 20
 )
 
-// maxAttempts bounds the compare-and-swaps of one commit.
+// maxAttempts bounds the attempts of one commit.
 const maxAttempts = 64
 
-// immediateAttempts are made without a pause where another writer was faster.
+// immediateAttempts is the number of attempts without backoff after losing
+// against another writer.
 const immediateAttempts = 4
 
-// maxReads bounds the reads of the document until one is answered.
+// maxReads bounds the attempts to read the document.
 const maxReads = 2
 
-// meanBackoff is the mean wait before another attempt.
+// meanBackoff is the mean delay before another attempt.
 const meanBackoff = 20 * time.Millisecond
 
-// ErrNotAccepted is returned where the store is out and the write has
+// ErrNotAccepted is returned if the store is unavailable and the write has
 // certainly not taken effect.
 var ErrNotAccepted = errors.New("settings: not accepted, the store is unavailable")
 
-// ErrUnresolved is returned where the answer of the write was lost and the
-// store could not be read since: the write may have taken effect. The same
-// Request, with the same ID, may be sent again at any time.
+// ErrUnresolved is returned if the response to the write was lost and the store
+// could not be read since. The write may have taken effect. The same Request,
+// with the same ID, may be sent again at any time.
 var ErrUnresolved = errors.New("settings: outcome unknown, the write may have taken effect")
 
-// ErrNewer is returned by Commit for a document with fields that this release
-// does not know: writing would drop them.
-var ErrNewer = errors.New("settings: written by a later release, use that one to write")
+// ErrNewer is returned by Commit if the document has fields that this release
+// does not know, since writing would drop them.
+var ErrNewer = errors.New("settings: document was written by a later release, use that release to write")
 
-// ConflictError tells the loser of a race who won.
+// ConflictError tells a writer which write changed one of its paths first.
 type ConflictError struct {
 	// Path is the first path of the request that another write changed.
 	Path Path
-	// Winner is the newest accepted write that did.
+	// Winner is the newest accepted write of that path.
 	Winner Write
 }
 
@@ -58,46 +59,46 @@
 	return fmt.Sprintf("settings: %s was changed at revision %d by %s", e.Path, e.Winner.Number, e.Winner.By)
 }
 
-// Request is one write: a set of changes, accepted whole or not at all.
+// Request is one write: a set of changes that is accepted or rejected as a whole.
 type Request struct {
-	// ID tells the write from all others; a repeated ID is applied once.
-	// Commit makes one where it is empty.
+	// ID identifies the write; a repeated ID is applied once. Commit generates
+	// one if it is empty.
 	ID      string
 	Changes []Change
-	// Rollback, where above zero, asks for the values that were in force
-	// after that number, in place of Changes.
+	// Rollback, if not zero, replaces Changes by the changes that restore the
+	// values that were in force at that number.
 	Rollback uint64
-	// Below, if set, limits a rollback to this path and those below it.
+	// Below, if set, limits a rollback to this path and the paths below it.
 	Below Path
-	// Expect is the number of the settings that the writer saw. The write
-	// conflicts where one of its paths changed since. Zero: whatever is there.
+	// Expect is the number of the settings that the writer has seen. The write
+	// conflicts if one of its paths was changed since. Zero skips the check.
 	Expect uint64
-	// By names the writer; Permit may name it instead.
+	// By names the writer. Permit, if set, replaces it.
 	By     string
 	Reason string
-	// DryRun checks and returns the settings as they would be.
+	// DryRun validates the write and returns the resulting settings only.
 	DryRun bool
-	// Permit is asked on each attempt with the settings in force and the
-	// changes; it names the writer, or its error refuses the write.
+	// Permit authorizes the changes against the settings in force, on each
+	// attempt. It returns the name of the writer, or an error to deny the write.
 	Permit func(current *Settings, changes []Change) (by string, err error)
 }
 
-// CommitResult is the outcome of a request.
+// CommitResult is the result of an accepted request.
 type CommitResult struct {
-	// Settings hold the write, and perhaps later ones.
+	// Settings includes the write and possibly later ones.
 	Settings *Settings
 	Write    Write
-	// Differences is what the write changed, or would in a dry run.
+	// Differences is what the write changed, or would change in a dry run.
 	Differences []Difference
 }
 
 // Committer writes settings to the platform's service. Safe for concurrent use.
 type Committer struct {
 	store platform.Store
-	// writeSem is taken by the one write under way: writers of one process wait
-	// for each other here and don't fight over the store's revision.
+	// writeSem admits one write at a time, so that the writers of one process
+	// do not compete for the store's revision.
 	writeSem chan struct{}
-	// backoff waits before another try; it ends early with ctx.
+	// backoff waits before another attempt or until ctx is done.
 	backoff func(ctx context.Context)
 }
 
@@ -106,8 +107,8 @@
 	return &Committer{store: store, writeSem: make(chan struct{}, 1), backoff: backoff}
 }
 
-// backoff waits for about retryPause or the end of ctx. The length is random, so
-// that writers on several hosts don't meet again.
+// backoff waits for about meanBackoff or until ctx is done. The delay has jitter,
+// so that writers on several hosts do not collide again.
 func backoff(ctx context.Context) {
 	timer := time.NewTimer(meanBackoff/2 + rand.N(meanBackoff))
 	defer timer.Stop()
@@ -117,7 +118,7 @@
 	}
 }
 
-// Load returns the settings in force; a store without any gives empty ones.
+// Load returns the settings in force, or empty settings if the store has none.
 func (c *Committer) Load(ctx context.Context) (*Settings, error) {
 	entry, err := c.get(ctx)
 	switch {
@@ -132,7 +133,8 @@
 	return decodeEntry(entry)
 }
 
-// get reads the document. A lost answer to a read costs one more read.
+// get reads the document. A failed read is repeated, since it may only have lost
+// its response.
 func (c *Committer) get(ctx context.Context) (entry platform.Entry, err error) {
 	for range maxReads {
 		entry, err = c.store.Get(ctx, StorePath)
@@ -143,20 +145,20 @@
 	return entry, err
 }
 
-// pendingCommit is one commit under way.
+// pendingCommit is the state of one Commit call.
 type pendingCommit struct {
 	*Committer
 	Request
-	// inDoubt is set while a write of this request may still take effect.
+	// inDoubt is set while an earlier write of this request may still take effect.
 	inDoubt bool
-	// base and next are of the compare-and-swap in doubt.
+	// base and next are the settings before and after the prepared write.
 	base, next *Settings
 	body       []byte // next, encoded
 }
 
-// Commit makes the request accepted by one compare-and-swap. Errors: *finding.Error, *ConflictError, ErrNotAccepted,
-// ErrUnresolved, ErrNewer, ErrTooLarge, and that of Permit. The present time
-// goes into the history.
+// Commit commits the request by one compare-and-swap. It returns *finding.Error,
+// *ConflictError, ErrNotAccepted, ErrUnresolved, ErrNewer, ErrTooLarge, or the
+// error of Permit. It records now in the history.
 func (c *Committer) Commit(ctx context.Context, now time.Time, req Request) (CommitResult, error) {
 	if req.ID == "" {
 		req.ID = uuid.NewString()
@@ -180,10 +182,10 @@
 			return done.commitResult(a.ID), nil
 		}
 	}
-	return CommitResult{}, a.storeError(errors.New("the store keeps answering with old values"))
+	return CommitResult{}, a.storeError(errors.New("the store keeps returning stale values"))
 }
 
-// commitResult returns the outcome of the write of that id, which s holds.
+// commitResult returns the result of the write with the given ID, which s includes.
 func (s *Settings) commitResult(id string) CommitResult {
 	out := CommitResult{Settings: s, Write: Write{Number: s.Number}}
 	for _, w := range s.History {
@@ -204,7 +206,8 @@
 	return out
 }
 
-// tryOnce makes one compare-and-swap; nil and nil stand for another try.
+// tryOnce attempts one compare-and-swap. It returns nil, nil if Commit should try
+// again.
 func (a *pendingCommit) tryOnce(ctx context.Context, now time.Time) (*Settings, error) {
 	current, err := a.Load(ctx)
 	if errors.Is(err, platform.ErrUnavailable) {
@@ -216,17 +219,17 @@
 	if slices.ContainsFunc(current.History, func(w Write) bool { return w.ID == a.ID }) {
 		return current, nil
 	}
-	// A write in doubt can only win at the revision it expects: once another
-	// revision is there, it has lost for good. At the same one it is sent
-	// again, with the same id, and one of both wins.
+	// A write in doubt can only take effect at the revision that it expects. Once
+	// there is another revision, it has failed for good. At the same revision it
+	// is sent again with the same ID, and one of both takes effect.
 	if a.inDoubt && current.Revision == a.base.Revision {
 		return a.write(ctx)
 	}
 	if a.inDoubt && current.Revision < a.base.Revision {
-		return nil, a.retryOrFail(ctx, errors.New("the store answers with an old value"))
+		return nil, a.retryOrFail(ctx, errors.New("the store returned a stale value"))
 	}
 	if a.inDoubt && !current.historyIncludes(a.base.Number+1) {
-		return nil, a.storeError(errors.New("the history does not reach back to it"))
+		return nil, a.storeError(errors.New("the history no longer includes the write"))
 	}
 	a.inDoubt = false
 	if err := a.prepare(now, current); err != nil {
@@ -238,7 +241,7 @@
 	return a.write(ctx)
 }
 
-// prepare makes the next settings out of the current ones.
+// prepare builds and encodes the next settings from the current ones.
 func (a *pendingCommit) prepare(now time.Time, current *Settings) error {
 	if current.unknownFields {
 		return ErrNewer
@@ -264,8 +267,8 @@
 	if err != nil {
 		return err
 	}
-	// A request that differs in nothing is written all the same: current may be
-	// an old value, and only the compare-and-swap tells.
+	// A request without differences is written as well: current may be stale, and
+	// only the compare-and-swap detects that.
 	differences := Diff(current, next)
 	next.Number = current.Number + 1
 	next.History = current.appendHistory(now, a.Request, differences)
@@ -276,7 +279,7 @@
 	return nil
 }
 
-// write sends the prepared document.
+// write attempts the compare-and-swap with the prepared document.
 func (a *pendingCommit) write(ctx context.Context) (*Settings, error) {
 	revision, err := a.store.Write(ctx, StorePath, a.body, a.base.Revision)
 	var conflict *platform.ConflictError
@@ -294,7 +297,8 @@
 	}
 }
 
-// retryOrFail waits before another try, or gives up where nothing is in doubt.
+// retryOrFail waits before another attempt. It fails if no write is in doubt or
+// ctx is done.
 func (a *pendingCommit) retryOrFail(ctx context.Context, cause error) error {
 	if !a.inDoubt {
 		return a.storeError(cause)
@@ -306,7 +310,8 @@
 	return nil
 }
 
-// storeError tells certain failure from an unknown outcome.
+// storeError wraps cause in ErrUnresolved if a write is in doubt, and in
+// ErrNotAccepted otherwise.
 func (a *pendingCommit) storeError(cause error) error {
 	if a.inDoubt {
 		return fmt.Errorf("%w (write %s): %w", ErrUnresolved, a.ID, cause)
@@ -314,7 +319,7 @@
 	return fmt.Errorf("%w: %w", ErrNotAccepted, cause)
 }
 
-// checkConflict reports whether one of the changed paths was written after expect.
+// checkConflict returns a *ConflictError if a changed path was written after expect.
 func (s *Settings) checkConflict(changes []Change, expect uint64) error {
 	if expect == 0 || expect >= s.Number || len(changes) == 0 {
 		return nil
@@ -332,7 +337,7 @@
 	if s.historyIncludes(expect + 1) {
 		return nil
 	}
-	// The history does not reach back that far: nobody can tell.
+	// The history does not go back far enough to exclude a conflict.
 	newest := Write{Number: s.Number}
 	if len(s.History) > 0 {
 		newest = s.History[len(s.History)-1]
@@ -340,12 +345,12 @@
 	return &ConflictError{Path: changes[0].Path, Winner: newest}
 }
 
-// historyIncludes reports whether the history holds the write of that number.
+// historyIncludes reports whether the history includes the write of that number.
 func (s *Settings) historyIncludes(number uint64) bool {
 	return len(s.History) > 0 && s.History[0].Number <= number
 }
 
-// appendHistory returns the history with the request added, within bounds.
+// appendHistory returns the history with the request added, within its limits.
 func (s *Settings) appendHistory(now time.Time, req Request, differences []Difference) []Write {
 	w := Write{ID: req.ID, Number: s.Number + 1, At: now, By: req.By, Reason: req.Reason}
 	for _, d := range differences {
@@ -363,7 +368,7 @@
 	return history
 }
 
-// approxBytes estimates the size of a write in the document.
+// approxBytes estimates the encoded size of a write.
 func (w Write) approxBytes() int {
 	n := len(w.ID) + len(w.By) + len(w.Reason)
 	for i, p := range w.Paths {
@@ -372,8 +377,8 @@
 	return n
 }
 
-// rollback returns the changes that lead back to the values after number, of
-// the paths at and below the one given.
+// rollback returns the changes that restore the values at number, limited to the
+// paths that below covers.
 func (s *Settings) rollback(number uint64, below Path) ([]Change, error) {
 	var found finding.List
 	if number >= s.Number {
@@ -381,7 +386,7 @@
 		return nil, found.Err()
 	}
 	if !s.historyIncludes(number + 1) {
-		found.Addf("revision", "%d is past the kept history", number)
+		found.Addf("revision", "%d is older than the kept history", number)
 		return nil, found.Err()
 	}
 	former := make(map[Path]string)
@@ -398,7 +403,7 @@
 	return s.restoreChanges(former)
 }
 
-// restoreChanges returns the changes that give each path its former text.
+// restoreChanges returns the changes that restore the former text of each path.
 func (s *Settings) restoreChanges(former map[Path]string) ([]Change, error) {
 	present := itemsByPath(s)
 	var changes []Change
--- a/internal/settings/commit_test.go
+++ b/internal/settings/commit_test.go
@@ -20,7 +20,7 @@
 
 var commitTime = time.Unix(1_800_000_000, 0).UTC()
 
-// newStore returns a store with the agency's settings as revision 1.
+// newStore returns a store that holds the agency preset as revision 1.
 func newStore(t *testing.T) (*fake.Platform, *settings.Committer) {
 	t.Helper()
 	store := fake.NewPlatform()
@@ -43,29 +43,29 @@
 	return fmt.Sprintf("teams/agency/services/%s: {zones: [anadolu-a], moves: %d}\n", service, n)
 }
 
-// commitConcurrently lets ten operators write at once and returns what each was told.
+// commitConcurrently runs ten commits at once and returns their errors.
 func commitConcurrently(t *testing.T, c *settings.Committer, request func(i int) settings.Request) []error {
 	t.Helper()
 	const operators = 10
-	told := make([]error, operators)
+	errs := make([]error, operators)
 	var group sync.WaitGroup
 	for i := range operators {
-		group.Go(func() { _, told[i] = c.Commit(t.Context(), commitTime, request(i)) })
+		group.Go(func() { _, errs[i] = c.Commit(t.Context(), commitTime, request(i)) })
 	}
 	group.Wait()
-	return told
+	return errs
 }
 
 func TestRaceOnOnePath(t *testing.T) {
 	_, c := newStore(t)
-	told := commitConcurrently(t, c, func(i int) settings.Request {
+	errs := commitConcurrently(t, c, func(i int) settings.Request {
 		return settings.Request{Changes: parse(t, movesFile("balance", 10+i)), Expect: 1, By: fmt.Sprint(i)}
 	})
 	now, err := c.Load(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, now.Number, uint64(2))
 	winners := 0
-	for i, err := range told {
+	for i, err := range errs {
 		var conflict *settings.ConflictError
 		if err == nil {
 			winners++
@@ -82,7 +82,7 @@
 func TestRaceOnOverlappingSets(t *testing.T) {
 	services := []string{"balance", "reminder", "plan"}
 	store, c := newStore(t)
-	told := commitConcurrently(t, c, func(i int) settings.Request {
+	errs := commitConcurrently(t, c, func(i int) settings.Request {
 		file := movesFile(services[i%3], 10+i)
 		if i%2 == 0 {
 			file += movesFile(services[(i+1)%3], 30+i)
@@ -91,10 +91,10 @@
 	})
 	now, err := c.Load(t.Context())
 	assert.NilError(t, err)
-	// Without an expected revision all are accepted, one after the other, and
-	// the last writer of each path is in force.
+	// Without Expect all writes are accepted, one after the other, and the last
+	// writer of each path wins.
 	assert.Equal(t, now.Number, uint64(11))
-	for i, err := range told {
+	for i, err := range errs {
 		assert.NilError(t, err, "operator %d", i)
 	}
 	last := make(map[settings.Path]string)
@@ -125,8 +125,8 @@
 	assert.Equal(t, now.Number, uint64(1))
 }
 
-// lossyStore loses the answer of the next write, after or before its effect,
-// and may then go down.
+// lossyStore loses the response to the next write, before or after the write takes
+// effect, and may then become unavailable.
 type lossyStore struct {
 	*fake.Platform
 	before, down bool
@@ -167,7 +167,7 @@
 			_, err := committer.Commit(ctx, commitTime, req)
 			assert.ErrorIs(t, err, c.want)
 
-			// The same write again, once the store answers, is applied once.
+			// The same write, repeated once the store is available, is applied once.
 			store.SetFaults(fake.PlatformFaults{})
 			done, err := committer.Commit(t.Context(), commitTime, req)
 			assert.NilError(t, err)
@@ -217,7 +217,7 @@
 	assert.Equal(t, len(now.History), 200)
 	assert.Equal(t, now.History[199].Number, uint64(writes+1))
 	_, err = c.Commit(t.Context(), commitTime, settings.Request{Rollback: 2})
-	assert.ErrorContains(t, err, "past the kept history")
+	assert.ErrorContains(t, err, "is older than the kept history")
 	_, err = c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 1)), Expect: 2})
 	var conflict *settings.ConflictError
 	assert.Assert(t, errors.As(err, &conflict), "error %v", err)
@@ -245,7 +245,7 @@
 		}
 		assert.NilError(t, err)
 	}
-	t.Fatal("settings of any size were accepted")
+	t.Fatal("no settings were rejected as too large")
 }
 
 func TestStaleReadsNeverRevert(t *testing.T) {
@@ -266,7 +266,7 @@
 	assert.Equal(t, number, uint64(2))
 	assert.Equal(t, since, commitTime)
 
-	// A write on top of an old value loses, whatever its writer saw.
+	// A write based on a stale value fails, even without Expect.
 	_, err = c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 9))})
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
 	store.SetFaults(fake.PlatformFaults{})
--- a/internal/settings/converge_bench_test.go
+++ b/internal/settings/converge_bench_test.go
@@ -22,21 +22,21 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// The users' network: one way between two availability zones, and a call of
-// the platform's service.
+// Latencies as in the users' networks: one way between two availability zones, and
+// one call of the platform's service.
 const (
 	zoneLatency  = 1500 * time.Microsecond
 	storeLatency = 2 * time.Millisecond
 	burstWrites  = 100
 )
 
-// network joins the links of all holders in one process.
+// network connects the links of all replicas within one process.
 type network struct {
 	mu    sync.Mutex
 	links map[netip.AddrPort]*fakeLink
 }
 
-// fakeLink is one holder's peer.Link.
+// fakeLink implements peer.Link for one replica.
 type fakeLink struct {
 	*network
 	self     peer.Identity
@@ -50,7 +50,7 @@
 	other := l.links[to]
 	l.mu.Unlock()
 	if other == nil || other.handlers[kind] == nil {
-		return nil, fmt.Errorf("nobody at %s", to)
+		return nil, fmt.Errorf("no peer at %s", to)
 	}
 	if other.self.Zone != l.self.Zone {
 		time.Sleep(2 * zoneLatency)
@@ -58,22 +58,22 @@
 	return other.handlers[kind](ctx, l.self, body)
 }
 
-// replica is one host: its board and what it has in force.
+// replica is one host with its documents and the settings in force.
 type replica struct {
 	settings.Applied
-	board *docsync.MemoryReplica
+	documents *docsync.MemoryReplica
 }
 
-// applyUpdates applies what comes onto the board.
+// applyUpdates applies each new settings document and reports its number to at.
 func (h *replica) applyUpdates(ctx context.Context, at func(number uint64)) error {
-	news := h.board.Subscribe(docsync.Settings)
+	news := h.documents.Subscribe(docsync.Settings)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-news:
 		}
-		doc, ok := h.board.Get(docsync.Settings)
+		doc, ok := h.documents.Get(docsync.Settings)
 		if !ok {
 			continue
 		}
@@ -85,16 +85,16 @@
 	}
 }
 
-// cluster is a deployment of holders on one store.
+// cluster is a set of replicas that share a store.
 type cluster struct {
 	store       *fake.Platform
 	replicas    []*replica
 	mu          sync.Mutex
-	convergedAt map[uint64]time.Time // when all holders had a number
+	convergedAt map[uint64]time.Time // when all replicas had applied a number
 	applied     []uint64
 }
 
-// recordApplied notes that a holder has number in force.
+// recordApplied records that replica i has applied number.
 func (s *cluster) recordApplied(i int, number uint64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// startReplicas starts count holders in three zones.
+// startReplicas starts count replicas, spread over three zones.
 func startReplicas(ctx context.Context, group *errgroup.Group, count int) *cluster {
 	s := &cluster{store: fake.NewPlatform(), applied: make([]uint64, count), convergedAt: make(map[uint64]time.Time)}
 	s.store.SetFaults(fake.PlatformFaults{SlowMin: storeLatency, SlowMax: storeLatency})
@@ -119,9 +119,9 @@
 		id := peer.Identity{Host: place.Host(fmt.Sprintf("h%d", i)), Zone: place.Zone(fmt.Sprintf("z%d", i%3)), Role: peer.RoleLead}
 		l := &fakeLink{network: net, self: id, handlers: make(map[peer.Kind]peer.Handler)}
 		s.store.SetHost(time.Now(), place.HostRow{Host: id.Host, Zone: id.Zone, LeadAddr: address(i)})
-		h := &replica{board: docsync.New()}
+		h := &replica{documents: docsync.New()}
 		s.replicas = append(s.replicas, h)
-		node := docsync.NewNode(h.board, l, docsync.Config{Self: id, Addr: address(i), Seeds: seeds, Store: s.store, Log: logging.Nop()})
+		node := docsync.NewNode(h.documents, l, docsync.Config{Self: id, Addr: address(i), Seeds: seeds, Store: s.store, Log: logging.Nop()})
 		net.mu.Lock()
 		net.links[address(i)] = l
 		net.mu.Unlock()
@@ -133,7 +133,7 @@
 	return s
 }
 
-// await waits until all holders have number in force and returns since when.
+// await waits until all replicas have applied number and returns when they had.
 func (s *cluster) await(number uint64) time.Time {
 	for {
 		s.mu.Lock()
@@ -146,8 +146,9 @@
 	}
 }
 
-// BenchmarkConvergence measures the time from acceptance until every holder
-// has the revision in force: single writes, then a burst by ten operators.
+// BenchmarkConvergence measures the time from the acceptance of a revision until it
+// is in force on every replica, for single writes and for a burst of writes by ten
+// operators.
 func BenchmarkConvergence(b *testing.B) {
 	for _, count := range []int{3, 12, 48} {
 		b.Run(fmt.Sprintf("holders=%d", count), func(b *testing.B) {
@@ -191,7 +192,8 @@
 	b.ReportMetric(float64(s.store.Counts().Reads-reads), "burst_reads")
 }
 
-// writeBurst lets ten operators make burst writes at once.
+// writeBurst commits burstWrites writes by ten operators at once and returns how
+// long each took to be in force on every replica.
 func (s *cluster) writeBurst(c *settings.Committer, b *testing.B) []time.Duration {
 	const operators = 10
 	var mu sync.Mutex
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -13,19 +13,19 @@
 
 var errNotInRange = errors.New("is not a number from")
 
-// hashPrefix starts a credential's hash in the file format.
+// hashPrefix is the prefix of credential hashes in the file format.
 const hashPrefix = "sha256:"
 
-// forever is the text of a duration without a bound.
+// forever is the text of an unlimited duration.
 const forever = "forever"
 
-// HashCredential returns the hash under which a bearer credential is kept.
+// HashCredential returns the hash that is stored in place of a credential.
 func HashCredential(credential string) [32]byte { return sha256.Sum256([]byte(credential)) }
 
-// FormatHash returns a credential's hash as the file format writes it.
+// FormatHash formats a credential hash for the file format.
 func FormatHash(hash [32]byte) string { return hashPrefix + hex.EncodeToString(hash[:]) }
 
-// textField makes a field of one string of at most high bytes.
+// textField returns the codec of a string field of at most high bytes.
 func textField[R any, T ~string](at func(*R) *T, high int) textCodec[R] {
 	read := func(row *R, values []string) error {
 		if len(values[0]) > high {
@@ -38,7 +38,7 @@
 	return textCodec[R]{parse: read, format: show}
 }
 
-// enumField makes a field that takes one of a few words.
+// enumField returns the codec of a field that takes one of the given words.
 func enumField[R any, T ~string](at func(*R) *T, words ...T) textCodec[R] {
 	read := func(row *R, values []string) error {
 		for _, w := range words {
@@ -47,13 +47,13 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("is none of %v", words)
+		return fmt.Errorf("is not one of %v", words)
 	}
 	show := func(row *R) []string { return []string{string(*at(row))} }
 	return textCodec[R]{parse: read, format: show}
 }
 
-// ParseHash reads what HashText writes.
+// ParseHash parses the output of FormatHash.
 func ParseHash(s string) (hash [32]byte, err error) {
 	sum, ok := strings.CutPrefix(s, hashPrefix)
 	raw, err := hex.DecodeString(sum)
@@ -64,16 +64,16 @@
 	return hash, nil
 }
 
-// textCodec reads a field of R from text and shows it as text.
+// textCodec parses a field of R from text and formats it as text.
 type textCodec[R any] struct {
 	parse  func(row *R, values []string) error
 	format func(row *R) []string
 }
 
-// integer is the whole numbers of the rows.
+// integer constrains the integer types of fields.
 type integer interface{ ~int | ~int64 | ~uint32 }
 
-// intField makes a field of a whole number in a range.
+// intField returns the codec of an integer field between low and high.
 func intField[R any, T integer](at func(*R) *T, low, high int64) textCodec[R] {
 	read := func(row *R, values []string) error {
 		n, err := strconv.ParseInt(values[0], 10, 64)
@@ -87,7 +87,7 @@
 	return textCodec[R]{parse: read, format: show}
 }
 
-// floatField makes a field of a number above zero.
+// floatField returns the codec of a positive number of at most high.
 func floatField[R any](at func(*R) *float64, high float64) textCodec[R] {
 	read := func(row *R, values []string) error {
 		n, err := strconv.ParseFloat(values[0], 64)
@@ -101,7 +101,7 @@
 	return textCodec[R]{parse: read, format: show}
 }
 
-// boolField makes a field that is true or false.
+// boolField returns the codec of a boolean field.
 func boolField[R any](at func(*R) *bool) textCodec[R] {
 	read := func(row *R, values []string) error {
 		switch values[0] {
@@ -118,8 +118,8 @@
 	return textCodec[R]{parse: read, format: show}
 }
 
-// durationField makes a field of a duration in a range; zero is written as forever
-// where the range starts at zero.
+// durationField returns the codec of a duration between low and high. If low is
+// zero, "forever" stands for zero.
 func durationField[R any](at func(*R) *time.Duration, low, high time.Duration) textCodec[R] {
 	read := func(row *R, values []string) error {
 		if values[0] == forever && low == 0 {
@@ -142,17 +142,17 @@
 	return textCodec[R]{parse: read, format: show}
 }
 
-// listField makes a field of strings of a named type, each a name of a path part.
+// listField returns the codec of a list of strings that valid accepts.
 func listField[R any, T ~string](at func(*R) *[]T, valid func(string) bool) textCodec[R] {
 	read := func(row *R, values []string) error {
 		out := make([]T, 0, len(values))
 		seen := make(map[string]bool, len(values))
 		for _, v := range values {
 			if !valid(v) {
-				return fmt.Errorf("holds %q, which is not allowed here", v)
+				return fmt.Errorf("contains %q, which is not allowed here", v)
 			}
 			if seen[v] {
-				return fmt.Errorf("names %q twice", v)
+				return fmt.Errorf("contains %q twice", v)
 			}
 			seen[v] = true
 			out = append(out, T(v))
@@ -170,7 +170,7 @@
 	return textCodec[R]{parse: read, format: show}
 }
 
-// hashField makes a field of a credential's hash.
+// hashField returns the codec of a credential hash.
 func hashField[R any](at func(*R) *[32]byte) textCodec[R] {
 	read := func(row *R, values []string) error {
 		sum, err := ParseHash(values[0])
--- a/internal/settings/format.go
+++ b/internal/settings/format.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Format returns items as a settings file that Parse reads back.
+// Format formats items as a settings file that Parse accepts.
 func Format(items []Item) string {
 	var b strings.Builder
 	for i, item := range items {
@@ -25,7 +25,7 @@
 	return b.String()
 }
 
-// formatField returns the value of a field as it stands after the colon.
+// formatField formats the value of a field, with a leading space.
 func formatField(f Field) string {
 	if !f.List {
 		return " " + formatScalar(f.Values[0])
@@ -37,8 +37,8 @@
 	return " [" + strings.Join(quoted, ", ") + "]"
 }
 
-// isPlainScalar reports whether a value may stand without quotes: digits, letters and
-// a few signs, and not one of YAML's own words.
+// isPlainScalar reports whether v needs no quotes in YAML: it consists of letters,
+// digits and / . _ and is not null or an alias of true or false, such as yes.
 func isPlainScalar(v string) bool {
 	switch strings.ToLower(v) {
 	case "", "null", "~", "yes", "no", "on", "off", "y", "n":
@@ -55,7 +55,7 @@
 	return true
 }
 
-// formatScalar returns v as YAML that reads back as the same text.
+// formatScalar formats v as a YAML scalar that parses back to v.
 func formatScalar(v string) string {
 	if isPlainScalar(v) || isPlainScalar(strings.ReplaceAll(v, "-", "")) && v[0] != '-' {
 		return v
--- a/internal/settings/item.go
+++ b/internal/settings/item.go
@@ -8,10 +8,10 @@
 	"citrontray.example/citrontray/internal/finding"
 )
 
-// Position is a place in a settings file; the zero value stands for none.
+// Position is a position in a settings file; the zero value means none.
 type Position struct{ Line, Column int }
 
-// Field is one field of an item as text, before its type is checked.
+// Field is a field of an item as text, not yet validated.
 type Field struct {
 	Name   string
 	List   bool
@@ -19,37 +19,37 @@
 	At     Position
 }
 
-// Item is the text form of one setting: a path and its fields. The file
-// format, the store's document and the command line all pass through it.
+// Item is the text form of one setting: a path and its fields. The file format,
+// the stored document and the command line all use it.
 type Item struct {
 	Path   Path
 	At     Position
 	Fields []Field
 }
 
-// Change sets the whole value of a path, or deletes it.
+// Change replaces the value at a path, or deletes it.
 type Change struct {
 	Item
 	Delete bool
 }
 
-// location names a field of the item in a finding.
+// location returns the location of a field in findings; "" is the item itself.
 func (i Item) location(field string) string {
-	place := string(i.Path)
+	loc := string(i.Path)
 	at := i.At
 	if field != "" {
-		place += " " + field
+		loc += " " + field
 		if f, ok := i.field(field); ok && f.At.Line > 0 {
 			at = f.At
 		}
 	}
 	if at.Line > 0 {
-		place += " at " + strconv.Itoa(at.Line) + ":" + strconv.Itoa(at.Column)
+		loc += " at " + strconv.Itoa(at.Line) + ":" + strconv.Itoa(at.Column)
 	}
-	return place
+	return loc
 }
 
-// field returns the field of that name.
+// field returns the named field.
 func (i Item) field(name string) (Field, bool) {
 	at := slices.IndexFunc(i.Fields, func(f Field) bool { return f.Name == name })
 	if at < 0 {
@@ -66,7 +66,7 @@
 	return i.Path == o.Path && slices.EqualFunc(i.Fields, o.Fields, same)
 }
 
-// Items returns all settings in their text form, sorted by path.
+// Items returns all settings as items, sorted by path.
 func (s *Settings) Items() []Item {
 	out := make([]Item, 0, len(s.Services)+len(s.Routes)+len(s.Callers))
 	for _, k := range kinds {
@@ -76,13 +76,13 @@
 	return out
 }
 
-// fromItems makes settings of items and checks each by itself.
+// fromItems builds settings from items and validates each item by itself.
 func fromItems(items []Item, found *finding.List) *Settings {
 	s := &Settings{}
 	for _, item := range items {
 		k := kindOf(item.Path)
 		if k == nil {
-			found.Add(item.location(""), "is not a path of a setting", "see the settings reference for the paths")
+			found.Add(item.location(""), "is not the path of a setting", "see the settings reference for the paths")
 			continue
 		}
 		k.parse(s, item, found)
--- a/internal/settings/kind.go
+++ b/internal/settings/kind.go
@@ -6,23 +6,23 @@
 	"citrontray.example/citrontray/internal/finding"
 )
 
-// kind is one sort of setting: its paths and fields.
+// kind describes and parses all settings at paths of one pattern.
 type kind interface {
-	// pattern is the kind's path with * for each name.
+	// pattern is the path pattern, with * for each name.
 	pattern() Path
 	matches(parts []string) bool
-	// parse checks item and adds its row to s; findings keep it out.
+	// parse validates item and appends its row to s. Problems go to found.
 	parse(s *Settings, item Item, found *finding.List)
 	items(s *Settings) []Item
 	describe() KindDoc
-	// hasField reports whether the kind has a field of that name.
+	// hasField reports whether the kind has the named field.
 	hasField(field string) bool
 }
 
-// valueType tells how the value of a field is written.
+// valueType describes the values of a field on the reference page.
 type valueType string
 
-// The forms of fields.
+// Value types of fields.
 const (
 	typeText     valueType = "text"
 	typeCount    valueType = "number"
@@ -34,26 +34,27 @@
 	typeList     valueType = "list"
 )
 
-// field is one typed field of the rows R.
+// field is a typed field of rows of type R.
 type field[R any] struct {
 	name        string
 	valueType   valueType
 	description string
-	// defaultText is the value where the file names none; required fields have
-	// none and must be named.
+	// defaultText is the value if the field is omitted. Required fields have no
+	// default.
 	defaultText string
 	required    bool
 	textCodec[R]
 }
 
-// table is the kind of the rows R.
+// table is the kind whose rows have type R.
 type table[R any] struct {
 	pathPattern Path
 	description string
 	fields      []field[R]
-	// rows returns where s keeps the rows.
+	// rows returns the slice of s that holds the rows.
 	rows func(s *Settings) *[]R
-	// setNames takes the parts of the path that stand for *, path gives them back.
+	// setNames sets the names of a row from the path segments that match *;
+	// rowNames returns them.
 	setNames func(row *R, names []string)
 	rowNames func(row *R) []string
 }
@@ -76,7 +77,7 @@
 		}
 		names = append(names, parts[i])
 		if !validName(parts[i]) {
-			found.Add(item.location(""), "has a name that is not allowed", "use small letters, digits and . _ - inside, 63 bytes at most")
+			found.Add(item.location(""), "has an invalid name", "use at most 63 lower-case letters, digits and . _ -, with a letter or digit at both ends")
 		}
 	}
 	t.setNames(&row, names)
@@ -93,7 +94,7 @@
 			}
 			values.Values = []string{f.defaultText}
 		} else if !values.List && len(values.Values) != 1 || f.valueType != typeList && values.List {
-			found.Add(item.location(f.name), "has the wrong form", string(f.valueType))
+			found.Add(item.location(f.name), "has the wrong type", string(f.valueType))
 			continue
 		}
 		if err := f.parse(&row, values.Values); err != nil {
@@ -104,11 +105,11 @@
 	*rows = append(*rows, row)
 }
 
-// checkUnknownFields reports the fields that the kind does not have.
+// checkUnknownFields reports the fields of item that the kind does not have.
 func (t *table[R]) checkUnknownFields(item Item, found *finding.List) {
 	for _, f := range item.Fields {
 		if !t.hasField(f.Name) {
-			found.Add(item.location(f.Name), "is not a field here", "see the settings reference")
+			found.Add(item.location(f.Name), "is not a field of this setting", "see the settings reference")
 		}
 	}
 }
@@ -133,7 +134,7 @@
 	return out
 }
 
-// item returns the text form of a row, without fields at their fallback.
+// item returns the text form of a row. Fields with their default are omitted.
 func (t *table[R]) item(row *R) Item {
 	names := t.rowNames(row)
 	parts := t.pathPattern.parts()
@@ -154,7 +155,7 @@
 	return item
 }
 
-// kindOf returns the kind that a path belongs to, or nil.
+// kindOf returns the kind whose pattern matches p, or nil.
 func kindOf(p Path) kind {
 	parts := p.parts()
 	for _, k := range kinds {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// IsList reports whether the field of that name is a list at path.
+// IsList reports whether the named field of the setting at path is a list.
 func IsList(path Path, name string) bool {
 	k := kindOf(path)
 	if k == nil {
@@ -179,20 +180,20 @@
 	return false
 }
 
-// KindDoc describes one sort of setting for the reference page.
+// KindDoc documents the settings of one path pattern on the reference page.
 type KindDoc struct {
 	Pattern     Path
 	Description string
 	Fields      []FieldDoc
 }
 
-// FieldDoc describes one field for the reference page.
+// FieldDoc documents a field on the reference page.
 type FieldDoc struct {
 	Name, Type, Description, Default string
 	Required                         bool
 }
 
-// Kinds describes all settings, in the order of the reference page.
+// Kinds documents all settings, in the order of the reference page.
 func Kinds() []KindDoc {
 	out := make([]KindDoc, 0, len(kinds))
 	for _, k := range kinds {
--- a/internal/settings/lookup.go
+++ b/internal/settings/lookup.go
@@ -5,7 +5,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// index finds rows by name; it is built once per revision.
+// index maps names to rows; it is built once per revision.
 type index struct {
 	services    map[key.Service]int
 	callers     map[Caller]int
@@ -60,8 +60,8 @@
 	return x
 }
 
-// lookup returns the index. Settings that were put together by hand, as small
-// tests do, get one that is not kept.
+// lookup returns the index. Settings that were constructed without one, as in
+// small tests, get an index that is not cached.
 func (s *Settings) lookup() *index {
 	if s.index != nil {
 		return s.index
@@ -69,7 +69,7 @@
 	return newIndex(s)
 }
 
-// Service returns the service of that name.
+// Service returns the named service.
 func (s *Settings) Service(name key.Service) (*Service, bool) {
 	i, ok := s.lookup().services[name]
 	if !ok {
@@ -78,7 +78,7 @@
 	return &s.Services[i], true
 }
 
-// Caller returns the caller of that name.
+// Caller returns the named caller.
 func (s *Settings) Caller(name Caller) (*CallerRow, bool) {
 	i, ok := s.lookup().callers[name]
 	if !ok {
@@ -87,7 +87,7 @@
 	return &s.Callers[i], true
 }
 
-// Authenticate returns the caller whose bearer credential this is.
+// Authenticate returns the caller with the given bearer credential.
 func (s *Settings) Authenticate(credential string) (*CallerRow, bool) {
 	i, ok := s.lookup().credentials[HashCredential(credential)]
 	if !ok {
@@ -96,7 +96,7 @@
 	return &s.Callers[i], true
 }
 
-// RoutesOf returns the indexes into Routes that the caller may use.
+// RoutesOf returns the indexes in Routes of the routes that the caller may use.
 func (s *Settings) RoutesOf(name Caller) []int { return s.lookup().routes[name] }
 
 // Limit returns the limit of a caller in a class.
@@ -108,7 +108,7 @@
 	return s.Limits[i], true
 }
 
-// Operator returns the delegation whose bearer credential this is.
+// Operator returns the delegation with the given bearer credential.
 func (s *Settings) Operator(credential string) (*Delegation, bool) {
 	i, ok := s.lookup().operators[HashCredential(credential)]
 	if !ok {
@@ -117,8 +117,8 @@
 	return &s.Delegations[i], true
 }
 
-// HasPlatformOperator reports whether some operator may write all of platform. Until
-// then the bootstrap credential may write.
+// HasPlatformOperator reports whether some delegation covers all of platform.
+// Until then the bootstrap credential may write.
 func (s *Settings) HasPlatformOperator() bool {
 	for i := range s.Delegations {
 		if s.Delegations[i].Allows(platformRoot) {
--- a/internal/settings/main_test.go
+++ b/internal/settings/main_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random runs unless one is given, so that they
-// say the same each time. Six hundred runs notice each rule of Commit that is
-// taken out.
+// TestMain sets a fixed default seed, so that the random tests are reproducible, and
+// 600 runs per test: that many detect the removal of any single rule of Commit.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	setFlagDefault("rapid.seed", "0", "20261203")
@@ -18,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// setFlagDefault replaces the standard value of a flag.
+// setFlagDefault sets a flag that still has its default value.
 func setFlagDefault(name, standard, value string) {
 	f := flag.Lookup(name)
 	if f == nil || f.Value.String() != standard {
--- a/internal/settings/mutate_test.go
+++ b/internal/settings/mutate_test.go
@@ -11,7 +11,7 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// mutate changes, drops or repeats a few parts of body.
+// mutate modifies, deletes or repeats a few random parts of body.
 func mutate(r *rand.Rand, body []byte) []byte {
 	const signs = "[]{}:,&*!|>'\"%@-#?~ \n\t\x00a\xff"
 	out := slices.Clone(body)
@@ -35,8 +35,8 @@
 	return out
 }
 
-// TestMutatedInput reads files and documents that were damaged at random, from
-// a fixed seed: none may panic, and what is valid reads back as the same.
+// TestMutatedInput parses randomly damaged files and documents, from a fixed seed:
+// none may panic, and valid ones must survive a round trip.
 func TestMutatedInput(t *testing.T) {
 	const files, documents = 600, 6000
 	r := rand.New(rand.NewPCG(1, 2))
@@ -58,7 +58,7 @@
 	}
 }
 
-// checkRoundTrip checks that a file that is valid reads back from its own format.
+// checkRoundTrip checks that a valid file survives formatting and parsing.
 func checkRoundTrip(t *testing.T, file []byte) {
 	t.Helper()
 	changes, err := settings.Parse(file)
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -12,15 +12,16 @@
 	"citrontray.example/citrontray/internal/finding"
 )
 
-// MaxFileBytes bounds a settings file.
+// MaxFileBytes bounds the size of a settings file.
 const MaxFileBytes = 1 << 20
 
-// maxDepth bounds the nesting of a file: the top, a setting, a list.
+// maxDepth bounds the nesting of brackets. Valid settings need three levels: the
+// file, a setting and a list.
 const maxDepth = 16
 
-// Parse reads a settings file: YAML whose top is a mapping of paths to
-// mappings of fields, with comments; a path with null is deleted. The error is
-// a *finding.Error with every problem of the form; values are checked by With.
+// Parse parses a settings file: YAML with a mapping of paths to mappings of
+// fields. A null value deletes the path. The error is a *finding.Error with all
+// syntax problems; With validates the values.
 func Parse(file []byte) ([]Change, error) {
 	var found finding.List
 	if len(file) > MaxFileBytes {
@@ -44,8 +45,9 @@
 	return changes, found.Err()
 }
 
-// tooDeep reports whether the file nests brackets deeper than any setting
-// does: a file of a million [ would cost the parser a stack as deep.
+// tooDeep reports whether brackets are nested deeper than maxDepth. The YAML
+// parser recurses once per level: a file of a million [ would need a stack of a
+// million frames.
 func tooDeep(file []byte) bool {
 	depth := 0
 	for _, b := range file {
@@ -64,7 +66,7 @@
 	return false
 }
 
-// addSyntax records an error of the YAML parser with its place.
+// addSyntax records a syntax error of the YAML parser with its location.
 func addSyntax(found *finding.List, err error) {
 	var at yaml.Error
 	if errors.As(err, &at) && at.GetToken() != nil {
@@ -75,26 +77,26 @@
 	found.Add("file", err.Error(), "")
 }
 
-// checkDuplicates records the paths that stand twice in a file.
+// checkDuplicates records the paths that occur more than once in a file.
 func checkDuplicates(changes []Change, found *finding.List) {
 	first := make(map[Path]Position, len(changes))
 	for _, c := range changes {
 		if at, ok := first[c.Path]; ok {
-			found.Addf(c.location(""), "stands in the file twice, first at %d:%d", at.Line, at.Column)
+			found.Addf(c.location(""), "occurs twice in the file, first at %d:%d", at.Line, at.Column)
 			continue
 		}
 		first[c.Path] = c.At
 	}
 }
 
-// parseDocument reads one YAML document.
+// parseDocument parses one YAML document.
 func parseDocument(body ast.Node, found *finding.List) []Change {
 	if body == nil || body.Type() == ast.NullType {
 		return nil
 	}
 	top, ok := body.(ast.MapNode)
 	if !ok {
-		addAtNode(found, "file", body, "is not a mapping of paths", "write path: and its fields below")
+		addAtNode(found, "file", body, "is not a mapping of paths", "write path: and the fields of the setting below it")
 		return nil
 	}
 	var changes []Change
@@ -106,19 +108,19 @@
 		case ast.MapNode:
 			change.Fields = parseFields(change.Path, value, found)
 		default:
-			found.Add(change.location(""), "is not a mapping of fields", "write its fields below it")
+			found.Add(change.location(""), "is not a mapping of fields", "write the fields of the setting below its path")
 		}
 		changes = append(changes, change)
 	}
 	return changes
 }
 
-// parseFields reads the fields of one setting, sorted by name.
+// parseFields parses the fields of one setting and sorts them by name.
 func parseFields(path Path, node ast.MapNode, found *finding.List) []Field {
 	var fields []Field
 	for it := node.MapRange(); it.Next(); {
 		field := Field{Name: keyText(it.Key()), At: positionOf(it.Key())}
-		place := Item{Path: path, Fields: []Field{field}}.location(field.Name)
+		loc := Item{Path: path, Fields: []Field{field}}.location(field.Name)
 		switch value := it.Value().(type) {
 		case *ast.SequenceNode:
 			field.List = true
@@ -127,12 +129,12 @@
 					field.Values = append(field.Values, t)
 					continue
 				}
-				found.Add(place, "holds something that is not a plain value", "write a list of plain values")
+				found.Add(loc, "contains a value that is not a scalar", "write a list of scalars")
 			}
 		default:
 			t, ok := scalarText(value)
 			if !ok {
-				found.Add(place, "is neither a plain value nor a list", "")
+				found.Add(loc, "is neither a scalar nor a list", "")
 				continue
 			}
 			field.Values = []string{t}
@@ -143,7 +145,7 @@
 	return fields
 }
 
-// scalarText returns the text of a plain value as it was written.
+// scalarText returns the source text of a scalar.
 func scalarText(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case *ast.StringNode:
@@ -156,7 +158,7 @@
 	return "", false
 }
 
-// keyText returns the text of a mapping's key.
+// keyText returns the source text of a mapping key.
 func keyText(node ast.MapKeyNode) string {
 	if t, ok := scalarText(node); ok {
 		return t
@@ -164,7 +166,7 @@
 	return node.String()
 }
 
-// positionOf returns where a node stands.
+// positionOf returns the position of a node in the file.
 func positionOf(node ast.Node) Position {
 	if node == nil || node.GetToken() == nil || node.GetToken().Position == nil {
 		return Position{}
@@ -173,8 +175,8 @@
 	return Position{Line: pos.Line, Column: pos.Column}
 }
 
-// addAtNode records a problem at a node.
-func addAtNode(found *finding.List, place string, node ast.Node, problem, mend string) {
+// addAtNode records a problem at the position of a node.
+func addAtNode(found *finding.List, location string, node ast.Node, problem, hint string) {
 	at := positionOf(node)
-	found.Add(fmt.Sprintf("%s at %d:%d", place, at.Line, at.Column), problem, mend)
+	found.Add(fmt.Sprintf("%s at %d:%d", location, at.Line, at.Column), problem, hint)
 }
--- a/internal/settings/parse_test.go
+++ b/internal/settings/parse_test.go
@@ -12,7 +12,7 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// agencySettings returns the agency's settings.
+// agencySettings returns the settings of the agency preset.
 func agencySettings(t testing.TB) *settings.Settings {
 	t.Helper()
 	p, err := preset.Get(preset.Agency)
@@ -32,23 +32,23 @@
 	}{
 		"syntax":         {"a: [", []string{"file at 1:"}},
 		"no mapping":     {"- a", []string{"file at 1:1: is not a mapping of paths"}},
-		"unknown path":   {"teams/a/service/s: {}", []string{"teams/a/service/s at 1:1: is not a path"}},
-		"unknown field":  {"# one\nteams/a/services/s:\n  zones: [z]\n  zonse: [z]\n", []string{"teams/a/services/s zonse at 4:3: is not a field"}},
-		"several fields": {"teams/a/services/s:\n  zones: []\n  shards: 1000\n  slots: many\n", []string{"shards at 3:3: is not a power of two", "slots at 4:3: is not a number from 1", "zones at 2:3: names no zone"}},
+		"unknown path":   {"teams/a/service/s: {}", []string{"teams/a/service/s at 1:1: is not the path of a setting"}},
+		"unknown field":  {"# one\nteams/a/services/s:\n  zones: [z]\n  zonse: [z]\n", []string{"teams/a/services/s zonse at 4:3: is not a field of this setting"}},
+		"several fields": {"teams/a/services/s:\n  zones: []\n  shards: 1000\n  slots: many\n", []string{"shards at 3:3: is not a power of two", "slots at 4:3: is not a number from 1", "zones at 2:3: is empty"}},
 		"required":       {"teams/a/callers/c: {tenant: t}", []string{"teams/a/callers/c credential at 1:1: is required"}},
 		"no credential":  {"teams/a/callers/c: {tenant: t, credential: secret}", []string{"never write the credential itself"}},
-		"no service":     {caller + "teams/a/routes/r: {" + route + "}", []string{"names the service s, which is not there"}},
-		"no caller":      {service + "teams/a/routes/r: {" + route + "}", []string{"names the caller c, which is not there"}},
+		"no service":     {caller + "teams/a/routes/r: {" + route + "}", []string{"refers to service s, which does not exist"}},
+		"no caller":      {service + "teams/a/routes/r: {" + route + "}", []string{"refers to caller c, which does not exist"}},
 		"twice":          {service + "teams/b/services/s: {zones: [z]}", []string{"has the name of another service"}},
 		"path twice":     {"a: {}\nb: {}\na: {}\n", []string{"already defined"}},
 		"same requests":  {service + caller + "teams/a/routes/r: {" + route + "}\nteams/a/routes/q: {" + route + "}", []string{"takes the same requests as teams/a/routes/q"}},
 		"other service":  {service + "teams/a/services/q: {zones: [z]}\n" + caller + "teams/a/routes/r: {" + route + "}\nteams/a/routes/q: {" + strings.Replace(route, "service: s", "service: q", 1) + "}", []string{"takes the same requests as teams/a/routes/q"}},
 		"other prefix":   {service + caller + "teams/a/routes/r: {" + route + ", prefix: a}\nteams/a/routes/q: {" + route + ", prefix: b}", []string{"takes the same requests as teams/a/routes/q"}},
-		"not shared":     {strings.ReplaceAll(service, "/a/", "/b/") + caller + "teams/a/routes/r: {" + route + "}", []string{"that it does not share"}},
+		"not shared":     {strings.ReplaceAll(service, "/a/", "/b/") + caller + "teams/a/routes/r: {" + route + "}", []string{"refers to a service that team b does not share"}},
 		"prefix":         {"teams/b/services/s: {zones: [z], shares: ['a=a-']}\n" + caller + "teams/a/routes/r: {" + route + "}", []string{"prefix at 3:1: does not start with a-"}},
-		"shares overlap": {"teams/b/services/s: {zones: [z], shares: ['a=a', 'c=ab']}\n", []string{"prefixes that overlap"}},
-		"out of team":    {"teams/a/delegations/d: {below: [teams/b], credential: 'sha256:" + strings.Repeat("0", 64) + "'}", []string{"reaches out of the team's own paths"}},
-		"name":           {"teams/A/services/s: {zones: [z]}", []string{"has a name that is not allowed"}},
+		"shares overlap": {"teams/b/services/s: {zones: [z], shares: ['a=a', 'c=ab']}\n", []string{"gives a and c overlapping prefixes"}},
+		"out of team":    {"teams/a/delegations/d: {below: [teams/b], credential: 'sha256:" + strings.Repeat("0", 64) + "'}", []string{"is outside of the team's paths"}},
+		"name":           {"teams/A/services/s: {zones: [z]}", []string{"has an invalid name"}},
 		"delete nothing": {"teams/a/services/s: null", []string{"teams/a/services/s at 1:1: does not exist"}},
 		"short hold":     {"teams/a/services/s: {zones: [z], hold: 5s}", []string{"hold at 1:34: is neither forever nor at least 20s"}},
 		"deep":           {strings.Repeat("[", 100), []string{"nests brackets deeper"}},
@@ -70,7 +70,7 @@
 
 func TestShardsAreFixed(t *testing.T) {
 	_, err := agencySettings(t).With(parse(t, "teams/agency/services/plan: {zones: [anadolu-a], shards: 2048}"))
-	assert.ErrorContains(t, err, "teams/agency/services/plan shards at 1:50: is fixed while the service is there")
+	assert.ErrorContains(t, err, "teams/agency/services/plan shards at 1:50: cannot be changed for an existing service")
 }
 
 func TestOverlapOfTeams(t *testing.T) {
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -22,14 +22,14 @@
 	randomFaults = 14
 )
 
-// randomOp is one commit of an operator.
+// randomOp is one commit by an operator.
 type randomOp struct {
 	paths  []int
 	value  int
-	expect bool // expects the newest number that the operator saw
+	expect bool // expect the newest number that the operator has seen
 }
 
-// randomResult is what an operator was told.
+// randomResult is what Commit returned to an operator.
 type randomResult struct {
 	expect, number, winner uint64
 	path                   int
@@ -50,12 +50,12 @@
 type storeResponse struct {
 	entry platform.Entry
 	err   error
-	// arrived and served are the driver's steps of the call.
+	// arrived and served are the driver's steps at which the call came and was served.
 	arrived, served int64
 }
 
-// scheduledStore hands each call to the driver, so that the order of all calls
-// and their faults are drawn.
+// scheduledStore passes each call to the driver, which draws the order and the
+// faults of all calls.
 type scheduledStore struct {
 	platform.Store
 	operator int
@@ -78,14 +78,14 @@
 	return a.entry.Revision, a.err
 }
 
-// driver runs operators, hosts and the store in a drawn order.
+// driver schedules the calls of operators and hosts to the store at random.
 type driver struct {
 	t       *rapid.T
 	calls   chan storeCall
 	done    chan int
 	pending []storeCall
 	entries []platform.Entry // all revisions
-	delayed []storeCall      // writes that may still arrive
+	delayed []storeCall      // writes that may still take effect
 	hosts   []*Applied
 	faults  int
 	step    int64
@@ -99,7 +99,7 @@
 	return d.entries[len(d.entries)-1]
 }
 
-// apply is the store's compare-and-swap.
+// apply performs the store's compare-and-swap.
 func (d *driver) apply(c storeCall) storeResponse {
 	if now := d.newest().Revision; now != c.expect {
 		return storeResponse{err: &platform.ConflictError{Path: StorePath, Current: now}}
@@ -109,7 +109,7 @@
 	return storeResponse{entry: e}
 }
 
-// drawFault draws whether something goes wrong now, within the run's bound.
+// drawFault draws whether to inject a fault. The number of faults per run is bounded.
 func (d *driver) drawFault() bool {
 	if d.faults == 0 || rapid.IntRange(0, 2).Draw(d.t, "fault") > 0 {
 		return false
@@ -118,7 +118,7 @@
 	return true
 }
 
-// respondRead answers a read, perhaps not, perhaps with an old value.
+// respondRead responds to a read, possibly with an error or a stale value.
 func (d *driver) respondRead() storeResponse {
 	at := len(d.entries)
 	if d.drawFault() {
@@ -133,7 +133,7 @@
 	return storeResponse{entry: d.entries[at-1]}
 }
 
-// respondWrite answers a write, perhaps with the answer lost.
+// respondWrite responds to a write; a fault may lose the response or delay the write.
 func (d *driver) respondWrite(c storeCall) storeResponse {
 	if !d.drawFault() {
 		return d.apply(c)
@@ -149,7 +149,7 @@
 	return storeResponse{err: platform.ErrOutcomeUnknown}
 }
 
-// serve lets one waiting call through.
+// serve serves one of the pending calls.
 func (d *driver) serve() {
 	i := rapid.IntRange(0, len(d.pending)-1).Draw(d.t, "call")
 	c := d.pending[i]
@@ -169,7 +169,7 @@
 	c.response <- a
 }
 
-// applyDelayed lets a late write take effect, if it still can.
+// applyDelayed applies a delayed write at random, if its revision still matches.
 func (d *driver) applyDelayed() {
 	if len(d.delayed) == 0 || rapid.IntRange(0, 3).Draw(d.t, "arrive") > 0 {
 		return
@@ -178,8 +178,8 @@
 	d.delayed = d.delayed[1:]
 }
 
-// applyOnHost gives a host some revision of the store's past: a watch that lags, or
-// another host's copy. What is in force must not fall.
+// applyOnHost applies a random past revision on a host, as a lagging watch or another
+// host's replica would. The revision in force must never decrease.
 func (d *driver) applyOnHost() {
 	if len(d.entries) == 0 {
 		return
@@ -191,7 +191,7 @@
 	assert.NilError(d.t, err)
 	after, next, _ := host.InForce()
 	if after < before || next < number || after != max(before, e.Revision) {
-		d.t.Fatalf("host went from revision %d (%d) to %d (%d) at an offer of %d", before, number, after, next, e.Revision)
+		d.t.Fatalf("host went from revision %d (%d) to %d (%d) on applying %d", before, number, after, next, e.Revision)
 	}
 }
 
@@ -219,7 +219,7 @@
 
 func randomPath(i int) Path { return Path(fmt.Sprintf("teams/t/callers/c%d", i)) }
 
-// runOperator runs one operator's commits and returns what it was told.
+// runOperator runs the commits of one operator and passes each to note.
 func runOperator(store *scheduledStore, ops []randomOp, note func(i int, op randomOp, run func() randomResult)) {
 	c := NewCommitter(store)
 	seen := uint64(0)
@@ -257,15 +257,15 @@
 	}
 }
 
-// modelState is the settings as the sequential model keeps them: the number,
-// each path's value and the number that changed it last.
+// modelState is the state of the sequential model: the number, the value of each path
+// and the number that last changed it.
 type modelState struct {
 	number  uint64
 	values  [randomPaths]int
 	changed [randomPaths]uint64
 }
 
-// modelWrite returns the state after op became accepted, if it may.
+// modelWrite returns the state after op, if op can be accepted.
 func modelWrite(s modelState, op randomOp, r randomResult) (modelState, bool) {
 	next := s
 	next.number++
@@ -280,7 +280,7 @@
 	return next, true
 }
 
-// modelStep is the sequential specification of a commit.
+// modelStep is the sequential specification of Commit.
 func modelStep(state, input, output any) []any {
 	s, op, r := state.(modelState), input.(randomOp), output.(randomResult)
 	next, may := modelWrite(s, op, r)
@@ -306,12 +306,12 @@
 	return nil
 }
 
-// checkHistory compares what operators were told with the final document.
+// checkHistory compares the results of all commits with the final document.
 func (d *driver) checkHistory(final *Settings) {
 	written := make(map[string]uint64)
 	for i, w := range final.History {
 		if w.Number != uint64(i+1) {
-			d.t.Fatalf("write %s has number %d at place %d", w.ID, w.Number, i+1)
+			d.t.Fatalf("write %s has number %d at position %d", w.ID, w.Number, i+1)
 		}
 		if _, twice := written[w.ID]; twice {
 			d.t.Fatalf("write %s was applied twice", w.ID)
@@ -323,9 +323,9 @@
 		number, ok := written[id]
 		switch {
 		case r.err == nil && number != r.number:
-			d.t.Fatalf("write %s was accepted as %d but stands as %d", id, r.number, number)
+			d.t.Fatalf("write %s was accepted as %d but recorded as %d", id, r.number, number)
 		case r.err != nil && ok && !errors.Is(r.err, ErrUnresolved):
-			d.t.Fatalf("write %s was refused (%v) but stands as %d", id, r.err, number)
+			d.t.Fatalf("write %s failed (%v) but was recorded as %d", id, r.err, number)
 		}
 	}
 }
@@ -338,7 +338,7 @@
 	return rapid.SliceOfN(op, 1, 4).Draw(t, "ops")
 }
 
-// TestRandomOperators interleaves operators, hosts and faults of the store and
+// TestRandomOperators interleaves operators, hosts and store faults at random and
 // checks that the accepted writes are linearizable and never revert.
 func TestRandomOperators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -11,7 +11,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Bounds of values.
+// Limits of values.
 const (
 	maxShards      = 1 << 16
 	maxSlots       = 1 << 12
@@ -24,13 +24,14 @@
 	minTimeout     = 10 * time.Millisecond
 	maxTimeout     = 10 * time.Minute
 	maxHold        = 30 * 24 * time.Hour
-	// minHold is longer than a call to a slow store: a lead renews its lease
-	// by such calls, and a shorter hold would end service in a slow spell.
+	// minHold exceeds the time of a call to a slow store. Leaders renew their
+	// leases by such calls, so a shorter hold would stop service while the store
+	// is merely slow.
 	minHold   = 20 * time.Second
 	maxWarmUp = time.Hour
 )
 
-// kinds lists all settings, in the order of the reference page.
+// kinds lists all kinds of settings, in the order of the reference page.
 var kinds = []kind{
 	serviceKind(), routeKind(), callerKind(), limitKind(),
 	teamDelegationKind(), delegationKind(),
@@ -69,11 +70,11 @@
 		for _, v := range values {
 			parts := strings.Fields(v)
 			if len(parts) != 3 || !validName(parts[0]) || !validName(parts[1]) {
-				return errors.New("holds a target that is not name zone IP:port")
+				return errors.New(`contains a target that is not "name zone IP:port"`)
 			}
 			addr, err := netip.ParseAddrPort(parts[2])
 			if err != nil {
-				return errors.New("holds a target without IP:port")
+				return errors.New("contains a target without a valid IP:port")
 			}
 			r.Targets = append(r.Targets, ServiceTarget{place.Target(parts[0]), place.Zone(parts[1]), addr})
 		}
@@ -95,7 +96,7 @@
 		for _, v := range values {
 			team, prefix, ok := strings.Cut(v, "=")
 			if !ok || !validName(team) || len(prefix) > maxTextBytes {
-				return errors.New("holds a share that is not team=prefix")
+				return errors.New("contains a share that is not team=prefix")
 			}
 			r.Shares = append(r.Shares, Share{Team(team), prefix})
 		}
@@ -167,7 +168,7 @@
 	}
 }
 
-// validMethod reports whether s is an HTTP method of routes.
+// validMethod reports whether s is an HTTP method that routes may list.
 func validMethod(s string) bool {
 	switch s {
 	case "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE":
@@ -176,7 +177,7 @@
 	return false
 }
 
-// holdField reads how long a zone serves on without the store.
+// holdField returns the codec of Service.Hold.
 func holdField() textCodec[Service] {
 	a := durationField(func(r *Service) *time.Duration { return &r.Hold }, 0, maxHold)
 	read := a.parse
@@ -185,7 +186,7 @@
 			return err
 		}
 		if row.Hold != 0 && row.Hold < minHold {
-			return fmt.Errorf("is neither %s nor at least %v; a store that is only slow would end service", forever, minHold)
+			return fmt.Errorf("is neither %s nor at least %v; a shorter hold would stop service while the store is merely slow", forever, minHold)
 		}
 		return nil
 	}
--- a/internal/settings/schema_platform.go
+++ b/internal/settings/schema_platform.go
@@ -2,7 +2,7 @@
 
 import "citrontray.example/citrontray/internal/place"
 
-// delegationFields are the fields of all delegations.
+// delegationFields returns the fields of delegations at both levels.
 func delegationFields() []field[Delegation] {
 	type row = Delegation
 	return []field[row]{
@@ -11,7 +11,7 @@
 	}
 }
 
-// validSubtree reports whether s may be the top of a delegated subtree.
+// validSubtree reports whether s is valid as the root of a delegated subtree.
 func validSubtree(s string) bool {
 	parts := Path(s).parts()
 	if parts[0] != teamsRoot && parts[0] != platformRoot {
@@ -25,7 +25,7 @@
 	return true
 }
 
-// delegationRows lists the delegations of all levels; both kinds share them.
+// delegationRows returns the delegations of both levels, shared by two kinds.
 func delegationRows(s *Settings) *[]Delegation { return &s.Delegations }
 
 func teamDelegationKind() kind {
@@ -56,7 +56,7 @@
 	}
 }
 
-// scoped is a kind that shares its rows with another kind.
+// scoped is a kind that shares its rows with other kinds; belongs selects its own.
 type scoped[R any] struct {
 	table[R]
 	belongs func(*R) bool
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds the operators' configuration: typed values under
-// paths, checked whole, committed by one compare-and-swap.
+// Package settings holds the operators' configuration: typed values at paths,
+// validated as a whole and committed by one compare-and-swap.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// StorePath is where the accepted settings live in the platform's service.
+// StorePath is the path of the accepted settings in the platform's service.
 const StorePath platform.Path = "settings/current"
 
 // Team owns the subtree teams/<team>.
@@ -20,13 +20,14 @@
 // Caller is the name of a caller, unique in the deployment.
 type Caller string
 
-// Tenant groups callers that may see the same data.
+// Tenant is a group of callers that may see the same data.
 type Tenant string
 
-// Class is the kind of work of a route, in the order of the queue's weight.
+// Class is the class of a route's requests. The constants are in descending order
+// of their weight in queues.
 type Class string
 
-// The classes of work.
+// Request classes.
 const (
 	Interactive Class = "interactive"
 	Registering Class = "registering"
@@ -36,7 +37,7 @@
 // Settings is one accepted revision of all settings. It is immutable.
 type Settings struct {
 	Revision platform.Revision
-	// Number counts the accepted revisions; operators see it.
+	// Number counts the accepted revisions. Operators see it as the revision.
 	Number      uint64
 	Services    []Service
 	Routes      []Route
@@ -45,63 +46,63 @@
 	Delegations []Delegation
 	Drains      []Drain
 	Losses      []Loss
-	// History holds the newest accepted writes, oldest first, bounded.
+	// History holds the newest accepted writes, oldest first, up to a limit.
 	History []Write
 
 	index *index
-	// unknownFields tells that a later release wrote fields that this one does not
-	// know: such a document may be read but not written over.
+	// unknownFields is set if a later release wrote fields that this release
+	// does not know. Such settings may be read but not written over.
 	unknownFields bool
 }
 
-// Service is a service with a key space of its own.
+// Service is a service with its own key space.
 type Service struct {
 	Team   Team
 	Name   key.Service
 	Shards key.ShardCount
 	Zones  []place.Zone
-	// Targets lists targets that the platform's fleet list does not.
+	// Targets lists targets that are missing from the platform's fleet list.
 	Targets     []ServiceTarget
-	Slots       int // concurrent requests that one target takes
-	Connections int // connections that one target takes of all entry hosts
-	// ChecksTerms tells whether the targets refuse orders of an older lead.
+	Slots       int // concurrent requests per target
+	Connections int // connections per target, summed over all entry hosts
+	// ChecksTerms is set if the targets reject orders of prior leaders.
 	ChecksTerms bool
-	// Hold bounds serving without the store; zero stands for forever.
+	// Hold limits how long a zone serves without the store; zero means no limit.
 	Hold             time.Duration
 	MovesPerMinute   int
 	ImbalancePercent int
-	// WarmUp is the length of a new target's ramp.
+	// WarmUp is how long the load of a new target is ramped up.
 	WarmUp time.Duration
-	// BodyBytes bounds a request's and an answer's body.
+	// BodyBytes limits the body of a request and of a response.
 	BodyBytes int64
-	// Shares lets other teams route to the service, each below a key prefix.
+	// Shares lists the teams that may also route to the service.
 	Shares []Share
 }
 
-// Share lets the routes of another team reach keys that start with Prefix.
+// Share lets the routes of another team use the keys that start with Prefix.
 type Share struct {
 	Team   Team
 	Prefix string
 }
 
-// ServiceTarget is one target named by the settings.
+// ServiceTarget is a target that is listed in the settings.
 type ServiceTarget struct {
 	Target place.Target
 	Zone   place.Zone
 	Addr   netip.AddrPort
 }
 
-// KeySource tells where the key stands in a request.
+// KeySource is the part of a request that holds the key.
 type KeySource string
 
-// The places of the key in a request.
+// Parts of a request that can hold the key.
 const (
-	KeyInPath   KeySource = "path"   // the path part named {key} in the route
-	KeyInQuery  KeySource = "query"  // the query parameter of that name
-	KeyInHeader KeySource = "header" // the header of that name
+	KeyInPath   KeySource = "path"   // the path segment {KeyName} of the route's pattern
+	KeyInQuery  KeySource = "query"  // the query parameter KeyName
+	KeyInHeader KeySource = "header" // the header KeyName
 )
 
-// Route leads requests of callers to a service.
+// Route maps requests of callers to a service.
 type Route struct {
 	Team    Team
 	Name    string
@@ -112,15 +113,15 @@
 	Path      string
 	KeySource KeySource
 	KeyName   string
-	// KeyPrefix bounds the keys that the route's callers may name.
+	// KeyPrefix is the prefix of all keys that the route accepts.
 	KeyPrefix  string
 	Class      Class
 	Idempotent bool
-	// Timeout is the longest time that a request of the route may take.
+	// Timeout limits a request of the route, queueing included.
 	Timeout time.Duration
 }
 
-// CallerRow is one caller with its credential, kept as a hash.
+// CallerRow is a caller with the hash of its credential.
 type CallerRow struct {
 	Team   Team
 	Name   Caller
@@ -129,7 +130,7 @@
 	CredentialHash [32]byte
 }
 
-// Limit bounds a caller's requests in one class.
+// Limit bounds the requests of one caller in one class.
 type Limit struct {
 	Team       Team
 	Caller     Caller
@@ -139,8 +140,8 @@
 	Concurrent int
 }
 
-// Delegation lets the bearer of a credential write below some paths. Team is
-// empty for a delegation at the platform's level.
+// Delegation lets the bearer of a credential write some subtrees. Team is empty
+// for a delegation at the platform level.
 type Delegation struct {
 	Team           Team
 	Operator       string
@@ -148,14 +149,14 @@
 	CredentialHash [32]byte
 }
 
-// Drain asks that a target or a zone gets no new work.
+// Drain keeps new work off a target or a zone.
 type Drain struct {
 	Target place.Target
 	Zone   place.Zone
 	Reason string
 }
 
-// Loss declares that a target, host or zone is lost.
+// Loss declares a target, host or zone lost.
 type Loss struct {
 	Target place.Target
 	Host   place.Host
@@ -164,7 +165,7 @@
 	Reason string
 }
 
-// Write is one accepted write in the history.
+// Write is an accepted write in the history.
 type Write struct {
 	ID     string
 	Number uint64
@@ -172,7 +173,7 @@
 	By     string
 	Reason string
 	Paths  []Path
-	// Before holds the former value of each path, in the file format; empty
-	// text stands for a path that had none. Rollback puts them back.
+	// Before holds the previous value of each path in the file format, "" for a
+	// path that did not exist. Rollback restores these values.
 	Before []string
 }
--- a/internal/settings/size_bench_test.go
+++ b/internal/settings/size_bench_test.go
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// deploymentFile returns a file of teams, each with a service, ten callers, a
-// route for each, and a limit for each.
+// deploymentFile returns a settings file of teams, each with a service and ten
+// callers that have a route and a limit each.
 func deploymentFile(teams int) string {
 	const callers = 10
 	var b strings.Builder
@@ -27,8 +27,8 @@
 	return b.String()
 }
 
-// BenchmarkSize measures what grows with the settings: the document, a write's
-// checks, and what each host does for a new revision.
+// BenchmarkSize measures the costs that grow with the number of settings: the
+// document size, validating a write, and decoding a revision on each host.
 func BenchmarkSize(b *testing.B) {
 	for _, teams := range []int{1, 10, 100, 200} {
 		changes, err := settings.Parse([]byte(deploymentFile(teams)))
