--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves a daemon's pages for operators and the balancer:
-// /live, /ready, /metrics and /status.
+// Package admin serves the HTTP endpoints of a daemon for operators and the load
+// balancer: /live, /ready, /metrics and /status.
 package admin
 
 import (
@@ -29,8 +29,8 @@
 	http     http.Server
 }
 
-// Listen binds the address; the pages are served once Run is called. The
-// status handler may be nil.
+// Listen binds the address. Run serves the endpoints; without a status handler there
+// is no /status.
 func Listen(addr netip.AddrPort, metrics, status http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -50,7 +50,7 @@
 // Addr returns the bound address.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// SetReady tells the balancer whether to send callers here.
+// SetReady sets whether the load balancer may send callers to this host.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
 // Run serves until ctx ends.
@@ -64,19 +64,19 @@
 	return err
 }
 
-// close ends the server, giving open answers a moment.
+// close shuts the server down and lets open responses finish within closeTimeout.
 func (s *Server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = s.http.Shutdown(ctx)
 }
 
-// handleLive answers that the process runs.
+// handleLive reports that the process runs.
 func (s *Server) handleLive(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write([]byte("live\n"))
 }
 
-// handleReady answers 200 while the balancer may send callers here.
+// handleReady responds 200 while the load balancer may send callers to this host.
 func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.ready.Load() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,6 +1,6 @@
-// Package certs makes and loads the certificates by which the processes of the
-// system know each other: an authority of the operator's own, and a
-// certificate for each process that carries its host, zone and role.
+// Package certs issues and loads the certificates that authenticate the processes
+// of a deployment to each other: a private certificate authority, and a
+// certificate for each process that names its host, zone and role.
 package certs
 
 import (
@@ -24,8 +24,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// The files of an authority. AuthorityFile may hold several certificates, one
-// after the other, while an authority is replaced.
+// Files of an authority. AuthorityFile holds several certificates while an
+// authority is being replaced.
 const (
 	AuthorityFile    = "ca.pem"
 	AuthorityKeyFile = "ca-key.pem"
@@ -35,7 +35,7 @@
 	uriScheme         = "citrontray"
 	authorityLifetime = 10 * 365 * 24 * time.Hour
 	hostLifetime      = 365 * 24 * time.Hour
-	// clockSkew lets a host whose clock is behind accept a new certificate.
+	// clockSkew is how far the clock of a host may be behind the issuer's.
 	clockSkew   = 10 * time.Minute
 	serialBits  = 127
 	privateMode = 0o600
@@ -43,29 +43,29 @@
 	dirMode     = 0o755
 )
 
-// ErrIdentity is returned for a certificate that names no process.
-var ErrIdentity = errors.New("keys: certificate names no process of the system")
+// ErrIdentity is returned for a certificate that does not identify a process.
+var ErrIdentity = errors.New("certs: certificate does not identify a process of the system")
 
-// namePattern bounds the names that stand in file names and certificates.
+// namePattern restricts host and zone names, which occur in file names and URIs.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// CertificateFile returns the name of the certificate of one process.
+// CertificateFile returns the file name of a process's certificate.
 func CertificateFile(host place.Host, role peer.Role) string {
 	return fmt.Sprintf("%s.%s.pem", host, role)
 }
 
-// KeyFile returns the name of the private key of one process.
+// KeyFile returns the file name of a process's private key.
 func KeyFile(host place.Host, role peer.Role) string {
 	return fmt.Sprintf("%s.%s-key.pem", host, role)
 }
 
-// CreateAuthority makes a new authority in dir, valid from now. Certificates
-// already in AuthorityFile stay behind the new one, so that hosts trust both
-// until the old one is taken out with Retire.
+// CreateAuthority creates an authority in dir, valid from now. Certificates that
+// AuthorityFile already holds are kept after the new one, so that hosts trust both
+// until RemoveOldAuthorities is called.
 func CreateAuthority(now time.Time, dir string) error {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return fmt.Errorf("keys: make authority: %w", err)
+		return fmt.Errorf("certs: create authority: %w", err)
 	}
 	template, err := authorityTemplate(now)
 	if err != nil {
@@ -73,15 +73,15 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
-		return fmt.Errorf("keys: make authority: %w", err)
+		return fmt.Errorf("certs: create authority: %w", err)
 	}
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return fmt.Errorf("keys: make authority: %w", err)
+		return fmt.Errorf("certs: create authority: %w", err)
 	}
 	bundle := encodeCertificate(der)
 	old, err := os.ReadFile(filepath.Join(dir, AuthorityFile))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("keys: make authority: %w", err)
+		return fmt.Errorf("certs: create authority: %w", err)
 	}
 	if err := writeKey(filepath.Join(dir, AuthorityKeyFile), private); err != nil {
 		return err
@@ -89,22 +89,22 @@
 	return replaceFile(filepath.Join(dir, AuthorityFile), append(bundle, old...), publicMode)
 }
 
-// RemoveOldAuthorities takes all authorities but the newest out of dir's AuthorityFile.
+// RemoveOldAuthorities removes all but the newest authority from dir's AuthorityFile.
 func RemoveOldAuthorities(dir string) error {
 	path := filepath.Join(dir, AuthorityFile)
 	bundle, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("keys: retire: %w", err)
+		return fmt.Errorf("certs: remove old authorities: %w", err)
 	}
 	block, _ := pem.Decode(bundle)
 	if block == nil {
-		return fmt.Errorf("keys: retire: %s holds no certificate", path)
+		return fmt.Errorf("certs: remove old authorities: %s holds no certificate", path)
 	}
 	return replaceFile(path, pem.EncodeToMemory(block), publicMode)
 }
 
-// IssueHost makes one certificate and key in dir for each role of a host, valid
-// at the given IP numbers.
+// IssueHost issues a certificate and a key in dir for each role of a host, valid for
+// the given IP addresses.
 func IssueHost(now time.Time, dir string, host place.Host, zone place.Zone, roles []peer.Role, ips []netip.Addr) error {
 	authority, err := loadAuthority(dir)
 	if err != nil {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// authority is a certificate that signs others.
+// authority is a certificate with the key that signs others.
 type authority struct {
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
@@ -144,7 +144,7 @@
 	}
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return fmt.Errorf("keys: make host: %w", err)
+		return fmt.Errorf("certs: issue host certificate: %w", err)
 	}
 	template, err := hostTemplate(now, id, uri, ips)
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, public, a.key)
 	if err != nil {
-		return fmt.Errorf("keys: make host: %w", err)
+		return fmt.Errorf("certs: issue host certificate: %w", err)
 	}
 	if err := writeKey(filepath.Join(dir, KeyFile(id.Host, id.Role)), private); err != nil {
 		return err
@@ -201,9 +201,10 @@
 	limit := new(big.Int).Lsh(big.NewInt(1), serialBits)
 	serial, err := rand.Int(rand.Reader, limit)
 	if err != nil {
-		return nil, fmt.Errorf("keys: serial number: %w", err)
+		return nil, fmt.Errorf("certs: serial number: %w", err)
 	}
-	// The lowest bytes name the authority, so a serial number has at least four.
+	// The authority's name contains the first four bytes: with the top bit set,
+	// the number always has them.
 	return serial.SetBit(serial, serialBits, 1), nil
 }
 
@@ -211,11 +212,11 @@
 func identityURI(id peer.Identity) (*url.URL, error) {
 	for _, name := range []string{string(id.Host), string(id.Zone)} {
 		if !namePattern.MatchString(name) {
-			return nil, fmt.Errorf("keys: %q is no name of a host or zone", name)
+			return nil, fmt.Errorf("certs: %q is not a valid host or zone name", name)
 		}
 	}
 	if !knownRole(id.Role) {
-		return nil, fmt.Errorf("keys: unknown role %q", id.Role)
+		return nil, fmt.Errorf("certs: unknown role %q", id.Role)
 	}
 	path := strings.Join([]string{"", string(id.Zone), string(id.Host), string(id.Role)}, "/")
 	return &url.URL{Scheme: uriScheme, Path: path}, nil
@@ -225,7 +226,7 @@
 	return role == peer.RoleEntry || role == peer.RoleLead || role == peer.RoleOperator
 }
 
-// Identity reads host, zone and role out of a verified certificate.
+// Identity returns the host, zone and role that a verified certificate names.
 func Identity(certificate *x509.Certificate) (peer.Identity, error) {
 	if len(certificate.URIs) != 1 || certificate.URIs[0].Scheme != uriScheme {
 		return peer.Identity{}, ErrIdentity
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -54,13 +54,13 @@
 		at    time.Time
 		spoil func(t *testing.T, dir string)
 	}{
-		"expired certificate": {at: now.Add(2 * year), spoil: func(*testing.T, string) {}},
-		"not yet valid":       {at: now.Add(-year), spoil: func(*testing.T, string) {}},
-		"no authority":        {at: now, spoil: removeFile(certs.AuthorityFile)},
-		"no certificate":      {at: now, spoil: removeFile(certificate)},
-		"no key":              {at: now, spoil: removeFile(certs.KeyFile("h1", peer.RoleLead))},
-		"half a certificate":  {at: now, spoil: truncateFile(certificate)},
-		"key of another role": {at: now, spoil: renameFile(certs.KeyFile("h1", peer.RoleEntry), certs.KeyFile("h1", peer.RoleLead))},
+		"expired certificate":   {at: now.Add(2 * year), spoil: func(*testing.T, string) {}},
+		"not yet valid":         {at: now.Add(-year), spoil: func(*testing.T, string) {}},
+		"no authority":          {at: now, spoil: removeFile(certs.AuthorityFile)},
+		"no certificate":        {at: now, spoil: removeFile(certificate)},
+		"no key":                {at: now, spoil: removeFile(certs.KeyFile("h1", peer.RoleLead))},
+		"truncated certificate": {at: now, spoil: truncateFile(certificate)},
+		"key of another role":   {at: now, spoil: renameFile(certs.KeyFile("h1", peer.RoleEntry), certs.KeyFile("h1", peer.RoleLead))},
 		"certificate of another role": {at: now, spoil: func(t *testing.T, dir string) {
 			renameFile(certs.KeyFile("h1", peer.RoleEntry), certs.KeyFile("h1", peer.RoleLead))(t, dir)
 			renameFile(certs.CertificateFile("h1", peer.RoleEntry), certificate)(t, dir)
@@ -105,13 +105,13 @@
 	for name, host := range map[string]place.Host{"empty": "", "path": "../h1", "slash": "a/b", "space": "a b"} {
 		t.Run(name, func(t *testing.T) {
 			err := certs.IssueHost(now, newDir(t, "h1"), host, "zone-a", roles, loopback)
-			assert.ErrorContains(t, err, "no name of a host or zone")
+			assert.ErrorContains(t, err, "is not a valid host or zone name")
 		})
 	}
 }
 
-// TestReloadKeepsCurrentOnError spoils a file in use: the process goes on with
-// what it has, and takes the file once it is whole again.
+// TestReloadKeepsCurrentOnError damages a file while it is in use: Reload must keep
+// the loaded certificates, and load the file once it is valid again.
 func TestReloadKeepsCurrentOnError(t *testing.T) {
 	dir := newDir(t, "h1")
 	m, err := certs.Load(now, dir, "h1", peer.RoleLead)
--- a/internal/certs/file.go
+++ b/internal/certs/file.go
@@ -23,20 +23,19 @@
 func writeKey(path string, key ed25519.PrivateKey) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return fmt.Errorf("keys: write %s: %w", path, err)
+		return fmt.Errorf("certs: write %s: %w", path, err)
 	}
 	return replaceFile(path, pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: der}), privateMode)
 }
 
-// replaceFile writes a file whole or not at all: a reader of the path never
-// sees half of it.
+// replaceFile writes a file atomically, so that readers never see a partial file.
 func replaceFile(path string, data []byte, mode os.FileMode) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, data, mode); err != nil {
-		return fmt.Errorf("keys: write %s: %w", path, err)
+		return fmt.Errorf("certs: write %s: %w", path, err)
 	}
 	if err := os.Rename(next, path); err != nil {
-		return fmt.Errorf("keys: write %s: %w", path, err)
+		return fmt.Errorf("certs: write %s: %w", path, err)
 	}
 	return nil
 }
@@ -44,19 +43,19 @@
 func readKey(path string) (ed25519.PrivateKey, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+		return nil, fmt.Errorf("certs: %w", err)
 	}
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return nil, fmt.Errorf("keys: %s: %w", path, errKeyFormat)
+		return nil, fmt.Errorf("certs: %s: %w", path, errKeyFormat)
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, fmt.Errorf("keys: %s: %w", path, err)
+		return nil, fmt.Errorf("certs: %s: %w", path, err)
 	}
 	key, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
-		return nil, fmt.Errorf("keys: %s: %w", path, errKeyFormat)
+		return nil, fmt.Errorf("certs: %s: %w", path, errKeyFormat)
 	}
 	return key, nil
 }
@@ -65,7 +64,7 @@
 func readCertificates(path string) ([]*x509.Certificate, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+		return nil, fmt.Errorf("certs: %w", err)
 	}
 	var out []*x509.Certificate
 	for block, rest := pem.Decode(data); block != nil; block, rest = pem.Decode(rest) {
@@ -74,12 +73,12 @@
 		}
 		certificate, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
-			return nil, fmt.Errorf("keys: %s: %w", path, err)
+			return nil, fmt.Errorf("certs: %s: %w", path, err)
 		}
 		out = append(out, certificate)
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("keys: %s holds no certificate", path)
+		return nil, fmt.Errorf("certs: %s contains no certificate", path)
 	}
 	return out, nil
 }
--- a/internal/certs/material.go
+++ b/internal/certs/material.go
@@ -15,15 +15,15 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// ErrMismatch is returned where a certificate and a key do not belong together
-// or the certificate is not of a trusted authority.
-var ErrMismatch = errors.New("keys: certificate, key and authority do not belong together")
+// ErrMismatch is returned if a certificate does not match its key or its process, or
+// no trusted authority issued it.
+var ErrMismatch = errors.New("certs: certificate, key and authority do not match")
 
 // resetLabel separates the reset secret from other uses of the private key.
 const resetLabel = "citrontray stateless reset"
 
-// Material is the trusted authorities and the certificate of one process. It
-// follows the files on Reload. Safe for concurrent use.
+// Material holds the trusted authorities and the certificate of one process. Reload
+// updates it from the files. It is safe for concurrent use.
 type Material struct {
 	dir     string
 	host    place.Host
@@ -31,7 +31,7 @@
 	current atomic.Pointer[snapshot]
 }
 
-// snapshot is the state of the files at one reading.
+// snapshot is the content of the files at one time.
 type snapshot struct {
 	identity    peer.Identity
 	roots       *x509.CertPool
@@ -40,8 +40,8 @@
 	reset       [sha256.Size]byte
 }
 
-// Load reads the files of one process in dir and checks them against each
-// other at the time now.
+// Load loads the files of one process from dir and verifies that they match and are
+// valid at now.
 func Load(now time.Time, dir string, host place.Host, role peer.Role) (*Material, error) {
 	m := &Material{dir: dir, host: host, role: role}
 	if _, err := m.Reload(now); err != nil {
@@ -50,8 +50,8 @@
 	return m, nil
 }
 
-// Reload reads the files again and reports whether they changed. On an error
-// the process goes on with what it has: a half-finished copy cuts nobody off.
+// Reload reads the files again and reports whether they changed. On an error it
+// keeps the loaded ones, so that a partially copied file does not break connections.
 func (m *Material) Reload(now time.Time) (bool, error) {
 	next, err := m.read(now)
 	if err != nil {
@@ -93,25 +93,25 @@
 	sum.Sum(next.digest[:0])
 	next.reset = sha256.Sum256(append([]byte(resetLabel), key.Seed()...))
 	if public, ok := chain[0].PublicKey.(ed25519.PublicKey); !ok || !public.Equal(key.Public()) {
-		return nil, fmt.Errorf("%w: key of %s", ErrMismatch, m.host)
+		return nil, fmt.Errorf("%w: key of host %s", ErrMismatch, m.host)
 	}
 	if next.identity, err = next.verify(now, chain); err != nil {
 		return nil, err
 	}
 	if next.identity.Host != m.host || next.identity.Role != m.role {
-		return nil, fmt.Errorf("%w: certificate is of %s", ErrMismatch, next.identity.Host)
+		return nil, fmt.Errorf("%w: certificate names host %s", ErrMismatch, next.identity.Host)
 	}
 	return next, nil
 }
 
-// Self returns the identity that the process shows to others.
+// Self returns the identity that the process presents to others.
 func (m *Material) Self() peer.Identity { return m.current.Load().identity }
 
-// ResetSecret returns a secret that the process has again after a restart.
+// ResetSecret returns a secret that stays the same across restarts of the process.
 func (m *Material) ResetSecret() [sha256.Size]byte { return m.current.Load().reset }
 
-// Verify checks a certificate chain against the authorities trusted now and
-// returns whom it names. The chain starts with the process's certificate.
+// Verify verifies a certificate chain, leaf first, against the trusted authorities
+// and returns the identity that the leaf names.
 func (m *Material) Verify(now time.Time, chain []*x509.Certificate) (peer.Identity, error) {
 	return m.current.Load().verify(now, chain)
 }
@@ -136,8 +136,8 @@
 	return Identity(chain[0])
 }
 
-// ClientTLS returns the configuration for one outgoing connection, made from
-// the files as they are now.
+// ClientTLS returns the configuration of one outgoing connection, with the files as
+// loaded now.
 func (m *Material) ClientTLS(protocol string) *tls.Config {
 	g := m.current.Load()
 	return &tls.Config{
@@ -148,9 +148,9 @@
 	}
 }
 
-// OperatorTLS returns the configuration of the operators' listener: it shows
-// the process's certificate and asks for none, as operators bring a bearer
-// credential. Each handshake uses the files as they are then.
+// OperatorTLS returns the configuration of the operators' listener. It requests no
+// client certificate, as operators authenticate by a bearer credential. Each
+// handshake uses the files as loaded at that time.
 func (m *Material) OperatorTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -160,8 +160,8 @@
 	}
 }
 
-// AuthorityPool reads the certificates of an AuthorityFile, for programs that have
-// no certificate of their own.
+// AuthorityPool reads the certificates of an AuthorityFile, for programs without a
+// certificate of their own.
 func AuthorityPool(path string) (*x509.CertPool, error) {
 	authorities, err := readCertificates(path)
 	if err != nil {
@@ -174,8 +174,8 @@
 	return pool, nil
 }
 
-// ServerTLS returns the configuration of a listener. Each handshake uses the
-// files as they are then, and none resumes an older session.
+// ServerTLS returns the configuration of a listener. Each handshake uses the files as
+// loaded at that time; session resumption is disabled.
 func (m *Material) ServerTLS(protocol string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
--- a/internal/certs/unverified.go
+++ b/internal/certs/unverified.go
@@ -12,15 +12,15 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-// Unverified is the certificate of a process in a deployment without an
-// authority: connections are encrypted, but anyone on the network may claim to
-// be a host. For networks that the platform keeps closed.
+// Unverified holds the self-signed certificate of a process in a deployment without
+// an authority. Connections are encrypted, but anyone on the network can claim to be
+// a host. It is meant for networks that the platform isolates.
 type Unverified struct {
 	self        peer.Identity
 	certificate tls.Certificate
 }
 
-// NewUnverified makes a certificate for this life of a process.
+// NewUnverified creates a certificate for this incarnation of a process.
 func NewUnverified(now time.Time, self peer.Identity) (*Unverified, error) {
 	uri, err := identityURI(self)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("keys: make certificate: %w", err)
+		return nil, fmt.Errorf("certs: create self-signed certificate: %w", err)
 	}
 	template, err := hostTemplate(now, self, uri, nil)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
-		return nil, fmt.Errorf("keys: make certificate: %w", err)
+		return nil, fmt.Errorf("certs: create self-signed certificate: %w", err)
 	}
 	return &Unverified{self: self, certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}}, nil
 }
@@ -47,7 +47,8 @@
 // Reload implements peer.Credentials.
 func (u *Unverified) Reload(time.Time) (bool, error) { return false, nil }
 
-// Verify implements peer.Credentials: any process of the system will do.
+// Verify implements peer.Credentials. It accepts any certificate that names a
+// process.
 func (u *Unverified) Verify(_ time.Time, chain []*x509.Certificate) (peer.Identity, error) {
 	if len(chain) == 0 {
 		return peer.Identity{}, ErrIdentity
@@ -55,8 +56,8 @@
 	return Identity(chain[0])
 }
 
-// ResetSecret implements peer.Credentials. It is the same in the next life of
-// the process, so that others notice a restart at once.
+// ResetSecret implements peer.Credentials. It is the same in the next incarnation of
+// the process, so that peers notice a restart at once.
 func (u *Unverified) ResetSecret() [sha256.Size]byte {
 	return sha256.Sum256([]byte(resetLabel + "\x00" + string(u.self.Host)))
 }
@@ -67,7 +68,7 @@
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         []string{protocol},
 		Certificates:       []tls.Certificate{u.certificate},
-		InsecureSkipVerify: true, // there is no authority to check against
+		InsecureSkipVerify: true, // there is no authority to verify against
 	}
 }
 
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects problems with their place, so that all of them are
-// reported together, sorted, in place of the first one alone.
+// Package finding collects problems in user input with their locations, so that all of
+// them are reported together and in order.
 package finding
 
 import (
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// Finding is one problem in something that a person wrote.
+// Finding is a problem in user input.
 type Finding struct {
 	// Location is a flag, a settings path or a file:line:column.
 	Location string
-	// Text says what is wrong, Mend how to put it right.
+	// Text describes the problem, Hint how to fix it.
 	Text string
 	Hint string
 }
 
-// String returns the finding as one line.
+// String formats the finding as one line.
 func (f Finding) String() string {
 	if f.Hint == "" {
 		return f.Location + ": " + f.Text
@@ -29,28 +29,28 @@
 // List collects findings. The zero value is ready for use.
 type List struct{ all []Finding }
 
-// Add records a problem; mend may be empty.
-func (l *List) Add(place, text, mend string) {
-	l.all = append(l.all, Finding{Location: place, Text: text, Hint: mend})
+// Add records a problem; hint may be empty.
+func (l *List) Add(location, text, hint string) {
+	l.all = append(l.all, Finding{Location: location, Text: text, Hint: hint})
 }
 
-// Addf records a problem with a formatted text and no mend.
-func (l *List) Addf(place, format string, args ...any) {
-	l.Add(place, fmt.Sprintf(format, args...), "")
+// Addf records a problem with a formatted text and no hint.
+func (l *List) Addf(location, format string, args ...any) {
+	l.Add(location, fmt.Sprintf(format, args...), "")
 }
 
 // Empty reports whether nothing was found.
 func (l *List) Empty() bool { return len(l.all) == 0 }
 
-// Sorted returns the findings in the order of their places. Findings of one
-// place keep the order in which they were added.
+// Sorted returns the findings sorted by location. Findings at one location keep their
+// order.
 func (l *List) Sorted() []Finding {
 	out := slices.Clone(l.all)
 	slices.SortStableFunc(out, func(a, b Finding) int { return cmp.Compare(a.Location, b.Location) })
 	return out
 }
 
-// Err returns nil or an *Error with all findings.
+// Err returns an *Error with all findings, or nil if there are none.
 func (l *List) Err() error {
 	if l.Empty() {
 		return nil
@@ -58,10 +58,10 @@
 	return &Error{Findings: l.Sorted()}
 }
 
-// Error is a list of findings as an error.
+// Error is an error made of findings.
 type Error struct{ Findings []Finding }
 
-// Error implements error, one finding a line.
+// Error implements error. Each finding is one line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/internal/option/option.go
+++ b/internal/option/option.go
@@ -1,5 +1,5 @@
-// Package option reads a program's settings from flags and environment
-// variables once, at start, and reports all bad ones together.
+// Package option reads a program's options from flags and environment variables and
+// reports all invalid ones together.
 package option
 
 import (
@@ -15,17 +15,17 @@
 	"citrontray.example/citrontray/internal/finding"
 )
 
-// EnvPrefix starts the environment variable of each flag: --peer-address is
-// CITRONTRAY_PEER_ADDRESS.
+// EnvPrefix is the prefix of the flags' environment variables: CITRONTRAY_PEER_ADDRESS
+// sets --peer-address.
 const EnvPrefix = "CITRONTRAY"
 
-// ExitUsage is the exit code for bad input; nothing was started.
+// ExitUsage is the exit code for invalid input, before anything was started.
 const ExitUsage = 2
 
-// ErrHelp is returned where the caller asked for --help.
+// ErrHelp is returned if --help was given.
 var ErrHelp = flag.ErrHelp
 
-// Set is a flag set whose findings are collected.
+// Set is a flag set that collects findings.
 type Set struct {
 	*flag.FlagSet
 
@@ -35,17 +35,17 @@
 	out     io.Writer
 }
 
-// New returns a set for the program, whose help goes to out. The about line
-// says in one sentence what the program does.
-func New(program, about string, out io.Writer) *Set {
+// New returns a flag set for the program. Its help goes to out; synopsis is one
+// sentence on what the program does.
+func New(program, synopsis string, out io.Writer) *Set {
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
-	fs.Usage = func() {} // Read prints the help, and only where it was asked for
-	return &Set{FlagSet: fs, summary: about, out: out}
+	fs.Usage = func() {} // Read prints the help, on --help only
+	return &Set{FlagSet: fs, summary: synopsis, out: out}
 }
 
-// Read parses args and the environment. It returns ErrHelp after printing the
-// help, or a *finding.Error for an unknown or unparsable flag.
+// Read parses args and the environment. It returns ErrHelp after printing the help,
+// and a *finding.Error for an unknown flag or an invalid value.
 func (s *Set) Read(args []string) error {
 	err := ff.Parse(s.FlagSet, args, ff.WithEnvVarPrefix(EnvPrefix))
 	if err == nil {
@@ -59,17 +59,17 @@
 	return s.Findings.Err()
 }
 
-// printHelp prints what the program does and its flags.
+// printHelp prints the summary and the flags.
 func (s *Set) printHelp() {
 	fmt.Fprintf(s.out, "%s: %s\n\n", s.Name(), s.summary)
-	fmt.Fprintf(s.out, "Each flag can also be set by an environment variable, %s_ and the flag's\n", EnvPrefix)
-	fmt.Fprintf(s.out, "name in capitals with _ for -; a flag goes before its variable.\n\n")
+	fmt.Fprintf(s.out, "Each flag can also be set by an environment variable: %s_ and the flag's\n", EnvPrefix)
+	fmt.Fprintf(s.out, "name in upper case with _ for -. A flag overrides its variable.\n\n")
 	s.SetOutput(s.out)
 	s.PrintDefaults()
 }
 
-// Address parses the value of a flag as an IP address and port. Host names are
-// a finding: hosts meet by IP number.
+// Address parses the value of a flag as an IP address and port. A host name is a
+// finding, as hosts address each other by IP only.
 func (s *Set) Address(name, value string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil {
@@ -89,14 +89,14 @@
 	return out
 }
 
-// Required records a finding where the value is empty.
+// Required records a finding if the value is empty.
 func (s *Set) Required(name, value string) {
 	if value == "" {
 		s.Findings.Add("--"+name, "is required", "set it or "+EnvName(name))
 	}
 }
 
-// EnvName returns the environment variable of a flag.
+// EnvName returns the name of a flag's environment variable.
 func EnvName(name string) string {
 	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
--- a/internal/option/option_test.go
+++ b/internal/option/option_test.go
@@ -18,14 +18,14 @@
 		error string
 		help  bool
 	}{
-		"flag":              {args: []string{"--peer", "10.0.0.1:7000"}, want: "10.0.0.1:7000"},
-		"variable":          {env: map[string]string{"CITRONTRAY_PEER": "10.0.0.2:7000"}, want: "10.0.0.2:7000"},
-		"flag before it":    {args: []string{"--peer", "10.0.0.1:7000"}, env: map[string]string{"CITRONTRAY_PEER": "x"}, want: "10.0.0.1:7000"},
-		"unknown flag":      {args: []string{"--bogus"}, error: "flag provided but not defined: -bogus (see --help)"},
-		"host name":         {args: []string{"--peer", "localhost:1"}, error: `--peer: "localhost:1" is not an address`},
-		"nothing":           {error: "--peer: is required (set it or CITRONTRAY_PEER)"},
-		"help":              {args: []string{"--help"}, help: true},
-		"variable is wrong": {env: map[string]string{"CITRONTRAY_PEER": "nowhere"}, error: `--peer: "nowhere" is not an address`},
+		"flag":                    {args: []string{"--peer", "10.0.0.1:7000"}, want: "10.0.0.1:7000"},
+		"variable":                {env: map[string]string{"CITRONTRAY_PEER": "10.0.0.2:7000"}, want: "10.0.0.2:7000"},
+		"flag overrides variable": {args: []string{"--peer", "10.0.0.1:7000"}, env: map[string]string{"CITRONTRAY_PEER": "x"}, want: "10.0.0.1:7000"},
+		"unknown flag":            {args: []string{"--bogus"}, error: "flag provided but not defined: -bogus (see --help)"},
+		"host name":               {args: []string{"--peer", "localhost:1"}, error: `--peer: "localhost:1" is not an address`},
+		"nothing":                 {error: "--peer: is required (set it or CITRONTRAY_PEER)"},
+		"help":                    {args: []string{"--help"}, help: true},
+		"invalid variable":        {env: map[string]string{"CITRONTRAY_PEER": "nowhere"}, error: `--peer: "nowhere" is not an address`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for k, v := range test.env {
@@ -37,7 +37,7 @@
 			set.StringVar(&peer, "peer", "", "address of a peer")
 			err := set.Read(test.args)
 			assert.Equal(t, errors.Is(err, option.ErrHelp), test.help)
-			assert.Equal(t, strings.Contains(out.String(), "address of a peer"), test.help, "help only where it was asked for")
+			assert.Equal(t, strings.Contains(out.String(), "address of a peer"), test.help, "help is printed on --help only")
 			if err == nil {
 				set.Required("peer", peer)
 				if peer != "" {
--- a/internal/preset/preset.go
+++ b/internal/preset/preset.go
@@ -1,5 +1,5 @@
-// Package preset holds the two deployments that the trials run: the agency's
-// and the consortium's, at today's sizes.
+// Package preset holds the deployments of the agency and the consortium at their
+// present sizes, for trials.
 package preset
 
 import (
@@ -17,41 +17,40 @@
 //go:embed consortium.yaml
 var consortiumFile []byte
 
-// credentialPrefix starts the credential of each caller of the presets.
+// credentialPrefix is the prefix of the callers' credentials in the presets.
 const credentialPrefix = "trial-"
 
-// Name names a preset.
+// Name is the name of a preset.
 type Name string
 
-// The presets.
+// Names of the presets.
 const (
 	Agency     Name = "agency"
 	Consortium Name = "consortium"
 )
 
-// Preset is one deployment.
+// Preset is a deployment.
 type Preset struct {
 	Name   Name
 	Region place.Region
 	Zones  []place.Zone
-	// Hosts is the number of entry hosts, spread over the zones in turn.
+	// Hosts is the number of entry hosts, distributed over the zones in turn.
 	Hosts int
-	// File is the settings in the format of citrontray apply.
+	// File is the settings file, as for citrontray apply.
 	File     []byte
 	Services []Service
 }
 
-// Service gives the number of targets of a service, spread over the zones in
-// turn.
+// Service is the number of targets of a service, distributed over the zones in turn.
 type Service struct {
 	Name    key.Service
 	Targets int
 }
 
-// All lists the presets by name.
+// All returns the names of the presets.
 func All() []Name { return []Name{Agency, Consortium} }
 
-// Get returns a preset.
+// Get returns the named preset.
 func Get(name Name) (Preset, error) {
 	switch name {
 	case Agency:
@@ -73,10 +72,10 @@
 			Services: []Service{{"register", 15}, {"defect", 10}, {"clearance", 6}},
 		}, nil
 	}
-	return Preset{}, fmt.Errorf("no preset %q, there are %v", name, All())
+	return Preset{}, fmt.Errorf("unknown preset %q, the presets are %v", name, All())
 }
 
-// Settings returns the preset's settings, as if they were the first accepted.
+// Settings returns the preset's settings as the first accepted revision.
 func (p Preset) Settings() (*settings.Settings, error) {
 	changes, err := settings.Parse(p.File)
 	if err != nil {
@@ -90,6 +89,6 @@
 	return s, nil
 }
 
-// Credential returns the bearer credential of a caller of the presets. It is
-// for trials alone.
+// Credential returns the bearer credential of a caller of the presets. It is for
+// trials only.
 func Credential(name settings.Caller) string { return credentialPrefix + string(name) }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program holds what the daemons have in common on the command line:
-// the flags of an entry host, and a run from flags to exit code.
+// Package program implements the command line that the daemons share: the flags of an
+// entry host, and running a daemon up to its exit code.
 package program
 
 import (
@@ -19,7 +19,7 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// Options are the flags that every daemon takes.
+// Options are the flags that all daemons take.
 type Options struct {
 	Host        place.Host
 	Zone        place.Zone
@@ -35,40 +35,40 @@
 	Version     bool
 }
 
-// Defaults are the values of Options that differ between the daemons.
+// Defaults are the default values that differ between the daemons.
 type Defaults struct {
 	Admin       string
 	StopTimeout time.Duration
 }
 
-// Flags is a flag set that declares Options.
+// Flags is a flag set with the flags of Options.
 type Flags struct {
 	*option.Set
 
 	options *Options
-	// The addresses as they were written, parsed by Check.
+	// Unparsed addresses; Check parses them.
 	platform, peer, peers, admin string
 }
 
-// AddFlags declares the flags of o on set.
+// AddFlags adds the flags of o to set.
 func AddFlags(set *option.Set, o *Options, d Defaults) *Flags {
 	f := &Flags{Set: set, options: o}
 	f.StringVar((*string)(&o.Host), "host", "", "name of this entry host")
 	f.StringVar((*string)(&o.Zone), "zone", "", "availability zone of this host")
 	f.StringVar((*string)(&o.Region), "region", "", "region of this host")
-	f.StringVar(&f.platform, "platform", "", "addresses of the platform's service, IP:PORT[,IP:PORT]; an entry does not use it")
-	f.StringVar(&f.peer, "peer-address", "", "UDP address that other hosts reach this process at, IP:PORT")
-	f.StringVar(&f.peers, "peers", "", "peer addresses of lead processes to start from, IP:PORT[,IP:PORT]")
+	f.StringVar(&f.platform, "platform", "", "addresses of the platform's service, IP:PORT[,IP:PORT]; not used by citrontray-entry")
+	f.StringVar(&f.peer, "peer-address", "", "UDP address at which other hosts reach this process, IP:PORT")
+	f.StringVar(&f.peers, "peers", "", "peer addresses of the lead processes to contact first, IP:PORT[,IP:PORT]")
 	f.StringVar(&f.admin, "admin-address", d.Admin, "address of /live, /ready, /metrics and /status")
-	f.StringVar(&o.Keys, "keys", "", "directory with the authority's certificate and this host's key")
-	f.DurationVar(&o.StopTimeout, "stop-timeout", d.StopTimeout, "longest time of a planned stop")
+	f.StringVar(&o.Keys, "keys", "", "directory with the authority's certificate and this host's certificates and keys")
+	f.DurationVar(&o.StopTimeout, "stop-timeout", d.StopTimeout, "longest time of a graceful stop")
 	f.BoolVar(&o.LogJSON, "log-json", false, "write logs as JSON")
-	f.BoolVar(&o.Verbose, "verbose", false, "log more")
-	f.BoolVar(&o.Version, "version", false, "print the version and end")
+	f.BoolVar(&o.Verbose, "verbose", false, "log debug messages")
+	f.BoolVar(&o.Version, "version", false, "print the version and exit")
 	return f
 }
 
-// Check parses the addresses and finds what is missing.
+// Check parses the addresses and records findings for missing or invalid flags.
 func (f *Flags) Check() {
 	f.Required("host", string(f.options.Host))
 	f.Required("zone", string(f.options.Zone))
@@ -81,22 +81,22 @@
 
 // Daemon is a process whose sockets are open.
 type Daemon interface {
-	// Run works until ctx ends, then stops in a planned way.
+	// Run runs until ctx is done, then stops gracefully.
 	Run(ctx context.Context) error
 }
 
-// Opener reads the flags in args, whose help goes to out, and opens the
-// daemon. Its error is a finding, ErrHelp or a socket that can't be had;
-// nothing goes on running then.
+// Opener reads the flags in args, printing help to out, and opens the daemon. Errors
+// are findings, ErrHelp, or a socket that cannot be opened; nothing keeps running
+// after an error.
 type Opener interface {
 	Read(args []string, out io.Writer) (Options, error)
 	Open(log *slog.Logger) (Daemon, error)
 }
 
-// Main runs the program name, whose log lines carry the prefix part, and
-// returns its exit code: 0 after a planned stop, 1 after a failure, 2 for bad
-// input, where nothing was started.
-func Main(name, part string, opener Opener, args []string, out, errOut io.Writer) int {
+// Main runs the program with the given name and returns its exit code: 0 after a
+// graceful stop, 1 after a failure, 2 for invalid input, before anything was started.
+// Its log lines carry the component.
+func Main(name, component string, opener Opener, args []string, out, errOut io.Writer) int {
 	o, err := opener.Read(args, out)
 	switch {
 	case errors.Is(err, option.ErrHelp):
@@ -112,7 +112,7 @@
 	if o.Verbose {
 		level = slog.LevelDebug
 	}
-	log := logging.Component(logging.New(errOut, level, o.LogJSON), part)
+	log := logging.Component(logging.New(errOut, level, o.LogJSON), component)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	daemon, err := opener.Open(log)
--- a/internal/status/collect.go
+++ b/internal/status/collect.go
@@ -14,37 +14,37 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxReportBytes bounds one report, maxAsked the daemons asked at once.
+// maxReportBytes bounds one report, maxConcurrent the requests at a time.
 const (
 	maxReportBytes = 4 << 20
 	maxConcurrent  = 32
 )
 
-// Response is one daemon's report, or why there is none.
+// Response is one daemon's report, or the error in place of it.
 type Response struct {
 	Addr   netip.AddrPort
 	Report Report
 	Err    error
 }
 
-// Collect asks all daemons; answers stand in the order of addrs.
+// Collect fetches the reports of all daemons, in the order of addrs.
 func Collect(ctx context.Context, addrs []netip.AddrPort, q Query, timeout time.Duration) []Response {
 	client := &http.Client{Timeout: timeout}
-	answers := make([]Response, len(addrs))
+	responses := make([]Response, len(addrs))
 	var group errgroup.Group
 	group.SetLimit(maxConcurrent)
 	for i, addr := range addrs {
 		group.Go(func() error {
-			answers[i] = Response{Addr: addr}
-			answers[i].Report, answers[i].Err = fetch(ctx, client, addr, q)
+			responses[i] = Response{Addr: addr}
+			responses[i].Report, responses[i].Err = fetch(ctx, client, addr, q)
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return answers
+	return responses
 }
 
-// fetch fetches one report.
+// fetch fetches the report of one daemon.
 func fetch(ctx context.Context, client *http.Client, addr netip.AddrPort, q Query) (Report, error) {
 	at := url.URL{Scheme: "http", Host: addr.String(), Path: Path}
 	if q.HasKey() {
@@ -60,18 +60,18 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return Report{}, fmt.Errorf("status: answer %d", response.StatusCode)
+		return Report{}, fmt.Errorf("status: response has status %d", response.StatusCode)
 	}
 	var out Report
 	err = json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&out)
 	return out, err
 }
 
-// MergeCells returns one row per cell: of the host that leads it with the highest
-// term, else of the host that heard of the highest term. Rows are sorted.
-func MergeCells(answers []Response) []Cell {
+// MergeCells returns one row per cell, sorted. Of the rows of several hosts it takes the
+// one with the highest term; if terms are equal, the row of the host that leads the cell.
+func MergeCells(responses []Response) []Cell {
 	best := make(map[[2]string]Cell)
-	for _, a := range answers {
+	for _, a := range responses {
 		for _, c := range a.Report.Cells {
 			id := [2]string{c.Service, c.Zone}
 			old, ok := best[id]
--- a/internal/status/exporter.go
+++ b/internal/status/exporter.go
@@ -9,21 +9,21 @@
 	"citrontray.example/citrontray/internal/metric"
 )
 
-// exportInterval is how often a report becomes metrics.
+// exportInterval is the time between two exports.
 const exportInterval = time.Second
 
-// Exporter keeps the metrics of a daemon's state in step with its reports.
+// Exporter exports the reports of a daemon as metrics.
 type Exporter struct {
 	source   Source
 	registry *metric.Registry
 }
 
-// NewExporter returns a meter of source.
+// NewExporter returns an exporter of source's reports.
 func NewExporter(source Source, registry *metric.Registry) *Exporter {
 	return &Exporter{source: source, registry: registry}
 }
 
-// Run sets the metrics until ctx ends.
+// Run exports a report once per interval until ctx is done.
 func (m *Exporter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(exportInterval)
 	defer ticker.Stop()
@@ -37,7 +37,7 @@
 	}
 }
 
-// set sets the metrics to one report.
+// set sets the metrics from a report.
 func (m *Exporter) set(now time.Time, r Report) {
 	m.registry.Gauge("settings_number").Update(float64(r.Settings.Number))
 	if !r.LastStoreResponse.IsZero() {
@@ -70,7 +70,7 @@
 	scope.Gauge("cell_solos").Update(float64(c.SingleKeys))
 }
 
-// scope returns the metrics with one label, whose values are bounded.
+// scope returns the metrics with one label; the registry bounds the label's values.
 func (m *Exporter) scope(label, value string) tally.Scope {
 	return m.registry.Tagged(map[string]string{label: m.registry.LabelValue(label, value)})
 }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status holds what a daemon tells operators of itself, as it crosses
-// the wire in JSON, and the page that serves it.
+// Package status defines the reports that daemons give operators on their state, as
+// JSON, and the HTTP handler that serves them.
 package status
 
 import (
@@ -10,10 +10,10 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// Path is the page of a daemon's admin address.
+// Path is the URL path of the reports at a daemon's admin address.
 const Path = "/status"
 
-// Parameters of the page: with both, the report explains one key.
+// Query parameters. With both, the report includes where one key is.
 const (
 	paramService = "service"
 	paramKey     = "key"
@@ -27,24 +27,24 @@
 	Version string    `json:"version"`
 	Started time.Time `json:"started"`
 	Ready   bool      `json:"ready"`
-	// Settings is what the daemon has in force.
+	// Settings is the revision in force.
 	Settings Settings `json:"settings"`
-	// LastStoreResponse is the time of the last answer of the platform's service; zero
-	// where the daemon does not ask it.
+	// LastStoreResponse is the time of the last response of the platform's service,
+	// zero if the daemon does not use it.
 	LastStoreResponse time.Time `json:"store"`
-	// Cells are those that this host may lead (lead only).
+	// Cells are the cells that this host may lead (lead process only).
 	Cells []Cell `json:"cells,omitempty"`
-	// Targets and Callers are what passed here (entry only).
+	// Targets and Callers are the requests that this host forwarded (entry only).
 	Targets []Target `json:"targets,omitempty"`
 	Callers []Caller `json:"callers,omitempty"`
-	// Key is set where the question named one.
+	// Key is set if the query names a key.
 	Key *Key `json:"key,omitempty"`
 }
 
 // Settings is the revision in force and since when.
 type Settings struct {
 	Number   uint64    `json:"number"`
-	Revision uint64    `json:"revision"` // the store's
+	Revision uint64    `json:"revision"` // revision in the store
 	Since    time.Time `json:"since"`
 }
 
@@ -54,16 +54,16 @@
 	Zone    string `json:"zone"`
 	Term    uint64 `json:"term"`
 	Lead    string `json:"lead"`
-	// Leading tells whether this host leads the cell; rows of other hosts are
-	// what they heard last.
+	// Leading is set if this host leads the cell. Other hosts report what they last
+	// heard about it.
 	Leading    bool           `json:"leading"`
 	Shards     int            `json:"shards"` // in the custody of the zone
-	Owned      int            `json:"owned"`  // with an owner that runs
+	Owned      int            `json:"owned"`  // with a running owner
 	Moving     int            `json:"moving"`
-	SingleKeys int            `json:"solos"` // hot keys with a shard of their own
+	SingleKeys int            `json:"solos"` // single-key shards
 	Blocked    []BlockedShard `json:"doubts,omitempty"`
 	Members    []Member       `json:"members,omitempty"`
-	Moves      []Move         `json:"moves,omitempty"` // newest last, bounded
+	Moves      []Move         `json:"moves,omitempty"` // newest last, limited
 }
 
 // BlockedShard is a shard that can get no owner yet.
@@ -80,15 +80,15 @@
 	Shards    int    `json:"shards"`
 	Leaving   bool   `json:"leaving,omitempty"`
 	Responded bool   `json:"answered"`
-	// Share is the target's part of the cell's load, in percent.
+	// Share is the target's share of the cell's load, in percent.
 	Share float64 `json:"share"`
 }
 
-// Move is one change of owner.
+// Move is a change of a shard's owner.
 type Move struct {
 	At    time.Time `json:"at"`
 	Shard uint32    `json:"shard"`
-	// Range is set in place of Shard for services whose keys are numbers.
+	// Range replaces Shard for services whose keys are numbers.
 	Range    string `json:"range,omitempty"`
 	Epoch    uint64 `json:"epoch"`
 	From     string `json:"from"`
@@ -96,7 +96,7 @@
 	Evidence string `json:"evidence"`
 }
 
-// Target is the work that one entry host sent to a target.
+// Target is the load that an entry host sends to a target.
 type Target struct {
 	Service   string  `json:"service"`
 	Target    string  `json:"target"`
@@ -106,34 +106,34 @@
 	P99       float64 `json:"p99"` // milliseconds
 }
 
-// Caller is the work of one caller at one entry host.
+// Caller is the load of one caller at an entry host.
 type Caller struct {
 	Caller    string  `json:"caller"`
 	Class     string  `json:"class"`
 	PerSecond float64 `json:"rate"`
-	Refused   float64 `json:"refused"` // a second
+	Refused   float64 `json:"refused"` // per second
 	P99       float64 `json:"p99"`     // milliseconds
 }
 
-// Key tells where a key is, as one daemon knows it.
+// Key is the location of a key, as one daemon knows it.
 type Key struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
-	Zone    string `json:"zone"` // whose custody the shard is in
+	Zone    string `json:"zone"` // zone with the custody of the shard
 	Shard   uint32 `json:"shard"`
-	// Range is set in place of Shard for services whose keys are numbers.
+	// Range replaces Shard for services whose keys are numbers.
 	Range     string `json:"range,omitempty"`
 	SingleKey bool   `json:"solo"`
 	Epoch     uint64 `json:"epoch"`
 	Term      uint64 `json:"term"`
-	// Owner is empty while no target may serve the key; Why then says why.
+	// Owner is empty while no target may serve the key, for the given Reason.
 	Owner   string `json:"owner"`
 	Standby string `json:"standby,omitempty"`
 	Reason  string `json:"why,omitempty"`
 	Moves   []Move `json:"moves,omitempty"` // of this shard, newest last
 }
 
-// Query is what a report should also tell.
+// Query selects a key that a report should also cover.
 type Query struct {
 	Service key.Service
 	Key     string
@@ -142,18 +142,18 @@
 // HasKey reports whether the query names a key.
 func (q Query) HasKey() bool { return q.Service != "" && q.Key != "" }
 
-// Source makes reports; it is safe for concurrent use.
+// Source creates reports. It is safe for concurrent use.
 type Source interface {
 	Report(now time.Time, q Query) Report
 }
 
-// SourceFunc is a function as a Source.
+// SourceFunc adapts a function to a Source.
 type SourceFunc func(now time.Time, q Query) Report
 
 // Report implements Source.
 func (f SourceFunc) Report(now time.Time, q Query) Report { return f(now, q) }
 
-// Handler serves the page of a source.
+// Handler returns the HTTP handler that serves the reports of source.
 func Handler(source Source) http.Handler { return &page{source: source} }
 
 type page struct{ source Source }
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -23,11 +23,11 @@
 	server := httptest.NewServer(status.Handler(source))
 	defer server.Close()
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-	nobody := netip.MustParseAddrPort("127.0.0.1:1")
-	answers := status.Collect(t.Context(), []netip.AddrPort{addr, nobody}, status.Query{Service: "s", Key: "a b&c"}, time.Minute)
-	assert.NilError(t, answers[0].Err)
-	assert.Equal(t, answers[0].Report.Key.Key, "a b&c")
-	assert.Assert(t, answers[1].Err != nil)
+	closed := netip.MustParseAddrPort("127.0.0.1:1")
+	responses := status.Collect(t.Context(), []netip.AddrPort{addr, closed}, status.Query{Service: "s", Key: "a b&c"}, time.Minute)
+	assert.NilError(t, responses[0].Err)
+	assert.Equal(t, responses[0].Report.Key.Key, "a b&c")
+	assert.Assert(t, responses[1].Err != nil)
 }
 
 func TestMergeCells(t *testing.T) {
@@ -35,16 +35,16 @@
 		return status.Response{Report: status.Report{Cells: []status.Cell{{Service: "s", Zone: "z", Term: term, Leading: leading, Lead: lead}}}}
 	}
 	cases := map[string]struct {
-		answers []status.Response
-		want    string
+		responses []status.Response
+		want      string
 	}{
-		"higher term":  {[]status.Response{row(3, true, "old"), row(4, false, "new")}, "new"},
-		"who leads":    {[]status.Response{row(4, false, "heard"), row(4, true, "leads")}, "leads"},
-		"only hearsay": {[]status.Response{row(4, false, "heard")}, "heard"},
+		"higher term":     {[]status.Response{row(3, true, "old"), row(4, false, "new")}, "new"},
+		"leading host":    {[]status.Response{row(4, false, "heard"), row(4, true, "leads")}, "leads"},
+		"no leading host": {[]status.Response{row(4, false, "heard")}, "heard"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			cells := status.MergeCells(c.answers)
+			cells := status.MergeCells(c.responses)
 			assert.Equal(t, len(cells), 1)
 			assert.Equal(t, cells[0].Lead, c.want)
 		})
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,12 +1,12 @@
-// Package version names the release that a binary was built from.
+// Package version identifies the release that a binary was built from.
 package version
 
 import "runtime/debug"
 
-// Release is set by the linker for a release build.
+// Release is set by the linker in release builds.
 var Release = "development"
 
-// String returns the release, with the commit where the build knows it.
+// String returns the release, followed by the commit if the build recorded it.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
