--- a/cmd/citrontray-entry/main.go
+++ b/cmd/citrontray-entry/main.go
@@ -1,5 +1,5 @@
-// Command citrontray-entry is the data path of one entry host: it takes
-// callers' requests and forwards each to the one target that owns its key.
+// Command citrontray-entry runs the data path of an entry host: it accepts callers'
+// requests and forwards each to the target that owns its key.
 package main
 
 import (
--- a/cmd/citrontray-lab/main.go
+++ b/cmd/citrontray-lab/main.go
@@ -1,6 +1,5 @@
-// Command citrontray-lab holds the stand-ins of the platform and the targets,
-// the load generator and the bench. It is for developers and never part of a
-// deployment.
+// Command citrontray-lab runs the fakes of the platform and the targets, the load
+// generator and the bench. It is for development and not part of a deployment.
 package main
 
 import (
--- a/cmd/citrontray-lead/main.go
+++ b/cmd/citrontray-lead/main.go
@@ -1,5 +1,5 @@
-// Command citrontray-lead runs the ownership of one entry host: it competes for
-// the lead of its zone's cells, grants shards to targets and spreads documents.
+// Command citrontray-lead runs the control plane of an entry host: it takes part in the
+// leader elections of its zone's cells, grants shards to targets and replicates documents.
 package main
 
 import (
--- a/cmd/citrontray/deploy_test.go
+++ b/cmd/citrontray/deploy_test.go
@@ -24,17 +24,17 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// deployHosts is the number of entry hosts of a script, one in each zone.
+// deployHosts is the number of entry hosts of a script, one per zone.
 const deployHosts = 3
 
-// Ports are taken below those that the system takes for outgoing connections.
+// Test ports are below the system's range for outgoing connections.
 const (
 	firstPort = 10000
 	lastPort  = 32000
 )
 
-// deploy is the script command that prepares a preset's deployment: targets
-// that run, hosts in the platform's list, keys, and the daemons' flags in
+// deploy is the script command that prepares the deployment of a preset: running
+// targets, hosts in the platform's list, certificates, and the flags of the daemons in
 // LEAD1, ENTRY1 and so on.
 func deploy(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
@@ -77,8 +77,8 @@
 	ts.Setenv("ENTRIES", strings.Join(entries, ","))
 }
 
-// startTargets starts the preset's targets until the script ends. At the end,
-// the targets' own record must show no key owned twice.
+// startTargets starts the preset's targets until the end of the script. It then checks
+// by the targets' records that no key had two owners at once.
 func startTargets(ts *testscript.TestScript, p preset.Preset, store *faultyStore) {
 	groups := make([]fake.TargetGroup, 0, len(p.Services))
 	for _, s := range p.Services {
@@ -99,14 +99,14 @@
 	farm.Register(time.Now(), store.Platform)
 }
 
-// ports are those that scripts of this process took: scripts run at the same
-// time, and one port was drawn by two before their daemons listened.
+// ports records the ports taken by the scripts of this process. Scripts run in parallel,
+// so without it two could choose one port before either's daemon listens on it.
 var ports = struct {
 	sync.Mutex
 	taken map[netip.AddrPort]bool
 }{taken: make(map[netip.AddrPort]bool)}
 
-// freeAddrs returns loopback addresses whose ports are free for TCP and UDP.
+// freeAddrs returns loopback addresses with ports that are free for TCP and UDP.
 func freeAddrs(count int) ([]netip.AddrPort, error) {
 	const tries = 1000
 	ports.Lock()
@@ -133,12 +133,12 @@
 		ports.taken[addr] = true
 		out = append(out, addr)
 	}
-	return nil, fmt.Errorf("%d of %d free ports found", len(out), count)
+	return nil, fmt.Errorf("found only %d of %d free ports", len(out), count)
 }
 
-// request is the script command that makes a caller's request at each entry
-// host in turn: request METHOD PATH CALLER OUTCOME [REASON]. What was not run
-// for lack of time on a busy machine is repeated, as a caller may.
+// request is the script command that sends a caller's request to each entry host in turn:
+// request METHOD PATH CALLER OUTCOME [REASON]. A request that missed its deadline in the
+// queue, as on a busy machine, is repeated.
 func request(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 4 || len(args) > 5 {
 		ts.Fatalf("usage: request METHOD PATH CALLER OUTCOME [REASON]")
@@ -156,10 +156,11 @@
 	}
 }
 
-// deadlineOutcome is the ending of a request that waited in vain.
+// deadlineOutcome is the outcome and reason of a request that missed its deadline in the
+// queue.
 const deadlineOutcome = string(outcome.NotRun) + " " + string(outcome.Deadline)
 
-// sendRequest makes one request and returns its outcome and reason.
+// sendRequest sends one request and returns the outcome and reason of the response.
 func sendRequest(addr, method, path, caller string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
--- a/cmd/citrontray/main.go
+++ b/cmd/citrontray/main.go
@@ -24,7 +24,7 @@
 	return command.Run(ctx, shell, os.Args[1:])
 }
 
-// userName returns the name of the person at this machine.
+// userName returns the login name of the user.
 func userName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
--- a/cmd/citrontray/script_test.go
+++ b/cmd/citrontray/script_test.go
@@ -29,10 +29,10 @@
 	"citrontray.example/citrontray/internal/status"
 )
 
-// bootstrap is the first operator's credential in the scripts.
+// bootstrap is the bootstrap credential in the scripts.
 const bootstrap = "first-credential"
 
-// awaitTimeout ends a script that waits in vain.
+// awaitTimeout limits the waits of a script.
 const awaitTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) {
@@ -57,23 +57,23 @@
 	})
 }
 
-// storeKey and boardKey find the stand-in platform and the host's board of a
-// script.
+// storeKey and documentsKey are the keys of a script's fake platform and of its host's
+// documents.
 type (
-	storeKey struct{}
-	boardKey struct{}
+	storeKey     struct{}
+	documentsKey struct{}
 )
 
-// awaitSettings is the script command that waits until the host has settings
+// awaitSettings is the script command that waits until the host has received settings
 // from the store.
 func awaitSettings(ts *testscript.TestScript, _ bool, _ []string) {
-	board, ok := ts.Value(boardKey{}).(docsync.Replica)
+	documents, ok := ts.Value(documentsKey{}).(docsync.Replica)
 	if !ok {
-		ts.Fatalf("no board")
+		ts.Fatalf("the script has no documents")
 	}
-	news := board.Subscribe(docsync.Settings)
+	news := documents.Subscribe(docsync.Settings)
 	for {
-		if _, ok := board.Get(docsync.Settings); ok {
+		if _, ok := documents.Get(docsync.Settings); ok {
 			return
 		}
 		select {
@@ -84,8 +84,8 @@
 	}
 }
 
-// setUp starts a stand-in platform, an operators' API on it and one daemon's
-// status page for a script.
+// setUp starts a fake platform, an operators' API and the status endpoint of one daemon
+// for a script.
 func setUp(env *testscript.Env) error {
 	store := &faultyStore{Platform: fake.NewPlatform()}
 	env.Values[storeKey{}] = store
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// faultyStore loses the answers of the next writes, after they took effect.
+// faultyStore can lose the responses of writes that took effect.
 type faultyStore struct {
 	*fake.Platform
 	loseResponses atomic.Int64
@@ -140,8 +140,8 @@
 	return revision, err
 }
 
-// serveOperators serves the operators' API as a host does: over TLS, with a
-// watcher that keeps the settings at hand.
+// serveOperators serves the operators' API as a host does: over TLS, with a watcher that
+// keeps a copy of the settings.
 func serveOperators(env *testscript.Env, store platform.Store) (string, error) {
 	dir := filepath.Join(env.WorkDir, "tls")
 	now, loopback := time.Now(), netip.MustParseAddr("127.0.0.1")
@@ -155,10 +155,10 @@
 	if err != nil {
 		return "", err
 	}
-	board := docsync.New()
-	env.Values[boardKey{}] = board
+	documents := docsync.New()
+	env.Values[documentsKey{}] = documents
 	listener, err := operator.Listen(netip.AddrPortFrom(loopback, 0), material.OperatorTLS(), operator.NewServer(operator.ServerConfig{
-		Store: store, Replica: board, Bootstrap: settings.HashCredential(bootstrap), Log: logging.Nop(),
+		Store: store, Replica: documents, Bootstrap: settings.HashCredential(bootstrap), Log: logging.Nop(),
 	}))
 	if err != nil {
 		return "", err
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error { return listener.Run(ctx) })
-	group.Go(func() error { return docsync.NewWatcher(store, board, logging.Nop()).Run(ctx) })
+	group.Go(func() error { return docsync.NewWatcher(store, documents, logging.Nop()).Run(ctx) })
 	env.Defer(func() {
 		cancel()
 		_ = group.Wait()
@@ -174,7 +174,7 @@
 	return listener.Addr().String(), nil
 }
 
-// serve serves a handler on loopback until the script ends.
+// serve serves a handler on loopback until the end of the script.
 func serve(env *testscript.Env, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -190,15 +190,15 @@
 	return listener.Addr().String(), nil
 }
 
-// setStoreFault is the script command: store on|out|old, or store lose for the
-// answer of the next write.
+// setStoreFault is the script command store on|out|old|lose: no fault, unavailable,
+// stale reads, or losing the response to the next write.
 func setStoreFault(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: store on|out|old|lose")
 	}
 	store, ok := ts.Value(storeKey{}).(*faultyStore)
 	if !ok {
-		ts.Fatalf("no store")
+		ts.Fatalf("the script has no store")
 	}
 	faults, ok := map[string]fake.PlatformFaults{
 		"on":   {},
@@ -207,7 +207,7 @@
 		"lose": {},
 	}[args[0]]
 	if !ok {
-		ts.Fatalf("store: no fault %s", args[0])
+		ts.Fatalf("store: unknown fault %s", args[0])
 	}
 	store.SetFaults(faults)
 	store.loseResponses.Store(0)
@@ -216,7 +216,7 @@
 	}
 }
 
-// report is a lead with one cell, as the status commands show it.
+// report returns the report of a lead process with one cell, for the status commands.
 func report(now time.Time, q status.Query) status.Report {
 	r := status.Report{
 		Host: "entry-1", Zone: "anadolu-a", Role: "lead", Ready: true,
@@ -227,7 +227,7 @@
 			Shards: 342, Owned: 341, Moving: 1, SingleKeys: 2,
 			Blocked: []status.BlockedShard{{
 				Shard: 12, Target: "balance-3", Since: now.Add(-time.Minute),
-				Reason: "balance-3 does not answer and entry-2 may still renew",
+				Reason: "balance-3 does not respond and entry-2 may still renew",
 			}},
 		}},
 		Targets: []status.Target{{Service: "balance", Target: "balance-1", PerSecond: 120, Waiting: 2, Running: 3, P99: 8.5}},
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the operators' command line: each command reads or writes
-// settings through a desk, or shows the state of the hosts.
+// Package command implements the operators' command line: commands that read or write
+// settings through an operator.API, or show the state of the hosts.
 package command
 
 import (
@@ -20,7 +20,7 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// The exit codes of the program.
+// Exit codes of the program.
 const (
 	ExitDone        subcommands.ExitStatus = 0
 	ExitFailed      subcommands.ExitStatus = 1
@@ -30,28 +30,28 @@
 	ExitUnresolved  subcommands.ExitStatus = 5
 )
 
-// Env is what the commands have of their surroundings.
+// Env is the environment of the commands.
 type Env struct {
 	In       io.Reader
 	Out, Err io.Writer
-	// Getenv reads the environment; Now is the present time.
+	// Getenv returns an environment variable, Now the present time.
 	Getenv func(string) string
 	Now    func() time.Time
-	// User names the person, for the history of direct writes.
+	// User is the user's name, for the history of direct writes.
 	User string
 }
 
-// command is one command of the program. It implements subcommands.Command.
+// command is a command of the program. It implements subcommands.Command.
 type command struct {
 	*Env
 	connection
 	name, synopsis, usage string
-	// flags adds the command's own flags; run gets the arguments.
+	// flags adds the command's own flags; run gets the operands.
 	flags func(f *flag.FlagSet)
 	run   func(ctx context.Context, c *command, args []string) error
-	// local commands reach nobody and have no flags for it.
+	// local is set if the command makes no calls and needs no flags for them.
 	local bool
-	// findings are of flags set by the environment.
+	// findings are problems with flags that the environment sets.
 	findings finding.List
 }
 
@@ -66,8 +66,8 @@
 	return "citrontray " + c.name + " " + c.usage + "\n\n" + c.synopsis + ".\n\n"
 }
 
-// SetFlags implements subcommands.Command. Each flag can be set by its
-// environment variable too; the flag itself goes before it.
+// SetFlags implements subcommands.Command. The environment variable of a flag sets its
+// default.
 func (c *command) SetFlags(f *flag.FlagSet) {
 	if !c.local {
 		c.setFlags(f)
@@ -106,8 +106,8 @@
 	return exitStatus(err)
 }
 
-// operands returns the arguments that are no flags. Flags may follow them, as
-// in: drain balance-3 --reason "new disk".
+// operands returns the arguments that are not flags. Flags may follow operands, as in:
+// drain balance-3 --reason "new disk".
 func operands(f *flag.FlagSet) ([]string, error) {
 	var out []string
 	for args := f.Args(); len(args) > 0; {
@@ -124,22 +124,22 @@
 	return out, nil
 }
 
-// inputErrorf returns a finding of what the person typed.
-func inputErrorf(place, format string, args ...any) error {
+// inputErrorf returns an error with one finding about the user's input.
+func inputErrorf(location, format string, args ...any) error {
 	var found finding.List
-	found.Addf(place, format, args...)
+	found.Addf(location, format, args...)
 	return found.Err()
 }
 
-// checkArgs checks the number of arguments; high below zero stands for any.
+// checkArgs checks the number of arguments; high < 0 means no upper limit.
 func checkArgs(args []string, low, high int, usage string) error {
 	if len(args) < low || high >= 0 && len(args) > high {
-		return inputErrorf("arguments", "should be: %s", usage)
+		return inputErrorf("arguments", "must be: %s", usage)
 	}
 	return nil
 }
 
-// exitStatus returns the exit code of an error.
+// exitStatus returns the exit code for an error.
 func exitStatus(err error) subcommands.ExitStatus {
 	var found *finding.Error
 	var conflict *settings.ConflictError
@@ -158,7 +158,7 @@
 	return ExitFailed
 }
 
-// printError prints an error for a person.
+// printError prints an error for the user.
 func (c *command) printError(err error) {
 	var found *finding.Error
 	var conflict *settings.ConflictError
@@ -174,12 +174,12 @@
 		if w.By != "" {
 			fmt.Fprintf(c.Err, " by %s at %s (%s)", w.By, w.At.Format(time.RFC3339), w.Reason)
 		}
-		fmt.Fprintln(c.Err, "\nread it again and decide anew")
+		fmt.Fprintln(c.Err, "\nread the current settings before you write again")
 	case errors.As(err, &denied):
 		fmt.Fprintln(c.Err, "not accepted:", denied.Text)
 	case errors.Is(err, settings.ErrUnresolved):
 		fmt.Fprintln(c.Err, err)
-		fmt.Fprintln(c.Err, "the write may have taken effect: look for it with citrontray history once the store answers")
+		fmt.Fprintln(c.Err, "the write may have taken effect: check citrontray history once the store is available")
 	case errors.Is(err, settings.ErrNotAccepted):
 		fmt.Fprintln(c.Err, "not accepted, nothing was changed:", err)
 	default:
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -9,15 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReferencePage compares the operators' page with the types.
+// TestReferencePage checks that the operators' page is the output of the command.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operators", "settings.md"))
 	assert.NilError(t, err)
-	assert.Equal(t, string(page), reference(), "print it anew: citrontray reference >docs/operators/settings.md")
+	assert.Equal(t, string(page), reference(), "update it: citrontray reference >docs/operators/settings.md")
 }
 
-// TestPagesUseExistingCommands looks up each command that the operators' pages
-// show.
+// TestPagesUseExistingCommands checks that the commands on the operators' pages exist.
 func TestPagesUseExistingCommands(t *testing.T) {
 	names := map[string]bool{"help": true, "--help": true, "--version": true}
 	for _, g := range commands() {
--- a/internal/command/connection.go
+++ b/internal/command/connection.go
@@ -12,16 +12,16 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// defaultTimeout bounds a command's calls.
+// defaultTimeout limits each call of a command.
 const defaultTimeout = 10 * time.Second
 
-// The forms of output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// connection holds the flags that say whom to reach and how to answer.
+// connection holds the flags for the addresses to call and for the output.
 type connection struct {
 	operators, platform, daemons string
 	authority                    string
@@ -32,40 +32,40 @@
 }
 
 func (c *connection) setFlags(f *flag.FlagSet) {
-	f.StringVar(&c.operators, "operators", "", "addresses of the operators' API of entry hosts, IP:PORT with commas between")
-	f.StringVar(&c.credential, "credential", "", "bearer credential for --operators; best set by the environment")
-	f.StringVar(&c.authority, "authority", "", "file with the authority's certificate, ca.pem, that the hosts' certificates come from")
-	f.StringVar(&c.platform, "platform", "", "addresses of the platform's service, to reach it directly instead of --operators")
+	f.StringVar(&c.operators, "operators", "", "addresses of the operators' API of entry hosts, IP:PORT[,IP:PORT]")
+	f.StringVar(&c.credential, "credential", "", "bearer credential for --operators; preferably set in the environment")
+	f.StringVar(&c.authority, "authority", "", "file with the certificate of the authority that issued the hosts' certificates, ca.pem")
+	f.StringVar(&c.platform, "platform", "", "addresses of the platform's service, to call it directly instead of --operators")
 	f.StringVar(&c.daemons, "daemons", "", "admin addresses of the daemons, for status, explain and top")
 	f.StringVar(&c.output, "output", outputTable, "table or json")
-	f.DurationVar(&c.timeout, "timeout", defaultTimeout, "bound on each call")
+	f.DurationVar(&c.timeout, "timeout", defaultTimeout, "timeout of each call")
 }
 
-// check parses the addresses and reports all bad flags together.
+// check parses the addresses and reports all invalid flags together.
 func (c *connection) check() error {
 	var found finding.List
 	c.operatorAddrs = addresses(&found, "--operators", c.operators)
 	c.platformAddrs = addresses(&found, "--platform", c.platform)
 	c.daemonAddrs = addresses(&found, "--daemons", c.daemons)
 	if c.output != outputTable && c.output != outputJSON {
-		found.Add("--output", c.output+" is not a form", "table or json")
+		found.Add("--output", c.output+" is not an output format", "table or json")
 	}
 	if c.timeout <= 0 {
-		found.Add("--timeout", "is not above zero", "")
+		found.Add("--timeout", "must be positive", "")
 	}
 	if len(c.operatorAddrs) > 0 && c.credential == "" {
 		found.Add("--credential", "is required with --operators", "set CITRONTRAY_CREDENTIAL")
 	}
 	for _, addr := range c.operatorAddrs {
 		if c.authority == "" && !addr.Addr().IsLoopback() {
-			found.Add("--authority", "is required to reach "+addr.String(), "the credential would go out in the clear")
+			found.Add("--authority", "is required to reach "+addr.String(), "the credential would be sent unencrypted")
 			break
 		}
 	}
 	return found.Err()
 }
 
-func addresses(found *finding.List, place, list string) []netip.AddrPort {
+func addresses(found *finding.List, location, list string) []netip.AddrPort {
 	var out []netip.AddrPort
 	for part := range strings.SplitSeq(list, ",") {
 		if part = strings.TrimSpace(part); part == "" {
@@ -73,7 +73,7 @@
 		}
 		addr, err := netip.ParseAddrPort(part)
 		if err != nil {
-			found.Add(place, part+" is not an address", "write IP:PORT, such as 10.0.0.1:7000")
+			found.Add(location, part+" is not an address", "write IP:PORT, such as 10.0.0.1:7000")
 			continue
 		}
 		out = append(out, addr)
@@ -89,14 +89,14 @@
 	return platform.NewClient(platform.ClientConfig{Addrs: c.platformAddrs, Timeout: c.timeout}), nil
 }
 
-// api returns where settings are read and written: the operators' API, or the
-// platform's service where only that is given.
+// api returns the operators' API, or direct access to the platform's service if only
+// that is given.
 func (c *command) api() (operator.API, error) {
 	if len(c.operatorAddrs) > 0 {
 		return c.client()
 	}
 	if len(c.platformAddrs) == 0 {
-		return nil, inputErrorf("--operators", "is required, or --platform to reach the store directly")
+		return nil, inputErrorf("--operators", "is required, or --platform to access the store directly")
 	}
 	store, err := c.store()
 	if err != nil {
--- a/internal/command/local.go
+++ b/internal/command/local.go
@@ -18,7 +18,7 @@
 func credentialCommand() *command {
 	return &command{
 		name: "credential", local: true,
-		synopsis: "make a new bearer credential and the hash that stands in the settings",
+		synopsis: "generate a bearer credential and its hash for the settings",
 		run: func(_ context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 0, 0, "no arguments"); err != nil {
 				return err
@@ -34,12 +34,12 @@
 	var dir, host, zone, ips string
 	return &command{
 		name: "keys", local: true, usage: "authority|host|retire --dir DIR [--host NAME --zone NAME --ips IP,...]",
-		synopsis: "make the operator's authority, a host's certificates, or take former authorities out",
+		synopsis: "create the operator's authority, issue a host's certificates, or remove old authorities",
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&dir, "dir", "", "directory of the authority and the certificates")
 			f.StringVar(&host, "host", "", "name of the host")
 			f.StringVar(&zone, "zone", "", "availability zone of the host")
-			f.StringVar(&ips, "ips", "", "IP numbers of the host, with commas between")
+			f.StringVar(&ips, "ips", "", "IP addresses of the host, separated by commas")
 		},
 		run: func(_ context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 1, 1, c.usage); err != nil {
@@ -56,12 +56,12 @@
 			case "retire":
 				return certs.RemoveOldAuthorities(dir)
 			}
-			return inputErrorf(args[0], "is none of authority, host, retire")
+			return inputErrorf(args[0], "is not authority, host or retire")
 		},
 	}
 }
 
-// makeHost makes the certificates of a host's processes.
+// makeHost issues the certificates of a host's processes.
 func makeHost(c *command, dir, host, zone, ips string) error {
 	var found finding.List
 	if host == "" {
@@ -74,7 +74,7 @@
 	for part := range strings.SplitSeq(ips, ",") {
 		addr, err := netip.ParseAddr(strings.TrimSpace(part))
 		if err != nil {
-			found.Add("--ips", part+" is not an IP number", "")
+			found.Add("--ips", part+" is not an IP address", "")
 			continue
 		}
 		addrs = append(addrs, addr)
@@ -107,8 +107,8 @@
 	}
 }
 
-// completionScript returns a script for bash: commands first, then the flags
-// of each command.
+// completionScript returns a bash script that completes the commands and the flags of
+// each command.
 func completionScript() string {
 	var b strings.Builder
 	all := commands()
--- a/internal/command/read.go
+++ b/internal/command/read.go
@@ -11,17 +11,17 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// watchInterval is the pause between two reads of watch.
+// watchInterval is the time between two reads of watch.
 const watchInterval = time.Second
 
-// wireSettings is the JSON of get.
+// wireSettings is the JSON output of get.
 type wireSettings struct {
 	Revision uint64                    `json:"revision"`
 	Local    bool                      `json:"local"`
 	Settings map[string]map[string]any `json:"settings"`
 }
 
-// wireWriteResult is the JSON of the commands that write.
+// wireWriteResult is the JSON output of the commands that write.
 type wireWriteResult struct {
 	Accepted bool       `json:"accepted"`
 	Revision uint64     `json:"revision"`
@@ -50,7 +50,7 @@
 	return e.Encode(v)
 }
 
-// printResult prints an accepted write or a dry run.
+// printResult prints the result of an accepted write or a dry run.
 func (c *command) printResult(out operator.WriteResult, dryRun bool) error {
 	if c.output == outputJSON {
 		w := wireWriteResult{Accepted: !dryRun, Revision: out.Number, Changes: []wireDiff{}}
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// printDifference prints the lines of one path that go and come.
+// printDifference prints the removed and added lines of one path.
 func (c *command) printDifference(d settings.Difference) {
 	before, after := strings.SplitAfter(d.Before, "\n"), strings.SplitAfter(d.After, "\n")
 	kept := make(map[string]bool)
@@ -101,7 +101,7 @@
 func getCommand() *command {
 	return &command{
 		name: "get", usage: "[PATH]",
-		synopsis: "print the settings in force, or those at and below a path, as a settings file",
+		synopsis: "print the settings in force, or those at or below a path, as a settings file",
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 0, 1, c.usage); err != nil {
 				return err
@@ -115,7 +115,7 @@
 	}
 }
 
-// readAt reads the settings in force and the path that args may hold.
+// readAt reads the settings in force and returns the path in args, if any.
 func (c *command) readAt(ctx context.Context, args []string) (operator.View, settings.Path, error) {
 	var path settings.Path
 	if len(args) == 1 {
@@ -127,13 +127,13 @@
 
 // read reads the settings in force.
 func (c *command) read(ctx context.Context) (operator.View, error) {
-	desk, err := c.api()
+	client, err := c.api()
 	if err != nil {
 		return operator.View{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	return desk.Read(ctx)
+	return client.Read(ctx)
 }
 
 func (c *command) printItems(view operator.View, path settings.Path) error {
@@ -149,7 +149,7 @@
 	if c.output != outputJSON {
 		where := ""
 		if view.Local {
-			where = ", as one host has it; the store does not answer"
+			where = ", as known to one host; the store is unavailable"
 		}
 		fmt.Fprintf(c.Out, "# revision %d%s\n%s", view.Number, where, settings.Format(items))
 		return nil
@@ -172,7 +172,7 @@
 func historyCommand() *command {
 	return &command{
 		name: "history", usage: "[PATH]",
-		synopsis: "list the accepted writes, newest last: revision, time, who, reason, paths",
+		synopsis: "list the accepted writes, newest last: revision, time, operator, reason, paths",
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 0, 1, c.usage); err != nil {
 				return err
@@ -223,7 +223,7 @@
 func watchCommand() *command {
 	return &command{
 		name: "watch", usage: "[PATH]",
-		synopsis: "print each accepted write as it comes, until interrupted",
+		synopsis: "print each write when it is accepted, until interrupted",
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 0, 1, c.usage); err != nil {
 				return err
@@ -237,8 +237,8 @@
 	}
 }
 
-// watch prints accepted writes below path until ctx ends. A store that does
-// not answer for a while is waited for.
+// watch prints accepted writes below path until ctx is done. It keeps trying while the
+// store is unavailable.
 func (c *command) watch(ctx context.Context, path settings.Path) error {
 	view, err := c.read(ctx)
 	if err != nil {
--- a/internal/command/reference.go
+++ b/internal/command/reference.go
@@ -33,7 +33,7 @@
 
 `
 
-// reference returns the page of all settings.
+// reference returns the reference page of all settings.
 func reference() string {
 	var b strings.Builder
 	b.WriteString(referenceHead)
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -14,39 +14,40 @@
 	"citrontray.example/citrontray/internal/status"
 )
 
-// maxDoubtLines and maxMoveLines bound what status and explain print; JSON has all.
+// maxBlockedLines and maxMoveLines limit the output of status and explain; JSON output
+// is complete.
 const (
 	maxBlockedLines = 10
 	maxMoveLines    = 10
 )
 
-// lineWidth is the width that tables and texts keep to.
+// lineWidth is the maximum width of tables and texts.
 const lineWidth = 80
 
-// wireResponse is the JSON of status: one daemon's report, or why there is none.
+// wireResponse is the JSON output of status: one daemon's report, or the error.
 type wireResponse struct {
 	Addr   netip.AddrPort `json:"addr"`
 	Error  string         `json:"error,omitempty"`
 	Report *status.Report `json:"report,omitempty"`
 }
 
-// collect asks the daemons; it fails where none answers.
+// collect fetches the reports of the daemons. It fails if no daemon responds.
 func (c *command) collect(ctx context.Context, q status.Query) ([]status.Response, error) {
 	if len(c.daemonAddrs) == 0 {
 		return nil, inputErrorf("--daemons", "is required: the admin addresses of the daemons")
 	}
-	answers := status.Collect(ctx, c.daemonAddrs, q, c.timeout)
-	for _, a := range answers {
+	responses := status.Collect(ctx, c.daemonAddrs, q, c.timeout)
+	for _, a := range responses {
 		if a.Err == nil {
-			return answers, nil
+			return responses, nil
 		}
 	}
-	return nil, fmt.Errorf("%w: no daemon answers: %w", platform.ErrUnavailable, answers[0].Err)
+	return nil, fmt.Errorf("%w: no daemon responded: %w", platform.ErrUnavailable, responses[0].Err)
 }
 
-func toWireResponses(answers []status.Response) []wireResponse {
-	out := make([]wireResponse, 0, len(answers))
-	for _, a := range answers {
+func toWireResponses(responses []status.Response) []wireResponse {
+	out := make([]wireResponse, 0, len(responses))
+	for _, a := range responses {
 		w := wireResponse{Addr: a.Addr}
 		if a.Err != nil {
 			w.Error = a.Err.Error()
@@ -61,20 +62,20 @@
 func statusCommand() *command {
 	return &command{
 		name: "status", usage: "",
-		synopsis: "show hosts, settings in force, cells with their leads, shards in doubt",
+		synopsis: "show hosts, settings in force, cells with their leaders, blocked shards",
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 0, 0, "no arguments"); err != nil {
 				return err
 			}
-			answers, err := c.collect(ctx, status.Query{})
+			responses, err := c.collect(ctx, status.Query{})
 			if err != nil {
 				return err
 			}
 			if c.output == outputJSON {
-				return c.printJSON(toWireResponses(answers))
+				return c.printJSON(toWireResponses(responses))
 			}
-			c.printHosts(answers)
-			cells := status.MergeCells(answers)
+			c.printHosts(responses)
+			cells := status.MergeCells(responses)
 			c.printCells(cells)
 			c.printBlocked(cells)
 			return nil
@@ -82,24 +83,24 @@
 	}
 }
 
-// table returns a writer of aligned columns, which its caller flushes.
+// table returns a writer that aligns columns. The caller must flush it.
 func (c *command) table() *tabwriter.Writer {
 	const padding = 2
 	return tabwriter.NewWriter(c.Out, 0, 0, padding, ' ', 0)
 }
 
-// printHosts prints a line for each daemon.
-func (c *command) printHosts(answers []status.Response) {
+// printHosts prints one line per daemon.
+func (c *command) printHosts(responses []status.Response) {
 	newest := uint64(0)
-	for _, a := range answers {
+	for _, a := range responses {
 		newest = max(newest, a.Report.Settings.Number)
 	}
 	t := c.table()
 	fmt.Fprintln(t, "HOST\tZONE\tROLE\tSETTINGS\tSINCE\tSTORE\tSTATE")
-	for _, a := range answers {
+	for _, a := range responses {
 		r := a.Report
 		if a.Err != nil {
-			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t-\tno answer\n", a.Addr)
+			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t-\tno response\n", a.Addr)
 			continue
 		}
 		number := fmt.Sprint(r.Settings.Number)
@@ -116,7 +117,7 @@
 	_ = t.Flush()
 }
 
-// formatAge prints how long ago a time was.
+// formatAge formats the time since at.
 func (c *command) formatAge(at time.Time) string {
 	if at.IsZero() {
 		return "-"
@@ -133,13 +134,13 @@
 	return fmt.Sprintf("%dd", int(d.Hours()/24))
 }
 
-// printCells prints a line for each cell.
+// printCells prints one line per cell and one per leaving target.
 func (c *command) printCells(cells []status.Cell) {
 	if len(cells) == 0 {
 		return
 	}
 	t := c.table()
-	fmt.Fprintln(t, "\nSERVICE\tZONE\tLEAD\tTERM\tSHARDS\tOWNED\tDOUBT\tMOVING\tSOLO")
+	fmt.Fprintln(t, "\nSERVICE\tZONE\tLEADER\tTERM\tSHARDS\tOWNED\tBLOCKED\tMOVING\tSOLO")
 	for _, x := range cells {
 		lead := x.Lead
 		if lead == "" {
@@ -158,17 +159,17 @@
 	}
 }
 
-// printBlocked prints the shards that can get no owner, and why.
+// printBlocked prints the shards that can get no owner, with the reasons.
 func (c *command) printBlocked(cells []status.Cell) {
 	left := maxBlockedLines
 	for _, x := range cells {
 		for _, d := range x.Blocked {
 			if left == 0 {
-				fmt.Fprintln(c.Out, "more in doubt: see --output json")
+				fmt.Fprintln(c.Out, "more blocked shards: see --output json")
 				return
 			}
 			left--
-			fmt.Fprintf(c.Out, "in doubt: %s shard %d", x.Service, d.Shard)
+			fmt.Fprintf(c.Out, "blocked: %s shard %d", x.Service, d.Shard)
 			if !d.Since.IsZero() {
 				fmt.Fprintf(c.Out, " for %s", c.formatAge(d.Since))
 			}
@@ -178,7 +179,7 @@
 	}
 }
 
-// printWrapped prints a text in lines of lineWidth, set in by two blanks.
+// printWrapped prints text in lines of at most lineWidth, indented by two spaces.
 func (c *command) printWrapped(text string) {
 	line := " "
 	for word := range strings.FieldsSeq(text) {
@@ -194,18 +195,18 @@
 func explainCommand() *command {
 	return &command{
 		name: "explain", usage: "SERVICE KEY",
-		synopsis: "tell where a key is, since when, and the last moves with their evidence",
+		synopsis: "show the owner of a key, and the last moves with their evidence",
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 2, 2, c.usage); err != nil {
 				return err
 			}
-			answers, err := c.collect(ctx, status.Query{Service: key.Service(args[0]), Key: args[1]})
+			responses, err := c.collect(ctx, status.Query{Service: key.Service(args[0]), Key: args[1]})
 			if err != nil {
 				return err
 			}
-			found := responsesWithKey(answers)
+			found := responsesWithKey(responses)
 			if len(found) == 0 {
-				return errors.New("no daemon that answered knows a cell with this key")
+				return errors.New("no daemon that responded knows a cell with this key")
 			}
 			if c.output == outputJSON {
 				return c.printJSON(toWireResponses(found))
@@ -216,10 +217,10 @@
 	}
 }
 
-// responsesWithKey keeps the answers that know the key, the newest first.
-func responsesWithKey(answers []status.Response) []status.Response {
+// responsesWithKey returns the responses that know the key, the newest first.
+func responsesWithKey(responses []status.Response) []status.Response {
 	var out []status.Response
-	for _, a := range answers {
+	for _, a := range responses {
 		if a.Err != nil || a.Report.Key == nil {
 			continue
 		}
@@ -241,7 +242,7 @@
 	return len(a.Moves) > len(b.Moves)
 }
 
-// printKey prints the newest explanation and who sees it otherwise.
+// printKey prints the newest location of the key and the daemons that differ.
 func (c *command) printKey(found []status.Response) {
 	k := found[0].Report.Key
 	what := fmt.Sprintf("shard %d", k.Shard)
@@ -249,7 +250,7 @@
 		what = "range " + k.Range
 	}
 	if k.SingleKey {
-		what += ", a shard of its own"
+		what += ", a single-key shard"
 	}
 	if k.Zone != "" {
 		what += ", in the custody of " + k.Zone
@@ -257,7 +258,7 @@
 	fmt.Fprintf(c.Out, "%s %s: %s\n", k.Service, k.Key, what)
 	owner := k.Owner
 	if owner == "" {
-		owner = "none now: " + k.Reason
+		owner = "none: " + k.Reason
 	}
 	fmt.Fprintf(c.Out, "owner: %s\nepoch: %d, term %d\n", owner, k.Epoch, k.Term)
 	if k.Standby != "" {
@@ -269,12 +270,12 @@
 	}
 	for _, a := range found[1:] {
 		if o := a.Report.Key; o.Owner != k.Owner {
-			fmt.Fprintf(c.Out, "%s (%s) knows %s at epoch %d, term %d\n", a.Report.Host, a.Report.Role, orNone(o.Owner), o.Epoch, o.Term)
+			fmt.Fprintf(c.Out, "%s (%s) reports %s at epoch %d, term %d\n", a.Report.Host, a.Report.Role, orNone(o.Owner), o.Epoch, o.Term)
 		}
 	}
 }
 
-// orNone stands for a name that is not there.
+// orNone returns s, or "none" if it is empty.
 func orNone(s string) string {
 	if s == "" {
 		return "none"
--- a/internal/command/top.go
+++ b/internal/command/top.go
@@ -11,10 +11,10 @@
 	"citrontray.example/citrontray/internal/status"
 )
 
-// clearScreen moves to the top left and clears a terminal.
+// clearScreen moves the cursor to the top left and clears the terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// maxTopLines bounds each table of top.
+// maxTopLines limits the lines of each table.
 const maxTopLines = 15
 
 func topCommand() *command {
@@ -24,34 +24,34 @@
 		name: "top", usage: "[--interval 2s] [--rounds N]",
 		synopsis: "show the load of targets and callers, refreshed until interrupted",
 		flags: func(f *flag.FlagSet) {
-			f.DurationVar(&interval, "interval", 2*time.Second, "between two refreshes")
-			f.IntVar(&rounds, "rounds", 0, "refreshes before it ends; 0: until interrupted")
+			f.DurationVar(&interval, "interval", 2*time.Second, "time between refreshes")
+			f.IntVar(&rounds, "rounds", 0, "number of refreshes; 0: until interrupted")
 		},
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 0, 0, c.usage); err != nil {
 				return err
 			}
 			if interval <= 0 {
-				return inputErrorf("--interval", "is not above zero")
+				return inputErrorf("--interval", "must be positive")
 			}
 			return c.top(ctx, interval, rounds)
 		},
 	}
 }
 
-// top prints the view again and again.
+// top prints the tables once per interval.
 func (c *command) top(ctx context.Context, interval time.Duration, rounds int) error {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for round := 1; ; round++ {
-		answers, err := c.collect(ctx, status.Query{})
+		responses, err := c.collect(ctx, status.Query{})
 		if err != nil {
 			return err
 		}
 		if c.output == outputJSON {
-			err = c.printJSON(toWireResponses(answers))
+			err = c.printJSON(toWireResponses(responses))
 		} else {
-			c.printTop(answers)
+			c.printTop(responses)
 		}
 		if err != nil || round == rounds {
 			return err
@@ -64,9 +64,9 @@
 	}
 }
 
-// printTop prints the busiest targets and callers over all hosts.
-func (c *command) printTop(answers []status.Response) {
-	targets, callers := sumLoads(answers)
+// printTop prints the busiest targets and callers of all hosts.
+func (c *command) printTop(responses []status.Response) {
+	targets, callers := sumLoads(responses)
 	fmt.Fprint(c.Out, clearScreen)
 	t := c.table()
 	fmt.Fprintln(t, "TARGET\tSERVICE\tRATE/S\tWAITING\tRUNNING\tP99 MS")
@@ -82,12 +82,12 @@
 	_ = t.Flush()
 }
 
-// sumLoads adds up the hosts' counts, busiest first. The p99 of several hosts is
-// the highest of theirs.
-func sumLoads(answers []status.Response) ([]status.Target, []status.Caller) {
+// sumLoads sums the loads over all hosts, busiest first. The p99 is the maximum of the
+// hosts' p99.
+func sumLoads(responses []status.Response) ([]status.Target, []status.Caller) {
 	var targets []status.Target
 	var callers []status.Caller
-	for _, a := range answers {
+	for _, a := range responses {
 		for _, x := range a.Report.Targets {
 			i := slices.IndexFunc(targets, func(y status.Target) bool { return y.Target == x.Target && y.Service == x.Service })
 			if i < 0 {
--- a/internal/command/write.go
+++ b/internal/command/write.go
@@ -16,7 +16,7 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// writeFlags holds the flags of commands that write.
+// writeFlags holds the flags of the commands that write.
 type writeFlags struct {
 	reason string
 	dryRun bool
@@ -25,13 +25,13 @@
 }
 
 func (w *writeFlags) setFlags(f *flag.FlagSet) {
-	f.StringVar(&w.reason, "reason", "", "why, for the history")
-	f.BoolVar(&w.dryRun, "dry-run", false, "check and show the difference, write nothing")
-	f.Uint64Var(&w.expect, "expect", 0, "number of the revision that you saw; the write conflicts where a path of it changed since")
+	f.StringVar(&w.reason, "reason", "", "reason for the history")
+	f.BoolVar(&w.dryRun, "dry-run", false, "validate and show the differences, write nothing")
+	f.Uint64Var(&w.expect, "expect", 0, "revision that you have seen; the write conflicts if one of its paths was changed since")
 }
 
 func (w *writeFlags) setFile(f *flag.FlagSet) {
-	f.StringVar(&w.file, "f", "", "settings file, - for the standard input")
+	f.StringVar(&w.file, "f", "", "settings file, - for standard input")
 }
 
 // readFile reads the settings file.
@@ -49,23 +49,23 @@
 	return file, nil
 }
 
-// send sends an order and prints its outcome.
-func (w *writeFlags) send(ctx context.Context, c *command, order operator.WriteRequest) error {
-	desk, err := c.api()
+// send sends a write request and prints its result.
+func (w *writeFlags) send(ctx context.Context, c *command, request operator.WriteRequest) error {
+	client, err := c.api()
 	if err != nil {
 		return err
 	}
-	return w.sendTo(ctx, c, desk, order)
+	return w.sendTo(ctx, c, client, request)
 }
 
-func (w *writeFlags) sendTo(ctx context.Context, c *command, desk operator.API, order operator.WriteRequest) error {
-	order.ID, order.Reason, order.DryRun = uuid.NewString(), w.reason, w.dryRun
+func (w *writeFlags) sendTo(ctx context.Context, c *command, client operator.API, request operator.WriteRequest) error {
+	request.ID, request.Reason, request.DryRun = uuid.NewString(), w.reason, w.dryRun
 	if w.expect > 0 {
-		order.Expect = w.expect
+		request.Expect = w.expect
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	out, err := desk.Write(ctx, order)
+	out, err := client.Write(ctx, request)
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	var w writeFlags
 	return &command{
 		name: "apply", usage: "-f FILE [--dry-run] [--reason TEXT]",
-		synopsis: "make the settings of a file accepted, whole or not at all",
+		synopsis: "apply a settings file, as a whole or not at all",
 		flags:    func(f *flag.FlagSet) { w.setFlags(f); w.setFile(f) },
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 0, 0, c.usage); err != nil {
@@ -86,7 +86,7 @@
 			if err != nil {
 				return err
 			}
-			// The form is checked before anything is sent.
+			// Reports syntax errors before anything is sent.
 			if _, err := settings.Parse(file); err != nil {
 				return err
 			}
@@ -118,17 +118,17 @@
 	var w writeFlags
 	return &command{
 		name: "set", usage: "PATH FIELD=VALUE... [--reason TEXT]",
-		synopsis: "change fields of one setting, or make it; a list is written with commas, FIELD= takes a field out",
+		synopsis: "change fields of a setting, or create it; list values are separated by commas, FIELD= removes a field",
 		flags:    w.setFlags,
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 2, -1, c.usage); err != nil {
 				return err
 			}
-			desk, err := c.api()
+			client, err := c.api()
 			if err != nil {
 				return err
 			}
-			view, err := desk.Read(ctx)
+			view, err := client.Read(ctx)
 			if err != nil {
 				return err
 			}
@@ -136,13 +136,13 @@
 			if err != nil {
 				return err
 			}
-			order := operator.WriteRequest{File: []byte(settings.Format([]settings.Item{item})), Expect: view.Number}
-			return w.sendTo(ctx, c, desk, order)
+			request := operator.WriteRequest{File: []byte(settings.Format([]settings.Item{item})), Expect: view.Number}
+			return w.sendTo(ctx, c, client, request)
 		},
 	}
 }
 
-// applyAssignments returns the item at path with the assignments made.
+// applyAssignments returns the item at path with the assignments applied.
 func applyAssignments(view operator.View, path settings.Path, assignments []string) (settings.Item, error) {
 	item := settings.Item{Path: path}
 	if i := slices.IndexFunc(view.Items, func(i settings.Item) bool { return i.Path == path }); i >= 0 {
@@ -170,7 +170,7 @@
 	var w writeFlags
 	return &command{
 		name: "delete", usage: "PATH... [--reason TEXT]",
-		synopsis: "take settings out, all of them or none",
+		synopsis: "delete settings, all of them or none",
 		flags:    w.setFlags,
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 1, -1, c.usage); err != nil {
@@ -194,37 +194,37 @@
 	var w writeFlags
 	return &command{
 		name: "rollback", usage: "REVISION [PATH] [--dry-run] [--reason TEXT]",
-		synopsis: "make the values of an earlier revision accepted again, of all settings or those below a path, as a new revision",
+		synopsis: "restore the values of an earlier revision, of all settings or those below a path, as a new revision",
 		flags:    w.setFlags,
 		run: func(ctx context.Context, c *command, args []string) error {
 			if err := checkArgs(args, 1, 2, c.usage); err != nil {
 				return err
 			}
-			order := operator.WriteRequest{}
+			request := operator.WriteRequest{}
 			if len(args) > 1 {
-				order.Below = settings.Path(args[1])
+				request.Below = settings.Path(args[1])
 			}
 			number, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || number == 0 {
-				return inputErrorf("REVISION", "%q is not the number of a revision", args[0])
+				return inputErrorf("REVISION", "%q is not a revision number", args[0])
 			}
 			if w.reason == "" {
 				w.reason = "rollback to " + args[0]
 			}
-			order.Rollback = number
-			return w.send(ctx, c, order)
+			request.Rollback = number
+			return w.send(ctx, c, request)
 		},
 	}
 }
 
-// declaration is a command that sets or deletes one of the platform's declarations.
+// declaration is a command that makes or withdraws a drain or a declaration of loss.
 type declaration struct {
 	writeFlags
 	kind     string // drains or losses
 	withdraw bool
 }
 
-// declarationCommand makes drain, undrain, lost and found.
+// declarationCommand returns the command drain, undrain, lost or found.
 func declarationCommand(name, synopsis, kind string, remove bool) *command {
 	m := declaration{kind: kind, withdraw: remove}
 	usage := "target|zone NAME"
@@ -249,7 +249,7 @@
 		return m.send(ctx, c, operator.WriteRequest{File: deletionFile([]string{path})})
 	}
 	if m.reason == "" {
-		return inputErrorf("--reason", "is required: others must know why")
+		return inputErrorf("--reason", "is required to tell other operators why")
 	}
 	item := settings.Item{Path: settings.Path(path)}
 	item.Fields = append(item.Fields, settings.Field{Name: "reason", Values: []string{m.reason}})
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -21,26 +21,26 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// ClientConfig names the entry hosts and the operator.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Addrs are tried in turn.
+	// Addrs are the API addresses of entry hosts, tried in order.
 	Addrs      []netip.AddrPort
 	Credential string
-	// Authority checks the hosts' certificates. Without it the calls are in
-	// the clear: for trials on one machine.
+	// Authority verifies the hosts' certificates. Without it calls are not
+	// encrypted, which is meant for trials on one machine.
 	Authority *x509.CertPool
-	// Timeout bounds one call at one host.
+	// Timeout limits each call to one host.
 	Timeout time.Duration
 }
 
-// Client is a desk at the operators' API of any entry host.
+// Client implements API over HTTP, at any entry host.
 type Client struct {
 	ClientConfig
 	scheme string
 	client http.Client
 }
 
-// NewClient returns a client; it connects at the first call.
+// NewClient returns a client. It connects on the first call.
 func NewClient(config ClientConfig) *Client {
 	c := &Client{ClientConfig: config, scheme: "http://", client: http.Client{Timeout: config.Timeout}}
 	if config.Authority != nil {
@@ -52,9 +52,9 @@
 	return c
 }
 
-// transportError is a call that got no answer of the API.
+// transportError is the error of a call without a valid API response.
 type transportError struct {
-	sent bool // some of the call may have reached the host
+	sent bool // the host may have received the call
 	err  error
 }
 
@@ -64,7 +64,7 @@
 // Unwrap returns the cause.
 func (e *transportError) Unwrap() error { return e.err }
 
-// Read implements Desk.
+// Read implements API.
 func (c *Client) Read(ctx context.Context) (View, error) {
 	for _, addr := range c.Addrs {
 		var out wireView
@@ -77,41 +77,41 @@
 			return View{}, err
 		}
 	}
-	return View{}, fmt.Errorf("%w: no entry host gives the settings", platform.ErrUnavailable)
+	return View{}, fmt.Errorf("%w: no entry host returned the settings", platform.ErrUnavailable)
 }
 
-// Write implements Desk. The order's id makes it safe to send the same order
-// to the next host after a lost answer: it is applied once.
-func (c *Client) Write(ctx context.Context, order WriteRequest) (WriteResult, error) {
-	if order.ID == "" {
-		order.ID = uuid.NewString()
+// Write implements API. The request's ID makes it safe to send the same request to
+// the next host after a lost response: it is applied once.
+func (c *Client) Write(ctx context.Context, request WriteRequest) (WriteResult, error) {
+	if request.ID == "" {
+		request.ID = uuid.NewString()
 	}
 	body, err := json.Marshal(wireWriteRequest{
-		ID: order.ID, File: string(order.File), Rollback: order.Rollback, Below: order.Below,
-		Expect: order.Expect, Reason: order.Reason, DryRun: order.DryRun,
+		ID: request.ID, File: string(request.File), Rollback: request.Rollback, Below: request.Below,
+		Expect: request.Expect, Reason: request.Reason, DryRun: request.DryRun,
 	})
 	if err != nil {
 		return WriteResult{}, err
 	}
-	doubt := false
+	inDoubt := false
 	for _, addr := range c.Addrs {
 		var out wireWriteResult
 		err := c.call(ctx, addr, http.MethodPost, body, &out)
 		if err == nil {
 			return out.writeResult(), nil
 		}
-		if isFinal(err, doubt) {
+		if isFinal(err, inDoubt) {
 			return WriteResult{}, err
 		}
-		doubt = doubt || mayTakeEffect(err)
+		inDoubt = inDoubt || mayTakeEffect(err)
 	}
-	if doubt {
-		return WriteResult{}, fmt.Errorf("%w (write %s)", settings.ErrUnresolved, order.ID)
+	if inDoubt {
+		return WriteResult{}, fmt.Errorf("%w (write %s)", settings.ErrUnresolved, request.ID)
 	}
-	return WriteResult{}, fmt.Errorf("%w: no entry host can write", settings.ErrNotAccepted)
+	return WriteResult{}, fmt.Errorf("%w: no entry host could write", settings.ErrNotAccepted)
 }
 
-// mayTakeEffect reports whether a failed write may yet take effect.
+// mayTakeEffect reports whether a failed write may have taken effect or still may.
 func mayTakeEffect(err error) bool {
 	var lost *transportError
 	if errors.As(err, &lost) {
@@ -120,10 +120,10 @@
 	return errors.Is(err, settings.ErrUnresolved)
 }
 
-// isFinal reports whether no other host need be asked. While an earlier host may
-// still write, only a conflict is certain: it stands in each later revision,
-// so that the earlier host meets it too.
-func isFinal(err error, doubt bool) bool {
+// isFinal reports whether there is no need to try another host. While a write at an
+// earlier host is in inDoubt, only a conflict is final: the conflicting write is part of
+// all later revisions, so the earlier host's write conflicts as well.
+func isFinal(err error, inDoubt bool) bool {
 	var lost *transportError
 	var conflict *settings.ConflictError
 	switch {
@@ -132,10 +132,10 @@
 	case errors.As(err, &lost), errors.Is(err, settings.ErrNotAccepted), errors.Is(err, settings.ErrUnresolved):
 		return false
 	}
-	return !doubt
+	return !inDoubt
 }
 
-// call makes one call at one host.
+// call makes one call to one host.
 func (c *Client) call(ctx context.Context, addr netip.AddrPort, method string, body []byte, out any) error {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }}
@@ -160,7 +160,7 @@
 	}
 	var failed wireError
 	if err := answer.Decode(&failed); err != nil || failed.Code == "" {
-		return &transportError{sent: true, err: fmt.Errorf("status %d", response.StatusCode)}
+		return &transportError{sent: true, err: fmt.Errorf("response has status %d", response.StatusCode)}
 	}
 	return failed.err()
 }
--- a/internal/operator/listener.go
+++ b/internal/operator/listener.go
@@ -23,15 +23,14 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// Listener serves the operators' API on an address of its own. The zero value
-// serves nothing.
+// Listener serves the operators' API on its own address. The zero value serves
+// nothing.
 type Listener struct {
 	listener net.Listener
 	http     http.Server
 }
 
-// Listen binds addr; an invalid address stands for no listener. The
-// configuration comes from the host's keys.
+// Listen binds addr. An invalid address yields a listener that serves nothing.
 func Listen(addr netip.AddrPort, secure *tls.Config, server *Server) (*Listener, error) {
 	if !addr.IsValid() {
 		return &Listener{}, nil
@@ -50,7 +49,7 @@
 	return l, nil
 }
 
-// Addr returns the bound address, nil for no listener.
+// Addr returns the bound address, or nil if there is none.
 func (l *Listener) Addr() net.Addr {
 	if l.listener == nil {
 		return nil
@@ -58,7 +57,7 @@
 	return l.listener.Addr()
 }
 
-// Run serves until ctx ends; writes under way are finished.
+// Run serves until ctx is done. Requests in flight then have closeTimeout to finish.
 func (l *Listener) Run(ctx context.Context) error {
 	if l.listener == nil {
 		<-ctx.Done()
@@ -79,8 +78,8 @@
 	_ = l.http.Shutdown(ctx)
 }
 
-// ParseBootstrap reads the flag with the hash of the first credential; empty
-// stands for none.
+// ParseBootstrap parses the flag with the hash of the bootstrap credential; an empty
+// value means none.
 func ParseBootstrap(value string, found *finding.List) [32]byte {
 	if value == "" {
 		return [32]byte{}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' API and reaches it: reading settings,
-// writing them below the subtrees that a credential covers, and the history.
+// Package operator implements the server and the client of the operators' API: reading
+// settings and their history, and writing the subtrees that a credential covers.
 package operator
 
 import (
@@ -11,10 +11,10 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// View is what an operator sees of the settings in force.
+// View is the part of the settings in force that an operator may see.
 type View struct {
-	// Local tells that the store did not answer: the view is what one host
-	// has in force.
+	// Local is set if the store was unavailable: the view then shows the settings in
+	// force on one host.
 	Local    bool
 	Revision platform.Revision
 	Number   uint64
@@ -22,59 +22,59 @@
 	History  []settings.Write
 }
 
-// WriteRequest is one write as an operator asks for it.
+// WriteRequest is a write to the settings as an operator requests it.
 type WriteRequest struct {
-	// ID tells the write from all others; a repeated ID is applied once.
+	// ID identifies the write; a repeated ID is applied once.
 	ID string
 	// File holds the changes in the file format.
 	File []byte
-	// Rollback, where above zero, asks for the values of that number instead.
+	// Rollback, if not zero, replaces File by a rollback to that number.
 	Rollback uint64
-	// Below limits a rollback to a path and those below it.
+	// Below limits a rollback to a path and the paths below it.
 	Below settings.Path
-	// Expect is the number that the operator saw; zero for any.
+	// Expect is the number that the operator has seen; zero skips the check.
 	Expect uint64
 	Reason string
 	DryRun bool
 }
 
-// WriteResult is an accepted write, or what a dry run would change.
+// WriteResult is the result of an accepted write or of a dry run.
 type WriteResult struct {
 	Revision    platform.Revision
 	Number      uint64
 	Differences []settings.Difference
 }
 
-// API is where operators read and write settings: Direct or Client.
+// API reads and writes settings. Client and Direct implement it.
 type API interface {
 	// Read returns what the operator may see. Errors: DeniedError,
 	// platform.ErrUnavailable.
 	Read(ctx context.Context) (View, error)
-	// Write asks for a write. Errors: *finding.Error, *settings.ConflictError,
+	// Write performs a write. Errors: *finding.Error, *settings.ConflictError,
 	// DeniedError, settings.ErrNotAccepted, settings.ErrUnresolved.
-	Write(ctx context.Context, order WriteRequest) (WriteResult, error)
+	Write(ctx context.Context, request WriteRequest) (WriteResult, error)
 }
 
-// DeniedError is returned where a credential does not allow something.
+// DeniedError is returned if a credential does not permit a request.
 type DeniedError struct{ Text string }
 
 // Error implements error.
 func (e *DeniedError) Error() string { return "operator: denied: " + e.Text }
 
-// principal is who writes, as the settings in force know it.
+// principal is the authenticated operator with its subtrees.
 type principal struct {
 	name  string
 	below []settings.Path
 }
 
-// allows reports whether the writer may write path.
+// allows reports whether the principal may write path.
 func (w principal) allows(path settings.Path) bool {
 	d := settings.Delegation{Below: w.below}
 	return d.Allows(path)
 }
 
-// authorize checks each change against the writer's subtrees. A delegation may
-// hand on only what its writer has.
+// authorize checks the changes against the principal's subtrees. A delegation may only
+// cover what the principal itself may write.
 func (w principal) authorize(changes []settings.Change) error {
 	for _, c := range changes {
 		if !w.allows(c.Path) {
@@ -94,19 +94,19 @@
 	return nil
 }
 
-// Direct is a desk on the platform's service itself. It knows no credentials:
-// whoever reaches the service may write.
+// Direct implements API on the platform's service. It checks no credentials: whoever
+// reaches the service may write.
 type Direct struct {
 	committer *settings.Committer
 	by        string
 }
 
-// NewDirect returns a desk on store; writes are recorded as by.
+// NewDirect returns an API on store that records its writes under the name by.
 func NewDirect(store platform.Store, by string) *Direct {
 	return &Direct{committer: settings.NewCommitter(store), by: by}
 }
 
-// Read implements Desk.
+// Read implements API.
 func (d *Direct) Read(ctx context.Context) (View, error) {
 	s, err := d.committer.Load(ctx)
 	if err != nil {
@@ -115,35 +115,35 @@
 	return fullView(s), nil
 }
 
-// Write implements Desk.
-func (d *Direct) Write(ctx context.Context, order WriteRequest) (WriteResult, error) {
-	return commit(ctx, d.committer, order, func(*settings.Settings) (principal, error) {
+// Write implements API.
+func (d *Direct) Write(ctx context.Context, request WriteRequest) (WriteResult, error) {
+	return commit(ctx, d.committer, request, func(*settings.Settings) (principal, error) {
 		return principal{name: d.by, below: []settings.Path{""}}, nil
 	})
 }
 
-// fullView returns all of s.
+// fullView returns a view of all settings.
 func fullView(s *settings.Settings) View {
 	return View{Revision: s.Revision, Number: s.Number, Items: s.Items(), History: s.History}
 }
 
-// commit parses the order and makes it accepted in the name of whom identify
-// finds in the settings in force, asked anew on each attempt.
-func commit(ctx context.Context, c *settings.Committer, order WriteRequest, identify func(*settings.Settings) (principal, error)) (WriteResult, error) {
-	changes, err := settings.Parse(order.File)
+// commit parses and commits a request. On each attempt authenticate determines the
+// principal from the settings in force.
+func commit(ctx context.Context, c *settings.Committer, request WriteRequest, authenticate func(*settings.Settings) (principal, error)) (WriteResult, error) {
+	changes, err := settings.Parse(request.File)
 	if err != nil {
 		return WriteResult{}, err
 	}
 	req := settings.Request{
-		ID: order.ID, Changes: changes, Rollback: order.Rollback, Below: order.Below,
-		Expect: order.Expect, Reason: order.Reason, DryRun: order.DryRun,
+		ID: request.ID, Changes: changes, Rollback: request.Rollback, Below: request.Below,
+		Expect: request.Expect, Reason: request.Reason, DryRun: request.DryRun,
 	}
 	req.Permit = func(current *settings.Settings, changes []settings.Change) (string, error) {
-		who, err := identify(current)
+		writer, err := authenticate(current)
 		if err != nil {
 			return "", err
 		}
-		return who.name, who.authorize(changes)
+		return writer.name, writer.authorize(changes)
 	}
 	done, err := c.Commit(ctx, time.Now(), req)
 	if err != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,13 +23,13 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// flakyHost is one entry host's operators' API; it may lose answers.
+// flakyHost serves the operators' API of one entry host and can drop responses.
 type flakyHost struct {
 	dropResponses atomic.Int64
 	next          http.Handler
 }
 
-// ServeHTTP answers, or drops the connection after the work is done.
+// ServeHTTP handles the request, and may close the connection instead of responding.
 func (h *flakyHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if h.dropResponses.Add(-1) >= 0 {
 		h.next.ServeHTTP(httptest.NewRecorder(), r)
@@ -38,7 +38,7 @@
 	h.next.ServeHTTP(w, r)
 }
 
-// deployment has two hosts on one store.
+// deployment is two hosts with one store.
 type deployment struct {
 	store *fake.Platform
 	hosts [2]*flakyHost
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("%s: {below: [%s], credential: %q}\n", path, below, settings.FormatHash(settings.HashCredential(credential)))
 }
 
-// TestWhoMayWrite checks credentials against subtrees.
+// TestWhoMayWrite checks which credentials may write which paths.
 func TestWhoMayWrite(t *testing.T) {
 	d := newDeployment(t)
 	d.apply(t, consortium(t)+
@@ -95,17 +95,17 @@
 		credential, file string
 		denied           string
 	}{
-		"own subtree":             {credential: "mesa", file: limit},
-		"narrow subtree":          {credential: "limits", file: limit},
-		"platform's operator":     {credential: "desk", file: limit},
-		"another team":            {credential: "mesa", file: "teams/sierra/limits/sierra-crews/bulk: {rate: 5}\n", denied: "may not write"},
-		"one of two paths":        {credential: "limits", file: limit + "teams/mesa/callers/mesa-crews: null\n", denied: "may not write"},
-		"prefix of the name":      {credential: "mesa", file: "teams/mesa2/callers/c: null\n", denied: "may not write"},
-		"hands on more":           {credential: "handing", file: delegationFile("teams/mesa/delegations/new", "x", "teams/mesa"), denied: "may not delegate"},
-		"widens itself":           {credential: "handing", file: delegationFile("teams/mesa/delegations/handing", "handing", "teams/mesa"), denied: "may not delegate"},
-		"bootstrap after its end": {credential: "first", file: limit, denied: "unknown credential"},
-		"caller's credential":     {credential: preset.Credential("mesa-crews"), file: limit, denied: "unknown credential"},
-		"no credential":           {file: limit, denied: "no credential"},
+		"own subtree":         {credential: "mesa", file: limit},
+		"narrow subtree":      {credential: "limits", file: limit},
+		"platform's operator": {credential: "desk", file: limit},
+		"another team":        {credential: "mesa", file: "teams/sierra/limits/sierra-crews/bulk: {rate: 5}\n", denied: "may not write"},
+		"one of two paths":    {credential: "limits", file: limit + "teams/mesa/callers/mesa-crews: null\n", denied: "may not write"},
+		"prefix of the name":  {credential: "mesa", file: "teams/mesa2/callers/c: null\n", denied: "may not write"},
+		"delegates more":      {credential: "handing", file: delegationFile("teams/mesa/delegations/new", "x", "teams/mesa"), denied: "may not delegate"},
+		"extends itself":      {credential: "handing", file: delegationFile("teams/mesa/delegations/handing", "handing", "teams/mesa"), denied: "may not delegate"},
+		"expired bootstrap":   {credential: "first", file: limit, denied: "unknown credential"},
+		"caller's credential": {credential: preset.Credential("mesa-crews"), file: limit, denied: "unknown credential"},
+		"no credential":       {file: limit, denied: "no credential"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,8 @@
 	}
 }
 
-// TestLostResponse asks the next host with the same id: applied once.
+// TestLostResponse checks that a write is applied once if the first host's response is
+// lost and the next host gets the same request.
 func TestLostResponse(t *testing.T) {
 	d := newDeployment(t)
 	d.hosts[0].dropResponses.Store(1)
@@ -134,7 +135,7 @@
 	assert.Equal(t, view.History[0].By, "bootstrap")
 }
 
-// TestAllResponsesLost cannot know the outcome and says so.
+// TestAllResponsesLost checks that the outcome is unresolved if no response arrives.
 func TestAllResponsesLost(t *testing.T) {
 	d := newDeployment(t)
 	d.hosts[0].dropResponses.Store(1)
@@ -143,8 +144,8 @@
 	assert.ErrorIs(t, err, settings.ErrUnresolved)
 }
 
-// TestLostThenRejected must not call a write refused that an earlier host may
-// have made.
+// TestLostThenRejected guards against reporting a write as not accepted after an earlier
+// host may have made it.
 func TestLostThenRejected(t *testing.T) {
 	d := newDeployment(t)
 	d.hosts[0].dropResponses.Store(1)
@@ -164,13 +165,13 @@
 	assert.ErrorIs(t, err, settings.ErrNotAccepted)
 }
 
-// TestBusyHost has more operators at one host than it answers at once: the
-// others go to the next host.
+// TestBusyHost sends one host more requests than it serves at once: the others must go
+// to the next host.
 func TestBusyHost(t *testing.T) {
 	d := newDeployment(t)
 	d.store.SetFaults(fake.PlatformFaults{SlowMin: 50 * time.Millisecond, SlowMax: 50 * time.Millisecond})
 	var group errgroup.Group
-	const operators = 100 // above what one host answers, below what both do
+	const operators = 100 // more than one host serves at once, fewer than both do
 	for range operators {
 		group.Go(func() error {
 			_, err := d.client("first").Read(t.Context())
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -19,30 +19,30 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// writeTimeout bounds how long a write waits for a lost answer to be resolved.
+// writeTimeout limits how long a write waits for a lost response to be resolved.
 const writeTimeout = 10 * time.Second
 
-// bootstrapName is how the first operator stands in the history.
+// bootstrapName is the name of the bootstrap operator in the history.
 const bootstrapName = "bootstrap"
 
-// ServerConfig sets up a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Store platform.Store
-	// Replica gives the settings where the store is out; it may be nil.
+	// Replica provides the settings while the store is unavailable; it may be nil.
 	Replica docsync.Replica
-	// Bootstrap is the hash of the credential that may write everything for
-	// as long as the settings hold no delegation below platform. Zero: none.
+	// Bootstrap is the hash of the credential that may write everything until a
+	// delegation covers all of platform. Zero means none.
 	Bootstrap [32]byte
 	Log       *slog.Logger
 }
 
-// maxRequests bounds the requests that one host answers at the same time.
+// maxRequests bounds the requests in flight at one host.
 const maxRequests = 64
 
-// errTooManyRequests is the cause of a refusal where maxRequests are under way.
-var errTooManyRequests = errors.New("too many operators at this host")
+// errTooManyRequests is the reason for refusing a request beyond maxRequests.
+var errTooManyRequests = errors.New("too many requests in flight at this host")
 
-// Server answers the operators' API.
+// Server serves the operators' API.
 type Server struct {
 	config    ServerConfig
 	committer *settings.Committer
@@ -58,13 +58,13 @@
 	}
 }
 
-// Register adds the API's routes to r.
+// Register adds the routes of the API to r.
 func (s *Server) Register(r *mux.Router) {
 	r.HandleFunc(pathSettings, s.limitConcurrency(s.read)).Methods(http.MethodGet)
 	r.HandleFunc(pathSettings, s.limitConcurrency(s.write)).Methods(http.MethodPost)
 }
 
-// limitConcurrency refuses a request while too many are under way.
+// limitConcurrency refuses requests beyond maxRequests in flight.
 func (s *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -77,7 +77,7 @@
 	}
 }
 
-// read answers with what the bearer may see.
+// read responds with the settings that the bearer may see.
 func (s *Server) read(w http.ResponseWriter, r *http.Request) {
 	current, err := s.committer.Load(r.Context())
 	local := err != nil
@@ -87,18 +87,17 @@
 			return
 		}
 	}
-	who, err := s.authenticate(current, bearer(r))
+	viewer, err := s.authenticate(current, bearer(r))
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	view := filterView(fullView(current), who)
+	view := filterView(fullView(current), viewer)
 	view.Local = local
 	writeJSON(w, http.StatusOK, toWireView(view))
 }
 
-// localSettings returns the settings as this process has them from the watchers and
-// its peers, or nil.
+// localSettings returns the settings from this process's documents, or nil.
 func (s *Server) localSettings() *settings.Settings {
 	if s.config.Replica == nil {
 		return nil
@@ -115,35 +114,35 @@
 	return local
 }
 
-// write commits one order in the bearer's name.
+// write commits a write in the name of the bearer.
 func (s *Server) write(w http.ResponseWriter, r *http.Request) {
 	credential := bearer(r)
 	var in wireWriteRequest
 	body := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 	if err := body.Decode(&in); err != nil {
-		writeJSON(w, http.StatusUnprocessableEntity, wireError{Code: codeFindings, Text: "body is not an order"})
+		writeJSON(w, http.StatusUnprocessableEntity, wireError{Code: codeFindings, Text: "body is not a write request"})
 		return
 	}
-	order := WriteRequest{ID: in.ID, File: []byte(in.File), Rollback: in.Rollback, Below: in.Below, Expect: in.Expect, Reason: in.Reason, DryRun: in.DryRun}
-	// The write goes on where the operator's connection ends: its outcome
-	// stands in the history, under the order's id.
+	request := WriteRequest{ID: in.ID, File: []byte(in.File), Rollback: in.Rollback, Below: in.Below, Expect: in.Expect, Reason: in.Reason, DryRun: in.DryRun}
+	// The write continues if the operator disconnects. Its outcome is in the history
+	// under the request's ID.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), writeTimeout)
 	defer cancel()
-	out, err := commit(ctx, s.committer, order, func(current *settings.Settings) (principal, error) {
+	out, err := commit(ctx, s.committer, request, func(current *settings.Settings) (principal, error) {
 		return s.authenticate(current, credential)
 	})
 	if err != nil {
-		s.config.Log.Info("write refused", slog.String("id", in.ID), slog.String("error", err.Error()))
+		s.config.Log.Info("Write failed.", slog.String("id", in.ID), slog.String("error", err.Error()))
 		writeError(w, err)
 		return
 	}
 	if !in.DryRun {
-		s.config.Log.Info("write accepted", slog.String("id", in.ID), slog.Uint64("number", out.Number))
+		s.config.Log.Info("Write accepted.", slog.String("id", in.ID), slog.Uint64("number", out.Number))
 	}
 	writeJSON(w, http.StatusOK, toWireWriteResult(out))
 }
 
-// authenticate finds whose credential it is in the settings in force.
+// authenticate returns the principal of a credential, by the settings in force.
 func (s *Server) authenticate(current *settings.Settings, credential string) (principal, error) {
 	if credential == "" {
 		return principal{}, &DeniedError{Text: "no credential"}
@@ -157,21 +156,21 @@
 	return principal{}, &DeniedError{Text: "unknown credential"}
 }
 
-// filterView keeps what lies below the subtrees of who.
-func filterView(v View, who principal) View {
-	v.Items = slices.DeleteFunc(slices.Clone(v.Items), func(i settings.Item) bool { return !who.allows(i.Path) })
+// filterView removes what the viewer's subtrees do not cover.
+func filterView(v View, viewer principal) View {
+	v.Items = slices.DeleteFunc(slices.Clone(v.Items), func(i settings.Item) bool { return !viewer.allows(i.Path) })
 	var history []settings.Write
 	for _, w := range v.History {
 		seen := settings.Write{ID: w.ID, Number: w.Number, At: w.At, By: w.By, Reason: w.Reason}
 		for i, p := range w.Paths {
-			if who.allows(p) {
+			if viewer.allows(p) {
 				seen.Paths = append(seen.Paths, p)
 				seen.Before = append(seen.Before, w.Before[i])
 			}
 		}
-		// A write that changed nothing is shown to its writer and to those who
-		// see all.
-		own := len(w.Paths) == 0 && (w.By == who.name || who.allows("platform") && who.allows("teams"))
+		// A write without changes is shown to its writer and to those who may see
+		// everything.
+		own := len(w.Paths) == 0 && (w.By == viewer.name || viewer.allows("platform") && viewer.allows("teams"))
 		if len(seen.Paths) > 0 || own {
 			history = append(history, seen)
 		}
@@ -180,7 +179,7 @@
 	return v
 }
 
-// bearer returns the request's bearer credential.
+// bearer returns the bearer credential of a request.
 func bearer(r *http.Request) string {
 	credential, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/internal/operator/wire.go
+++ b/internal/operator/wire.go
@@ -10,10 +10,10 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// pathSettings is the path of the operators' API.
+// pathSettings is the URL path of the operators' API.
 const pathSettings = "/v1/settings"
 
-// maxBodyBytes bounds a request and an answer of the API.
+// maxBodyBytes bounds the bodies of requests and responses.
 const maxBodyBytes = 8 << 20
 
 type wireView struct {
@@ -56,7 +56,7 @@
 	After  string        `json:"after,omitempty"`
 }
 
-// Words that tell the errors of the API apart.
+// Error codes of the API.
 const (
 	codeFindings   = "findings"
 	codeConflict   = "conflict"
@@ -120,7 +120,7 @@
 	return o
 }
 
-// toWireError maps an error of a desk and its HTTP status.
+// toWireError converts an error of an API and returns the HTTP status for it.
 func toWireError(err error) (status int, w wireError) {
 	w.Text = err.Error()
 	var found *finding.Error
@@ -156,7 +156,7 @@
 	}
 }
 
-// err maps an error back.
+// err converts a received error back.
 func (w wireError) err() error {
 	switch w.Code {
 	case codeFindings:
