--- a/internal/bench/action.go
+++ b/internal/bench/action.go
@@ -9,13 +9,13 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// The parts of answers that go wrong.
+// Ratios of responses that a fault affects.
 const (
 	lostResponseRatio = 0.3
 	badResponseRatio  = 0.05
 )
 
-// do carries out one action.
+// do carries out an action.
 func (r *Run) do(action Action) error {
 	switch a := action.(type) {
 	case KillTarget:
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// doOnHosts carries out an action that the script has a part in.
+// doOnHosts carries out an action on hosts or by an operator, through the supervisor.
 func (r *Run) doOnHosts(action Action) error {
 	switch a := action.(type) {
 	case KillLead:
@@ -86,36 +86,36 @@
 	case RaceSettings:
 		return r.Supervisor.RunTask("race")
 	}
-	return fmt.Errorf("bench: no such action as %T", action)
+	return fmt.Errorf("bench: unknown action %T", action)
 }
 
-// target returns a target by its number within the deployment.
+// target returns the n-th target of the deployment.
 func (r *Run) target(n int) *fake.Target { return r.farm.Targets()[n] }
 
-// chooseLead picks the lead of the cell that the first target is in.
+// chooseLead chooses the lead process that leads the cell of the first target.
 func (r *Run) chooseLead() error {
 	first := r.target(0)
 	lease := fmt.Sprintf("lease/%s/%s", first.Service(), first.Zone())
-	// The holder is the host and its life, HOST/LIFE.
+	// The holder has the form HOST/INCARNATION.
 	host, _, _ := strings.Cut(r.platform.LastHolder(lease), "/")
 	r.chosenLead = place.Host(host)
 	if r.chosenLead == "" {
-		return fmt.Errorf("bench: nobody holds %s", lease)
+		return fmt.Errorf("bench: no host holds %s", lease)
 	}
-	r.Log.Info("lead chosen", "lease", lease, "host", r.chosenLead)
+	r.Log.Info("Leader chosen.", "lease", lease, "host", r.chosenLead)
 	return nil
 }
 
-// replace stops a host as planned and starts a new one in its place.
+// replace stops the processes of a host gracefully and starts new ones.
 func (r *Run) replace(host Host) error {
 	r.platform.SetHost(time.Now(), host.Row(place.Leaving))
-	for _, part := range []Process{EntryProcess, LeadProcess} {
-		if err := r.Supervisor.Stop(host.Name, part); err != nil {
+	for _, process := range []Process{EntryProcess, LeadProcess} {
+		if err := r.Supervisor.Stop(host.Name, process); err != nil {
 			return err
 		}
 	}
-	for _, part := range []Process{LeadProcess, EntryProcess} {
-		if err := r.Supervisor.Start(host.Name, part); err != nil {
+	for _, process := range []Process{LeadProcess, EntryProcess} {
+		if err := r.Supervisor.Start(host.Name, process); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -31,7 +31,7 @@
 	}{
 		"good":      {body: good},
 		"two words": {body: good + "host-2 zone-a\n", finding: "hosts:2: has 2 words"},
-		"a name":    {body: strings.Replace(good, "127.0.0.1:3", "localhost:3", 1), finding: `hosts:1: "localhost:3" is not an address`},
+		"host name": {body: strings.Replace(good, "127.0.0.1:3", "localhost:3", 1), finding: `hosts:1: "localhost:3" is not an address`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	const longest = 35 * time.Second // with start, warm-up and stop under 50 s
 	seen := make(map[Name]bool)
 	for _, s := range All() {
-		assert.Assert(t, !seen[s.Name], "%s stands twice", s.Name)
+		assert.Assert(t, !seen[s.Name], "%s occurs twice", s.Name)
 		seen[s.Name] = true
 		assert.Assert(t, s.Length <= longest, "%s", s.Name)
 		last := time.Duration(0)
@@ -84,24 +84,24 @@
 		scenario Scenario
 		ledger   fake.LedgerCounts
 		summary  load.Summary
-		broken   string
+		want     string
 	}{
-		"all held":                    {summary: load.Summary{Counts: load.Counts{Done: 1}}},
-		"cut by a fault":              {summary: cut},
-		"cut though nothing failed":   {scenario: Scenario{NoFailures: true}, summary: cut, broken: "2 requests cut though nothing failed"},
-		"doubled owner":               {ledger: fake.LedgerCounts{DuplicateOwners: 1}, summary: cut, broken: "1 doubled owners"},
-		"doubled run":                 {ledger: fake.LedgerCounts{DuplicateRuns: 1}, summary: cut, broken: "1 doubled runs"},
-		"false not-run":               {summary: load.Summary{FalseNotRun: 3, Counts: load.Counts{Done: 1}}, broken: "3 answers said not-run of what ran"},
-		"done, never ran":             {summary: load.Summary{FalseDone: 1, Counts: load.Counts{Done: 1}}, broken: "1 answers said done of what did not run"},
-		"no answer":                   {summary: load.Summary{Counts: load.Counts{Done: 1, Lost: 1}}, broken: "1 requests without an answer"},
-		"another's answer":            {summary: load.Summary{Counts: load.Counts{Done: 1, Wrong: 1}}, broken: "1 answers cut or not the request's own"},
-		"nothing done under any load": {scenario: Scenario{Load: 0.1}, broken: "nothing was done"},
+		"no violation":                {summary: load.Summary{Counts: load.Counts{Done: 1}}},
+		"broken off by a fault":       {summary: cut},
+		"broken off without a fault":  {scenario: Scenario{NoFailures: true}, summary: cut, want: "2 requests broken off without a fault"},
+		"duplicate owner":             {ledger: fake.LedgerCounts{DuplicateOwners: 1}, summary: cut, want: "1 duplicate owners"},
+		"duplicate run":               {ledger: fake.LedgerCounts{DuplicateRuns: 1}, summary: cut, want: "1 duplicate runs"},
+		"false not-run":               {summary: load.Summary{FalseNotRun: 3, Counts: load.Counts{Done: 1}}, want: "3 responses not-run for operations that ran"},
+		"done, never ran":             {summary: load.Summary{FalseDone: 1, Counts: load.Counts{Done: 1}}, want: "1 responses done for operations that did not run"},
+		"no response":                 {summary: load.Summary{Counts: load.Counts{Done: 1, Lost: 1}}, want: "1 requests without a response"},
+		"another request's response":  {summary: load.Summary{Counts: load.Counts{Done: 1, Wrong: 1}}, want: "1 responses incomplete or for another request"},
+		"nothing done under any load": {scenario: Scenario{Load: 0.1}, want: "no requests were done"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := &Run{Config: Config{Scenario: tt.scenario}, farm: fake.NewTargetSet(nil, nil)}
 			got := r.violations(snapshot{ledger: tt.ledger}, tt.summary)
-			assert.Equal(t, strings.Join(got, "; "), tt.broken)
+			assert.Equal(t, strings.Join(got, "; "), tt.want)
 		})
 	}
 }
--- a/internal/bench/convergence.go
+++ b/internal/bench/convergence.go
@@ -20,8 +20,8 @@
 	maxStatusBytes = 4 << 20
 )
 
-// Convergence measures how long an accepted revision of the settings takes to
-// be in force at each daemon, and whether any daemon ever went back.
+// Convergence measures how long accepted revisions of the settings take to be in force at
+// each daemon, and counts daemons that went back to an earlier revision.
 type Convergence struct {
 	platform *fake.Platform
 	client   *http.Client
@@ -34,14 +34,14 @@
 	reverted int
 }
 
-// acceptedRevision is one revision and who has not put it in force yet.
+// acceptedRevision is a revision with the daemons at which it is not in force yet.
 type acceptedRevision struct {
 	revision platform.Revision
 	at       time.Time
 	missing  map[netip.AddrPort]bool
 }
 
-// NewConvergence returns a measurement over the daemons' admin addresses.
+// NewConvergence returns a measurement at the given admin addresses.
 func NewConvergence(p *fake.Platform, daemons []netip.AddrPort) *Convergence {
 	return &Convergence{
 		platform: p,
@@ -51,7 +51,7 @@
 	}
 }
 
-// Run looks at the store and the daemons until ctx ends.
+// Run polls the store and the daemons until ctx is done.
 func (c *Convergence) Run(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -70,7 +70,7 @@
 	}
 }
 
-// recordRevision notes a new revision of the settings.
+// recordRevision records the store's revision, if it is new.
 func (c *Convergence) recordRevision(now time.Time) {
 	revision, at := c.platform.RevisionOf(settings.StorePath)
 	c.mu.Lock()
@@ -88,7 +88,7 @@
 	c.accepted = append(c.accepted, next)
 }
 
-// poll asks one daemon for the revision that it has in force.
+// poll records the revision that is in force at one daemon.
 func (c *Convergence) poll(ctx context.Context, daemon netip.AddrPort) {
 	revision, err := c.fetchRevision(ctx, daemon)
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// fetchRevision reads the revision from a daemon's status page.
+// fetchRevision returns the revision in a daemon's status report.
 func (c *Convergence) fetchRevision(ctx context.Context, daemon netip.AddrPort) (platform.Revision, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+daemon.String()+"/status", nil)
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	defer response.Body.Close()
 	var page struct {
-		Revision uint64 `json:"revision"` // at the top level or below settings
+		Revision uint64 `json:"revision"` // reported here or in Settings
 		Settings struct {
 			Revision uint64 `json:"revision"`
 		} `json:"settings"`
@@ -132,16 +132,16 @@
 	return platform.Revision(max(page.Revision, page.Settings.Revision)), nil
 }
 
-// ConvergenceResult is what a Convergence measured.
+// ConvergenceResult is the result of a Convergence.
 type ConvergenceResult struct {
 	// Longest is the longest time until a revision was in force at a daemon.
 	Longest time.Duration
-	// Revisions counts those accepted, Missing those not in force everywhere
-	// at the end, Reverted the times that a daemon went back.
+	// Revisions counts the accepted revisions, Missing those that are not in force
+	// at all daemons, Reverted the times that a daemon went back.
 	Revisions, Missing, Reverted int
 }
 
-// Result returns the figures so far.
+// Result returns the result so far.
 func (c *Convergence) Result() ConvergenceResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/bench/convergence_test.go
+++ b/internal/bench/convergence_test.go
@@ -16,7 +16,7 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// fakeDaemon shows a revision on its status page.
+// fakeDaemon serves a status report with a revision.
 type fakeDaemon struct {
 	form     string
 	revision atomic.Uint64
--- a/internal/bench/hosts.go
+++ b/internal/bench/hosts.go
@@ -11,21 +11,21 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// hostFields is the number of words in a line of the hosts file.
+// hostFields is the number of fields per line of a hosts file.
 const hostFields = 7
 
-// Host is one entry host of the deployment, as the script starts it.
+// Host is an entry host of the deployment, as the script starts it.
 type Host struct {
 	Name place.Host
 	Zone place.Zone
-	// LeadPeer and EntryPeer are UDP addresses.
+	// LeadPeer and EntryPeer are UDP addresses for peers.
 	LeadPeer, EntryPeer netip.AddrPort
-	// Callers takes requests; the others are admin addresses.
+	// Callers is the address for requests; EntryAdmin and LeadAdmin are admin addresses.
 	Callers, EntryAdmin, LeadAdmin netip.AddrPort
 }
 
-// ReadHosts reads a hosts file: for each host a line with its name, zone, and
-// the addresses in the order of Host. Findings name the line.
+// ReadHosts reads a hosts file: one line per host, with its name, its zone and the
+// addresses in the order of Host's fields. Findings are located by line.
 func ReadHosts(path string) ([]Host, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -51,12 +51,12 @@
 	return hosts, findings.Err()
 }
 
-// Row returns the host's row of the platform's list.
+// Row returns the host's row in the platform's list.
 func (h Host) Row(state place.Liveness) place.HostRow {
 	return place.HostRow{Host: h.Name, Zone: h.Zone, State: state, LeadAddr: h.LeadPeer, EntryAddr: h.EntryPeer}
 }
 
-// EntryHosts returns what the balancer needs to know.
+// EntryHosts returns the addresses that the balancer needs.
 func EntryHosts(hosts []Host) []load.EntryHost {
 	out := make([]load.EntryHost, len(hosts))
 	for i, h := range hosts {
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// clockTick is the unit of processor time in /proc on Linux.
+// clockTick is the unit of CPU times in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
-// The fields of /proc/<pid>/stat after the command's name.
+// Indexes of the fields of /proc/<pid>/stat that follow the command name.
 const (
 	userField   = 11
 	systemField = 12
 )
 
-// Usage is what one process has used so far.
+// Usage is the resource usage of a process so far.
 type Usage struct {
 	CPU      time.Duration
 	RSSBytes uint64
-	// IOBytes is what went through read and write: TCP, files and logs. The
-	// UDP packets between the daemons go other ways and are not in it.
+	// IOBytes counts bytes passed to read and write: TCP, files and logs. It does not
+	// include the UDP packets between daemons, which use other system calls.
 	IOBytes uint64
 }
 
-// readUsage reads the usage of the process whose id is in a pid file.
+// readUsage reads the usage of the process that a pid file names.
 func readUsage(pidFile string) (Usage, error) {
 	body, err := os.ReadFile(pidFile)
 	if err != nil {
@@ -57,8 +57,8 @@
 	}, nil
 }
 
-// cpuTicks returns user and system time; the command's name stands in brackets
-// and may itself hold spaces and brackets, as in "(a name) with)".
+// cpuTicks returns the sum of user and system time in clock ticks. The command name is in
+// parentheses and may itself contain spaces and parentheses, as in "(a name) with)".
 func cpuTicks(stat string) (uint64, error) {
 	fields := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
 	if len(fields) <= systemField {
@@ -72,7 +72,7 @@
 	return user + system, nil
 }
 
-// procField returns the number in the line that starts with name, or zero.
+// procField returns the number on the line that starts with name, or zero.
 func procField(text, name string) uint64 {
 	for line := range strings.Lines(text) {
 		if value, ok := strings.CutPrefix(line, name); ok {
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -12,31 +12,31 @@
 	"citrontray.example/citrontray/internal/load"
 )
 
-// maxDrainWork is for how long a leaving target may get new work.
+// maxDrainWork is how long a drained target may continue to get new requests.
 const maxDrainWork = 3 * time.Second
 
-// The reasons that callers are told where a request was cut.
+// Reasons that callers get for requests that were broken off.
 const (
 	reasonAnswerCut = "answer-cut"
 	reasonSendCut   = "send-cut"
 )
 
-// Report is what a run measured.
+// Report is the result of a run.
 type Report struct {
 	Metrics []Metric
 	load.Summary
-	// Violations describes the invariants that did not hold.
+	// Violations describes the violated invariants.
 	Violations []string
 }
 
-// Metric is one measured figure.
+// Metric is a measured value.
 type Metric struct {
 	Name  string
 	Value float64
 	Unit  string
 }
 
-// snapshot is the state of all counts at one time.
+// snapshot holds all counts at one time.
 type snapshot struct {
 	at       time.Time
 	platform fake.PlatformCounts
@@ -54,8 +54,8 @@
 		usage:    map[Process]map[string]Usage{LeadProcess: {}, EntryProcess: {}},
 	}
 	for _, host := range r.Hosts {
-		for part, usage := range s.usage {
-			if u, err := readUsage(r.pidFile(host.Name, part)); err == nil {
+		for process, usage := range s.usage {
+			if u, err := readUsage(r.pidFile(host.Name, process)); err == nil {
 				usage[string(host.Name)] = u
 			}
 		}
@@ -63,7 +63,7 @@
 	return s
 }
 
-// report works out the figures between two snapshots.
+// report computes the metrics between two snapshots.
 func (r *Run) report(before, after snapshot, summary load.Summary) Report {
 	span := after.at.Sub(before.at)
 	perSecond := func(n uint64) float64 { return float64(n) / span.Seconds() }
@@ -86,7 +86,7 @@
 	return report
 }
 
-// addDrained adds for how long a leaving target went on getting new work.
+// addDrained adds how long a drained target continued to get new requests.
 func (r *Run) addDrained(report *Report) {
 	if r.drained.target == nil {
 		return
@@ -94,7 +94,7 @@
 	late := max(0, r.drained.target.LastStart().Sub(r.drained.since))
 	report.add("leaving_work_ms", millis(late), "ms")
 	if late > maxDrainWork {
-		report.Violations = append(report.Violations, fmt.Sprintf("a leaving target got new work for %s", late))
+		report.Violations = append(report.Violations, fmt.Sprintf("a drained target got new requests for %s", late))
 	}
 }
 
@@ -109,16 +109,16 @@
 	report.add("settings_missing", float64(f.Missing), "1")
 	report.add("settings_reverted", float64(f.Reverted), "1")
 	if f.Missing > 0 || f.Reverted > 0 {
-		report.Violations = append(report.Violations, fmt.Sprintf("settings: %d revisions not in force everywhere, %d times one reverted", f.Missing, f.Reverted))
+		report.Violations = append(report.Violations, fmt.Sprintf("settings: %d revisions not in force at all daemons, %d reverts to an earlier one", f.Missing, f.Reverted))
 	}
 }
 
-// add adds one figure.
+// add adds a metric.
 func (r *Report) add(name string, number float64, unit string) {
 	r.Metrics = append(r.Metrics, Metric{Name: name, Value: number, Unit: unit})
 }
 
-// addLoad adds what callers saw.
+// addLoad adds the metrics of the load, as callers saw it.
 func (r *Report) addLoad(s load.Summary) {
 	r.add("requests", float64(s.Requests), "1")
 	r.add("done", float64(s.Done), "1")
@@ -139,23 +139,23 @@
 	r.add("dropped", float64(s.Dropped), "1")
 }
 
-// WriteSummary prints what callers saw, one figure a line.
+// WriteSummary prints the metrics of a load, one per line.
 func WriteSummary(out io.Writer, s load.Summary) {
 	report := Report{Summary: s}
 	report.addLoad(s)
 	report.Write(out)
 }
 
-// addUsage adds the mean processor time and the largest memory of each part.
-// A process that started or ended in between is left out of the mean.
+// addUsage adds the mean CPU and the maximum memory usage of lead and entry processes. The
+// mean excludes processes that started or ended between the snapshots.
 func (r *Run) addUsage(add func(string, float64, string), before, after snapshot, span time.Duration) {
 	names := map[Process]string{LeadProcess: "control", EntryProcess: "entry"}
-	for _, part := range []Process{LeadProcess, EntryProcess} {
+	for _, process := range []Process{LeadProcess, EntryProcess} {
 		var cpu time.Duration
 		var rss, bytes uint64
 		n := 0
-		for host, then := range before.usage[part] {
-			now, ok := after.usage[part][host]
+		for host, then := range before.usage[process] {
+			now, ok := after.usage[process][host]
 			if ok && now.CPU >= then.CPU {
 				cpu += now.CPU - then.CPU
 				rss = max(rss, now.RSSBytes)
@@ -166,8 +166,8 @@
 		if n == 0 {
 			continue
 		}
-		add(names[part]+"_cpu", 100*cpu.Seconds()/span.Seconds()/float64(n), "%")
-		if part == LeadProcess {
+		add(names[process]+"_cpu", 100*cpu.Seconds()/span.Seconds()/float64(n), "%")
+		if process == LeadProcess {
 			add("rss_mb", float64(rss)/(1<<20), "MiB")
 			add("control_bytes_s", float64(bytes)/span.Seconds()/float64(n), "B/s")
 		} else {
@@ -176,7 +176,7 @@
 	}
 }
 
-// violations lists the invariants that did not hold.
+// violations describes the violated invariants.
 func (r *Run) violations(after snapshot, s load.Summary) []string {
 	var out []string
 	check := func(n uint64, text string) {
@@ -184,23 +184,23 @@
 			out = append(out, fmt.Sprintf("%d %s", n, text))
 		}
 	}
-	check(after.ledger.DuplicateOwners, "doubled owners")
-	check(after.ledger.DuplicateRuns, "doubled runs")
-	check(s.FalseNotRun, "answers said not-run of what ran")
-	check(s.FalseDone, "answers said done of what did not run")
-	check(s.Lost, "requests without an answer")
-	check(s.Wrong, "answers cut or not the request's own")
+	check(after.ledger.DuplicateOwners, "duplicate owners")
+	check(after.ledger.DuplicateRuns, "duplicate runs")
+	check(s.FalseNotRun, "responses not-run for operations that ran")
+	check(s.FalseDone, "responses done for operations that did not run")
+	check(s.Lost, "requests without a response")
+	check(s.Wrong, "responses incomplete or for another request")
 	if r.Scenario.NoFailures {
-		check(s.Reasons[reasonAnswerCut]+s.Reasons[reasonSendCut], "requests cut though nothing failed")
+		check(s.Reasons[reasonAnswerCut]+s.Reasons[reasonSendCut], "requests broken off without a fault")
 	}
 	if s.Done == 0 && r.Scenario.Load > 0 {
-		out = append(out, "nothing was done")
+		out = append(out, "no requests were done")
 	}
 	return append(out, r.farm.Ledger.Violations()...)
 }
 
-// imbalance is the busiest target's load over the mean, of the service where
-// that is highest.
+// imbalance returns the load of the busiest target relative to the mean, of the service
+// for which it is highest.
 func imbalance(before, after map[key.Service][]uint64) float64 {
 	worst := 0.0
 	for service, counts := range after {
@@ -219,7 +219,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Write prints the figures, one a line, then what was broken.
+// Write prints the metrics, one per line, then the violations and examples.
 func (r Report) Write(out io.Writer) {
 	for _, v := range r.Metrics {
 		fmt.Fprintf(out, "%s %s %s\n", v.Name, number(v.Value), v.Unit)
@@ -235,7 +235,7 @@
 	}
 }
 
-// number prints whole numbers without a point.
+// number formats n, without decimals if it is whole.
 func number(n float64) string {
 	if n == float64(int64(n)) {
 		return fmt.Sprintf("%d", int64(n))
@@ -243,7 +243,7 @@
 	return fmt.Sprintf("%.2f", n)
 }
 
-// DemoLine is the last line of the demo.
+// DemoLine returns the last line of the demo's output.
 func (r Report) DemoLine() string {
 	var doubled, lost uint64
 	for _, v := range r.Metrics {
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -22,30 +22,30 @@
 )
 
 const (
-	// settleTimeout bounds the time until every shard has an owner and every
-	// host is ready; settlePoll is how often that is looked at.
+	// settleTimeout limits the time until every shard has an owner and every host is
+	// ready; settleInterval is the time between two checks of that.
 	settleTimeout  = 15 * time.Second
 	settleInterval = 100 * time.Millisecond
-	// warmUpTime is load before the measurement.
+	// warmUpTime is how long load is applied before the measurement.
 	warmUpTime = 2 * time.Second
-	// slowMin and slowMax bound the calls of a slow store.
+	// slowMin and slowMax bound the time of each call to a slow store.
 	slowMin = 2 * time.Second
 	slowMax = 10 * time.Second
-	// stopTimeout bounds the planned stop of the targets.
+	// stopTimeout limits the graceful stop of the targets.
 	stopTimeout = 2 * time.Second
 )
 
-// Config is what a run needs.
+// Config configures a run.
 type Config struct {
 	Scenario Scenario
 	Preset   preset.Preset
 	Settings *settings.Settings
 	Hosts    []Host
-	// Platform is where the stand-in of the platform listens.
+	// Platform is the address for the fake platform to listen on.
 	Platform   netip.AddrPort
 	Supervisor *Supervisor
 	// Processes is the directory with the daemons' pid files, named
-	// <part>-<host>.pid.
+	// <process>-<host>.pid.
 	Processes string
 	Seed      uint64
 	Log       *slog.Logger
@@ -63,16 +63,16 @@
 	generator  *load.Generator
 	settings   *Convergence
 	drained    drainedTarget
-	chosenLead place.Host // the host that KillLead and PauseLead chose
+	chosenLead place.Host // host that KillLead or PauseLead chose
 }
 
-// drainedTarget is a target that was told to leave.
+// drainedTarget is the target that an operator drained, and when.
 type drainedTarget struct {
 	target *fake.Target
 	since  time.Time
 }
 
-// New returns a run.
+// New returns a run that is not started.
 func New(config Config) *Run {
 	r := &Run{Config: config, platform: fake.NewPlatform(), network: fake.NewNetwork()}
 	r.farm = fake.NewTargetSet(load.TargetGroups(config.Preset, config.Settings, config.Scenario.slowdown()), config.Preset.Zones)
@@ -87,11 +87,11 @@
 	return r
 }
 
-// Execute makes the run and returns its report.
+// Execute performs the run and returns its report.
 func (r *Run) Execute(ctx context.Context) (Report, error) {
 	listener, err := net.Listen("tcp", r.Platform.String())
 	if err != nil {
-		return Report{}, fmt.Errorf("bench: listen for the platform's stand-in: %w", err)
+		return Report{}, fmt.Errorf("bench: listen for the fake platform: %w", err)
 	}
 	server := &http.Server{Handler: platform.NewHandler(r.platform), ReadHeaderTimeout: time.Minute}
 	defer server.Close() //nolint:errcheck // the run is over
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// insertNetwork puts the network between the hosts, where the scenario wants one:
-// the platform's list then names the addresses in the network.
+// insertNetwork puts the fake network between the hosts, if the scenario needs it. The
+// platform's list then holds the addresses of the network.
 func (r *Run) insertNetwork() error {
 	if !r.Scenario.Network {
 		return nil
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// register fills the platform's list without its lag.
+// register adds targets and hosts to the platform's list without its usual lag.
 func (r *Run) register(now time.Time) {
 	r.platform.SetFleetLag(0)
 	r.farm.Register(now, r.platform)
@@ -154,8 +154,8 @@
 	r.platform.SetFleetLag(time.Second)
 }
 
-// runScenario starts the daemons, loads them, steps through the scenario and
-// stops them.
+// runScenario starts the daemons, measures the scenario's steps under load, and stops
+// the daemons.
 func (r *Run) runScenario(ctx context.Context) (Report, error) {
 	if err := r.Supervisor.StartAll(r.seeds()); err != nil {
 		return Report{}, err
@@ -179,7 +179,7 @@
 	return report, nil
 }
 
-// seeds returns the addresses that the daemons start from.
+// seeds returns the peer addresses that the daemons contact first.
 func (r *Run) seeds() []string {
 	const most = 6
 	seeds := make([]string, min(most, len(r.Hosts)))
@@ -210,7 +210,7 @@
 	}
 }
 
-// owned returns how many shards have an owner, and how many there are.
+// owned returns the number of shards with an owner and the number of all shards.
 func (r *Run) owned(now time.Time) (owned, shards int) {
 	for service, count := range r.plan.Shards {
 		owned += min(r.farm.Ledger.Owned(now, service), int(count))
@@ -226,7 +226,7 @@
 	return load.NewGenerator(r.plan, r.balancer, "w", r.Seed+1).Run(ctx)
 }
 
-// measure loads the deployment and steps through the scenario.
+// measure performs the scenario's steps under load.
 func (r *Run) measure(ctx context.Context) (Report, error) {
 	r.generator = load.NewGenerator(r.plan, r.balancer, "m", r.Seed)
 	before := r.snapshot()
@@ -251,7 +251,7 @@
 	return r.report(before, after, summary), nil
 }
 
-// runSteps takes the steps at their times.
+// runSteps performs the steps at their times.
 func (r *Run) runSteps(ctx context.Context) error {
 	start := time.Now()
 	for _, step := range r.Scenario.Steps {
@@ -270,7 +270,7 @@
 	return nil
 }
 
-// pidFile returns the file with the id of a process.
-func (r *Run) pidFile(host place.Host, part Process) string {
-	return filepath.Join(r.Processes, fmt.Sprintf("%s-%s.pid", part, host))
+// pidFile returns the path of a process's pid file.
+func (r *Run) pidFile(host place.Host, process Process) string {
+	return filepath.Join(r.Processes, fmt.Sprintf("%s-%s.pid", process, host))
 }
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -1,5 +1,5 @@
-// Package bench runs scenarios: a deployment of real processes under load,
-// with faults at fixed times, measured by what callers and targets saw.
+// Package bench runs scenarios: deployments of real processes under load, with faults at
+// fixed times, measured by what callers and targets see.
 package bench
 
 import (
@@ -9,106 +9,106 @@
 	"citrontray.example/citrontray/internal/load"
 )
 
-// Name names a scenario.
+// Name is the name of a scenario.
 type Name string
 
-// Idle is the scenario without load, for measuring slopes.
+// Idle is the scenario without load, for measuring how costs grow with size.
 const Idle Name = "idle"
 
-// Scenario is one run: the load goes on for Length, steps happen on the way.
+// Scenario is a load of the given Length with steps at fixed times.
 type Scenario struct {
 	Name        Name
 	Description string
 	Length      time.Duration
-	// Load is the part of the targets' capacity that the load takes.
+	// Load is the load as a fraction of the targets' capacity.
 	Load float64
-	// Slowdown makes each run at a target take longer, so that one machine
-	// can make more load than the targets have capacity; zero stands for 1.
+	// Slowdown multiplies the time of each run at a target, so that one machine can
+	// generate more load than the targets can serve; zero means 1.
 	Slowdown int
 	Hot      load.HotSet
-	// NoFailures tells that nothing fails: no request may be cut then.
+	// NoFailures is set if no step is a failure: then no request may be broken off.
 	NoFailures bool
-	// Network puts a network that can be cut between the hosts' peers.
+	// Network puts a fake network that can be partitioned between the hosts' peers.
 	Network bool
-	// Settings tells to measure when settings are in force.
+	// Settings enables the measurement of when settings come into force.
 	Settings bool
 	Steps    []Step
 }
 
 func (s Scenario) slowdown() int { return max(s.Slowdown, 1) }
 
-// Step is one action at a time after the start of the measurement.
+// Step is an action with its time after the start of the measurement.
 type Step struct {
 	At     time.Duration
 	Action Action
 }
 
-// Action is what happens in a step.
+// Action is the action of a step.
 type Action interface{ action() }
 
-// KillTarget ends the process of a target, by its number in the deployment.
+// KillTarget kills a target. Targets are numbered across the deployment.
 type KillTarget struct{ Target int }
 
-// RestartTarget starts a killed target again at the same address.
+// RestartTarget restarts a killed target at the same address.
 type RestartTarget struct{ Target int }
 
 // FreezeTarget pauses a target.
 type FreezeTarget struct{ Target int }
 
-// ThawTarget lets a frozen target go on as if nothing had happened.
+// ThawTarget resumes a frozen target, which does not notice the pause.
 type ThawTarget struct{ Target int }
 
-// Misbehave has a target cut, cross, truncate, swell and delay some answers.
+// Misbehave makes a target break off, mix up, truncate, oversize or delay some responses.
 type Misbehave struct{ Target int }
 
-// KillLead ends the lead process of the first target's cell without warning.
+// KillLead kills the lead process that leads the first target's cell.
 type KillLead struct{}
 
-// StartLead starts a killed lead process again.
+// StartLead restarts the killed lead process.
 type StartLead struct{}
 
-// PauseLead stops the lead process of the first target's cell.
+// PauseLead pauses the lead process that leads the first target's cell.
 type PauseLead struct{}
 
-// ResumeLead lets a paused lead process go on.
+// ResumeLead resumes the paused lead process.
 type ResumeLead struct{}
 
-// StoreDown takes the platform's service away.
+// StoreDown makes the platform's service unavailable.
 type StoreDown struct{}
 
 // StoreSlow makes each call of the platform's service take 2 to 10 s.
 type StoreSlow struct{}
 
-// StoreLosesAnswers loses the answers of 3 calls of 10 after they took effect.
+// StoreLosesAnswers loses the responses to 3 of 10 calls that took effect.
 type StoreLosesAnswers struct{}
 
 // StoreUp ends all faults of the platform's service.
 type StoreUp struct{}
 
-// CutZone cuts one zone, by its number, off from the platform.
+// CutZone isolates a zone, by its number, from the platform.
 type CutZone struct{ Zone int }
 
-// SplitZone cuts one zone, by its number, off from the platform and from the
-// peers of all other zones.
+// SplitZone isolates a zone, by its number, from the platform and from the peers in all
+// other zones.
 type SplitZone struct{ Zone int }
 
-// JoinZone ends a CutZone and a SplitZone.
+// JoinZone ends the effects of CutZone and SplitZone.
 type JoinZone struct{}
 
-// ReplaceHost stops both processes of a host, by its number, as planned, and
-// starts new ones.
+// ReplaceHost stops both processes of a host, by its number, gracefully and starts new
+// ones.
 type ReplaceHost struct{ Host int }
 
-// DrainTarget has an operator drain a target.
+// DrainTarget makes an operator drain a target.
 type DrainTarget struct{ Target int }
 
-// SetLoad changes the part of the capacity that the load takes.
+// SetLoad changes the load, as a fraction of the capacity.
 type SetLoad struct{ Load float64 }
 
 // SetHot changes the hot keys.
 type SetHot struct{ Hot load.HotSet }
 
-// RaceSettings has ten operators write the same settings at once.
+// RaceSettings makes ten operators write the same settings at once.
 type RaceSettings struct{}
 
 func (KillTarget) action()        {}
@@ -133,26 +133,26 @@
 func (SetHot) action()            {}
 func (RaceSettings) action()      {}
 
-// baseLoad is the part of the capacity that most scenarios load.
+// baseLoad is the load of most scenarios, as a fraction of the capacity.
 const baseLoad = 0.25
 
-// hotCount is how many keys are hot at a time, hotShare what they take.
+// hotCount is the number of keys that are hot at a time, hotShare their share of requests.
 const (
 	hotCount = 74
 	hotShare = 0.5
 )
 
-// hotSet returns the n-th hot set; no two have a key in common.
+// hotSet returns the n-th hot set. Hot sets are disjoint.
 func hotSet(n int) load.HotSet {
 	return load.HotSet{First: n * hotCount, Count: hotCount, Share: hotShare}
 }
 
-// All lists the scenarios.
+// All returns all scenarios.
 func All() []Scenario {
 	return slices.Concat(targetScenarios(), leadScenarios(), storeScenarios(), loadScenarios())
 }
 
-// Find returns a scenario by name.
+// Find returns the named scenario.
 func Find(name Name) (Scenario, bool) {
 	for _, s := range All() {
 		if s.Name == name {
@@ -165,12 +165,12 @@
 func targetScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name: "demo", Description: "a mixed load; one target is stopped half way",
+			Name: "demo", Description: "a mixed load; one target is killed half way",
 			Length: 8 * time.Second, Load: 0.1,
 			Steps: []Step{{4 * time.Second, KillTarget{0}}},
 		},
 		{
-			Name: Idle, Description: "no load: what control costs by itself",
+			Name: Idle, Description: "no load: the cost of the control plane alone",
 			Length: 10 * time.Second,
 		},
 		{
@@ -183,12 +183,12 @@
 			Steps: []Step{{4 * time.Second, KillTarget{0}}, {14 * time.Second, RestartTarget{0}}},
 		},
 		{
-			Name: "targetfreeze", Description: "one target is frozen for 10 s and goes on as if nothing had happened",
+			Name: "targetfreeze", Description: "one target is paused for 10 s and does not notice it",
 			Length: 20 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, FreezeTarget{0}}, {14 * time.Second, ThawTarget{0}}},
 		},
 		{
-			Name: "badanswers", Description: "one target cuts, crosses, truncates, swells and delays answers",
+			Name: "badanswers", Description: "one target breaks off, mixes up, truncates, oversizes and delays responses",
 			Length: 15 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, Misbehave{0}}},
 		},
@@ -208,7 +208,7 @@
 			Steps: []Step{{4 * time.Second, KillLead{}}, {14 * time.Second, StartLead{}}},
 		},
 		{
-			Name: "rackloss", Description: "the lead process of a cell and a target of it are killed at once",
+			Name: "rackloss", Description: "the lead process and a target of a cell are killed at once",
 			Length: 20 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, KillLead{}}, {4 * time.Second, KillTarget{0}}, {14 * time.Second, StartLead{}}},
 		},
@@ -236,12 +236,12 @@
 func storeScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name: "storeout", Description: "the platform's service is out for 12 s",
+			Name: "storeout", Description: "the platform's service is unavailable for 12 s",
 			Length: 22 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, StoreDown{}}, {16 * time.Second, StoreUp{}}},
 		},
 		{
-			Name: "storeouttargetloss", Description: "a target is killed while the platform's service is out",
+			Name: "storeouttargetloss", Description: "a target is killed while the platform's service is unavailable",
 			Length: 25 * time.Second, Load: baseLoad,
 			Steps: []Step{
 				{4 * time.Second, StoreDown{}},
@@ -250,7 +250,7 @@
 			},
 		},
 		{
-			Name: "storeoutleadloss", Description: "the lead process of a cell is killed while the platform's service is out",
+			Name: "storeoutleadloss", Description: "the lead process of a cell is killed while the platform's service is unavailable",
 			Length: 25 * time.Second, Load: baseLoad,
 			Steps: []Step{
 				{4 * time.Second, StoreDown{}},
@@ -264,7 +264,7 @@
 			Steps: []Step{{4 * time.Second, StoreSlow{}}, {18 * time.Second, StoreUp{}}},
 		},
 		{
-			Name: "storelost", Description: "the store loses 3 of 10 answers; a target and then a lead are killed",
+			Name: "storelost", Description: "the store loses 3 of 10 responses; a target and then a lead process are killed",
 			Length: 22 * time.Second, Load: baseLoad,
 			Steps: []Step{
 				{3 * time.Second, StoreLosesAnswers{}},
@@ -274,12 +274,12 @@
 			},
 		},
 		{
-			Name: "zonecut", Description: "one zone is cut off from the platform for 12 s",
+			Name: "zonecut", Description: "one zone is isolated from the platform for 12 s",
 			Length: 22 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, CutZone{2}}, {16 * time.Second, JoinZone{}}},
 		},
 		{
-			Name: "zonesplit", Description: "one zone is cut off from the platform and the other zones for 14 s and loses a target",
+			Name: "zonesplit", Description: "one zone is isolated from the platform and the other zones for 14 s and loses a target",
 			Length: 24 * time.Second, Load: baseLoad, Network: true,
 			Steps: []Step{
 				{3 * time.Second, SplitZone{0}},
@@ -307,7 +307,7 @@
 			Steps: []Step{{5 * time.Second, SetLoad{1.5}}, {15 * time.Second, SetLoad{baseLoad}}},
 		},
 		{
-			Name: "hotkeys", Description: "74 keys take half of the load; they change every 8 s",
+			Name: "hotkeys", Description: "74 keys take half of the load; other keys every 8 s",
 			Length: 32 * time.Second, Load: baseLoad, NoFailures: true, Hot: hotSet(0),
 			Steps: []Step{
 				{8 * time.Second, SetHot{hotSet(1)}},
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -15,17 +15,17 @@
 	"citrontray.example/citrontray/internal/logging"
 )
 
-// The files that the script hands over: requests go out on one, answers come
-// in on the other.
+// File descriptors that the script passes: the bench writes requests to one and reads
+// responses from the other.
 const (
 	requestsFile = 3
 	answersFile  = 4
 )
 
-// demoScenario is the one whose report ends in the demo's line.
+// demoScenario is the scenario whose report ends with Report.DemoLine.
 const demoScenario bench.Name = "demo"
 
-// benchCommand runs one scenario; a script starts the daemons for it.
+// benchCommand runs one scenario. A script starts the daemons.
 type benchCommand struct {
 	scenario, preset, hosts, platform, processes string
 
@@ -37,15 +37,15 @@
 func (*benchCommand) Name() string { return "bench" }
 
 // Synopsis implements subcommands.Command.
-func (*benchCommand) Synopsis() string { return "run one scenario and print its figures" }
+func (*benchCommand) Synopsis() string { return "run one scenario and print its measurements" }
 
 // Usage implements subcommands.Command.
 func (*benchCommand) Usage() string {
 	return `bench --scenario NAME --preset NAME --hosts FILE --platform IP:PORT --processes DIR
 
-Runs the stand-ins and the load of one scenario. A process of the system starts
-no other, so a script starts the daemons: scripts/bench.sh calls this command
-and does what it asks for, on file descriptors 3 (requests) and 4 (answers).
+Runs the fakes and the load of one scenario. A process of the system starts no
+other, so a script starts the daemons: scripts/bench.sh runs this command and
+carries out its requests, over file descriptors 3 (requests) and 4 (responses).
 Use: make bench SCENARIO=steady PRESET=agency
 `
 }
@@ -55,10 +55,10 @@
 	f.StringVar(&c.scenario, "scenario", "steady", "scenario; see citrontray-lab scenarios")
 	f.StringVar(&c.preset, "preset", "agency", "preset, agency or consortium")
 	f.StringVar(&c.hosts, "hosts", "", "file with the entry hosts and their addresses")
-	f.StringVar(&c.platform, "platform", "", "address for the stand-in of the platform, IP:PORT")
+	f.StringVar(&c.platform, "platform", "", "address for the fake platform, IP:PORT")
 	f.StringVar(&c.processes, "processes", "", "directory with the pid files of the daemons")
-	f.Float64Var(&c.load, "load", 0, "part of the targets' capacity to load, in place of the scenario's")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of the load")
+	f.Float64Var(&c.load, "load", 0, "load as a fraction of the targets' capacity, instead of the scenario's")
+	f.Uint64Var(&c.seed, "seed", 1, "random seed of the load")
 }
 
 // Execute implements subcommands.Command.
@@ -82,13 +82,12 @@
 	return o.exit(nil)
 }
 
-// config reads the flags and the files that they name. All findings come
-// together.
+// config reads the flags and the files that they name. It reports all findings together.
 func (c *benchCommand) config(o output) (bench.Config, error) {
 	var findings finding.List
 	scenario, ok := bench.Find(bench.Name(c.scenario))
 	if !ok {
-		findings.Add("--scenario", fmt.Sprintf("there is no scenario %q", c.scenario), "see citrontray-lab scenarios")
+		findings.Add("--scenario", fmt.Sprintf("unknown scenario %q", c.scenario), "see citrontray-lab scenarios")
 	}
 	if c.load > 0 {
 		scenario.Load = c.load
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -15,10 +15,10 @@
 	"citrontray.example/citrontray/internal/load"
 )
 
-// readyTimeout bounds the wait for the first entry host to be ready.
+// readyTimeout limits the wait until all entry hosts are ready.
 const readyTimeout = 15 * time.Second
 
-// loadCommand loads a running deployment.
+// loadCommand generates load on a running deployment.
 type loadCommand struct {
 	hosts, targets, preset string
 
@@ -31,7 +31,9 @@
 func (*loadCommand) Name() string { return "load" }
 
 // Synopsis implements subcommands.Command.
-func (*loadCommand) Synopsis() string { return "load a running deployment and check each answer" }
+func (*loadCommand) Synopsis() string {
+	return "generate load on a running deployment and check each response"
+}
 
 // Usage implements subcommands.Command.
 func (*loadCommand) Usage() string {
@@ -43,9 +45,9 @@
 	f.StringVar(&c.hosts, "hosts", "", "file with the entry hosts; see scripts/cluster.sh")
 	f.StringVar(&c.targets, "targets", "127.0.0.1:9710", "admin address of the targets")
 	f.StringVar(&c.preset, "preset", "agency", "preset, agency or consortium")
-	f.Float64Var(&c.fraction, "part", 0.25, "part of the targets' capacity to load")
-	f.DurationVar(&c.length, "length", 10*time.Second, "length of the load")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of the load")
+	f.Float64Var(&c.fraction, "part", 0.25, "load as a fraction of the targets' capacity")
+	f.DurationVar(&c.length, "length", 10*time.Second, "duration of the load")
+	f.Uint64Var(&c.seed, "seed", 1, "random seed of the load")
 }
 
 // Execute implements subcommands.Command.
@@ -105,14 +107,14 @@
 	return nil
 }
 
-// checkCommand says whether the invariants held at the targets.
+// checkCommand reports whether the invariants held at the targets.
 type checkCommand struct{ targets string }
 
 // Name implements subcommands.Command.
 func (*checkCommand) Name() string { return "check" }
 
 // Synopsis implements subcommands.Command.
-func (*checkCommand) Synopsis() string { return "say whether every invariant held at the targets" }
+func (*checkCommand) Synopsis() string { return "report whether all invariants held at the targets" }
 
 // Usage implements subcommands.Command.
 func (*checkCommand) Usage() string { return "check --targets IP:PORT\n" }
--- a/internal/lab/main.go
+++ b/internal/lab/main.go
@@ -1,4 +1,4 @@
-// Package lab is the command line of citrontray-lab.
+// Package lab implements the command line of citrontray-lab.
 package lab
 
 import (
@@ -18,15 +18,15 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// errInvariant is returned where a run went through and an invariant did not hold.
-var errInvariant = errors.New("an invariant did not hold")
+// errInvariant is returned if a run completed but violated an invariant.
+var errInvariant = errors.New("an invariant was violated")
 
-// Main runs the program and returns its exit code: 0 where all was well, 1
-// where a run failed or an invariant did not hold, 2 for bad input.
+// Main runs the program and returns its exit code: 0 on success, 1 if a run failed or
+// violated an invariant, 2 for invalid input.
 func Main(args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("citrontray-lab", flag.ContinueOnError)
 	flags.SetOutput(errOut)
-	showVersion := flags.Bool("version", false, "print the version and end")
+	showVersion := flags.Bool("version", false, "print the version and exit")
 	commander := subcommands.NewCommander(flags, "citrontray-lab")
 	commander.Output, commander.Error = out, errOut
 	for _, c := range []subcommands.Command{
@@ -52,10 +52,10 @@
 	return int(commander.Execute(ctx, output{out: out, errOut: errOut}))
 }
 
-// output is where a command writes.
+// output holds the streams that a command writes to.
 type output struct{ out, errOut io.Writer }
 
-// outputOf returns the output among the arguments of a command.
+// outputOf returns the output that Main passed to a command.
 func outputOf(args []any) output {
 	if len(args) > 0 {
 		if o, ok := args[0].(output); ok {
@@ -65,7 +65,7 @@
 	return output{out: os.Stdout, errOut: os.Stderr}
 }
 
-// exit prints an error and turns it into an exit code.
+// exit prints the error, if any, and returns the exit status for it.
 func (o output) exit(err error) subcommands.ExitStatus {
 	var findings *finding.Error
 	switch {
--- a/internal/lab/preset.go
+++ b/internal/lab/preset.go
@@ -16,14 +16,14 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// maxPorts bounds the free ports that one call finds, portTries how many are
-// tried.
+// maxPorts bounds the free ports that one call returns, portAttempts the ports that it
+// tries.
 const (
 	maxPorts     = 1000
 	portAttempts = 10 * maxPorts
 )
 
-// Ports are taken from firstPort up to lastPort.
+// Ports are chosen from firstPort to lastPort-1.
 const (
 	firstPort = 10000
 	lastPort  = 32000
@@ -60,8 +60,8 @@
 	return o.exit(err)
 }
 
-// readPreset returns a preset, or a sized deployment, and its settings; what is
-// wrong with the name is a finding.
+// readPreset returns the preset or sized deployment of that name, with its settings. An
+// invalid name is a finding.
 func readPreset(findings *finding.List, name string) (preset.Preset, *settings.Settings) {
 	p, ok := sizedPreset(name)
 	if !ok {
@@ -110,10 +110,9 @@
 	return o.exit(nil)
 }
 
-// freePorts finds ports that are free for TCP and UDP, below the range from
-// which the system takes ports for outgoing connections: one of those may be
-// taken again before its daemon listens. All are held until the last one is
-// found, so that none comes twice.
+// freePorts returns ports that are free for TCP and UDP. They are below the system's
+// range for outgoing connections, which could take a port before its daemon listens. All
+// ports are held open until the last one is found, so that they differ.
 func freePorts(count int) ([]int, error) {
 	var ports []int
 	for range portAttempts {
@@ -126,15 +125,15 @@
 		if err != nil {
 			continue
 		}
-		defer listener.Close() //nolint:errcheck // only held
+		defer listener.Close() //nolint:errcheck // only reserves the port
 		packets, err := net.ListenPacket("udp", addr)
 		if err != nil {
 			continue
 		}
-		defer packets.Close() //nolint:errcheck // only held
+		defer packets.Close() //nolint:errcheck // only reserves the port
 		ports = append(ports, port)
 	}
-	return nil, fmt.Errorf("lab: %d of %d free ports found", len(ports), count)
+	return nil, fmt.Errorf("lab: found only %d of %d free ports", len(ports), count)
 }
 
 // scenariosCommand lists the scenarios of the bench.
--- a/internal/lab/sized.go
+++ b/internal/lab/sized.go
@@ -9,14 +9,14 @@
 	"citrontray.example/citrontray/internal/preset"
 )
 
-// The bounds of a sized deployment.
+// Limits of sized deployments.
 const (
 	maxServices = 64
 	maxTargets  = 1000
 )
 
-// sizedPreset returns a deployment of a size for measuring slopes. Its name is
-// SERVICESxTARGETSxSHARDS, each service with that many targets and shards.
+// sizedPreset returns a generated deployment, for measuring how costs grow with size. Its
+// name is SERVICESxTARGETSxSHARDS; targets and shards are per service.
 func sizedPreset(name string) (preset.Preset, bool) {
 	var services, targets, shards int
 	n, err := fmt.Sscanf(name, "%dx%dx%d", &services, &targets, &shards)
@@ -39,7 +39,8 @@
 	return p, true
 }
 
-// sizedServiceFile is the settings of one service: its name, its shards.
+// sizedServiceFile is the settings file of one service, with its name and shards as %s
+// and %d.
 const sizedServiceFile = `teams/sized/services/%s:
   zones: [region-a, region-b, region-c]
   shards: %d
--- a/internal/lab/standin.go
+++ b/internal/lab/standin.go
@@ -27,27 +27,27 @@
 	closeTimeout  = 2 * time.Second
 )
 
-// adminPrefix starts the paths of the admin pages.
+// adminPrefix is the path prefix of the admin endpoints.
 const adminPrefix = "/lab/"
 
-// platformCommand runs the stand-in of the platform.
+// platformCommand runs the fake platform.
 type platformCommand struct{ address, hosts string }
 
 // Name implements subcommands.Command.
 func (*platformCommand) Name() string { return "platform" }
 
 // Synopsis implements subcommands.Command.
-func (*platformCommand) Synopsis() string { return "run the stand-in of the platform's service" }
+func (*platformCommand) Synopsis() string { return "run the fake of the platform's service" }
 
 // Usage implements subcommands.Command.
 func (*platformCommand) Usage() string {
-	return "platform --address IP:PORT [--hosts FILE]\n\nThe admin pages are below /lab/ at the same address.\n"
+	return "platform --address IP:PORT [--hosts FILE]\n\nThe admin endpoints are below /lab/ at the same address.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (c *platformCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.address, "address", "127.0.0.1:9700", "address to listen on")
-	f.StringVar(&c.hosts, "hosts", "", "file with the entry hosts for the list; see scripts/cluster.sh")
+	f.StringVar(&c.hosts, "hosts", "", "file with the entry hosts for the platform's list; see scripts/cluster.sh")
 }
 
 // Execute implements subcommands.Command.
@@ -79,24 +79,24 @@
 	})))
 }
 
-// targetsCommand runs the targets of a preset.
+// targetsCommand runs the fake targets of a preset.
 type targetsCommand struct{ address, platform, preset string }
 
 // Name implements subcommands.Command.
 func (*targetsCommand) Name() string { return "targets" }
 
 // Synopsis implements subcommands.Command.
-func (*targetsCommand) Synopsis() string { return "run stand-ins of all targets of a preset" }
+func (*targetsCommand) Synopsis() string { return "run fakes of all targets of a preset" }
 
 // Usage implements subcommands.Command.
 func (*targetsCommand) Usage() string {
-	return "targets --address IP:PORT --platform IP:PORT --preset NAME\n\nThe address serves the admin pages; each target has a port of its own.\n"
+	return "targets --address IP:PORT --platform IP:PORT --preset NAME\n\nThe address serves the admin endpoints; each target has its own port.\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (c *targetsCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.address, "address", "127.0.0.1:9710", "address of the admin pages")
-	f.StringVar(&c.platform, "platform", "127.0.0.1:9700", "address of the platform's stand-in")
+	f.StringVar(&c.address, "address", "127.0.0.1:9710", "address of the admin endpoints")
+	f.StringVar(&c.platform, "platform", "127.0.0.1:9700", "address of the fake platform")
 	f.StringVar(&c.preset, "preset", "agency", "preset, agency or consortium")
 }
 
@@ -131,7 +131,7 @@
 	return err
 }
 
-// parseAddress parses the value of a flag.
+// parseAddress parses the value of the named flag.
 func parseAddress(findings *finding.List, name, value string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return addr
 }
 
-// serve serves until ctx ends.
+// serve serves until ctx is done.
 func serve(ctx context.Context, addr netip.AddrPort, handler http.Handler) error {
 	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -15,15 +15,15 @@
 	readyTimeout  = time.Second
 )
 
-// EntryHost is one entry host as the balancer knows it.
+// EntryHost holds the addresses of an entry host.
 type EntryHost struct {
-	// Callers is where requests go, Admin where readiness is asked.
+	// Callers is the address for requests, Admin the one for readiness checks.
 	Callers netip.AddrPort
 	Admin   netip.AddrPort
 }
 
-// Balancer stands in for the platform's balancer: it hands out the entry
-// hosts that say they are ready, in turn. Safe for concurrent use.
+// Balancer is a fake of the platform's load balancer: it selects ready entry hosts round
+// robin. It is safe for concurrent use.
 type Balancer struct {
 	client *http.Client
 	next   atomic.Uint64
@@ -33,12 +33,12 @@
 	ready []netip.AddrPort
 }
 
-// NewBalancer returns a balancer that knows no host to be ready yet.
+// NewBalancer returns a balancer that considers no host ready yet.
 func NewBalancer(hosts []EntryHost) *Balancer {
 	return &Balancer{hosts: hosts, client: &http.Client{Timeout: readyTimeout}}
 }
 
-// Run asks for readiness until ctx ends.
+// Run checks the hosts' readiness until ctx is done.
 func (b *Balancer) Run(ctx context.Context) error {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
@@ -52,7 +52,7 @@
 	}
 }
 
-// Refresh asks every host once and returns the number of ready ones.
+// Refresh checks every host once and returns the number of ready ones.
 func (b *Balancer) Refresh(ctx context.Context) int {
 	b.mu.Lock()
 	hosts := b.hosts
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -15,18 +15,18 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// maxResponseBytes bounds an answer that a caller reads.
+// maxResponseBytes bounds the body of a response that a caller reads.
 const maxResponseBytes = 32 << 20
 
-// dialAttempts is how many entry hosts the balancer tries for one request, as
-// long as nothing of it was sent.
+// dialAttempts is the number of entry hosts tried for one request while none of it has
+// been sent.
 const dialAttempts = 3
 
-// responseGrace is how long a caller waits past the route's timeout.
+// responseGrace is how long a caller waits for the response after the route's timeout.
 const responseGrace = 3 * time.Second
 
-// What a caller sees of the system, as docs/outcomes.md promises it. The load
-// stands outside and shares no code with the data path.
+// The interface to callers, as docs/outcomes.md specifies it. The load generator shares no
+// code with the data path, so that it checks it independently.
 const (
 	headerOutcome  = "Citrontray-Outcome"
 	headerReason   = "Citrontray-Reason"
@@ -35,48 +35,48 @@
 	outcomeUnknown = "unknown"
 )
 
-// The reasons of refusals that are for load, not for want of an owner.
+// Reasons of requests that were refused because of load, not for lack of an owner.
 const (
 	reasonOverload = "overload"
 	reasonLimited  = "limited"
 )
 
-// errResent ends a look-up whose connection was cut: net/http would send it
-// again by itself. An answer not-run to the second copy then says nothing of
-// the first, which may have run.
-var errResent = errors.New("load: connection cut before the answer")
+// errResent ends a lookup whose connection broke off, since net/http would resend it by
+// itself. A response not-run to the second copy would say nothing about the first, which
+// may have run.
+var errResent = errors.New("load: connection broke off before the response")
 
 // endState is how a call ended for its caller.
 type endState uint8
 
 const (
-	endDone    endState = iota // the whole answer to its own request
+	endDone    endState = iota // complete response to this request
 	endNotRun                  // refused, certainly not run
-	endUnknown                 // told that it may have run
-	endLost                    // no answer, or one without an outcome
-	endWrong                   // an answer cut or another's
+	endUnknown                 // reported as possibly run
+	endLost                    // no response, or one without an outcome
+	endWrong                   // incomplete response, or one to another request
 )
 
-// call is one request of a caller.
+// call is a request of a caller.
 type call struct {
 	stream    *Stream
 	key       string
 	operation string
 	payload   []byte
 	due       time.Time
-	// probe tells that the call only looks whether its shard is served.
+	// probe is set if the call only checks whether its shard is served.
 	probe bool
 }
 
-// callResult is what a call came to.
+// callResult is the result of a call.
 type callResult struct {
 	state  endState
 	reason string
 	status int
-	err    error // of the connection
+	err    error // connection error
 }
 
-// caller makes calls through a balancer.
+// caller sends calls through a balancer.
 type caller struct {
 	client   *http.Client
 	balancer *Balancer
@@ -91,8 +91,8 @@
 	}}
 }
 
-// do sends the call to a ready entry host. It goes to a second one only
-// where nothing was sent to the first.
+// do sends the call to a ready entry host. It tries another host only if nothing was sent
+// to the previous one.
 func (c *caller) do(ctx context.Context, call call) callResult {
 	ctx, cancel := context.WithTimeout(ctx, call.stream.Timeout+responseGrace)
 	defer cancel()
@@ -109,7 +109,7 @@
 	return callResult{state: endLost, reason: "no entry host"}
 }
 
-// send makes one try; sent is false where not one byte went out.
+// send makes one attempt; sent is false if nothing was sent.
 func (c *caller) send(ctx context.Context, addr netip.AddrPort, call call) (end callResult, sent bool) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -138,8 +138,8 @@
 	return call.checkResponse(response, body), true
 }
 
-// request builds the call's request. The body can't be read twice, so that
-// the HTTP client never resends it by itself.
+// request builds the HTTP request. Its body cannot be read twice, so that the HTTP client
+// does not resend it by itself.
 func (c call) request(ctx context.Context, addr netip.AddrPort) (*http.Request, error) {
 	url := "http://" + addr.String() + c.uri()
 	var body io.Reader
@@ -160,7 +160,7 @@
 
 func (c call) uri() string { return c.stream.uri(c.key, c.operation) }
 
-// checkResponse checks an answer against its call.
+// checkResponse checks a response against its call.
 func (c call) checkResponse(response *http.Response, body []byte) callResult {
 	end := callResult{
 		reason: response.Header.Get(headerReason),
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -14,21 +14,21 @@
 
 const (
 	arrivalTick = time.Millisecond
-	// maxInFlight bounds the calls in flight; beyond it arrivals are dropped and
+	// maxInFlight bounds the calls in flight. Arrivals beyond it are dropped and
 	// counted.
 	maxInFlight  = 8000
 	payloadBytes = 64
-	// probeInterval is how often a shard that is not served is asked again,
-	// so that the end of its outage is seen; probeTries bounds that.
+	// probeInterval is the time between probes of a shard that is not served, which
+	// detect the end of its outage; maxProbes bounds their number.
 	probeInterval = 200 * time.Millisecond
 	maxProbes     = 150
-	// maxProbedShards bounds the shards that are probed at a time, so that probes
-	// add little to an overload.
+	// maxProbedShards bounds the shards that are probed at a time, so that probes add
+	// little load during an overload.
 	maxProbedShards = 64
 )
 
-// Generator makes the load of a plan at random times, whether or not earlier
-// calls have ended.
+// Generator generates the open-loop load of a plan: calls start at random times, whether
+// or not earlier calls have ended.
 type Generator struct {
 	plan   Plan
 	caller *caller
@@ -45,8 +45,8 @@
 	calls      sync.WaitGroup
 }
 
-// NewGenerator returns a generator. Prefix starts the id of each operation; a
-// run and its seed make the same calls each time.
+// NewGenerator returns a generator. Operation IDs start with prefix. The seed determines
+// the random choices.
 func NewGenerator(plan Plan, balancer *Balancer, prefix string, seed uint64) *Generator {
 	return &Generator{
 		plan:    plan,
@@ -67,14 +67,14 @@
 	g.hot = hot
 }
 
-// SetFactor multiplies the plan's rate.
+// SetFactor sets the factor that multiplies the plan's rate.
 func (g *Generator) SetFactor(factor float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.factor = factor
 }
 
-// Run makes calls until ctx ends, then waits for those in flight.
+// Run starts calls until ctx is done, then waits for those in flight.
 func (g *Generator) Run(ctx context.Context) error {
 	ticker := time.NewTicker(arrivalTick)
 	defer ticker.Stop()
@@ -91,10 +91,10 @@
 	}
 }
 
-// Result returns the record of all calls.
+// Result returns the results of all calls.
 func (g *Generator) Result() *Result { return g.result }
 
-// startDue starts the calls that fell due in the time since the last tick.
+// startDue starts the calls that became due since the last tick.
 func (g *Generator) startDue(ctx context.Context, now time.Time, since time.Duration) {
 	g.mu.Lock()
 	hot, factor := g.hot, g.factor
@@ -111,7 +111,7 @@
 	}
 }
 
-// newCall makes up one call.
+// newCall returns a random call.
 func (g *Generator) newCall(hot HotSet, due time.Time) call {
 	stream := g.plan.randomStream(g.random)
 	c := call{
@@ -129,13 +129,13 @@
 	return c
 }
 
-// newOperation returns a new id.
+// newOperation returns a new operation ID.
 func (g *Generator) newOperation() string {
 	return g.prefix + strconv.FormatUint(g.operations.Add(1), 36)
 }
 
-// run makes one call and records its end. Where the shard was not served it
-// is probed until it is, or ctx ends.
+// run makes one call and records its result. If its shard was not served, it probes the
+// shard until it is served or ctx is done.
 func (g *Generator) run(ctx context.Context, c call) {
 	defer g.inFlight.Add(-1)
 	end := g.caller.do(context.Background(), c)
@@ -147,14 +147,14 @@
 	}
 }
 
-// probe asks for the same key with operations of its own until one is done. It
-// does not wait for one probe before the next: one may hang on a frozen target.
+// probe sends calls for the same key until one is done. It starts them without waiting for
+// earlier ones, as a probe can hang on a frozen target.
 func (g *Generator) probe(ctx context.Context, c call, at shardID) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	var served atomic.Bool
 	for range maxProbes {
-		next := c // each probe is a call of its own
+		next := c // each probe is a separate call
 		select {
 		case now := <-ticker.C:
 			next.operation, next.due, next.probe = g.newOperation(), now, true
@@ -168,7 +168,7 @@
 	}
 }
 
-// runProbe makes one probe and tells whether the shard was served.
+// runProbe makes one probe and sets served if it is done.
 func (g *Generator) runProbe(c call, at shardID, served *atomic.Bool) {
 	end := g.caller.do(context.Background(), c)
 	g.result.record(c, at.shard, end, time.Now())
@@ -182,7 +182,7 @@
 	return shardID{service: service, shard: key.HashOf(c.key).Shard(g.plan.Shards[service])}
 }
 
-// startProbe reports whether the shard is to be probed and no other call does.
+// startProbe reserves the shard for probing and reports whether the caller may probe it.
 func (g *Generator) startProbe(at shardID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -201,7 +201,7 @@
 
 // poisson returns a Poisson-distributed number with the given mean.
 func poisson(r *rand.Rand, mean float64) int {
-	if mean > 500 { // a normal approximation; exp(-mean) would be too small
+	if mean > 500 { // normal approximation, as exp(-mean) would be too small
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*r.NormFloat64())))
 	}
 	limit, product, n := math.Exp(-mean), r.Float64(), 0
--- a/internal/load/generator_test.go
+++ b/internal/load/generator_test.go
@@ -18,7 +18,7 @@
 	"citrontray.example/citrontray/internal/preset"
 )
 
-// fakeEntry answers as an entry host would, in the way that a test wants.
+// fakeEntry responds like an entry host, as its respond function decides.
 type fakeEntry struct {
 	mu      sync.Mutex
 	runs    map[string]uint32
@@ -65,7 +65,7 @@
 		"done without a run": {func(w http.ResponseWriter, uri string, payload []byte, _ func()) {
 			writeDone(w, uri, payload)
 		}, func(s load.Summary) bool { return s.FalseDone == s.Requests }},
-		"another's answer": {func(w http.ResponseWriter, _ string, payload []byte, run func()) {
+		"another request's response": {func(w http.ResponseWriter, _ string, payload []byte, run func()) {
 			run()
 			writeDone(w, "/balance/other", payload)
 		}, func(s load.Summary) bool { return s.Wrong == s.Requests }},
@@ -73,7 +73,7 @@
 			w.Header().Set("Citrontray-Outcome", "not-run")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, func(s load.Summary) bool { return s.NotRun == s.Requests && s.FalseNotRun == 0 }},
-		"not run, yet it ran": {func(w http.ResponseWriter, _ string, _ []byte, run func()) {
+		"not run, but it ran": {func(w http.ResponseWriter, _ string, _ []byte, run func()) {
 			run()
 			w.Header().Set("Citrontray-Outcome", "not-run")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -85,7 +85,7 @@
 		"no outcome": {func(w http.ResponseWriter, _ string, _ []byte, _ func()) {
 			w.WriteHeader(http.StatusBadGateway)
 		}, func(s load.Summary) bool { return s.Lost == s.Requests }},
-		"connection cut": {func(http.ResponseWriter, string, []byte, func()) {
+		"connection broken off": {func(http.ResponseWriter, string, []byte, func()) {
 			panic(http.ErrAbortHandler)
 		}, func(s load.Summary) bool { return s.Lost == s.Requests }},
 	}
@@ -108,9 +108,9 @@
 	}
 }
 
-// Probes that shared one call sent the same operation twice: the first was
-// refused, the second ran, and the refusal was counted as false. Without the
-// race detector this shows on a starved machine only.
+// TestProbesAreSeparateCalls guards against probes that share one operation ID: the first
+// was refused, the second ran, and the refusal was counted as false. Without the race
+// detector this only shows on a machine short of CPU.
 func TestProbesAreSeparateCalls(t *testing.T) {
 	entry := &fakeEntry{runs: make(map[string]uint32)}
 	entry.respond = func(w http.ResponseWriter, _ string, _ []byte, run func()) {
@@ -132,8 +132,8 @@
 	}
 }
 
-// runUntil runs the generator until so many calls have ended, however long a
-// busy machine takes for it.
+// runUntil runs the generator until the given number of calls has ended, without a
+// timeout, as a busy machine may take long.
 func runUntil(t *testing.T, g *load.Generator, requests uint64) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -146,13 +146,13 @@
 	assert.NilError(t, <-ended)
 }
 
-func agencyPlan(t *testing.T, part float64) load.Plan {
+func agencyPlan(t *testing.T, fraction float64) load.Plan {
 	t.Helper()
 	p, err := preset.Get(preset.Agency)
 	assert.NilError(t, err)
 	s, err := p.Settings()
 	assert.NilError(t, err)
-	return load.NewPlan(p, s, part, 1)
+	return load.NewPlan(p, s, fraction, 1)
 }
 
 func TestPlanCoversThePresets(t *testing.T) {
--- a/internal/load/outage.go
+++ b/internal/load/outage.go
@@ -8,19 +8,19 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// slowResponse is the latency from which an answer counts as unavailable time:
-// the request waited for an owner.
+// slowResponse is the latency from which a response counts as unavailability: the request
+// waited for an owner.
 const slowResponse = 500 * time.Millisecond
 
-// shardID names a shard of a service.
+// shardID identifies a shard of a service.
 type shardID struct {
 	service key.Service
 	shard   key.Shard
 }
 
-// Outages measures for how long each shard was not served: from the sending
-// of the first request that failed or waited, until one was served that was
-// sent later or had waited itself.
+// Outages measures how long each shard was not served. An outage lasts from the sending of
+// the first request that failed or was slow, until the response to a request that was sent
+// at that time or later.
 type Outages struct {
 	open map[shardID]time.Time
 	sum  map[shardID]time.Duration
@@ -36,7 +36,7 @@
 	}
 }
 
-// Failed records a request that was sent at sent and not served.
+// Failed records a request sent at the given time that was not served.
 func (o *Outages) Failed(service key.Service, shard key.Shard, sent time.Time) {
 	at := shardID{service: service, shard: shard}
 	if start, ok := o.open[at]; !ok || sent.Before(start) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Served records a request that was sent at sent and answered at now.
+// Served records a request sent at sent and served at now.
 func (o *Outages) Served(service key.Service, shard key.Shard, sent, now time.Time) {
 	at := shardID{service: service, shard: shard}
 	if now.Sub(sent) >= slowResponse {
@@ -58,7 +58,7 @@
 	o.add(at, now.Sub(start))
 }
 
-// Finish counts what is not served at now, the end of the measurement.
+// Finish ends the measurement at now and counts the outages that are not over.
 func (o *Outages) Finish(now time.Time) {
 	for at, start := range o.open {
 		o.add(at, now.Sub(start))
@@ -71,8 +71,8 @@
 	o.max[at] = max(o.max[at], d)
 }
 
-// Totals returns the sum over all shards, the longest outage of any shard and
-// the number of shards with one.
+// Totals returns the sum of all outages, the longest one and the number of shards that
+// had any.
 func (o *Outages) Totals() (sum, longest time.Duration, shards int) {
 	for _, d := range o.sum {
 		sum += d
@@ -83,7 +83,7 @@
 	return sum, longest, len(o.sum)
 }
 
-// Worst returns the services and shards with the longest outages.
+// Worst returns the n shards with the longest outages.
 func (o *Outages) Worst(n int) []Outage {
 	out := make([]Outage, 0, len(o.max))
 	for at, d := range o.max {
@@ -95,7 +95,7 @@
 	return out[:min(n, len(out))]
 }
 
-// Outage is the longest outage of one shard.
+// Outage is the longest outage of a shard.
 type Outage struct {
 	Service key.Service
 	Shard   key.Shard
--- a/internal/load/outage_test.go
+++ b/internal/load/outage_test.go
@@ -26,12 +26,12 @@
 			o.Failed("balance", 1, at(400))
 			o.Served("balance", 1, at(900), at(1000))
 		}, sum: time.Second, longest: time.Second, shards: 1},
-		"an answer to an earlier request ends nothing": {record: func(o *load.Outages) {
+		"a response to an earlier request does not end it": {record: func(o *load.Outages) {
 			o.Failed("balance", 1, at(100))
 			o.Served("balance", 1, at(90), at(110))
 			o.Finish(at(600))
 		}, sum: 500 * time.Millisecond, longest: 500 * time.Millisecond, shards: 1},
-		"a request that waited counts": {record: func(o *load.Outages) {
+		"a slow request counts": {record: func(o *load.Outages) {
 			o.Served("balance", 1, at(0), at(3000))
 		}, sum: 3 * time.Second, longest: 3 * time.Second, shards: 1},
 		"two shards, two outages of one": {record: func(o *load.Outages) {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,5 +1,5 @@
-// Package load makes open-loop load as a deployment's callers would, and
-// checks each answer: whole, its own, and true about what ran.
+// Package load generates the open-loop load of a deployment's callers and checks that each
+// response is complete, belongs to its request and is true about what ran.
 package load
 
 import (
@@ -15,23 +15,23 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// keyParameter stands for the key in a route's path.
+// keyParameter is the placeholder of the key in a route's path.
 const keyParameter = "{key}"
 
-// defaultKeys is the number of keys of one service.
+// defaultKeys is the number of keys per stream.
 const defaultKeys = 5000
 
-// Mean times of one run on a target, by class.
+// Mean times of a run at a target, by class.
 const (
 	interactiveWork = 10 * time.Millisecond
 	registeringWork = 15 * time.Millisecond
 	bulkWork        = 20 * time.Millisecond
 )
 
-// connectCost is what a new connection to a target costs.
+// connectCost is the time that a target takes for a new connection.
 const connectCost = time.Millisecond
 
-// coldTime is how long a restarted target works slowly.
+// coldTime is how long a restarted target is slow.
 const coldTime = 2 * time.Second
 
 // Stream is the load of one caller on one route.
@@ -41,7 +41,7 @@
 	Caller     settings.Caller
 	Credential string
 	Method     string
-	Path       string // with keyParameter
+	Path       string // contains keyParameter
 	Prefix     string
 	Idempotent bool
 	Timeout    time.Duration
@@ -49,25 +49,25 @@
 	PerSecond float64
 }
 
-// Plan is the load of a whole deployment.
+// Plan is the load of a deployment.
 type Plan struct {
 	Streams []Stream
 	Shards  map[key.Service]key.ShardCount
-	// Keys is the number of keys of each service and stream.
+	// Keys is the number of keys per stream.
 	Keys int
-	// Hot is a set of keys that takes a part of the load.
+	// Hot is the set of hot keys.
 	Hot HotSet
 }
 
-// HotSet is a set of hot keys: the keys numbered from First on, Count of them,
-// take Share (0 to 1) of the requests.
+// HotSet is a set of hot keys: Count keys, numbered from First, that get a Share (0 to 1)
+// of the requests.
 type HotSet struct {
 	First, Count int
 	Share        float64
 }
 
-// TargetGroups returns the targets of a preset at today's sizes. One run takes
-// slowdown times as long as usual.
+// TargetGroups returns the targets of a preset at their present sizes. slowdown multiplies
+// the time of a run.
 func TargetGroups(p preset.Preset, s *settings.Settings, slowdown int) []fake.TargetGroup {
 	groups := make([]fake.TargetGroup, 0, len(p.Services))
 	for _, service := range p.Services {
@@ -88,20 +88,20 @@
 	return groups
 }
 
-// NewPlan returns the load that takes part (0 to 1 and above) of the capacity
-// of each service of the preset, with the slowdown that Groups was given.
-func NewPlan(p preset.Preset, s *settings.Settings, part float64, slowdown int) Plan {
+// NewPlan returns a load that is a fraction (0 to 1 and above) of the capacity of each
+// service, with the same slowdown as for TargetGroups.
+func NewPlan(p preset.Preset, s *settings.Settings, fraction float64, slowdown int) Plan {
 	plan := Plan{Keys: defaultKeys, Shards: make(map[key.Service]key.ShardCount)}
 	for _, service := range p.Services {
 		row, _ := s.Service(service.Name)
 		plan.Shards[service.Name] = row.Shards
 		capacity := float64(service.Targets*row.Slots) / meanWork(s, service.Name).Seconds()
-		plan.add(s, service.Name, capacity*part/float64(slowdown))
+		plan.add(s, service.Name, capacity*fraction/float64(slowdown))
 	}
 	return plan
 }
 
-// add spreads a rate evenly over the callers of the service's routes.
+// add distributes a rate evenly over the callers of the service's routes.
 func (p *Plan) add(s *settings.Settings, service key.Service, perSecond float64) {
 	first := len(p.Streams)
 	for _, route := range s.Routes {
@@ -127,7 +127,7 @@
 	}
 }
 
-// PerSecond returns the mean rate of all streams.
+// PerSecond returns the mean request rate of all streams.
 func (p *Plan) PerSecond() float64 {
 	var sum float64
 	for _, stream := range p.Streams {
@@ -136,7 +136,7 @@
 	return sum
 }
 
-// randomStream returns a stream at random, by rate.
+// randomStream returns a random stream, weighted by rate.
 func (p *Plan) randomStream(r *rand.Rand) *Stream {
 	at := r.Float64() * p.PerSecond()
 	for i := range p.Streams {
@@ -147,7 +147,7 @@
 	return &p.Streams[len(p.Streams)-1]
 }
 
-// randomKey returns a key of the stream at random.
+// randomKey returns a random key of the stream.
 func (p *Plan) randomKey(r *rand.Rand, s *Stream, hot HotSet) string {
 	n := r.IntN(p.Keys)
 	if hot.Count > 0 && r.Float64() < hot.Share {
@@ -156,7 +156,7 @@
 	return fmt.Sprintf("%s%05d", s.Prefix, n)
 }
 
-// uri returns the path for a key, with the caller's own id of the operation.
+// uri returns the request URI for a key and an operation ID.
 func (s *Stream) uri(k, operation string) string {
 	return strings.Replace(s.Path, keyParameter, k, 1) + "?" + fake.OperationParameter + "=" + operation
 }
@@ -168,7 +168,7 @@
 	return route.Methods[0]
 }
 
-// meanWork returns the mean time of one run of a service, by its routes' class.
+// meanWork returns the mean time of a run of a service, by the class of its first route.
 func meanWork(s *settings.Settings, service key.Service) time.Duration {
 	for _, route := range s.Routes {
 		if route.Service != service {
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -15,18 +15,18 @@
 	lowestMicros      = 1
 	highestMicros     = 120_000_000
 	significantDigits = 3
-	// maxExamples bounds the descriptions of bad ends that are kept.
+	// maxExamples bounds the examples of failed calls that are kept.
 	maxExamples = 16
 )
 
-// Result records how all calls of a generator ended. Safe for concurrent use.
+// Result records the results of all calls of a generator. It is safe for concurrent use.
 type Result struct {
 	mu         sync.Mutex
 	latency    *hdrhistogram.Histogram
 	byClass    map[settings.Class]*hdrhistogram.Histogram
-	done       []string // operations, to compare with what ran
+	done       []string // operations to compare with those that ran
 	notRun     []string
-	rejections []rejection // of notRun
+	rejections []rejection // for each of notRun
 	counts     Counts
 	reasons    map[string]uint64
 	outages    *Outages
@@ -35,16 +35,16 @@
 	lastDone   time.Time
 }
 
-// rejection is what a caller was told of an operation that did not run.
+// rejection is the response to an operation that was reported as not run.
 type rejection struct {
 	service key.Service
 	reason  string
 }
 
-// Counts is how many calls ended in each way.
+// Counts counts calls by how they ended.
 type Counts struct {
 	Requests, Done, NotRun, Unknown, Lost, Wrong uint64
-	// Dropped counts arrivals that the generator had no room for.
+	// Dropped counts arrivals that the generator dropped at maxInFlight.
 	Dropped uint64
 }
 
@@ -62,7 +62,7 @@
 	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 }
 
-// record takes the end of one call.
+// record records the result of one call.
 func (r *Result) record(c call, shard key.Shard, end callResult, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,10 +79,10 @@
 		r.counts.Unknown++
 	case endLost:
 		r.counts.Lost++
-		r.addExample("no answer after %s: %s %s: %s, status %d, %v", now.Sub(c.due), c.stream.Method, c.uri(), end.reason, end.status, end.err)
+		r.addExample("no response after %s: %s %s: %s, status %d, %v", now.Sub(c.due), c.stream.Method, c.uri(), end.reason, end.status, end.err)
 	case endWrong:
 		r.counts.Wrong++
-		r.addExample("wrong answer: %s %s: %s, status %d, %v", c.stream.Method, c.uri(), end.reason, end.status, end.err)
+		r.addExample("wrong response: %s %s: %s, status %d, %v", c.stream.Method, c.uri(), end.reason, end.status, end.err)
 	}
 	r.reasons[end.reason]++
 	if !isLoadShed(end.reason) {
@@ -95,10 +95,10 @@
 	r.done = append(r.done, c.operation)
 	r.outages.Served(c.stream.Service, shard, c.due, now)
 	if c.probe {
-		return // its latency says nothing about the load's
+		return // the latency of probes is not that of the load
 	}
 	micros := min(now.Sub(c.due).Microseconds(), highestMicros)
-	_ = r.latency.RecordValue(micros) // bounded above
+	_ = r.latency.RecordValue(micros) // cannot fail: micros is within the bounds
 	class := r.byClass[c.stream.Class]
 	if class == nil {
 		class = newHistogram()
@@ -111,7 +111,8 @@
 	r.lastDone = now
 }
 
-// isLoadShed reports whether a refusal is for load, not for want of an owner.
+// isLoadShed reports whether a request was refused because of load, not for lack of an
+// owner.
 func isLoadShed(reason string) bool {
 	return reason == reasonOverload || reason == reasonLimited
 }
@@ -122,25 +123,25 @@
 	r.counts.Dropped++
 }
 
-// addExample keeps one description. The caller holds mu.
+// addExample keeps an example, up to maxExamples. The caller must hold mu.
 func (r *Result) addExample(format string, args ...any) {
 	if len(r.examples) < maxExamples {
 		r.examples = append(r.examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// RunCounter tells how often each of the operations ran at the targets.
+// RunCounter returns how often each operation ran at the targets.
 type RunCounter func(operations []string) ([]uint32, error)
 
-// Summary is what a load came to.
+// Summary summarizes the results of a load.
 type Summary struct {
 	Counts
 	P50, P99 time.Duration
 	Classes  map[settings.Class]Percentiles
-	// PerSecond is the rate of requests that were done.
+	// PerSecond is the rate of done requests.
 	PerSecond float64
-	// FalseNotRun counts operations that ran though the caller was told that
-	// they did not; Unrun those that did not run though it was told done.
+	// FalseNotRun counts operations that ran although the response was not-run,
+	// FalseDone those that did not run although the response was done.
 	FalseNotRun, FalseDone uint64
 	OutageSum              time.Duration
 	OutageMax              time.Duration
@@ -150,13 +151,13 @@
 	Examples               []string
 }
 
-// Percentiles are those of one class.
+// Percentiles holds the latency percentiles of one class.
 type Percentiles struct{ P50, P99 time.Duration }
 
-// maxWorst is how many of the longest outages a summary names.
+// maxWorst is the number of longest outages in a summary.
 const maxWorst = 5
 
-// Summarize ends the record at now and compares it with what ran.
+// Summarize ends the record at now and compares it with the operations that ran.
 func (r *Result) Summarize(now time.Time, runs RunCounter) (Summary, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,7 +181,7 @@
 	return s, r.compare(&s, runs)
 }
 
-// compare asks the targets what ran.
+// compare compares the recorded operations with those that ran at the targets.
 func (r *Result) compare(s *Summary, runs RunCounter) error {
 	counts, err := runs(r.notRun)
 	if err != nil {
