--- a/cmd/citrontray/deploy_test.go
+++ b/cmd/citrontray/deploy_test.go
@@ -86,17 +86,17 @@
 			Service: s.Name, Slots: 3, Connections: 130, MeanWork: time.Millisecond, ChecksTerms: true,
 		}})
 	}
-	farm := fake.NewTargetSet(groups, p.Zones)
-	ts.Check(farm.Start())
+	targets := fake.NewTargetSet(groups, p.Zones)
+	ts.Check(targets.Start())
 	ts.Defer(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		farm.Stop(ctx)
-		if found := farm.Ledger.Violations(); len(found) > 0 {
+		targets.Stop(ctx)
+		if found := targets.Ledger.Violations(); len(found) > 0 {
 			ts.Fatalf("targets: %s", strings.Join(found, "; "))
 		}
 	})
-	farm.Register(time.Now(), store.Platform)
+	targets.Register(time.Now(), store.Platform)
 }
 
 // ports records the ports taken by the scripts of this process. Scripts run in parallel,
--- a/internal/certs/material.go
+++ b/internal/certs/material.go
@@ -16,7 +16,7 @@
 )
 
 // ErrMismatch is returned if a certificate does not match its key or its process, or
-// no trusted authority issued it.
+// does not verify against the trusted authorities.
 var ErrMismatch = errors.New("certs: certificate, key and authority do not match")
 
 // resetLabel separates the reset secret from other uses of the private key.
--- a/internal/lab/standin.go
+++ b/internal/lab/standin.go
@@ -113,21 +113,21 @@
 	if err := findings.Err(); err != nil {
 		return err
 	}
-	farm := fake.NewTargetSet(load.TargetGroups(p, s, 1), p.Zones)
-	if err := farm.Start(); err != nil {
+	targets := fake.NewTargetSet(load.TargetGroups(p, s, 1), p.Zones)
+	if err := targets.Start(); err != nil {
 		return err
 	}
 	var rows []place.TargetRow
-	for _, t := range farm.Targets() {
+	for _, t := range targets.Targets() {
 		rows = append(rows, t.Row(place.Live))
 	}
 	if err := fake.NewAdminClient(store).SetTargets(ctx, rows); err != nil {
 		return err
 	}
-	err := serve(ctx, admin, fake.NewTargetAdmin(farm))
+	err := serve(ctx, admin, fake.NewTargetAdmin(targets))
 	stop, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	farm.Stop(stop)
+	targets.Stop(stop)
 	return err
 }
 
