--- a/internal/command/reference.go
+++ b/internal/command/reference.go
@@ -10,19 +10,19 @@
 
 const referenceHead = `# Settings reference
 
-This page is printed by ` + "`citrontray reference`" + `; a test compares both.
+This page is the output of ` + "`citrontray reference`" + `; a test compares them.
 
 A settings file is YAML. Its top is a mapping of paths to fields; comments are
-allowed, the order does not matter. ` + "`path: null`" + ` takes a setting out. A file
-gives the whole value of each path that it names and leaves all other paths as
-they are. Names in paths are small letters, digits and ` + "`.` `_` `-`" + ` inside, at most
+allowed, the order does not matter. ` + "`path: null`" + ` deletes a setting. A file
+sets the whole value of each path in it and leaves all other paths unchanged.
+Names in paths consist of lower-case letters, digits and ` + "`.` `_` `-`" + ` (not at either end), at most
 63 bytes. A file has at most 1 MiB, all settings together at most 1 MB as kept in the
 platform's service, compressed and with their history.
 
-Beyond the fields, these must hold, or nothing is written:
+Beyond the fields, these rules must hold, or nothing is written:
 
 - names of services and of callers are unique in the deployment;
-- a route names a service that is there, and callers of its own team;
+- a route refers to an existing service, and to callers of its own team;
 - a route to another team's service needs a share there, and its prefix starts
   with the share's prefix;
 - keys of routes to one service do not overlap where teams or tenants differ;
@@ -38,7 +38,7 @@
 	var b strings.Builder
 	b.WriteString(referenceHead)
 	for _, k := range settings.Kinds() {
-		fmt.Fprintf(&b, "## `%s`\n\n%s\n\n| field | value | without it | meaning |\n|---|---|---|---|\n", k.Pattern, k.Description)
+		fmt.Fprintf(&b, "## `%s`\n\n%s\n\n| field | value | default | meaning |\n|---|---|---|---|\n", k.Pattern, k.Description)
 		for _, f := range k.Fields {
 			fallback := f.Default
 			switch {
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -43,23 +43,23 @@
 	type row = Service
 	return &table[row]{
 		pathPattern: "teams/*/services/*",
-		description: "A service with a key space of its own. Its targets come from the platform's list of hosts and from targets.",
+		description: "A service with its own key space. Its targets are those in the platform's fleet list and those in targets.",
 		rows:        func(s *Settings) *[]row { return &s.Services },
 		setNames:    func(r *row, names []string) { r.Team, r.Name = Team(names[0]), key.Service(names[1]) },
 		rowNames:    func(r *row) []string { return []string{string(r.Team), string(r.Name)} },
 		fields: []field[row]{
-			{"shards", typeCount, "parts of the key space, a power of two; fixed once the service runs", "1024", false, intField(func(r *row) *key.ShardCount { return &r.Shards }, 1, maxShards)},
+			{"shards", typeCount, "number of shards of the key space, a power of two; cannot be changed for an existing service", "1024", false, intField(func(r *row) *key.ShardCount { return &r.Shards }, 1, maxShards)},
 			{"zones", typeList, "availability zones that may own shards", "", true, listField(func(r *row) *[]place.Zone { return &r.Zones }, validName)},
-			{"targets", typeList, "targets that the platform does not list, each as name zone IP:port", "", false, targetListField()},
-			{"slots", typeCount, "concurrent requests that one target takes", "3", false, intField(func(r *row) *int { return &r.Slots }, 1, maxSlots)},
-			{"connections", typeCount, "connections that one target takes of all entry hosts together", "110", false, intField(func(r *row) *int { return &r.Connections }, 1, maxConnections)},
-			{"terms", typeBool, "whether the targets refuse orders of an older lead", "true", false, boolField(func(r *row) *bool { return &r.ChecksTerms })},
-			{"hold", typeDuration, "how long a zone serves on without the store; forever keeps serving and waits for the operator where a zone is lost", forever, false, holdField()},
-			{"moves", typeCount, "planned moves of shards a minute at most, per zone", "60", false, intField(func(r *row) *int { return &r.MovesPerMinute }, 0, maxMoves)},
-			{"imbalance", typePercent, "load of the busiest target above the mean that is left alone", "20", false, intField(func(r *row) *int { return &r.ImbalancePercent }, 1, maxPercent)},
-			{"warm", typeDuration, "length of a new target's ramp", "10s", false, durationField(func(r *row) *time.Duration { return &r.WarmUp }, time.Millisecond, maxWarmUp)},
-			{"body", typeBytes, "longest body of a request or an answer", "1048576", false, intField(func(r *row) *int64 { return &r.BodyBytes }, 1, maxBodyBytes)},
-			{"shares", typeList, "other teams that may route to the service, each as team=prefix of its keys", "", false, shareListField()},
+			{"targets", typeList, "targets that are missing from the platform's fleet list, each as name zone IP:port", "", false, targetListField()},
+			{"slots", typeCount, "concurrent requests per target", "3", false, intField(func(r *row) *int { return &r.Slots }, 1, maxSlots)},
+			{"connections", typeCount, "connections per target, summed over all entry hosts", "110", false, intField(func(r *row) *int { return &r.Connections }, 1, maxConnections)},
+			{"terms", typeBool, "whether the targets reject orders of prior leaders", "true", false, boolField(func(r *row) *bool { return &r.ChecksTerms })},
+			{"hold", typeDuration, "how long a zone serves without the store; with forever it keeps serving, and an operator must declare a lost zone", forever, false, holdField()},
+			{"moves", typeCount, "maximum number of planned shard moves per minute and zone", "60", false, intField(func(r *row) *int { return &r.MovesPerMinute }, 0, maxMoves)},
+			{"imbalance", typePercent, "maximum load of the busiest target above the mean before shards are moved", "20", false, intField(func(r *row) *int { return &r.ImbalancePercent }, 1, maxPercent)},
+			{"warm", typeDuration, "warm-up time of a new target, during which its load is ramped up", "10s", false, durationField(func(r *row) *time.Duration { return &r.WarmUp }, time.Millisecond, maxWarmUp)},
+			{"body", typeBytes, "maximum body size of a request or a response", "1048576", false, intField(func(r *row) *int64 { return &r.BodyBytes }, 1, maxBodyBytes)},
+			{"shares", typeList, "other teams that may route to the service, each as team=key prefix", "", false, shareListField()},
 		},
 	}
 }
@@ -116,21 +116,21 @@
 	type row = Route
 	return &table[row]{
 		pathPattern: "teams/*/routes/*",
-		description: "A route leads requests of some callers to a service.",
+		description: "A route maps requests of callers to a service.",
 		rows:        func(s *Settings) *[]row { return &s.Routes },
 		setNames:    func(r *row, names []string) { r.Team, r.Name = Team(names[0]), names[1] },
 		rowNames:    func(r *row) []string { return []string{string(r.Team), r.Name} },
 		fields: []field[row]{
-			{"service", typeText, "the service, by its name", "", true, textField(func(r *row) *key.Service { return &r.Service }, maxNameBytes)},
+			{"service", typeText, "name of the service", "", true, textField(func(r *row) *key.Service { return &r.Service }, maxNameBytes)},
 			{"callers", typeList, "callers of the same team that may use the route", "", true, listField(func(r *row) *[]Caller { return &r.Callers }, validName)},
 			{"methods", typeList, "HTTP methods", "", true, listField(func(r *row) *[]string { return &r.Methods }, validMethod)},
 			{"path", typeText, "pattern of the URL path, such as /balance/{key}", "", true, textField(func(r *row) *string { return &r.Path }, maxTextBytes)},
-			{"source", typeText, "where the key stands: path, query or header", "path", false, enumField(func(r *row) *KeySource { return &r.KeySource }, KeyInPath, KeyInQuery, KeyInHeader)},
-			{"key", typeText, "name of the path part, query parameter or header", "key", false, textField(func(r *row) *string { return &r.KeyName }, maxNameBytes)},
-			{"prefix", typeText, "start of every key that the route's callers may name", "", false, textField(func(r *row) *string { return &r.KeyPrefix }, maxTextBytes)},
+			{"source", typeText, "part of the request that holds the key: path, query or header", "path", false, enumField(func(r *row) *KeySource { return &r.KeySource }, KeyInPath, KeyInQuery, KeyInHeader)},
+			{"key", typeText, "name of the path segment, query parameter or header", "key", false, textField(func(r *row) *string { return &r.KeyName }, maxNameBytes)},
+			{"prefix", typeText, "prefix of all keys that the route accepts", "", false, textField(func(r *row) *string { return &r.KeyPrefix }, maxTextBytes)},
 			{"class", typeText, "interactive, registering or bulk", "", true, enumField(func(r *row) *Class { return &r.Class }, Interactive, Registering, Bulk)},
-			{"idempotent", typeBool, "whether a request may be run again; false for work that must run once at most", "false", false, boolField(func(r *row) *bool { return &r.Idempotent })},
-			{"timeout", typeDuration, "longest time of a request, waiting included", "10s", false, durationField(func(r *row) *time.Duration { return &r.Timeout }, minTimeout, maxTimeout)},
+			{"idempotent", typeBool, "whether a request may run again; false for work that must run at most once", "false", false, boolField(func(r *row) *bool { return &r.Idempotent })},
+			{"timeout", typeDuration, "maximum time of a request, queueing included", "10s", false, durationField(func(r *row) *time.Duration { return &r.Timeout }, minTimeout, maxTimeout)},
 		},
 	}
 }
@@ -139,7 +139,7 @@
 	type row = CallerRow
 	return &table[row]{
 		pathPattern: "teams/*/callers/*",
-		description: "A caller with its bearer credential, kept as a hash. Names of callers are unique in the deployment.",
+		description: "A caller with the hash of its bearer credential. Caller names are unique in the deployment.",
 		rows:        func(s *Settings) *[]row { return &s.Callers },
 		setNames:    func(r *row, names []string) { r.Team, r.Name = Team(names[0]), Caller(names[1]) },
 		rowNames:    func(r *row) []string { return []string{string(r.Team), string(r.Name)} },
@@ -154,16 +154,16 @@
 	type row = Limit
 	return &table[row]{
 		pathPattern: "teams/*/limits/*/*",
-		description: "A bound on the requests of one caller in one class; the path ends in caller/class.",
+		description: "A limit on the requests of one caller in one class; the path ends in caller/class.",
 		rows:        func(s *Settings) *[]row { return &s.Limits },
 		setNames: func(r *row, names []string) {
 			r.Team, r.Caller, r.Class = Team(names[0]), Caller(names[1]), Class(names[2])
 		},
 		rowNames: func(r *row) []string { return []string{string(r.Team), string(r.Caller), string(r.Class)} },
 		fields: []field[row]{
-			{"rate", typeRate, "requests a second, over all hosts", "", true, floatField(func(r *row) *float64 { return &r.PerSecond }, maxRate)},
-			{"burst", typeCount, "requests above the rate at once", "100", false, intField(func(r *row) *int { return &r.Burst }, 1, maxRate)},
-			{"concurrent", typeCount, "requests at the same time on one host", "1000", false, intField(func(r *row) *int { return &r.Concurrent }, 1, maxRate)},
+			{"rate", typeRate, "requests per second, over all hosts", "", true, floatField(func(r *row) *float64 { return &r.PerSecond }, maxRate)},
+			{"burst", typeCount, "burst size: requests above the rate that are accepted at once", "100", false, intField(func(r *row) *int { return &r.Burst }, 1, maxRate)},
+			{"concurrent", typeCount, "requests in flight on one host", "1000", false, intField(func(r *row) *int { return &r.Concurrent }, 1, maxRate)},
 		},
 	}
 }
--- a/internal/settings/schema_platform.go
+++ b/internal/settings/schema_platform.go
@@ -6,7 +6,7 @@
 func delegationFields() []field[Delegation] {
 	type row = Delegation
 	return []field[row]{
-		{"below", typeList, "paths that the credential may write, with all below them", "", true, listField(func(r *row) *[]Path { return &r.Below }, validSubtree)},
+		{"below", typeList, "paths that the credential may write, including all paths below them", "", true, listField(func(r *row) *[]Path { return &r.Below }, validSubtree)},
 		{"credential", typeText, "sha256: and the hash, as citrontray credential prints it", "", true, hashField(func(r *row) *[32]byte { return &r.CredentialHash })},
 	}
 }
@@ -76,7 +76,7 @@
 
 func drainFields() []field[Drain] {
 	return []field[Drain]{
-		{"reason", typeText, "why, for the others", "", true, textField(func(r *Drain) *string { return &r.Reason }, maxTextBytes)},
+		{"reason", typeText, "reason, for other operators", "", true, textField(func(r *Drain) *string { return &r.Reason }, maxTextBytes)},
 	}
 }
 
@@ -86,7 +86,7 @@
 	return &scoped[Drain]{
 		table: table[Drain]{
 			pathPattern: "platform/drains/targets/*", fields: drainFields(), rows: drainRows,
-			description: "A target that gets no new work; its shards move away as planned moves.",
+			description: "A target that gets no new work; its shards are moved away.",
 			setNames:    func(r *Drain, names []string) { r.Target = place.Target(names[0]) },
 			rowNames:    func(r *Drain) []string { return []string{string(r.Target)} },
 		},
@@ -109,7 +109,7 @@
 func lossFields() []field[Loss] {
 	return []field[Loss]{
 		{"by", typeText, "who declares it", "", true, textField(func(r *Loss) *string { return &r.By }, maxTextBytes)},
-		{"reason", typeText, "how it is known that the thing is off and stays off", "", true, textField(func(r *Loss) *string { return &r.Reason }, maxTextBytes)},
+		{"reason", typeText, "how it was verified that it is off and stays off", "", true, textField(func(r *Loss) *string { return &r.Reason }, maxTextBytes)},
 	}
 }
 
@@ -131,7 +131,7 @@
 	return &scoped[Loss]{
 		table: table[Loss]{
 			pathPattern: "platform/losses/hosts/*", fields: lossFields(), rows: lossRows,
-			description: "An entry host declared lost: it counts as one that renews nothing. It must be switched off first.",
+			description: "An entry host declared lost: it is assumed to renew no grants. It must be switched off first.",
 			setNames:    func(r *Loss, names []string) { r.Host = place.Host(names[0]) },
 			rowNames:    func(r *Loss) []string { return []string{string(r.Host)} },
 		},
@@ -143,7 +143,7 @@
 	return &scoped[Loss]{
 		table: table[Loss]{
 			pathPattern: "platform/losses/zones/*", fields: lossFields(), rows: lossRows,
-			description: "An availability zone declared lost: other zones take its shards. All of it must be off or cut off for good.",
+			description: "An availability zone declared lost: other zones take its shards. The whole zone must be switched off or isolated permanently.",
 			setNames:    func(r *Loss, names []string) { r.Zone = place.Zone(names[0]) },
 			rowNames:    func(r *Loss) []string { return []string{string(r.Zone)} },
 		},
