--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	// linesPerSecond bounds the lines of one text, lineBurst what may come at
-	// once: a request's line at the rate that one host can serve.
+	// linesPerSecond and lineBurst are the rate limit of each message. They let
+	// through one line per request at the rate that one host can serve.
 	linesPerSecond = 300
 	lineBurst      = 600
-	// maxQueuedLines is how many lines wait for a slow reader before more are
-	// dropped.
+	// maxQueuedLines is how many lines wait for a slow reader of the output
+	// before further ones are dropped.
 	maxQueuedLines = 4096
-	// summaryInterval is the time between two lines that count what was left
-	// out.
+	// summaryInterval is the time between two summaries of suppressed and
+	// dropped lines.
 	summaryInterval = 5 * time.Second
 )
 
-// BoundedHandler is a handler that never blocks and whose volume is bounded: each text
-// has a rate of its own, and lines that the reader of the output does not take
-// are dropped. What is left out is counted, and the counts are logged.
+// BoundedHandler is a slog.Handler that never blocks and whose output is
+// bounded: each message has a rate limit of its own, and lines that the reader
+// of the output doesn't take in time are dropped. Suppressed and dropped lines
+// are counted, and Run logs the counts.
 type BoundedHandler struct {
 	slog.Handler
 
 	writer *asyncWriter
 }
 
-// asyncWriter is what a handler and those derived from it share.
+// asyncWriter queues lines and writes them from one goroutine. A handler and
+// those derived from it share one.
 type asyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -43,45 +45,45 @@
 	done    chan struct{}
 }
 
-// tokenBucket is the rate of one text.
+// tokenBucket is the rate limit of one message.
 type tokenBucket struct {
 	tokens     float64
 	refilled   time.Time
-	suppressed uint64 // lines left out since the last summary
+	suppressed uint64 // since the last summary
 }
 
-// NewBoundedHandler returns a handler that writes JSON lines to out from a goroutine
-// of its own. Close writes what waits.
+// NewBoundedHandler returns a handler that writes JSON lines to out from a
+// goroutine of its own. Close writes the queued lines.
 func NewBoundedHandler(out io.Writer, level slog.Level) *BoundedHandler {
-	b := &asyncWriter{
+	w := &asyncWriter{
 		out: out, lines: make(chan []byte, maxQueuedLines), buckets: make(map[string]*tokenBucket), done: make(chan struct{}),
 	}
-	h := &BoundedHandler{Handler: slog.NewJSONHandler(b, &slog.HandlerOptions{Level: level}), writer: b}
-	go b.run()
+	h := &BoundedHandler{Handler: slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}), writer: w}
+	go w.run()
 	return h
 }
 
-// Write takes one line from the handler below; it never blocks.
-func (b *asyncWriter) Write(line []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.closed {
+// Write queues one line of the JSON handler; it never blocks.
+func (w *asyncWriter) Write(line []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.closed {
 		return len(line), nil
 	}
 	select {
-	case b.lines <- append([]byte(nil), line...):
+	case w.lines <- append([]byte(nil), line...):
 	default:
-		b.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// run writes the lines until Close.
-func (b *asyncWriter) run() {
-	defer close(b.done)
-	for line := range b.lines {
-		if _, err := b.out.Write(line); err != nil {
-			b.dropped.Add(1)
+// run writes queued lines until Close.
+func (w *asyncWriter) run() {
+	defer close(w.done)
+	for line := range w.lines {
+		if _, err := w.out.Write(line); err != nil {
+			w.dropped.Add(1)
 		}
 	}
 }
@@ -104,29 +106,32 @@
 	return &BoundedHandler{Handler: h.Handler.WithGroup(name), writer: h.writer}
 }
 
-// allow takes one line of a text from its allowance.
-func (b *asyncWriter) allow(now time.Time, text string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a := b.buckets[text]
-	if a == nil {
-		a = &tokenBucket{tokens: lineBurst, refilled: now}
-		b.buckets[text] = a
+// allow takes a token for one line of a message and reports whether there was
+// one.
+func (w *asyncWriter) allow(now time.Time, text string) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	bucket := w.buckets[text]
+	if bucket == nil {
+		bucket = &tokenBucket{tokens: lineBurst, refilled: now}
+		w.buckets[text] = bucket
 	}
-	a.tokens = min(a.tokens+max(now.Sub(a.refilled).Seconds(), 0)*linesPerSecond, lineBurst)
-	a.refilled = now
-	if a.tokens < 1 {
-		a.suppressed++
+	bucket.tokens = min(bucket.tokens+max(now.Sub(bucket.refilled).Seconds(), 0)*linesPerSecond, lineBurst)
+	bucket.refilled = now
+	if bucket.tokens < 1 {
+		bucket.suppressed++
 		return false
 	}
-	a.tokens--
+	bucket.tokens--
 	return true
 }
 
-// Dropped returns how many lines the reader of the output did not take.
+// Dropped returns how many lines were dropped because the reader of the output
+// was too slow or a write failed.
 func (h *BoundedHandler) Dropped() uint64 { return h.writer.dropped.Load() }
 
-// Run logs what was left out, until ctx ends.
+// Run logs the counts of suppressed and dropped lines at each summaryInterval
+// until ctx ends.
 func (h *BoundedHandler) Run(ctx context.Context) error {
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
@@ -141,42 +146,44 @@
 	}
 }
 
-// logSuppressed logs what was left out since the last time.
+// logSuppressed logs which lines were suppressed and dropped since the last
+// call. It takes the drop count of that call and returns the present one.
 func (h *BoundedHandler) logSuppressed(before uint64) uint64 {
 	log := slog.New(h)
-	for text, left := range h.writer.takeSuppressed() {
-		log.Warn("Lines left out, too many of one text.", slog.String("text", text), slog.Uint64("lines", left))
+	for text, suppressed := range h.writer.takeSuppressed() {
+		log.Warn("Log lines suppressed by the rate limit.", slog.String("text", text), slog.Uint64("lines", suppressed))
 	}
 	dropped := h.Dropped()
 	if dropped > before {
-		log.Warn("Lines dropped, the output is not read.", slog.Uint64("lines", dropped-before))
+		log.Warn("Log lines dropped, the output is not read in time.", slog.Uint64("lines", dropped-before))
 	}
 	return dropped
 }
 
-func (b *asyncWriter) takeSuppressed() map[string]uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (w *asyncWriter) takeSuppressed() map[string]uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	out := make(map[string]uint64)
-	for text, a := range b.buckets {
-		if a.suppressed > 0 {
-			out[text], a.suppressed = a.suppressed, 0
+	for text, bucket := range w.buckets {
+		if bucket.suppressed > 0 {
+			out[text], bucket.suppressed = bucket.suppressed, 0
 		}
 	}
 	return out
 }
 
-// Close writes the lines that wait, for at most the given time.
-func (h *BoundedHandler) Close(within time.Duration) {
-	b := h.writer
-	b.mu.Lock()
-	if !b.closed {
-		b.closed = true
-		close(b.lines)
+// Close stops taking lines and waits until the queued ones are written, at most
+// for the given time.
+func (h *BoundedHandler) Close(timeout time.Duration) {
+	w := h.writer
+	w.mu.Lock()
+	if !w.closed {
+		w.closed = true
+		close(w.lines)
 	}
-	b.mu.Unlock()
+	w.mu.Unlock()
 	select {
-	case <-b.done:
-	case <-time.After(within):
+	case <-w.done:
+	case <-time.After(timeout):
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,4 @@
-// Package logging makes the structured logs of all programs: short sentences,
-// a fixed prefix for each part.
+// Package logging sets up the structured logs of all programs.
 package logging
 
 import (
@@ -7,7 +6,7 @@
 	"log/slog"
 )
 
-// New returns a logger that writes lines of text to w, or JSON.
+// New returns a logger that writes to w, as JSON or as text.
 func New(w io.Writer, level slog.Level, json bool) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: level}
 	if json {
@@ -16,11 +15,11 @@
 	return slog.New(slog.NewTextHandler(w, opts))
 }
 
-// Component returns a logger whose lines carry the fixed prefix of one part of the
-// program, such as "lead" or "entry".
+// Component returns a logger that adds the name of a component of the program,
+// such as "lead" or "entry", to each line.
 func Component(l *slog.Logger, name string) *slog.Logger {
 	return l.With(slog.String("part", name))
 }
 
-// Nop returns a logger that drops everything.
+// Nop returns a logger that discards everything.
 func Nop() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/logging/panic.go
+++ b/internal/logging/panic.go
@@ -6,9 +6,9 @@
 	"runtime/debug"
 )
 
-// LogPanic logs what recover returned, with the stack, in the part of a process
-// that goes on without what it was doing.
-func LogPanic(log *slog.Logger, part string, cause any) {
-	log.Error("Part panicked, what it was doing ends.", slog.String("panicked", part), slog.String("cause", fmt.Sprint(cause)),
+// LogPanic logs the value that recover returned, with the stack, for a
+// component that goes on without the work that panicked.
+func LogPanic(log *slog.Logger, component string, cause any) {
+	log.Error("Component panicked, its current work is abandoned.", slog.String("panicked", component), slog.String("cause", fmt.Sprint(cause)),
 		slog.String("stack", string(debug.Stack())))
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,6 +1,6 @@
-// Package loopback hands out addresses of this machine to tests. A port that the
-// kernel chose and that was closed again may be another socket's a moment later;
-// an address of a network that one process has for itself may not.
+// Package loopback allocates loopback addresses for tests. A port that the
+// kernel assigned can be given to another socket once it is closed; an address
+// of a network that one process has claimed can't.
 package loopback
 
 import (
@@ -10,19 +10,20 @@
 	"sync"
 )
 
-// claimPort is where a process holds its network, of 127.1.0.0/16 to
-// 127.254.0.0/16, until it ends.
+// claimPort is the port of the listener by which a process claims one of the
+// networks 127.1.0.0/16 to 127.254.0.0/16. The kernel releases the claim when
+// the process ends.
 const claimPort = 9999
 
 var claimed struct {
 	sync.Mutex
 
-	network byte // second byte of the claimed addresses, zero for none yet
-	hold    net.Listener
-	last    uint16
+	network  byte // second byte of the claimed network, zero before the first claim
+	listener net.Listener
+	last     uint16
 }
 
-// IP returns an address that no other caller and no other process has.
+// IP returns an address that no other caller and no other process gets.
 func IP() (netip.Addr, error) {
 	claimed.Lock()
 	defer claimed.Unlock()
@@ -35,7 +36,7 @@
 	return netip.AddrFrom4([4]byte{127, claimed.network, byte(claimed.last >> 8), byte(claimed.last)}), nil
 }
 
-// Addr returns an address with a port that is free for TCP and UDP.
+// Addr returns an address with a port that is free for both TCP and UDP.
 func Addr() (netip.AddrPort, error) {
 	const port = 8000
 	ip, err := IP()
@@ -45,12 +46,12 @@
 func claimNetwork() error {
 	const networks = 254
 	for n := byte(1); n <= networks; n++ {
-		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 254}), claimPort)
-		hold, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(at))
+		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 254}), claimPort)
+		listener, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(addr))
 		if err == nil {
-			claimed.network, claimed.hold = n, hold
+			claimed.network, claimed.listener = n, listener
 			return nil
 		}
 	}
-	return errors.New("loopback: no network is free")
+	return errors.New("loopback: no free network in 127.1.0.0/16 to 127.254.0.0/16")
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric sets up the metrics of a program: tally scopes behind a page
-// that the usual collectors read, with label sets bounded in size.
+// Package metric sets up the metrics of a program: tally scopes that are
+// exported in the Prometheus format, with a bound on the values of each label.
 package metric
 
 import (
@@ -13,13 +13,14 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often tally hands its values to the page.
+// reportInterval is the time between two updates of the exported values.
 const reportInterval = time.Second
 
-// maxLabelValues bounds the values of one label; later ones count as Other.
+// maxLabelValues bounds the values of one label; further ones are counted under
+// OtherValue.
 const maxLabelValues = 256
 
-// OtherValue stands for all label values past the bound.
+// OtherValue replaces the label values beyond maxLabelValues.
 const OtherValue = "other"
 
 // Registry is the root of a program's metrics.
@@ -33,10 +34,10 @@
 	labelValues map[string]map[string]struct{}
 }
 
-// New returns a registry whose names start with prefix.
+// New returns a registry whose metric names start with prefix.
 func New(prefix string) *Registry {
-	own := prom.NewRegistry() // the library's default is one per process
-	reporter := prometheus.NewReporter(prometheus.Options{Registerer: own, Gatherer: own})
+	registry := prom.NewRegistry() // the default registry is one per process and would be shared
+	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:         prefix,
 		CachedReporter: reporter,
@@ -50,13 +51,14 @@
 	}
 }
 
-// Handler serves the page /metrics.
+// Handler serves the metrics in the Prometheus format.
 func (r *Registry) Handler() http.Handler { return r.handler }
 
 // Close stops reporting.
 func (r *Registry) Close() error { return r.closer.Close() }
 
-// LabelValue returns value, or Other once the label has too many values.
+// LabelValue returns value, or OtherValue where the label has maxLabelValues
+// other values already.
 func (r *Registry) LabelValue(label, value string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/metric/page_test.go
+++ b/internal/metric/page_test.go
@@ -17,10 +17,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// constructors are the methods of a scope that make a metric by its name.
+// constructors are the methods of a tally scope that create a metric by name.
 var constructors = []string{"Counter", "Gauge", "Histogram", "Timer"}
 
-// namesInCode returns the names of all metrics that the sources make.
+// namesInCode returns the names of all metrics that the code below root
+// creates.
 func namesInCode(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	names := make(map[string]bool)
@@ -62,7 +63,8 @@
 	return name, err == nil
 }
 
-// TestPageListsAllMetrics compares the operators' page with the sources.
+// TestPageListsAllMetrics checks that the operators' metrics page lists exactly
+// the metrics that the code creates.
 func TestPageListsAllMetrics(t *testing.T) {
 	root := filepath.Join("..", "..")
 	code := namesInCode(t, filepath.Join(root, "internal"))
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -16,31 +16,32 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// WatchTimeout is the service's own bound on a waiting watch.
+// WatchTimeout is the service's own limit on the wait of a watch.
 const WatchTimeout = 10 * time.Second
 
 // maxClientConns bounds the connections of one client to one address.
 const maxClientConns = 16
 
-// ClientConfig names the platform and the caller.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Addrs are tried in turn where nothing could be sent to one.
+	// Addrs are the platform's addresses. The next one is tried where nothing
+	// was sent to the one before.
 	Addrs []netip.AddrPort
 	// Timeout bounds each call; a watch may take WatchTimeout on top.
 	Timeout time.Duration
-	// Host and Zone name the caller; they may be empty.
+	// Host and Zone identify the caller; they may be empty.
 	Host place.Host
 	Zone place.Zone
 }
 
-// Client reaches the platform over HTTP and JSON. It implements Store.
+// Client accesses the platform over HTTP and JSON. It implements Store.
 type Client struct {
 	config    ClientConfig
 	client    *http.Client
 	addrIndex atomic.Uint64 // index into Addrs of the address in use
 }
 
-// NewClient returns a client; it connects at the first call.
+// NewClient returns a client; it connects with the first call.
 func NewClient(config ClientConfig) *Client {
 	return &Client{config: config, client: &http.Client{
 		Transport: &http.Transport{
@@ -51,7 +52,7 @@
 	}}
 }
 
-// Close closes the kept connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
 // Get implements Store.
@@ -122,8 +123,8 @@
 	return out.fleet(), err
 }
 
-// read makes a call that changes nothing: a lost answer is no more than an
-// unavailable store.
+// read makes a read-only call. A lost response is reported as ErrUnavailable:
+// the call had no effect.
 func (c *Client) read(ctx context.Context, path string, in, out any) error {
 	return unknownAsUnavailable(c.call(ctx, path, in, out, c.config.Timeout))
 }
@@ -132,11 +133,11 @@
 func (c *Client) call(ctx context.Context, path string, in, out any, timeout time.Duration) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return fmt.Errorf("platform: encode the call: %w", err)
+		return fmt.Errorf("platform: encode request: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err = fmt.Errorf("%w: no address", ErrUnavailable)
+	err = fmt.Errorf("%w: no address configured", ErrUnavailable)
 	for range c.config.Addrs {
 		index := c.addrIndex.Load()
 		addr := c.config.Addrs[index%uint64(len(c.config.Addrs))]
@@ -149,8 +150,8 @@
 	return err
 }
 
-// send makes one call at one address. The error is ErrUnavailable only where
-// the service refused the call or not one byte of it was sent.
+// send makes one call to one address. The error is ErrUnavailable only where
+// the service refused the call or nothing was sent.
 func (c *Client) send(ctx context.Context, addr netip.AddrPort, path string, body []byte, out any) error {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }}
@@ -205,8 +206,8 @@
 	return nil
 }
 
-// unknownAsUnavailable turns ErrUnknown into ErrUnavailable, for calls that change
-// nothing.
+// unknownAsUnavailable turns ErrOutcomeUnknown into ErrUnavailable, for
+// read-only calls.
 func unknownAsUnavailable(err error) error {
 	if errors.Is(err, ErrOutcomeUnknown) {
 		return fmt.Errorf("%w: %s", ErrUnavailable, err.Error())
@@ -214,7 +215,7 @@
 	return err
 }
 
-// withPath names the path in a conflict.
+// withPath adds the path to a conflict error.
 func withPath(path Path, err error) error {
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -35,7 +35,7 @@
 func TestClientDistinguishesUnknownFromUnavailable(t *testing.T) {
 	lost := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		panic(http.ErrAbortHandler) // the call was taken, the answer is lost
+		panic(http.ErrAbortHandler) // the call took effect, its response is lost
 	}))
 	defer lost.Close()
 	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -47,9 +47,9 @@
 		addr  string
 		write error
 	}{
-		"answer lost": {addr: lost.Listener.Addr().String(), write: platform.ErrOutcomeUnknown},
-		"refused":     {addr: refusing.Listener.Addr().String(), write: platform.ErrUnavailable},
-		"nobody":      {addr: closedAddr(t), write: platform.ErrUnavailable},
+		"response lost": {addr: lost.Listener.Addr().String(), write: platform.ErrOutcomeUnknown},
+		"refused":       {addr: refusing.Listener.Addr().String(), write: platform.ErrUnavailable},
+		"nobody":        {addr: closedAddr(t), write: platform.ErrUnavailable},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/platform/handler.go
+++ b/internal/platform/handler.go
@@ -22,15 +22,15 @@
 // callerKey is the context key of the Caller.
 type callerKey struct{}
 
-// CallerOf returns who made the call that ctx belongs to.
+// CallerOf returns the caller of the request that ctx belongs to.
 func CallerOf(ctx context.Context) Caller {
 	caller, _ := ctx.Value(callerKey{}).(Caller)
 	return caller
 }
 
-// NewHandler serves store in the platform's protocol, so that a stand-in
-// speaks just what Client speaks. ErrUnavailable of the store becomes a
-// refusal; any other error an answer that leaves the outcome open.
+// NewHandler serves store in the protocol that Client speaks, for a fake
+// platform. ErrUnavailable of the store becomes a refusal; any error other than
+// a conflict or a missing value leaves the outcome unknown to the client.
 func NewHandler(store Store) http.Handler {
 	h := handler{store: store}
 	r := mux.NewRouter()
@@ -45,7 +45,7 @@
 	return r
 }
 
-// handler maps the wire to a Store.
+// handler maps requests to the calls of a Store.
 type handler struct{ store Store }
 
 func (h handler) get(ctx context.Context, in wirePath) (wireEntry, error) {
@@ -86,7 +86,7 @@
 	return toWireFleet(fleet), err
 }
 
-// serve reads a call, makes it and writes the answer.
+// serve decodes a request, makes the call and encodes the response.
 func serve[In, Out any](call func(context.Context, In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the one place that meets the platform: its key-value
-// service (compare-and-swap, leases, watches) and its lagging list of hosts.
-// Changing the platform's protocol touches this package alone.
+// Package platform accesses the customer's platform: its key-value store
+// (compare-and-swap, leases, watches) and its list of hosts and targets, which
+// lags behind. It is the only package that knows the platform's protocol.
 package platform
 
 import (
@@ -12,11 +12,12 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Path names one value, in slash-separated parts.
+// Path names one value; its parts are separated by slashes.
 type Path string
 
-// Revision is the store's global revision at which a value was written, with the
-// store's era in its highest bits. Zero stands for a value that does not exist.
+// Revision is the store's global revision at which a value was written, with
+// the store's era in the highest bits. Zero stands for a value that does not
+// exist.
 type Revision uint64
 
 // Entry is one value of the store.
@@ -26,7 +27,7 @@
 	Revision Revision
 }
 
-// Change is one step of a watch. Deleted entries have no value.
+// Change is one change that a watch reports. A deleted entry has no value.
 type Change struct {
 	Entry
 	Deleted bool
@@ -35,13 +36,13 @@
 // Lease is the state of a named lease after a call.
 type Lease struct {
 	Holder string
-	// Held tells whether the caller holds it now, for TTL counted from
+	// Held reports whether the caller holds the lease now, for TTL counted from
 	// before the call was sent.
 	Held bool
 	TTL  time.Duration
 }
 
-// Fleet is the platform's lagging list of hosts and targets.
+// Fleet is the platform's list of hosts and targets, which lags behind.
 type Fleet struct {
 	Hosts   []place.HostRow
 	Targets []place.TargetRow
@@ -50,14 +51,15 @@
 // ErrNotFound is returned by Get for a path without a value.
 var ErrNotFound = errors.New("platform: no value at this path")
 
-// ErrOutcomeUnknown is returned where a write may or may not have taken effect: the
-// answer was lost. The caller reads back and compares.
-var ErrOutcomeUnknown = errors.New("platform: answer lost, the write may have taken effect")
+// ErrOutcomeUnknown is returned where a write may or may not have taken effect,
+// as its response was lost. The caller reads the value back and compares.
+var ErrOutcomeUnknown = errors.New("platform: response lost, the write may have taken effect")
 
-// ErrUnavailable is returned where the store did certainly not take the call.
-var ErrUnavailable = errors.New("platform: store unavailable")
+// ErrUnavailable is returned where the call certainly had no effect.
+var ErrUnavailable = errors.New("platform: store is unavailable")
 
-// ConflictError is returned by Write where the expected revision does not match.
+// ConflictError is returned by Write and Delete where the expected revision
+// doesn't match.
 type ConflictError struct {
 	Path    Path
 	Current Revision
@@ -68,25 +70,28 @@
 	return fmt.Sprintf("platform: %s is at revision %d", e.Path, e.Current)
 }
 
-// Store is the platform's service. Implementations are safe for concurrent use.
+// Store is the platform's store and fleet list. Implementations are safe for
+// concurrent use.
 type Store interface {
 	// Get returns one value, or ErrNotFound.
 	Get(ctx context.Context, path Path) (Entry, error)
-	// List returns all values below the prefix and the store's revision.
+	// List returns all values with the prefix and the store's revision.
 	List(ctx context.Context, prefix Path) ([]Entry, Revision, error)
-	// Write sets path to value if it still has the revision expect (0: absent).
-	// Errors: *ConflictError, ErrUnknown, ErrUnavailable.
+	// Write sets path to value if it still has the revision expect (0: no
+	// value). Errors: *ConflictError, ErrOutcomeUnknown, ErrUnavailable.
 	Write(ctx context.Context, path Path, value []byte, expect Revision) (Revision, error)
 	// Delete removes the value if it still has the revision expect.
 	Delete(ctx context.Context, path Path, expect Revision) error
-	// Watch waits until something below prefix changes after the revision
-	// from, and returns the changes and the revision to go on from; on the
-	// service's own timeout it returns none. One waiting call counts as one.
+	// Watch waits until a value with the prefix changes after the revision
+	// from, and returns the changes and the revision to continue from; after
+	// the service's own timeout it returns none. A waiting watch counts as one
+	// call.
 	Watch(ctx context.Context, prefix Path, from Revision) ([]Change, Revision, error)
 	// Acquire takes or renews a named lease for holder.
 	Acquire(ctx context.Context, name, holder string, ttl time.Duration) (Lease, error)
-	// Release gives up a lease that holder holds.
+	// Release releases a lease that holder holds.
 	Release(ctx context.Context, name, holder string) error
-	// Fleet returns the lagging list of live and leaving hosts and targets.
+	// Fleet returns the list of live and leaving hosts and targets, which lags
+	// behind.
 	Fleet(ctx context.Context) (Fleet, error)
 }
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -12,26 +12,27 @@
 	Number int64
 }
 
-// ErrSessionEnded is returned where a session has lapsed or was ended.
+// ErrSessionEnded is returned where a session has expired or was ended.
 var ErrSessionEnded = errors.New("platform: session has ended")
 
-// ErrTooOld is returned by Watch for a revision whose history is gone.
-var ErrTooOld = errors.New("platform: history is gone, list again")
+// ErrTooOld is returned by Watch for a revision whose later changes the store
+// no longer has all.
+var ErrTooOld = errors.New("platform: history after the revision is gone, list again")
 
-// Condition holds if the path has the revision (0: there is no value).
+// Condition holds if the path has the revision (0: no value).
 type Condition struct {
 	Path     Path
 	Revision Revision
 }
 
-// Put sets a value. With a session, the value goes when that ends.
+// Put sets a value. A value with a session is removed when the session ends.
 type Put struct {
 	Path    Path
 	Value   []byte
 	Session SessionID
 }
 
-// Txn changes several values, all or none, if all conditions hold.
+// Txn changes several values atomically if all its conditions hold.
 type Txn struct {
 	If     []Condition
 	Put    []Put
@@ -40,31 +41,33 @@
 
 // TxnConflictError is returned by Commit where a condition does not hold.
 type TxnConflictError struct {
-	// Current holds the values of the paths in the conditions that exist.
+	// Current holds the existing values of the paths in the conditions.
 	Current []Entry
 }
 
 // Error implements error.
-func (e *TxnConflictError) Error() string { return "platform: a condition does not hold" }
+func (e *TxnConflictError) Error() string {
+	return "platform: a condition of the transaction does not hold"
+}
 
-// SessionStore is a platform's service with sessions and transactions: values
-// may belong to a session and go with it, and one write may change several.
-// Implementations are safe for concurrent use.
+// SessionStore is a store with sessions and transactions: values may belong to
+// a session and are removed with it, and one transaction may change several
+// values. Implementations are safe for concurrent use.
 type SessionStore interface {
 	// Get returns one value, or ErrNotFound.
 	Get(ctx context.Context, path Path) (Entry, error)
-	// List returns all values below the prefix and a revision from which a
-	// watch misses nothing.
+	// List returns all values with the prefix and a revision from which a watch
+	// misses no change.
 	List(ctx context.Context, prefix Path) ([]Entry, Revision, error)
-	// Watch waits up to wait until something below prefix changes after the
-	// revision from; it returns the changes and the revision to go on from.
+	// Watch waits up to wait until a value with the prefix changes after the
+	// revision from; it returns the changes and the revision to continue from.
 	// Errors: ErrTooOld, ErrUnavailable.
 	Watch(ctx context.Context, prefix Path, from Revision, wait time.Duration) ([]Change, Revision, error)
 	// Commit carries out a transaction. Errors: *TxnConflictError,
-	// ErrSessionEnded, ErrRestored, ErrUnknown, ErrUnavailable.
+	// ErrSessionEnded, ErrRestored, ErrOutcomeUnknown, ErrUnavailable.
 	Commit(ctx context.Context, txn Txn) (Revision, error)
-	// Open starts a session that lapses ttl after the arrival of this call
-	// or of the last Keep.
+	// Open starts a session that expires ttl after this call, or the last
+	// KeepAlive, arrived.
 	Open(ctx context.Context, ttl time.Duration) (SessionID, error)
 	// KeepAlive renews a session, or returns ErrSessionEnded.
 	KeepAlive(ctx context.Context, id SessionID) error
@@ -72,8 +75,8 @@
 	End(ctx context.Context, id SessionID) error
 }
 
-// The paths of what others write into a SessionStore. Their values have the
-// writer's own format.
+// The paths of values that others write into a SessionStore, in formats of
+// their own.
 const (
 	// PathAll is the prefix of all paths.
 	PathAll Path = ""
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -19,13 +19,14 @@
 	pathFleet   = "/v1/fleet"
 )
 
-// Headers that name the caller towards the platform.
+// The headers that identify the caller.
 const (
 	headerHost = "Citrontray-Host"
 	headerZone = "Citrontray-Zone"
 )
 
-// maxBodyBytes bounds one call and one answer. A listing holds many values.
+// maxBodyBytes bounds the body of a request and of a response. A listing holds
+// many values.
 const maxBodyBytes = 32 << 20
 
 type wireEntry struct {
--- a/internal/table/codec.go
+++ b/internal/table/codec.go
@@ -20,10 +20,10 @@
 	LeaderAddr string
 	Shards     uint32
 	Targets    []wireTarget
-	// Rows holds shard, epoch and owner of each row, one after the other;
-	// shards as the difference to the row before.
+	// Rows holds shard, epoch and owner of each row in turn; each shard as the
+	// difference to that of the row before.
 	Rows       []uint64
-	SingleKeys []uint64 // hash and shard of each solo key, one after the other
+	SingleKeys []uint64 // hash and shard of each key in turn
 }
 
 type wireTarget struct {
@@ -34,13 +34,13 @@
 	Since   int64
 }
 
-// The numbers per entry of wireTable.Rows and wireTable.Solos.
+// The numbers per entry of wireTable.Rows and wireTable.SingleKeys.
 const (
 	rowWidth       = 3
 	singleKeyWidth = 2
 )
 
-// Encode returns the table as it travels between hosts.
+// Encode encodes a table as the body of a document.
 func Encode(t Table) ([]byte, error) {
 	w := wireTable{
 		Service: string(t.Service), Zone: string(t.Zone),
@@ -63,15 +63,15 @@
 	return data, oops.Wrapf(err, "encode table")
 }
 
-// Decode reads what Encode wrote. It returns an error for anything else;
-// owners of a decoded table are None or indexes into its targets.
+// Decode reads what Encode wrote and rejects anything else. The owners in a
+// decoded table are NoOwner or valid indexes into its targets.
 func Decode(data []byte) (Table, error) {
 	var w wireTable
 	if err := cbor.Unmarshal(data, &w); err != nil {
 		return Table{}, oops.Wrapf(err, "decode table")
 	}
 	if len(w.Rows)%rowWidth != 0 || len(w.SingleKeys)%singleKeyWidth != 0 {
-		return Table{}, oops.Errorf("decode table: cut rows")
+		return Table{}, oops.Errorf("decode table: incomplete rows or keys")
 	}
 	t := Table{
 		Service: key.Service(w.Service), Zone: place.Zone(w.Zone),
@@ -93,7 +93,7 @@
 		last += key.Shard(rows[i])
 		owner := TargetIndex(rows[i+2])
 		if rows[i+2] > uint64(NoOwner) || owner != NoOwner && int(owner) >= len(t.Targets) {
-			return oops.Errorf("decode table: shard %d names an unknown target", last)
+			return oops.Errorf("decode table: owner of shard %d is not in the list of targets", last)
 		}
 		t.Rows = append(t.Rows, Row{Shard: last, Epoch: grant.Epoch(rows[i+1]), Owner: owner})
 	}
--- a/internal/table/codec_test.go
+++ b/internal/table/codec_test.go
@@ -46,7 +46,7 @@
 		}
 		for _, r := range decoded.Rows {
 			if r.Owner != NoOwner && int(r.Owner) >= len(decoded.Targets) {
-				t.Fatalf("row %v names no target", r)
+				t.Fatalf("owner of row %v is not in the list of targets", r)
 			}
 		}
 	})
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,4 +1,5 @@
-// Package table holds the routing table of one cell as the entries use it.
+// Package table holds the routing table of a cell, by which entry processes
+// find the owner of a shard.
 package table
 
 import (
@@ -13,10 +14,11 @@
 // TargetIndex is an index into Table.Targets.
 type TargetIndex uint16
 
-// NoOwner stands for a shard that no target owns now.
+// NoOwner marks a shard that no target owns now.
 const NoOwner TargetIndex = 0xffff
 
-// Version orders the tables of one cell; a higher one replaces a lower one.
+// Version orders the tables of one cell; a table replaces one of a lower
+// version.
 type Version struct {
 	Term     grant.Term
 	Sequence uint64
@@ -30,12 +32,13 @@
 	return v.Sequence < w.Sequence
 }
 
-// Table is the routing table of one cell.
+// Table is the routing table of one cell: the shards of one service in the
+// custody of one zone.
 type Table struct {
 	Service key.Service
 	Zone    place.Zone
 	Version Version
-	// Leader is where load reports of this cell go.
+	// Leader is the cell's leader; entry processes send it their load reports.
 	Leader     place.Host
 	LeaderAddr netip.AddrPort
 	Shards     key.ShardCount
@@ -49,18 +52,19 @@
 	Name    place.Target
 	Addr    netip.AddrPort
 	Leaving bool
-	// WarmupStart is the start of the target's warm-up ramp.
+	// WarmupStart is when the target's warm-up began.
 	WarmupStart time.Time
 }
 
-// Row is one shard in the custody of the cell, sorted by Shard.
+// Row is one shard in the custody of the cell. The rows of a table are sorted
+// by shard.
 type Row struct {
 	Shard key.Shard
 	Epoch grant.Epoch
 	Owner TargetIndex
 }
 
-// SingleKey is one hot key with a shard of its own.
+// SingleKey is a hot key with a shard of its own.
 type SingleKey struct {
 	Hash  key.Hash
 	Shard key.Shard
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire maps the values that several codecs share: addresses and times.
+// Package wire converts the values that several codecs share: addresses and
+// times.
 package wire
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// FormatAddr returns the text of an address, empty for the zero address.
+// FormatAddr returns an address as text, "" for the zero address.
 func FormatAddr(a netip.AddrPort) string {
 	if !a.IsValid() {
 		return ""
@@ -14,7 +15,8 @@
 	return a.String()
 }
 
-// ParseAddr returns the address of a text, the zero address where it is none.
+// ParseAddr parses an address; it returns the zero address for text that is
+// none.
 func ParseAddr(text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -23,7 +25,7 @@
 	return a
 }
 
-// UnixNano returns nanoseconds since 1970 in UTC, zero for the zero time.
+// UnixNano returns t in nanoseconds since 1970 UTC, zero for the zero time.
 func UnixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -31,7 +33,7 @@
 	return t.UnixNano()
 }
 
-// Time is the inverse of Nanos.
+// Time is the inverse of UnixNano; its result is in UTC.
 func Time(nanos int64) time.Time {
 	if nanos == 0 {
 		return time.Time{}
