--- a/internal/docsync/delta_bench_test.go
+++ b/internal/docsync/delta_bench_test.go
@@ -15,8 +15,8 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// encodedTable returns the encoded table of a cell with 20 targets, with every
-// shard at an epoch of its own, after some moves.
+// encodedTable returns the encoded routing table of a cell with 20 targets,
+// with random epochs and owners, after some moves.
 func encodedTable(tb testing.TB, rows, moves int) []byte {
 	tb.Helper()
 	const targets = 20
@@ -44,8 +44,8 @@
 	return data
 }
 
-// BenchmarkDelta measures a table's update as a delta and whole, by the number
-// of rows and of moves.
+// BenchmarkDelta measures the delta of a table's update against its full
+// encoding, by the number of rows and of moves.
 func BenchmarkDelta(b *testing.B) {
 	for _, rows := range []int{256, 1024, 4096} {
 		for _, moves := range []int{1, 10, 100} {
--- a/internal/docsync/docsync.go
+++ b/internal/docsync/docsync.go
@@ -1,5 +1,5 @@
-// Package docsync passes documents between hosts: newest version wins, no host
-// ever goes back to an older one.
+// Package docsync replicates versioned documents between processes. The newest
+// version of a document wins; no process returns to an older one.
 package docsync
 
 // Name names a document, such as "settings" or "table/balance/zone-a".
@@ -10,14 +10,14 @@
 	Settings    Name = "settings"
 	Fleet       Name = "fleet"
 	TablePrefix Name = "table/"
-	// CustodyPrefix is followed by the service's name.
+	// CustodyPrefix is followed by a service's name.
 	CustodyPrefix Name = "custody/"
 )
 
 // Version orders the versions of one document.
 type Version struct {
-	Major uint64 // a store revision, or a cell's term
-	Minor uint64 // a sequence within Major
+	Major uint64 // a revision of the store, or a cell's term
+	Minor uint64 // a sequence number within Major
 }
 
 // Less reports whether v is older than w.
@@ -28,7 +28,8 @@
 	return v.Minor < w.Minor
 }
 
-// Document is one version of a document. The body is not changed after Publish.
+// Document is one version of a document. The body must not be changed after
+// Publish.
 type Document struct {
 	Name    Name
 	Version Version
@@ -36,15 +37,17 @@
 }
 
 // Replica holds the newest version of each document that this process knows and
-// tells subscribers of newer ones. Safe for concurrent use.
+// notifies subscribers of newer ones. It is safe for concurrent use.
 type Replica interface {
-	// Publish offers a version; it reports whether it was newer.
+	// Publish offers a version and reports whether it was newer and was taken.
 	Publish(doc Document) bool
-	// Get returns the newest known version.
+	// Get returns the newest known version of a document.
 	Get(name Name) (Document, bool)
-	// Subscribe returns a channel that gets a token after each change below
-	// prefix; the channel has a buffer of one and is never closed.
+	// Subscribe returns a channel that gets a token after a change of a
+	// document with the prefix. The channel has a buffer of one and is never
+	// closed.
 	Subscribe(prefix Name) <-chan struct{}
-	// List returns the newest versions below prefix, sorted by name.
+	// List returns the newest versions of the documents with the prefix, sorted
+	// by name.
 	List(prefix Name) []Document
 }
--- a/internal/docsync/encoding.go
+++ b/internal/docsync/encoding.go
@@ -10,86 +10,89 @@
 )
 
 const (
-	// minDeltaBytes is the size of a body, in bytes, from which deltas are made.
+	// minDeltaBytes is the body size from which deltas are made.
 	minDeltaBytes = 1 << 10
-	// minCompressBytes is the size of a body, in bytes, from which it is compressed.
+	// minCompressBytes is the body size from which a body is compressed.
 	minCompressBytes = 256
-	// maxWindowBytes is the window of the encoder: it covers a large document
-	// and its base.
+	// maxWindowBytes bounds the window of the encoder: it covers the largest
+	// document and its base.
 	maxWindowBytes = 2 * MaxDocumentBytes
 )
 
-// encoding tells how a document's body travels.
+// encoding is how the body of a document is encoded.
 type encoding uint8
 
 const (
 	encodingRaw   encoding = iota + 1
-	encodingZstd           // compressed
-	encodingDelta          // compressed against the body of the base version
+	encodingZstd           // compressed with zstd
+	encodingDelta          // compressed with zstd, with the body of the base version as dictionary
 )
 
-// encodedDoc is a document on its way.
+// encodedDoc is a document encoded for transfer.
 type encodedDoc struct {
 	name     Name
 	version  Version
 	encoding encoding
-	base     Version // for formDelta
+	base     Version // for encodingDelta
 	payload  []byte
 }
 
-// errUnknownBase is returned where the base of a delta is not known here.
-var errUnknownBase = errors.New("spread: base of a delta is unknown")
+// errUnknownBase is returned where this process doesn't have the base of a
+// delta.
+var errUnknownBase = errors.New("docsync: base version of a delta is unknown")
 
-// errMalformedDoc is returned for a parcel that can't be opened.
-var errMalformedDoc = errors.New("spread: malformed document")
+// errMalformedDoc is returned for a document that can't be decoded.
+var errMalformedDoc = errors.New("docsync: malformed document")
 
-// encode returns the newest version of a document for a process that has the
-// version base, as a delta where this board still knows that version.
+// encode encodes the newest version of a document for a process that has the
+// version base: as a delta where this replica still has the body of that
+// version, otherwise in full.
 func (m *MemoryReplica) encode(name Name, base Version) (encodedDoc, bool) {
 	m.mu.Lock()
-	r := m.docs[name]
-	if r == nil {
+	state := m.docs[name]
+	if state == nil {
 		m.mu.Unlock()
 		return encodedDoc{}, false
 	}
-	doc, old := r.Document, r.body(base)
+	doc, old := state.Document, state.body(base)
 	if old == nil || len(doc.Body) < minDeltaBytes {
 		base, old = Version{}, nil
 	}
-	packed, cached := r.encodings[base]
+	encoded, ok := state.encodings[base]
 	m.mu.Unlock()
-	if !cached {
-		packed = encodeDoc(doc, base, old)
-		m.cache(base, packed)
+	if !ok {
+		encoded = encodeDoc(doc, base, old)
+		m.cache(base, encoded)
 	}
-	return packed, true
+	return encoded, true
 }
 
-// body returns the body that the row had at a version, nil where it is gone.
-func (r *docState) body(at Version) []byte {
-	i := slices.IndexFunc(r.older, func(d Document) bool { return d.Version == at })
+// body returns the body of an older version, nil where it isn't kept any more.
+func (state *docState) body(at Version) []byte {
+	i := slices.IndexFunc(state.older, func(d Document) bool { return d.Version == at })
 	if i < 0 {
 		return nil
 	}
-	return r.older[i].Body
+	return state.older[i].Body
 }
 
-// cache keeps a parcel for others that ask from the same base.
-func (m *MemoryReplica) cache(base Version, p encodedDoc) {
+// cache keeps an encoded document for other processes that have the same base.
+func (m *MemoryReplica) cache(base Version, e encodedDoc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := m.docs[p.name]
-	if r.Version != p.version {
+	state := m.docs[e.name]
+	if state.Version != e.version {
 		return
 	}
-	if r.encodings == nil {
-		r.encodings = make(map[Version]encodedDoc, maxOlderVersions+1)
+	if state.encodings == nil {
+		state.encodings = make(map[Version]encodedDoc, maxOlderVersions+1)
 	}
-	r.encodings[base] = p
+	state.encodings[base] = e
 }
 
-// encodeDoc returns a document as a delta against old, the body of the base
-// version, or whole where that is nil or most of it has changed.
+// encodeDoc encodes a document as a delta against old, the body of the base
+// version, or in full where old is nil or the delta is larger than half of the
+// body.
 func encodeDoc(doc Document, base Version, old []byte) encodedDoc {
 	if old == nil {
 		return encodeFull(doc)
@@ -102,33 +105,33 @@
 }
 
 func encodeFull(doc Document) encodedDoc {
-	p := encodedDoc{name: doc.Name, version: doc.Version, encoding: encodingRaw, payload: doc.Body}
+	e := encodedDoc{name: doc.Name, version: doc.Version, encoding: encodingRaw, payload: doc.Body}
 	if len(doc.Body) < minCompressBytes {
-		return p
+		return e
 	}
-	if packed := compress(doc.Body); len(packed) < len(doc.Body) {
-		p.encoding, p.payload = encodingZstd, packed
+	if encoded := compress(doc.Body); len(encoded) < len(doc.Body) {
+		e.encoding, e.payload = encodingZstd, encoded
 	}
-	return p
+	return e
 }
 
-// decode returns the document of a parcel; a delta needs its base on the board.
-func (m *MemoryReplica) decode(p encodedDoc) (Document, error) {
-	doc := Document{Name: p.name, Version: p.version}
-	switch p.encoding {
+// decode decodes a document; a delta needs its base in this replica.
+func (m *MemoryReplica) decode(e encodedDoc) (Document, error) {
+	doc := Document{Name: e.name, Version: e.version}
+	switch e.encoding {
 	case encodingRaw:
-		doc.Body = p.payload
+		doc.Body = e.payload
 		return doc, nil
 	case encodingZstd:
-		body, err := decompress(p.payload, nil)
+		body, err := decompress(e.payload, nil)
 		doc.Body = body
 		return doc, err
 	case encodingDelta:
-		base := m.bodyAt(p.name, p.base)
+		base := m.bodyAt(e.name, e.base)
 		if base == nil {
 			return doc, errUnknownBase
 		}
-		body, err := decompress(p.payload, base)
+		body, err := decompress(e.payload, base)
 		doc.Body = body
 		return doc, err
 	}
@@ -138,32 +141,33 @@
 func (m *MemoryReplica) bodyAt(name Name, at Version) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := m.docs[name]
-	if r == nil {
+	state := m.docs[name]
+	if state == nil {
 		return nil
 	}
-	if r.Version == at {
-		return r.Body
+	if state.Version == at {
+		return state.Body
 	}
-	return r.body(at)
+	return state.body(at)
 }
 
 // compress returns body as one zstd frame with a checksum.
 func compress(body []byte) []byte {
 	encoder, err := zstd.NewWriter(nil, encoderOptions(len(body))...)
 	if err != nil {
-		// The options are constant: without compression all still works.
+		// The options are constant. Should they be rejected all the same, the
+		// body is sent uncompressed.
 		return body
 	}
 	return encoder.EncodeAll(body, nil)
 }
 
-// deltaEncoders keeps encoders for deltas: a new one takes a megabyte, and a
-// watcher makes some dozens a second.
+// deltaEncoders reuses the encoders of deltas: a new one takes a megabyte, and
+// a watcher encodes dozens of deltas a second.
 var deltaEncoders sync.Pool
 
-// compressDelta returns body as one zstd frame with a checksum, which refers to
-// the base for all that both have in common.
+// compressDelta returns body as one zstd frame with a checksum, with base as
+// its dictionary.
 func compressDelta(body, base []byte) ([]byte, error) {
 	size, dict := len(body)+len(base), zstd.WithEncoderDictRaw(0, base)
 	encoder, _ := deltaEncoders.Get().(*zstd.Encoder)
@@ -174,14 +178,14 @@
 		err = encoder.ResetWithOptions(nil, zstd.WithWindowSize(windowSize(size)), dict)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("spread: delta: %w", err)
+		return nil, fmt.Errorf("docsync: compress delta: %w", err)
 	}
 	out := encoder.EncodeAll(body, nil)
 	deltaEncoders.Put(encoder)
 	return out, nil
 }
 
-// encoderOptions returns the options of an encoder for that many bytes.
+// encoderOptions returns the options of an encoder for size bytes.
 func encoderOptions(size int) []zstd.EOption {
 	return []zstd.EOption{
 		zstd.WithEncoderConcurrency(1),
@@ -191,7 +195,8 @@
 	}
 }
 
-// windowSize returns the smallest valid window that covers size bytes.
+// windowSize returns the smallest valid window that covers size bytes, at most
+// maxWindowBytes.
 func windowSize(size int) int {
 	window := zstd.MinWindowSize
 	for window < size && window < maxWindowBytes {
--- a/internal/docsync/fleet.go
+++ b/internal/docsync/fleet.go
@@ -31,7 +31,7 @@
 	Addr    netip.AddrPort
 }
 
-// EncodeFleet returns the body of the Fleet document.
+// EncodeFleet encodes the body of the Fleet document.
 func EncodeFleet(fleet platform.Fleet) ([]byte, error) {
 	var w wireFleet
 	for _, h := range fleet.Hosts {
@@ -47,11 +47,11 @@
 	return encodeWire(w)
 }
 
-// DecodeFleet reads the body of the Fleet document.
+// DecodeFleet decodes the body of the Fleet document.
 func DecodeFleet(body []byte) (platform.Fleet, error) {
 	var w wireFleet
 	if err := decodeWire(body, &w); err != nil {
-		return platform.Fleet{}, fmt.Errorf("fleet: %w", err)
+		return platform.Fleet{}, fmt.Errorf("decode fleet: %w", err)
 	}
 	var fleet platform.Fleet
 	for _, h := range w.Hosts {
--- a/internal/docsync/follower.go
+++ b/internal/docsync/follower.go
@@ -14,43 +14,46 @@
 )
 
 const (
-	// leadPollWait is how long a poll between leads waits for news.
+	// leadPollWait is how long a poll of a lead process waits for a change.
 	leadPollWait = 700 * time.Millisecond
-	// entryPollWait is shorter: an entry follows one process alone and has to
-	// notice its loss.
+	// entryPollWait is the same for an entry process. It is short, as an entry
+	// process follows one process alone and has to notice when that fails.
 	entryPollWait = time.Second
-	// responseMargin is the time on top of the wait.
+	// responseMargin is added to the wait for the timeout of a poll.
 	responseMargin = 400 * time.Millisecond
 	fetchTimeout   = 2 * time.Second
-	// sharedFetchWait is how long a document is left to another follower that gets
-	// it already: the link of the process that it asks may be full.
+	// sharedFetchWait is how long a follower waits for a document that another
+	// one is fetching already. After that it fetches the document too: the link
+	// to the other's source may be congested.
 	sharedFetchWait = 250 * time.Millisecond
-	// pollInterval is the least time between two polls of one process.
+	// pollInterval is the shortest time between two polls of one process.
 	pollInterval = 20 * time.Millisecond
-	// standbyPollInterval is the same for a process that says what another one says
-	// too: so old is the news where that one has just failed.
+	// standbyPollInterval is the same for a standby, whose documents another
+	// process has too. Where that one has just failed, a change is noticed with
+	// this delay.
 	standbyPollInterval = 500 * time.Millisecond
-	// standbyPromoteAfter is how many polls of it in a row bring news if the other one
-	// has gone silent; one may be first by chance.
+	// standbyPromoteAfter is the number of polls in a row after which a standby
+	// that brings news is polled at pollInterval: the preferred process no
+	// longer responds in time. A single one may bring news first by chance.
 	standbyPromoteAfter = 2
 	minRetryBackoff     = 50 * time.Millisecond
 	maxRetryBackoff     = time.Second
 )
 
-// follower hears documents from one process.
+// follower receives documents from one process by polling it.
 type follower struct {
 	node     *Node
 	addr     netip.AddrPort
 	replica  instanceID
 	cursor   cursor
 	failures int
-	// standby tells that another process says the same, and news how many polls
-	// in a row brought something all the same.
+	// standby is set where another process has the same documents. freshPolls
+	// counts the polls in a row that brought news.
 	standby    bool
 	freshPolls int
 }
 
-// interval returns the least time between two polls.
+// interval returns the shortest time between the starts of two polls.
 func (f *follower) interval() time.Duration {
 	if f.standby && f.freshPolls < standbyPromoteAfter {
 		return standbyPollInterval
@@ -78,7 +81,8 @@
 	}
 }
 
-// retryBackoff returns the time before the next attempt at a process.
+// retryBackoff returns the time before the next attempt to reach a process:
+// exponential with jitter.
 func retryBackoff(failures int) time.Duration {
 	const maxDoublings = 8
 	full := min(minRetryBackoff<<min(failures, maxDoublings), maxRetryBackoff)
@@ -92,28 +96,28 @@
 	return leadPollWait
 }
 
-// step polls once and takes what is newer. The cursor moves only once all of
-// it has arrived.
+// step polls once and applies the newer documents. The cursor advances only
+// once all of them have arrived.
 func (f *follower) step(ctx context.Context) error {
-	answer, err := f.poll(ctx)
+	resp, err := f.poll(ctx)
 	if err != nil {
 		return err
 	}
 	before := f.node.replica.currentCursor()
-	for _, p := range answer.inline {
-		err := f.node.apply(p)
+	for _, doc := range resp.inline {
+		err := f.node.apply(doc)
 		switch {
-		case errors.Is(err, errUnknownBase): // a newer version came from elsewhere meanwhile
-			answer.newer = append(answer.newer, header{name: p.name, version: p.version})
+		case errors.Is(err, errUnknownBase): // the base was replaced by a newer version meanwhile
+			resp.newer = append(resp.newer, header{name: doc.name, version: doc.version})
 		case err != nil:
 			return err
 		}
 	}
-	complete, err := f.fetch(ctx, answer.newer)
+	complete, err := f.fetch(ctx, resp.newer)
 	if err != nil || !complete {
 		return err
 	}
-	f.replica, f.cursor = answer.replica, answer.cursor
+	f.replica, f.cursor = resp.replica, resp.cursor
 	if f.freshPolls++; f.node.replica.currentCursor() == before {
 		f.freshPolls = 0
 	}
@@ -121,22 +125,23 @@
 }
 
 func (f *follower) poll(ctx context.Context) (pollResponse, error) {
-	q := poll{replica: f.replica, cursor: f.cursor, wait: f.pollWait()}
+	req := poll{replica: f.replica, cursor: f.cursor, wait: f.pollWait()}
 	if known := f.node.known(); f.replica == 0 || len(known) <= maxAlwaysKnown {
-		q.known = known
+		req.known = known
 	}
-	body, err := f.node.call(ctx, f.addr, q, q.wait+responseMargin)
+	body, err := f.node.call(ctx, f.addr, req, req.wait+responseMargin)
 	if err != nil {
 		return pollResponse{}, err
 	}
 	return decodePollResponse(body)
 }
 
-// maxAlwaysKnown is how many documents a poll names always, so that the answer
-// can bring their changes at once: they take some 30 bytes each.
+// maxAlwaysKnown is the number of documents up to which each poll lists their
+// known versions, so that the response can contain deltas. They take about 30
+// bytes each.
 const maxAlwaysKnown = 16
 
-// known returns the headers of all that the board has.
+// known returns the headers of all documents in the replica.
 func (n *Node) known() []header {
 	docs := n.replica.List("")
 	out := make([]header, len(docs))
@@ -146,11 +151,11 @@
 	return out
 }
 
-// fetch gets the documents that are newer than the board's. Those that another
-// follower of this node gets already it leaves to that one for a while. It
-// reports whether all of them came.
+// fetch fetches the documents that are newer than the replica's. It waits at
+// most sharedFetchWait for those that another follower of this node is
+// fetching. It reports whether all of them arrived.
 func (f *follower) fetch(ctx context.Context, newer []header) (bool, error) {
-	var mine, others []header
+	var own, others []header
 	var running []<-chan struct{}
 	for _, h := range newer {
 		if !f.node.replica.version(h.name).Less(h.version) {
@@ -158,25 +163,25 @@
 		}
 		other, started := f.node.fetching.begin(h)
 		if started {
-			mine = append(mine, h)
+			own = append(own, h)
 			continue
 		}
 		others, running = append(others, h), append(running, other)
 	}
-	complete, err := f.fetchDocs(ctx, mine)
-	f.node.fetching.end(mine)
+	complete, err := f.fetchDocs(ctx, own)
+	f.node.fetching.end(own)
 	if err != nil || len(others) == 0 {
 		return complete, err
 	}
 	if err := waitAll(ctx, running, sharedFetchWait); err != nil {
 		return false, err
 	}
-	late := slices.DeleteFunc(others, func(h header) bool { return !f.node.replica.version(h.name).Less(h.version) })
-	came, err := f.fetchDocs(ctx, late)
-	return complete && came, err
+	missing := slices.DeleteFunc(others, func(h header) bool { return !f.node.replica.version(h.name).Less(h.version) })
+	received, err := f.fetchDocs(ctx, missing)
+	return complete && received, err
 }
 
-// waitAll waits until all channels are closed, at most for d.
+// waitAll waits until all channels are closed, for at most d.
 func waitAll(ctx context.Context, closed []<-chan struct{}, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -196,50 +201,51 @@
 	if len(headers) == 0 {
 		return true, nil
 	}
-	var q fetch
+	var req fetch
 	for _, h := range headers {
-		q.wanted = append(q.wanted, header{name: h.name, version: f.node.replica.version(h.name)})
+		req.wanted = append(req.wanted, header{name: h.name, version: f.node.replica.version(h.name)})
 	}
-	came, again, err := f.fetchOnce(ctx, q)
-	if err != nil || len(again.wanted) == 0 {
-		return came == len(headers), err
+	received, resend, err := f.fetchOnce(ctx, req)
+	if err != nil || len(resend.wanted) == 0 {
+		return received == len(headers), err
 	}
-	cameWhole, _, err := f.fetchOnce(ctx, again)
-	return came+cameWhole == len(headers), err
+	receivedFull, _, err := f.fetchOnce(ctx, resend)
+	return received+receivedFull == len(headers), err
 }
 
-// fetchOnce returns how many documents came and what has to come again, whole.
-func (f *follower) fetchOnce(ctx context.Context, q fetch) (int, fetch, error) {
-	var again fetch
-	body, err := f.node.call(ctx, f.addr, q, fetchTimeout)
+// fetchOnce returns how many documents arrived and which have to be fetched
+// again in full.
+func (f *follower) fetchOnce(ctx context.Context, req fetch) (int, fetch, error) {
+	var resend fetch
+	body, err := f.node.call(ctx, f.addr, req, fetchTimeout)
 	if err != nil {
-		return 0, again, err
+		return 0, resend, err
 	}
-	answer, err := decodeFetchResponse(body)
+	resp, err := decodeFetchResponse(body)
 	if err != nil {
-		return 0, again, err
+		return 0, resend, err
 	}
-	came := 0
-	for _, p := range answer.docs {
-		err := f.node.apply(p)
+	received := 0
+	for _, doc := range resp.docs {
+		err := f.node.apply(doc)
 		switch {
 		case errors.Is(err, errUnknownBase):
-			again.wanted = append(again.wanted, header{name: p.name})
+			resend.wanted = append(resend.wanted, header{name: doc.name})
 		case err != nil:
-			return came, again, err
+			return received, resend, err
 		default:
-			came++
+			received++
 		}
 	}
-	return came, again, nil
+	return received, resend, nil
 }
 
-// apply opens a parcel and offers its document to the board.
-func (n *Node) apply(p encodedDoc) error {
-	if !n.replica.version(p.name).Less(p.version) {
+// apply decodes a document and offers it to the replica.
+func (n *Node) apply(e encodedDoc) error {
+	if !n.replica.version(e.name).Less(e.version) {
 		return nil
 	}
-	doc, err := n.replica.decode(p)
+	doc, err := n.replica.decode(e)
 	if err != nil {
 		return err
 	}
@@ -247,39 +253,40 @@
 	return nil
 }
 
-func (n *Node) call(ctx context.Context, to netip.AddrPort, q request, timeout time.Duration) ([]byte, error) {
-	body, err := encodeRequest(q)
+func (n *Node) call(ctx context.Context, to netip.AddrPort, req request, timeout time.Duration) ([]byte, error) {
+	body, err := encodeRequest(req)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return n.link.Call(ctx, to, peer.KindSync, body)
+	return n.transport.Call(ctx, to, peer.KindSync, body)
 }
 
-// fetchGroup holds the documents that are being fetched now, so that two
-// followers of one node don't both fetch the same version.
+// fetchGroup tracks the fetches in flight, so that two followers of one node
+// don't fetch the same version at the same time.
 type fetchGroup struct {
 	mu      sync.Mutex
 	running map[header]chan struct{}
 }
 
-// begin enters a fetch; where one runs already it returns its end.
-func (f *fetchGroup) begin(h header) (<-chan struct{}, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if running, ok := f.running[h]; ok {
+// begin registers a fetch and returns true. Where one is in flight already, it
+// returns the channel that is closed at its end, and false.
+func (g *fetchGroup) begin(h header) (<-chan struct{}, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if running, ok := g.running[h]; ok {
 		return running, false
 	}
-	f.running[h] = make(chan struct{})
+	g.running[h] = make(chan struct{})
 	return nil, true
 }
 
-func (f *fetchGroup) end(headers []header) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (g *fetchGroup) end(headers []header) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	for _, h := range headers {
-		close(f.running[h])
-		delete(f.running, h)
+		close(g.running[h])
+		delete(g.running, h)
 	}
 }
--- a/internal/docsync/followers_bench_test.go
+++ b/internal/docsync/followers_bench_test.go
@@ -18,7 +18,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// countedConn counts the bytes that pass a socket.
+// countedConn counts the bytes that are sent and received on a socket.
 type countedConn struct {
 	net.PacketConn
 
@@ -37,23 +37,24 @@
 	return n, err
 }
 
-// countedLink counts the calls that a process makes.
-type countedLink struct {
+// countedTransport counts the calls that a process makes.
+type countedTransport struct {
 	*peer.Peer
 
 	calls atomic.Int64
 }
 
-func (l *countedLink) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
+func (l *countedTransport) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
 	l.calls.Add(1)
 	return l.Peer.Call(ctx, to, kind, body)
 }
 
-// zone is one availability zone of lead processes over real sockets.
+// zone is one availability zone of lead processes that communicate over real
+// sockets.
 type zone struct {
-	replicas []*docsync.MemoryReplica
-	conns    []*countedConn
-	links    []*countedLink
+	replicas   []*docsync.MemoryReplica
+	conns      []*countedConn
+	transports []*countedTransport
 }
 
 func startZone(b *testing.B, hosts int) *zone {
@@ -84,10 +85,10 @@
 		must(b, err)
 		p, err := peer.New(peer.Config{Conn: z.conns[i], Keys: m})
 		must(b, err)
-		link, board := &countedLink{Peer: p}, docsync.New()
-		board.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: body})
-		node := docsync.NewNode(board, link, docsync.Config{Self: m.Self(), Addr: row.LeadAddr})
-		z.links, z.replicas = append(z.links, link), append(z.replicas, board)
+		transport, replica := &countedTransport{Peer: p}, docsync.New()
+		replica.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: body})
+		node := docsync.NewNode(replica, transport, docsync.Config{Self: m.Self(), Addr: row.LeadAddr})
+		z.transports, z.replicas = append(z.transports, transport), append(z.replicas, replica)
 		work.Go(func() { _ = p.Run(ctx) })
 		work.Go(func() { _ = node.Run(ctx) })
 	}
@@ -102,18 +103,18 @@
 }
 
 func (z *zone) totals() (calls, bytes int64) {
-	for i := range z.links {
-		calls += z.links[i].calls.Load()
+	for i := range z.transports {
+		calls += z.transports[i].calls.Load()
 		bytes += z.conns[i].bytes.Load()
 	}
 	return calls, bytes
 }
 
-// await waits until all boards have a version of a document.
+// await waits until all replicas have at least a version of a document.
 func (z *zone) await(name docsync.Name, version docsync.Version) {
-	for _, board := range z.replicas {
+	for _, replica := range z.replicas {
 		for {
-			if doc, ok := board.Get(name); ok && !doc.Version.Less(version) {
+			if doc, ok := replica.Get(name); ok && !doc.Version.Less(version) {
 				break
 			}
 			time.Sleep(time.Millisecond)
@@ -128,9 +129,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkFollowers measures what a follower costs, its share of the two
-// watchers included, with one new version of a table of about 4 kB a second.
-// One operation is one second.
+// BenchmarkFollowers measures the cost of a follower, including its share of
+// the cost of the zone's two watchers, while a table of about 4 kB is published
+// once a second. One operation takes one second.
 func BenchmarkFollowers(b *testing.B) {
 	for _, hosts := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
--- a/internal/docsync/main_test.go
+++ b/internal/docsync/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random runs where none was given: the same
-// sources get the same verdict.
+// TestMain fixes the seed of the random tests where none was given, so that a
+// result can be reproduced.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/docsync/network_test.go
+++ b/internal/docsync/network_test.go
@@ -14,18 +14,18 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// network connects the nodes of a test in memory, with cuts.
+// network connects the nodes of a test in memory and simulates partitions.
 type network struct {
 	mu          sync.Mutex
-	links       map[netip.AddrPort]*memoryTransport
+	transports  map[netip.AddrPort]*memoryTransport
 	partitioned func(from, to netip.AddrPort) bool
-	// dropsLarge are the addresses whose long answers never arrive.
+	// dropsLarge holds the addresses whose large responses are dropped.
 	dropsLarge map[netip.AddrPort]bool
 	calls      int
 	bytes      int
 }
 
-// memoryTransport is one process's peer.Link.
+// memoryTransport is the peer.Transport of one process.
 type memoryTransport struct {
 	net      *network
 	self     peer.Identity
@@ -37,14 +37,14 @@
 const hopDelay = time.Millisecond
 
 func newNetwork() *network {
-	return &network{links: make(map[netip.AddrPort]*memoryTransport), dropsLarge: make(map[netip.AddrPort]bool), partitioned: func(_, _ netip.AddrPort) bool { return false }}
+	return &network{transports: make(map[netip.AddrPort]*memoryTransport), dropsLarge: make(map[netip.AddrPort]bool), partitioned: func(_, _ netip.AddrPort) bool { return false }}
 }
 
-func (n *network) link(self peer.Identity, addr netip.AddrPort) *memoryTransport {
+func (n *network) transport(self peer.Identity, addr netip.AddrPort) *memoryTransport {
 	w := &memoryTransport{net: n, self: self, addr: addr, handlers: make(map[peer.Kind]peer.Handler)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links[addr] = w
+	n.transports[addr] = w
 	return w
 }
 
@@ -54,7 +54,8 @@
 	n.partitioned = cut
 }
 
-// dropLargeResponses lets no long answer of an address arrive any more: its link is full.
+// dropLargeResponses drops all large responses of an address from now on, as a
+// congested link would.
 func (n *network) dropLargeResponses(addr netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,16 +63,16 @@
 }
 
 func (n *network) dropsResponse(addr netip.AddrPort, size int) bool {
-	const long = 2 << 10
+	const large = 2 << 10
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return size > long && n.dropsLarge[addr]
+	return size > large && n.dropsLarge[addr]
 }
 
 func (n *network) remove(addr netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.links, addr)
+	delete(n.transports, addr)
 }
 
 func (n *network) find(from, to netip.AddrPort, size int) *memoryTransport {
@@ -82,7 +83,7 @@
 	if n.partitioned(from, to) {
 		return nil
 	}
-	return n.links[to]
+	return n.transports[to]
 }
 
 func (w *memoryTransport) Handle(kind peer.Kind, handler peer.Handler) {
@@ -104,16 +105,16 @@
 	if handler == nil {
 		return nil, peer.ErrRefused
 	}
-	answer, err := handler(ctx, w.self, body)
+	resp, err := handler(ctx, w.self, body)
 	time.Sleep(hopDelay)
-	if w.net.find(w.addr, to, len(answer)) == nil || w.net.dropsResponse(to, len(answer)) {
+	if w.net.find(w.addr, to, len(resp)) == nil || w.net.dropsResponse(to, len(resp)) {
 		<-ctx.Done()
 		return nil, peer.ErrNoResponse
 	}
-	return answer, err
+	return resp, err
 }
 
-// fakeStore is a stand-in of the platform's service that counts calls.
+// fakeStore is a fake store that counts calls.
 type fakeStore struct {
 	platform.Store
 
@@ -148,12 +149,13 @@
 	s.down = func() bool { return down }
 }
 
-// inZone is the store as one zone's hosts reach it.
+// inZone returns the store as the hosts of a zone reach it.
 func (s *fakeStore) inZone(zone place.Zone) platform.Store {
 	return zoneStore{fakeStore: s, zone: zone}
 }
 
-// zoneStore is a store that a zone may be cut off from, or that is slow.
+// zoneStore is the store as reached from one zone, which may be partitioned
+// from it, or slow.
 type zoneStore struct {
 	*fakeStore
 
@@ -192,7 +194,7 @@
 	return z.fakeStore.Fleet(ctx)
 }
 
-// injectFault cuts a zone off from the store and makes each call take delay.
+// injectFault partitions a zone from the store and delays all calls.
 func (s *fakeStore) injectFault(zone place.Zone, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -293,7 +295,7 @@
 	}
 }
 
-// start starts a host's processes, with nothing on their boards.
+// start starts a host's processes with empty replicas.
 func (d *deployment) start(row place.HostRow) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.stops[row.Host] = cancel
@@ -301,13 +303,13 @@
 	lead := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleLead}
 	entry := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleEntry}
 	d.leads[row.Host], d.entry[row.Host] = docsync.New(), docsync.New()
-	leadNode := docsync.NewNode(d.leads[row.Host], d.net.link(lead, row.LeadAddr), docsync.Config{Self: lead, Addr: row.LeadAddr, Seeds: seeds, Store: d.store.inZone(row.Zone)})
-	entryNode := docsync.NewNode(d.entry[row.Host], d.net.link(entry, row.EntryAddr), docsync.Config{Self: entry, LocalLead: row.LeadAddr, Seeds: seeds})
+	leadNode := docsync.NewNode(d.leads[row.Host], d.net.transport(lead, row.LeadAddr), docsync.Config{Self: lead, Addr: row.LeadAddr, Seeds: seeds, Store: d.store.inZone(row.Zone)})
+	entryNode := docsync.NewNode(d.entry[row.Host], d.net.transport(entry, row.EntryAddr), docsync.Config{Self: entry, LocalLead: row.LeadAddr, Seeds: seeds})
 	go func() { _ = leadNode.Run(ctx) }()
 	go func() { _ = entryNode.Run(ctx) }()
 }
 
-// stop ends a host's processes; their boards are lost.
+// stop ends a host's processes; their replicas are lost.
 func (d *deployment) stop(row place.HostRow) {
 	d.stops[row.Host]()
 	d.net.remove(row.LeadAddr)
@@ -316,12 +318,12 @@
 	delete(d.entry, row.Host)
 }
 
-// outdated returns the processes whose document has not the wanted body.
+// outdated returns the processes whose document doesn't have the expected body.
 func (d *deployment) outdated(name docsync.Name, body string) []string {
 	var out []string
-	for kind, boards := range map[string]map[place.Host]*docsync.MemoryReplica{"lead": d.leads, "entry": d.entry} {
-		for host, board := range boards {
-			if doc, _ := board.Get(name); string(doc.Body) != body {
+	for kind, replicas := range map[string]map[place.Host]*docsync.MemoryReplica{"lead": d.leads, "entry": d.entry} {
+		for host, replica := range replicas {
+			if doc, _ := replica.Get(name); string(doc.Body) != body {
 				out = append(out, fmt.Sprintf("%s of %s has %q", kind, host, doc.Body))
 			}
 		}
@@ -329,8 +331,8 @@
 	return out
 }
 
-// rollBack makes the store answer with the revision before its newest, as a
-// lagging copy of it would.
+// rollBack makes the store respond with the revision before its newest one, as
+// a lagging copy would.
 func (s *fakeStore) rollBack(value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/docsync/node.go
+++ b/internal/docsync/node.go
@@ -16,103 +16,110 @@
 )
 
 const (
-	// topologyInterval is the time between two looks at whom to follow, arrangeSoon
-	// that after the list of hosts has changed and while an address fails.
+	// topologyInterval is the time between two updates of the topology,
+	// fastTopologyInterval that while an address fails. After a change of the
+	// list of hosts and after a new failure, an update follows in a fifth of
+	// the latter.
 	topologyInterval     = time.Second
 	fastTopologyInterval = 250 * time.Millisecond
-	// suspectAfter is how long a process may fail to answer before others
-	// stand in for it.
+	// suspectAfter is how long a process may fail to respond before it is
+	// suspected and others are used in its place.
 	suspectAfter = time.Second
 )
 
-// Config is what a Node needs.
+// Config configures a Node.
 type Config struct {
 	Self peer.Identity
-	// Addr is the process's own peer address: it follows itself nowhere.
+	// Addr is the process's own peer address, which it doesn't follow.
 	Addr netip.AddrPort
-	// CPUShare is the host's share of a core, zero where nobody tells.
+	// CPUShare is the host's CPU share, zero where it is not known.
 	CPUShare float64
-	// LocalLead is where an entry finds the lead process of its own host.
+	// LocalLead is the address of the lead process on an entry process's own
+	// host.
 	LocalLead netip.AddrPort
-	// Seeds are peer addresses of lead processes to start from.
+	// Seeds are peer addresses of lead processes, for the time before the list
+	// of hosts is known and where all others are suspected.
 	Seeds []netip.AddrPort
-	// Store is the platform's service; entries leave it nil.
+	// Store is the platform's store; it is nil for entry processes.
 	Store platform.Store
-	// Watch, where set, is run in place of a Watcher of Store.
+	// Watch, where set, is run instead of a Watcher of Store.
 	Watch func(ctx context.Context) error
-	// Hosts, where set, lists the hosts in place of the Fleet document, and Listed
-	// names the document that they come from.
+	// Hosts, where set, returns the hosts instead of the Fleet document.
+	// HostsDocument is then the document that they come from, whose changes
+	// update the topology.
 	Hosts         func() []place.HostRow
 	HostsDocument Name
 	Log           *slog.Logger
 }
 
-// Node keeps the board of one process in step with those of others.
+// Node keeps the replica of one process in sync with those of others.
 type Node struct {
-	cfg     Config
-	replica *MemoryReplica
-	link    peer.Transport
-	log     *slog.Logger
+	cfg       Config
+	replica   *MemoryReplica
+	transport peer.Transport
+	log       *slog.Logger
 
 	fetching fetchGroup
-	// failureSignal gets a token when a process begins to fail.
+	// failureSignal gets a token when an address begins to fail.
 	failureSignal chan struct{}
 
 	mu     sync.Mutex
 	health map[netip.AddrPort]health
 }
 
-// health is what a node knows of one address that it follows or tells.
+// health is the state of one address that a node follows or pushes to.
 type health struct {
 	failing bool
 	since   time.Time // the first failure since the last success
 }
 
-// NewNode returns a node for one process and registers its message handler.
-func NewNode(board *MemoryReplica, link peer.Transport, cfg Config) *Node {
+// NewNode returns a node for one process. For a lead process it registers the
+// message handler.
+func NewNode(local *MemoryReplica, transport peer.Transport, cfg Config) *Node {
 	if cfg.Log == nil {
 		cfg.Log = logging.Nop()
 	}
 	n := &Node{
 		cfg:           cfg,
-		replica:       board,
-		link:          link,
+		replica:       local,
+		transport:     transport,
 		log:           logging.Component(cfg.Log, "spread"),
 		fetching:      fetchGroup{running: make(map[header]chan struct{})},
 		health:        make(map[netip.AddrPort]health),
 		failureSignal: make(chan struct{}, 1),
 	}
 	if cfg.Self.Role == peer.RoleLead {
-		link.Handle(peer.KindSync, n.serve)
+		transport.Handle(peer.KindSync, n.serve)
 	}
 	return n
 }
 
-// Run follows, tells and watches as Arrange decides, until ctx ends.
+// Run follows other processes, pushes to them and watches the store as the
+// topology demands, until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &taskSet{node: n, ctx: ctx, running: make(map[task]context.CancelFunc)}
+	tasks := &taskSet{node: n, ctx: ctx, running: make(map[task]context.CancelFunc)}
 	listed := n.replica.Subscribe(cmp.Or(n.cfg.HostsDocument, Fleet))
 	timer := time.NewTimer(fastTopologyInterval)
 	defer timer.Stop()
 	for {
-		s.reconcile(ComputeTopology(n.view(time.Now())))
-		rest := topologyInterval
+		tasks.reconcile(ComputeTopology(n.view(time.Now())))
+		interval := topologyInterval
 		if n.anyFailing() {
-			rest = fastTopologyInterval
+			interval = fastTopologyInterval
 		}
-		timer.Reset(rest)
+		timer.Reset(interval)
 		select {
 		case <-ctx.Done():
-			s.wg.Wait()
+			tasks.wg.Wait()
 			return nil
 		case <-timer.C:
 			continue
 		case <-listed:
 		case <-n.failureSignal:
 		}
-		// What changed may take a moment to be all there.
+		// Several changes often come together: wait a moment for the others.
 		select {
 		case <-ctx.Done():
 		case <-time.After(fastTopologyInterval / 5):
@@ -120,7 +127,7 @@
 	}
 }
 
-// anyFailing reports whether any address did not answer when it was last asked.
+// anyFailing reports whether any address failed to respond to its last call.
 func (n *Node) anyFailing() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,7 +139,7 @@
 	return false
 }
 
-// Topology returns whom the node follows and tells at the time now.
+// Topology returns the node's topology at the time now.
 func (n *Node) Topology(now time.Time) Topology { return ComputeTopology(n.view(now)) }
 
 func (n *Node) view(now time.Time) View {
@@ -160,7 +167,7 @@
 	}
 	fleet, err := DecodeFleet(doc.Body)
 	if err != nil {
-		n.log.Warn("fleet document not readable", slog.Any("error", err))
+		n.log.Warn("Fleet document could not be decoded.", slog.Any("error", err))
 		return nil
 	}
 	return fleet.Hosts
@@ -185,7 +192,7 @@
 	delete(n.health, addr)
 }
 
-// markFailed records that a call sent at the given time got no answer.
+// markFailed records that a call sent at the given time failed.
 func (n *Node) markFailed(sent time.Time, addr netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -195,7 +202,7 @@
 	n.health[addr] = health{failing: true, since: sent}
 	select {
 	case n.failureSignal <- struct{}{}:
-	default: // a token is waiting already
+	default: // a token is already pending
 	}
 }
 
@@ -205,11 +212,11 @@
 	delete(n.health, addr)
 }
 
-// task is one thing that a node does at a time.
+// task is one thing that a node does in a goroutine of its own.
 type task struct {
 	kind taskKind
 	addr netip.AddrPort
-	// standby tells that a process is followed in case another one fails.
+	// standby is set where a process is followed as a standby.
 	standby bool
 }
 
@@ -221,7 +228,8 @@
 	taskPush
 )
 
-// taskSet runs one goroutine for each duty and ends those no longer wanted.
+// taskSet runs one goroutine for each task and stops those that are no longer
+// wanted.
 type taskSet struct {
 	node    *Node
 	ctx     context.Context
@@ -269,7 +277,7 @@
 		if watch == nil {
 			watch = NewWatcher(s.node.cfg.Store, s.node.replica, s.node.log).Run
 		}
-		// It ends with its context alone.
+		// It returns only when its context ends.
 		_ = watch(ctx)
 	case taskFollow:
 		f := &follower{node: s.node, addr: d.addr, standby: d.standby}
--- a/internal/docsync/node_test.go
+++ b/internal/docsync/node_test.go
@@ -15,7 +15,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// settingsBound is the users' bound for a change of settings, in all places.
+// settingsBound is the required time for a change of the settings to be in
+// force on all hosts.
 const settingsBound = 4 * time.Second
 
 func runDeployment(t *testing.T, hosts, zones int, body func(t *testing.T, d *deployment)) {
@@ -24,7 +25,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() {
 			cancel()
-			time.Sleep(time.Minute) // all calls of the nodes end
+			time.Sleep(time.Minute) // until all calls of the nodes have ended
 		}()
 		body(t, newDeployment(ctx, hosts, zones))
 	})
@@ -59,8 +60,8 @@
 	})
 }
 
-// TestRestartWhileStoreDown replaces hosts while the store is down: they
-// take the newest settings from their peers.
+// TestRestartWhileStoreDown replaces hosts while the store is down: they get
+// the newest settings from their peers.
 func TestRestartWhileStoreDown(t *testing.T) {
 	runDeployment(t, 6, 3, func(t *testing.T, d *deployment) {
 		d.store.set("one")
@@ -77,8 +78,8 @@
 	})
 }
 
-// TestWatchersOfZoneLost takes both watchers of a zone away at once while the
-// fleet list goes on naming them: others stand in.
+// TestWatchersOfZoneLost stops both watchers of a zone at once while the fleet
+// list still contains them: other hosts take over.
 func TestWatchersOfZoneLost(t *testing.T) {
 	runDeployment(t, 12, 3, func(t *testing.T, d *deployment) {
 		d.store.set("one")
@@ -99,7 +100,8 @@
 	})
 }
 
-// TestZonePartitionedFromZone relays through the third zone.
+// TestZonePartitionedFromZone: documents get from one zone to another through
+// the third.
 func TestZonePartitionedFromZone(t *testing.T) {
 	runDeployment(t, 9, 3, func(t *testing.T, d *deployment) {
 		d.startAll()
@@ -116,8 +118,8 @@
 	})
 }
 
-// TestZonePartitionedFromStore takes the store away from one zone alone: its hosts
-// learn of changes from the other zones.
+// TestZonePartitionedFromStore partitions one zone from the store: its hosts
+// get changes from the other zones.
 func TestZonePartitionedFromStore(t *testing.T) {
 	runDeployment(t, 9, 3, func(t *testing.T, d *deployment) {
 		d.store.set("one")
@@ -132,8 +134,8 @@
 	})
 }
 
-// TestSlowStore lets each call take 8 s: a change arrives after one, and the
-// settings in force stay where they are meanwhile.
+// TestSlowStore delays each call of the store by 8 s: a change arrives after
+// that delay, and until then the old settings stay in force.
 func TestSlowStore(t *testing.T) {
 	const delay = 8 * time.Second
 	runDeployment(t, 6, 3, func(t *testing.T, d *deployment) {
@@ -149,8 +151,8 @@
 	})
 }
 
-// TestEntryFallsBackToWatchers ends all lead processes of a zone but its watchers:
-// the entries of their hosts hear from the watchers.
+// TestEntryFallsBackToWatchers isolates all lead processes of a zone but its
+// watchers: the entry processes of their hosts get documents from the watchers.
 func TestEntryFallsBackToWatchers(t *testing.T) {
 	runDeployment(t, 12, 3, func(t *testing.T, d *deployment) {
 		d.store.set("one")
@@ -172,9 +174,10 @@
 	})
 }
 
-// TestWatchersLosePower: both watchers of a zone lose power right after a change was
-// accepted, at any moment of the polls of others. These notice their silence and
-// have the change from the store within 1.6 s: settings are in force within 2 s.
+// TestWatchersLosePower: both watchers of a zone lose power right after a
+// change of the settings, at different moments of the others' polls. The other
+// hosts notice that the watchers are unresponsive and have the change from the
+// store within 1.6 s, so that settings are in force within 2 s.
 func TestWatchersLosePower(t *testing.T) {
 	for name, moment := range map[string]time.Duration{
 		"early": 0, "sooner": time.Second, "later": 2 * time.Second, "late": 3 * time.Second, "last": 3800 * time.Millisecond,
@@ -196,8 +199,8 @@
 				d.store.set("two")
 				time.Sleep(1600 * time.Millisecond)
 				for _, row := range d.hosts {
-					if board := d.leads[row.Host]; board != nil && row.Zone == "zone-a" {
-						doc, _ := board.Get(docsync.Settings)
+					if replica := d.leads[row.Host]; replica != nil && row.Zone == "zone-a" {
+						doc, _ := replica.Get(docsync.Settings)
 						assert.Equal(t, string(doc.Body), "two", "%s", row.Host)
 					}
 				}
@@ -206,9 +209,9 @@
 	}
 }
 
-// TestCongestedWatcher: a watcher whose link is full names a large document and
-// never gets it across. Its followers have it from the zone's other watcher in
-// time, whichever they ask first.
+// TestCongestedWatcher: a watcher with a congested link announces a large
+// document but can't transfer it. Its followers fetch it in time from the
+// zone's other watcher, whichever of the two they ask first.
 func TestCongestedWatcher(t *testing.T) {
 	for name, choked := range map[string]int{"first": 0, "second": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -221,7 +224,7 @@
 				delete(d.leads, watchers[choked].Host)
 				d.entry = nil
 				large := make([]byte, 16<<10)
-				rng := rand.New(rand.NewPCG(1, 2)) // nothing that could be compressed
+				rng := rand.New(rand.NewPCG(1, 2)) // random bytes, which don't compress
 				for i := range large {
 					large[i] = byte(rng.Uint32())
 				}
@@ -233,8 +236,9 @@
 	}
 }
 
-// TestStoreCallsIndependentOfHostCount counts calls of the store over a minute as hosts are
-// added in three zones: past two hosts in each zone no more come.
+// TestStoreCallsIndependentOfHostCount counts the calls of the store in a
+// minute for different numbers of hosts in three zones: beyond two hosts in
+// each zone, they don't increase.
 func TestStoreCallsIndependentOfHostCount(t *testing.T) {
 	const window = time.Minute
 	calls := make(map[int]int)
@@ -255,9 +259,9 @@
 	}
 }
 
-// TestTablesWithUnresponsiveWatcher: a watcher falls silent without an error while
-// all polls to it have seconds to go. What the zone's other one says comes late
-// at first and then at once.
+// TestTablesWithUnresponsiveWatcher: a watcher becomes unresponsive without an
+// error while all polls to it still wait. Documents then arrive from the zone's
+// other watcher, with the delay of a standby at first and at once later.
 func TestTablesWithUnresponsiveWatcher(t *testing.T) {
 	runDeployment(t, 30, 3, func(t *testing.T, d *deployment) {
 		d.startAll()
@@ -282,7 +286,7 @@
 			time.Sleep(within)
 			assert.DeepEqual(t, d.outdated(doc.Name, string(doc.Body)), []string(nil))
 		}
-		publish(600 * time.Millisecond) // all polls are new after it
+		publish(600 * time.Millisecond) // after it, all polls have just begun
 		publish(600 * time.Millisecond)
 		d.net.setPartition(func(from, to netip.AddrPort) bool { return (from.Addr() == silent) != (to.Addr() == silent) })
 		delete(d.leads, watchers[0].Host)
--- a/internal/docsync/pusher.go
+++ b/internal/docsync/pusher.go
@@ -10,11 +10,12 @@
 
 const (
 	pushTimeout = 2 * time.Second
-	// pushInterval is the least time between two pushes to one process.
+	// pushInterval is the shortest time between two pushes to one process.
 	pushInterval = 20 * time.Millisecond
 )
 
-// pusher tells one process what this one published itself.
+// pusher pushes the documents that this process published itself to another
+// one.
 type pusher struct {
 	node     *Node
 	addr     netip.AddrPort
@@ -22,7 +23,7 @@
 	failures int
 }
 
-// loop pushes at each change until ctx ends.
+// loop pushes after each change until ctx ends.
 func (p *pusher) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := p.node.replica.nextChange()
@@ -49,31 +50,31 @@
 	}
 }
 
-// step pushes what the other side has not confirmed yet.
+// step pushes the versions that the other process hasn't acknowledged yet.
 func (p *pusher) step(ctx context.Context) error {
-	parcels := p.pending()
-	if len(parcels) == 0 {
+	docs := p.pending()
+	if len(docs) == 0 {
 		return nil
 	}
-	again, err := p.send(ctx, parcels)
+	resend, err := p.send(ctx, docs)
 	if err != nil {
 		return err
 	}
-	if len(again) == 0 {
+	if len(resend) == 0 {
 		return nil
 	}
-	var whole []encodedDoc
-	for _, name := range again {
-		if w, ok := p.node.replica.encode(name, Version{}); ok {
-			whole = append(whole, w)
+	var full []encodedDoc
+	for _, name := range resend {
+		if doc, ok := p.node.replica.encode(name, Version{}); ok {
+			full = append(full, doc)
 		}
 	}
-	_, err = p.send(ctx, whole)
+	_, err = p.send(ctx, full)
 	return err
 }
 
-// hasPending reports whether more is left to push, such as what went past the
-// bound of one message.
+// hasPending reports whether there is more to push, such as documents that
+// didn't fit into one message.
 func (p *pusher) hasPending() bool {
 	for _, doc := range p.node.replica.localDocs() {
 		if p.acked[doc.Name].Less(doc.Version) {
@@ -90,32 +91,32 @@
 		if !p.acked[doc.Name].Less(doc.Version) {
 			continue
 		}
-		next, ok := p.node.replica.encode(doc.Name, p.acked[doc.Name])
+		encoded, ok := p.node.replica.encode(doc.Name, p.acked[doc.Name])
 		if !ok {
 			continue
 		}
-		if size += len(next.payload) + len(next.name); size > maxResponseBytes && len(out) > 0 {
+		if size += len(encoded.payload) + len(encoded.name); size > maxResponseBytes && len(out) > 0 {
 			break
 		}
-		out = append(out, next)
+		out = append(out, encoded)
 	}
 	return out
 }
 
-// send returns the documents that have to go again, whole.
-func (p *pusher) send(ctx context.Context, parcels []encodedDoc) ([]Name, error) {
-	body, err := p.node.call(ctx, p.addr, push{docs: parcels}, pushTimeout)
+// send returns the documents that have to be sent again in full.
+func (p *pusher) send(ctx context.Context, batch []encodedDoc) ([]Name, error) {
+	body, err := p.node.call(ctx, p.addr, push{docs: batch}, pushTimeout)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := decodePushResponse(body)
+	resp, err := decodePushResponse(body)
 	if err != nil {
 		return nil, err
 	}
-	for _, sent := range parcels {
-		if !slices.Contains(answer.resend, sent.name) {
+	for _, sent := range batch {
+		if !slices.Contains(resp.resend, sent.name) {
 			p.acked[sent.name] = sent.version
 		}
 	}
-	return answer.resend, nil
+	return resp.resend, nil
 }
--- a/internal/docsync/random_test.go
+++ b/internal/docsync/random_test.go
@@ -13,13 +13,14 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// chaos makes trouble for a deployment: cuts, outages, restarts.
+// chaos injects faults into a deployment: partitions, outages of the store,
+// restarts.
 type chaos struct {
 	*deployment
 
 	random  *rand.Rand
 	version uint64
-	// seen holds the newest version that each board has shown.
+	// seen holds the newest version of each document that each replica has had.
 	seen map[*docsync.MemoryReplica]map[docsync.Name]docsync.Version
 }
 
@@ -79,21 +80,21 @@
 
 func (c *chaos) checkMonotonic(t *testing.T) {
 	t.Helper()
-	for _, boards := range []map[place.Host]*docsync.MemoryReplica{c.leads, c.entry} {
-		for host, board := range boards {
-			if c.seen[board] == nil {
-				c.seen[board] = make(map[docsync.Name]docsync.Version)
+	for _, replicas := range []map[place.Host]*docsync.MemoryReplica{c.leads, c.entry} {
+		for host, replica := range replicas {
+			if c.seen[replica] == nil {
+				c.seen[replica] = make(map[docsync.Name]docsync.Version)
 			}
-			for _, doc := range board.List("") {
-				assert.Assert(t, !doc.Version.Less(c.seen[board][doc.Name]), "%s fell on %s", doc.Name, host)
-				c.seen[board][doc.Name] = doc.Version
+			for _, doc := range replica.List("") {
+				assert.Assert(t, !doc.Version.Less(c.seen[replica][doc.Name]), "version of %s went back on %s", doc.Name, host)
+				c.seen[replica][doc.Name] = doc.Version
 			}
 		}
 	}
 }
 
-// TestRandomFaults runs random trouble and ends it: all processes then have
-// the newest documents.
+// TestRandomFaults injects random faults. After they end, all processes get the
+// newest documents.
 func TestRandomFaults(t *testing.T) {
 	const steps = 40
 	seeds := uint64(12)
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestStaleValueFromStore lets the store answer with an older revision than the
-// one in force: nothing goes back.
+// TestStaleValueFromStore lets the store respond with an older revision than
+// the one in force: no process returns to it.
 func TestStaleValueFromStore(t *testing.T) {
 	runDeployment(t, 3, 3, func(t *testing.T, d *deployment) {
 		d.store.set("one")
--- a/internal/docsync/replica.go
+++ b/internal/docsync/replica.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// MaxDocumentBytes bounds the body of one document, in bytes.
+	// MaxDocumentBytes bounds the body of one document.
 	MaxDocumentBytes = 4 << 20
-	// MaxDocuments bounds the documents of one board.
+	// MaxDocuments bounds the documents of one replica.
 	MaxDocuments = 4096
-	// maxReplicaBytes bounds the bodies of one board together, in bytes.
+	// maxReplicaBytes bounds all bodies of one replica together, older versions
+	// included.
 	maxReplicaBytes = 64 << 20
-	// maxOlderVersions is how many older bodies are kept to make deltas from.
+	// maxOlderVersions is how many older bodies of a document are kept as bases
+	// of deltas.
 	maxOlderVersions = 3
 )
 
-// origin tells where a document came from.
+// origin is where a document came from.
 type origin uint8
 
 const (
 	originLocal origin = iota // published by this process
-	originStore               // read from the platform's service
-	originPeer                // heard from another process
+	originStore               // read from the store
+	originPeer                // received from another process
 )
 
-// instanceID tells one life of a board from the next.
+// instanceID identifies one instance of a replica: it differs after a restart.
 type instanceID uint64
 
-// cursor counts the changes of one board.
+// cursor counts the changes of one replica.
 type cursor uint64
 
-// MemoryReplica is a Board in the memory of one process. It also keeps what its
-// Node needs to tell others only what is new to them.
+// MemoryReplica is a Replica in memory. It also keeps what its Node needs to
+// send others only what is new to them.
 type MemoryReplica struct {
 	id instanceID
 
@@ -49,17 +51,18 @@
 
 var _ Replica = (*MemoryReplica)(nil)
 
-// docState is the newest version of one document.
+// docState is the newest version of one document and what is kept of older
+// ones.
 type docState struct {
 	Document
 
 	origin origin
-	// cursor is the board's cursor after the change that brought this version.
+	// cursor is the replica's cursor after the change to this version.
 	cursor cursor
-	// older holds the bodies before this one, newest first.
+	// older holds the versions before this one, newest first.
 	older []Document
-	// encodings holds this version as it travels, by the base of its delta; the
-	// zero version stands for the whole document.
+	// encodings caches this version as encoded for transfer, by the base of the
+	// delta. The zero version stands for the full encoding.
 	encodings map[Version]encodedDoc
 }
 
@@ -68,7 +71,7 @@
 	tokens chan struct{}
 }
 
-// New returns an empty board.
+// New returns an empty replica.
 func New() *MemoryReplica {
 	return &MemoryReplica{
 		id:      instanceID(rand.Uint64()),
@@ -77,11 +80,12 @@
 	}
 }
 
-// Publish implements Board. A document past the bounds is not taken.
+// Publish implements Replica. It refuses a document beyond the size limits.
 func (m *MemoryReplica) Publish(doc Document) bool { return m.offer(doc, originLocal) }
 
-// PublishFromStore is Publish for a document that was read from the platform's
-// service: others that watch it read it there themselves.
+// PublishFromStore is Publish for a document that was read from the store. It
+// is not pushed to other processes: the watchers read it from the store
+// themselves.
 func (m *MemoryReplica) PublishFromStore(doc Document) bool { return m.offer(doc, originStore) }
 
 func (m *MemoryReplica) offer(doc Document, from origin) bool {
@@ -106,8 +110,8 @@
 	return true
 }
 
-// makeRoom reports whether there is room for a document, and makes room: older
-// versions go before a new one is refused.
+// makeRoom reports whether a document fits into the replica. Where it doesn't,
+// older versions are dropped first.
 func (m *MemoryReplica) makeRoom(r *docState, doc Document) bool {
 	if r == nil && len(m.docs) >= MaxDocuments || len(doc.Body) > MaxDocumentBytes {
 		return false
@@ -131,7 +135,8 @@
 	}
 }
 
-// retainOlder moves the row's body to its older ones, where a delta can pay.
+// retainOlder moves the present body to the older versions, where it is large
+// enough for deltas.
 func (m *MemoryReplica) retainOlder(r *docState) {
 	if len(r.Body) >= minDeltaBytes && m.bytes <= maxReplicaBytes {
 		r.older = slices.Insert(r.older, 0, r.Document)
@@ -154,7 +159,7 @@
 		}
 		select {
 		case w.tokens <- struct{}{}:
-		default: // a token is waiting already
+		default: // a token is already pending
 		}
 	}
 }
@@ -193,8 +198,8 @@
 	return out
 }
 
-// changesSince returns what changed after the cursor, with the cursor to go on from
-// and a channel that closes at the next change.
+// changesSince returns the documents that changed after the cursor, the cursor
+// to continue from and a channel that is closed at the next change.
 func (m *MemoryReplica) changesSince(from cursor) ([]Document, cursor, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -225,7 +230,7 @@
 	return out
 }
 
-// nextChange returns a channel that closes at the next change.
+// nextChange returns a channel that is closed at the next change.
 func (m *MemoryReplica) nextChange() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -239,7 +244,8 @@
 	return m.cursor
 }
 
-// version returns the newest known version of a document, zero for none.
+// version returns the newest known version of a document, the zero version for
+// none.
 func (m *MemoryReplica) version(name Name) Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/docsync/replica_test.go
+++ b/internal/docsync/replica_test.go
@@ -11,11 +11,11 @@
 	"citrontray.example/citrontray/internal/docsync"
 )
 
-// TestNewestWins offers versions in any order: the board's version never falls
-// and is the highest of those offered.
+// TestNewestWins publishes versions in any order: the replica has the highest
+// one at all times.
 func TestNewestWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		board := docsync.New()
+		replica := docsync.New()
 		highest := make(map[docsync.Name]docsync.Version)
 		for range rapid.IntRange(0, 60).Draw(t, "offers") {
 			name := docsync.Name(rapid.SampledFrom([]string{"settings", "table/a", "table/b"}).Draw(t, "name"))
@@ -25,11 +25,11 @@
 			}
 			body := fmt.Appendf(nil, "%s %v", name, version)
 			newer := highest[name].Less(version)
-			assert.Equal(t, board.Publish(docsync.Document{Name: name, Version: version, Body: body}), newer)
+			assert.Equal(t, replica.Publish(docsync.Document{Name: name, Version: version, Body: body}), newer)
 			if newer {
 				highest[name] = version
 			}
-			doc, _ := board.Get(name)
+			doc, _ := replica.Get(name)
 			assert.Equal(t, doc.Version, highest[name])
 			assert.Equal(t, string(doc.Body), fmt.Sprintf("%s %v", name, doc.Version))
 		}
@@ -37,30 +37,30 @@
 }
 
 func TestReplicaIsBounded(t *testing.T) {
-	board := docsync.New()
+	replica := docsync.New()
 	large := make([]byte, docsync.MaxDocumentBytes+1)
-	assert.Assert(t, !board.Publish(docsync.Document{Name: "large", Version: docsync.Version{Major: 1}, Body: large}))
+	assert.Assert(t, !replica.Publish(docsync.Document{Name: "large", Version: docsync.Version{Major: 1}, Body: large}))
 	for i := range docsync.MaxDocuments {
 		name := docsync.Name(fmt.Sprintf("table/%d", i))
-		assert.Assert(t, board.Publish(docsync.Document{Name: name, Version: docsync.Version{Major: 1}}))
+		assert.Assert(t, replica.Publish(docsync.Document{Name: name, Version: docsync.Version{Major: 1}}))
 	}
-	assert.Assert(t, !board.Publish(docsync.Document{Name: "more", Version: docsync.Version{Major: 1}}))
-	assert.Assert(t, board.Publish(docsync.Document{Name: "table/0", Version: docsync.Version{Major: 2}}))
+	assert.Assert(t, !replica.Publish(docsync.Document{Name: "more", Version: docsync.Version{Major: 1}}))
+	assert.Assert(t, replica.Publish(docsync.Document{Name: "table/0", Version: docsync.Version{Major: 2}}))
 	bytes := 0
 	for version := range uint64(100) {
 		body := make([]byte, docsync.MaxDocumentBytes)
-		if board.Publish(docsync.Document{Name: "table/1", Version: docsync.Version{Major: 2 + version}, Body: body}) {
+		if replica.Publish(docsync.Document{Name: "table/1", Version: docsync.Version{Major: 2 + version}, Body: body}) {
 			bytes++
 		}
 	}
-	assert.Equal(t, bytes, 100, "the board keeps older versions without bound")
+	assert.Equal(t, bytes, 100, "the replica keeps older versions without bound")
 }
 
-// TestOlderVersionsEvicted fills the board with documents and their older
-// versions: a new version of any of them still fits.
+// TestOlderVersionsEvicted fills the replica with documents and older versions
+// of them: a new version of any document still fits.
 func TestOlderVersionsEvicted(t *testing.T) {
-	const documents = 15 // of 4 MiB, of the 64 MiB in all
-	board := docsync.New()
+	const documents = 15 // 15 x 4 MiB of the 64 MiB in all
+	replica := docsync.New()
 	for version := range uint64(5) {
 		for i := range documents {
 			doc := docsync.Document{
@@ -68,21 +68,21 @@
 				Version: docsync.Version{Major: 1 + version},
 				Body:    make([]byte, docsync.MaxDocumentBytes),
 			}
-			assert.Assert(t, board.Publish(doc), "version %d of %s", version, doc.Name)
+			assert.Assert(t, replica.Publish(doc), "version %d of %s", version, doc.Name)
 		}
 	}
 }
 
 func TestSubscribersNotifiedByPrefix(t *testing.T) {
-	board := docsync.New()
-	tables, settings := board.Subscribe(docsync.TablePrefix), board.Subscribe(docsync.Settings)
-	board.Publish(docsync.Document{Name: "table/a", Version: docsync.Version{Major: 1}})
-	board.Publish(docsync.Document{Name: "table/b", Version: docsync.Version{Major: 1}})
-	board.Publish(docsync.Document{Name: "table/b", Version: docsync.Version{Major: 1}})
+	replica := docsync.New()
+	tables, settings := replica.Subscribe(docsync.TablePrefix), replica.Subscribe(docsync.Settings)
+	replica.Publish(docsync.Document{Name: "table/a", Version: docsync.Version{Major: 1}})
+	replica.Publish(docsync.Document{Name: "table/b", Version: docsync.Version{Major: 1}})
+	replica.Publish(docsync.Document{Name: "table/b", Version: docsync.Version{Major: 1}})
 	assert.Equal(t, len(tables), 1)
 	assert.Equal(t, len(settings), 0)
 	names := make([]docsync.Name, 0, 2)
-	for _, doc := range board.List(docsync.TablePrefix) {
+	for _, doc := range replica.List(docsync.TablePrefix) {
 		names = append(names, doc.Name)
 	}
 	assert.Assert(t, slices.Equal(names, []docsync.Name{"table/a", "table/b"}))
--- a/internal/docsync/serve.go
+++ b/internal/docsync/serve.go
@@ -8,58 +8,58 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-// maxPollWait bounds how long a poll may wait here.
+// maxPollWait bounds the wait of a poll, whatever its sender asks for.
 const maxPollWait = 30 * time.Second
 
-// maxResponseBytes bounds the documents of one answer, so that it stays below
+// maxResponseBytes bounds the documents of one response, so that it stays below
 // peer.MaxMessage.
 const maxResponseBytes = peer.MaxMessage - MaxDocumentBytes/2
 
-// serve implements peer.Handler for KindSpread.
+// serve implements peer.Handler for KindSync.
 func (n *Node) serve(ctx context.Context, from peer.Identity, body []byte) ([]byte, error) {
-	q, err := decodeRequest(body)
+	req, err := decodeRequest(body)
 	if err != nil {
 		return nil, err
 	}
-	switch q := q.(type) {
+	switch req := req.(type) {
 	case poll:
-		return encodePollResponse(n.servePoll(ctx, q))
+		return encodePollResponse(n.servePoll(ctx, req))
 	case fetch:
-		return encodeFetchResponse(n.serveFetch(q))
+		return encodeFetchResponse(n.serveFetch(req))
 	case push:
 		if from.Role != peer.RoleLead {
 			return nil, peer.ErrRefused
 		}
-		answer, err := n.servePush(q)
+		resp, err := n.servePush(req)
 		if err != nil {
 			return nil, err
 		}
-		return encodePushResponse(answer)
+		return encodePushResponse(resp)
 	}
 	return nil, ErrMalformed
 }
 
-// servePoll answers at once where there is news, otherwise at the next change
+// servePoll responds at once where there is news, otherwise at the next change
 // or the end of the wait.
-func (n *Node) servePoll(ctx context.Context, q poll) pollResponse {
-	ctx, cancel := context.WithTimeout(ctx, min(q.wait, maxPollWait))
+func (n *Node) servePoll(ctx context.Context, req poll) pollResponse {
+	ctx, cancel := context.WithTimeout(ctx, min(req.wait, maxPollWait))
 	defer cancel()
-	if q.replica != n.replica.id {
-		q.cursor = 0
+	if req.replica != n.replica.id {
+		req.cursor = 0
 	}
-	known := versionsOf(q.known)
+	known := versionsOf(req.known)
 	for {
-		docs, cursor, changed := n.replica.changesSince(q.cursor)
-		answer := pollResponse{replica: n.replica.id, cursor: cursor}
-		answer.add(n.replica, docs, known)
-		if len(answer.newer)+len(answer.inline) > 0 || q.replica != n.replica.id {
-			return answer
+		docs, cursor, changed := n.replica.changesSince(req.cursor)
+		resp := pollResponse{replica: n.replica.id, cursor: cursor}
+		resp.add(n.replica, docs, known)
+		if len(resp.newer)+len(resp.inline) > 0 || req.replica != n.replica.id {
+			return resp
 		}
-		q.cursor = cursor
+		req.cursor = cursor
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return answer
+			return resp
 		}
 	}
 }
@@ -72,59 +72,61 @@
 	return out
 }
 
-// add tells of documents: small ones, and small changes of what the asking
-// process has, come along.
-func (a *pollResponse) add(board *MemoryReplica, docs []Document, known map[Name]Version) {
+// add adds documents to the response. Small documents, and small deltas against
+// versions that the other process has, are included; of the others only the
+// headers are.
+func (r *pollResponse) add(replica *MemoryReplica, docs []Document, known map[Name]Version) {
 	for _, doc := range docs {
-		base, has := known[doc.Name]
+		base, haveBase := known[doc.Name]
 		switch {
 		case !base.Less(doc.Version):
 			continue
 		case len(doc.Body) < minCompressBytes:
-			a.inline = append(a.inline, encodeFull(doc))
+			r.inline = append(r.inline, encodeFull(doc))
 			continue
-		case has:
-			if p, ok := board.encode(doc.Name, base); ok && len(p.payload) < maxInlineBytes {
-				a.inline = append(a.inline, p)
+		case haveBase:
+			if encoded, ok := replica.encode(doc.Name, base); ok && len(encoded.payload) < maxInlineBytes {
+				r.inline = append(r.inline, encoded)
 				continue
 			}
 		}
-		a.newer = append(a.newer, header{name: doc.Name, version: doc.Version})
+		r.newer = append(r.newer, header{name: doc.Name, version: doc.Version})
 	}
 }
 
-// maxInlineBytes is the size from which a document is named in an answer rather
-// than put into it: two followed processes would both send it.
+// maxInlineBytes is the encoded size from which a poll's response contains only
+// the header of a changed document. The follower fetches it from one process,
+// while two that it follows would both include it.
 const maxInlineBytes = 1 << 10
 
-// serveFetch packs the wanted documents. One that goes past the bound of an
-// answer is left out; the follower's next poll names it again.
-func (n *Node) serveFetch(q fetch) fetchResponse {
-	var answer fetchResponse
+// serveFetch encodes the requested documents. Those that don't fit into one
+// response are left out; the follower's next poll names them again.
+func (n *Node) serveFetch(req fetch) fetchResponse {
+	var resp fetchResponse
 	size := 0
-	for _, h := range q.wanted {
-		p, ok := n.replica.encode(h.name, h.version)
+	for _, h := range req.wanted {
+		doc, ok := n.replica.encode(h.name, h.version)
 		if !ok {
 			continue
 		}
-		if size += len(p.payload) + len(p.name); size > maxResponseBytes && len(answer.docs) > 0 {
+		if size += len(doc.payload) + len(doc.name); size > maxResponseBytes && len(resp.docs) > 0 {
 			break
 		}
-		answer.docs = append(answer.docs, p)
+		resp.docs = append(resp.docs, doc)
 	}
-	return answer
+	return resp
 }
 
-func (n *Node) servePush(q push) (pushResponse, error) {
-	var answer pushResponse
-	for _, p := range q.docs {
-		err := n.apply(p)
+func (n *Node) servePush(req push) (pushResponse, error) {
+	var resp pushResponse
+	for _, doc := range req.docs {
+		err := n.apply(doc)
 		switch {
 		case errors.Is(err, errUnknownBase):
-			answer.resend = append(answer.resend, p.name)
+			resp.resend = append(resp.resend, doc.name)
 		case err != nil:
-			return answer, err
+			return resp, err
 		}
 	}
-	return answer, nil
+	return resp, nil
 }
--- a/internal/docsync/topology.go
+++ b/internal/docsync/topology.go
@@ -14,16 +14,18 @@
 const (
 	// watchersPerZone is how many hosts of a zone watch the store.
 	watchersPerZone = 2
-	// maxRanked bounds how far down its order a zone's hosts are tried: a zone
-	// that is cut off must not make others try all of its hosts.
+	// maxRanked bounds how many of a zone's hosts are tried in the order of
+	// their rank: a zone that is partitioned must not make others try all of
+	// its hosts.
 	maxRanked = 3 * watchersPerZone
-	// maxSeeds bounds how many of the seeds are followed at once.
+	// maxSeeds bounds how many of the seeds are followed at the same time.
 	maxSeeds = 4
 )
 
-// Watchers returns the hosts that watch the store for a zone, of all hosts
-// given: the first by rendezvous hashing, strong ones before others, as many
-// hosts follow each. All who know the same hosts agree.
+// Watchers returns the hosts that watch the store for a zone: the first ones by
+// rendezvous hashing. Hosts with a large CPU share are preferred, as many hosts
+// follow a watcher. All processes with the same list of hosts choose the same
+// watchers.
 func Watchers(zone place.Zone, hosts []place.HostRow) []place.HostRow {
 	ranked := rankHosts(zone, hosts)
 	return ranked[:min(len(ranked), watchersPerZone)]
@@ -33,32 +35,32 @@
 	type ranked struct {
 		place.HostRow
 
-		strong bool
-		weight uint64
+		preferred bool
+		weight    uint64
 	}
-	var most float64
-	list := make([]ranked, 0, len(hosts))
+	var maxShare float64
+	candidates := make([]ranked, 0, len(hosts))
 	for _, h := range hosts {
 		if h.Zone == zone {
-			most = max(most, h.CPUShare)
-			list = append(list, ranked{HostRow: h, weight: hostWeight(zone, h.Host)})
+			maxShare = max(maxShare, h.CPUShare)
+			candidates = append(candidates, ranked{HostRow: h, weight: hostWeight(zone, h.Host)})
 		}
 	}
-	for i := range list {
-		list[i].strong = place.Strong(list[i].CPUShare, most)
+	for i := range candidates {
+		candidates[i].preferred = place.Strong(candidates[i].CPUShare, maxShare)
 	}
-	slices.SortFunc(list, func(a, b ranked) int {
-		if a.strong != b.strong {
-			if a.strong {
+	slices.SortFunc(candidates, func(a, b ranked) int {
+		if a.preferred != b.preferred {
+			if a.preferred {
 				return -1
 			}
 			return 1
 		}
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.Host, b.Host))
 	})
-	out := make([]place.HostRow, len(list))
-	for i := range list {
-		out[i] = list[i].HostRow
+	out := make([]place.HostRow, len(candidates))
+	for i := range candidates {
+		out[i] = candidates[i].HostRow
 	}
 	return out
 }
@@ -67,41 +69,44 @@
 	return xxhash.Sum64String(string(zone) + "\x00" + string(host))
 }
 
-// View is what a process knows when it decides whom to follow.
+// View is what a process knows when it computes its topology.
 type View struct {
 	Self place.Host
 	Zone place.Zone
 	Role peer.Role
-	// Addr is the process's own peer address, where it is known, Processor its
-	// host's share of a core.
+	// Addr is the process's own peer address, where it is known. CPUShare is
+	// its host's CPU share.
 	Addr     netip.AddrPort
 	CPUShare float64
-	// LocalLead is where an entry finds the lead process of its own host.
+	// LocalLead is the address of the lead process on an entry process's own
+	// host.
 	LocalLead netip.AddrPort
 	Seeds     []netip.AddrPort
-	// Hosts is the newest known list of entry hosts; empty before the first.
+	// Hosts is the newest known list of entry hosts; it is empty before the
+	// first one.
 	Hosts []place.HostRow
-	// Suspected reports whether an address has not answered for a while, Failing
-	// whether it did not when it was last asked.
+	// Suspected reports whether an address hasn't responded for suspectAfter,
+	// Failing whether its last call failed.
 	Suspected func(netip.AddrPort) bool
 	Failing   func(netip.AddrPort) bool
 }
 
-// Topology is what follows from a View.
+// Topology is whom a process follows and pushes to.
 type Topology struct {
-	// Watch tells whether this process watches the store.
+	// Watch reports whether this process watches the store.
 	Watch bool
-	// Follow lists the processes to hear documents from, Spare those of them
-	// that are asked seldom: another one of the same zone says the same.
+	// Follow lists the processes to poll for documents. Standby lists those of
+	// them that are polled less often, as another process of the same zone has
+	// the same documents.
 	Follow  []netip.AddrPort
 	Standby []netip.AddrPort
-	// Push lists the processes to tell what this one published itself.
+	// Push lists the processes to push this process's own documents to.
 	Push []netip.AddrPort
 }
 
-// ComputeTopology decides whom a process follows, whom it tells, and whether it
-// watches the store. It decides nothing on ownership: where hosts disagree for
-// a while, some documents travel twice.
+// ComputeTopology decides which processes a process follows and pushes to, and
+// whether it watches the store. Ownership doesn't depend on it: where hosts
+// disagree for a while, some documents are sent twice.
 func ComputeTopology(v View) Topology {
 	if v.Role == peer.RoleEntry {
 		return entryTopology(v)
@@ -150,7 +155,8 @@
 }
 
 // zoneWatchers returns the addresses of a zone's watchers by the list of hosts
-// alone and, where some of them are suspected, of those that stand in.
+// alone and, where some of those are suspected, also of the hosts that take
+// over.
 func (v View) zoneWatchers(zone place.Zone) []netip.AddrPort {
 	var out addrSet
 	none := func(netip.AddrPort) bool { return false }
@@ -164,19 +170,20 @@
 	return out.list
 }
 
-// standbys returns all of a zone's watchers but the one that this process hears
-// first: they share their followers evenly.
+// standbys returns all of a zone's watchers but the one that this process
+// prefers. The preferred watchers are distributed evenly over the followers.
 func (v View) standbys(watchers []netip.AddrPort) []netip.AddrPort {
 	ranked := slices.Clone(watchers)
 	SortByHostHash(v.Self, ranked)
 	first := slices.IndexFunc(ranked, func(a netip.AddrPort) bool { return !v.Failing(a) })
 	if first < 0 {
-		return nil // whoever answers first will do
+		return nil // the first that responds is used
 	}
 	return slices.Delete(ranked, first, first+1)
 }
 
-// selectWatchers returns the rows of a zone's watchers among those not suspected.
+// selectWatchers returns the hosts that watch the store for a zone, without
+// suspected ones.
 func (v View) selectWatchers(zone place.Zone, suspected func(netip.AddrPort) bool) []place.HostRow {
 	var hosts []place.HostRow
 	for _, row := range v.Hosts {
@@ -200,7 +207,7 @@
 	return out
 }
 
-// selfLeaving reports whether this host itself is on its way out.
+// selfLeaving reports whether this process's host is leaving.
 func (v View) selfLeaving() bool {
 	i := slices.IndexFunc(v.Hosts, func(r place.HostRow) bool { return r.Host == v.Self })
 	return i >= 0 && v.Hosts[i].State == place.Leaving
@@ -216,15 +223,15 @@
 	return out
 }
 
-// seedSubset returns a few of the seeds, different ones for different hosts.
+// seedSubset returns at most maxSeeds seeds, different ones on different hosts.
 func (v View) seedSubset() []netip.AddrPort {
 	out := slices.DeleteFunc(slices.Clone(v.Seeds), func(a netip.AddrPort) bool { return a == v.Addr })
 	SortByHostHash(v.Self, out)
 	return out[:min(len(out), maxSeeds)]
 }
 
-// SortByHostHash sorts addresses in an order of the host's own, always the same one: so
-// hosts share out whom they ask first.
+// SortByHostHash sorts addresses in a fixed order that differs from host to
+// host, so that hosts distribute their first choices evenly.
 func SortByHostHash(host place.Host, list []netip.AddrPort) {
 	order := make(map[netip.AddrPort]uint64, len(list))
 	for _, addr := range list {
@@ -233,7 +240,7 @@
 	slices.SortFunc(list, func(a, b netip.AddrPort) int { return cmp.Compare(order[a], order[b]) })
 }
 
-// addrSet is a list without doubles.
+// addrSet is a list without duplicates.
 type addrSet struct{ list []netip.AddrPort }
 
 func (a *addrSet) add(more ...netip.AddrPort) {
--- a/internal/docsync/watcher.go
+++ b/internal/docsync/watcher.go
@@ -19,28 +19,29 @@
 
 const (
 	fleetInterval = time.Second
-	// watchTimeout is longer than the service's own wait for a change.
+	// watchTimeout is longer than the store's own limit on the wait of a watch.
 	watchTimeout    = 40 * time.Second
 	readTimeout     = 10 * time.Second
 	minStoreBackoff = 100 * time.Millisecond
-	// outageLogThreshold is how many reads in a row fail before it is logged.
+	// outageLogThreshold is how many reads in a row have to fail before an
+	// outage is logged.
 	outageLogThreshold = 3
 	maxStoreBackoff    = 2 * time.Second
 )
 
-// Watcher reads the platform's service and publishes what it finds. While the
-// service is down or slow, the board keeps what it has.
+// Watcher reads the store and publishes what it finds. While the store is down
+// or slow, the replica keeps what it has.
 type Watcher struct {
 	store   platform.Store
 	replica *MemoryReplica
 	log     *slog.Logger
-	// lastFleet is the fleet list as this watcher read it last.
+	// lastFleet is the encoded fleet list of the last read.
 	lastFleet []byte
 }
 
-// NewWatcher returns a watcher that publishes on board.
-func NewWatcher(store platform.Store, board *MemoryReplica, log *slog.Logger) *Watcher {
-	return &Watcher{store: store, replica: board, log: log}
+// NewWatcher returns a watcher that publishes to local.
+func NewWatcher(store platform.Store, local *MemoryReplica, log *slog.Logger) *Watcher {
+	return &Watcher{store: store, replica: local, log: log}
 }
 
 // Run watches until ctx ends.
@@ -53,13 +54,13 @@
 	return group.Wait()
 }
 
-// feed is a prefix of the store whose values are documents on the board.
+// feed is a prefix of the store whose values are documents.
 type feed struct {
 	prefix platform.Path
-	name   Name // in place of prefix
+	name   Name // replaces the prefix
 }
 
-// feeds returns what a watcher reads besides the fleet list.
+// feeds returns what a watcher reads in addition to the fleet list.
 func feeds() []feed {
 	return []feed{
 		{prefix: settings.StorePath, name: Settings},
@@ -67,14 +68,14 @@
 	}
 }
 
-// loopFeed reads the feed once, then waits for its changes.
+// loopFeed reads the feed once, then watches it.
 func (w *Watcher) loopFeed(ctx context.Context, f feed) error {
 	var from platform.Revision
 	failures, started := 0, false
 	for ctx.Err() == nil {
 		next, err := w.step(ctx, f, from, started)
 		if err != nil {
-			w.log.Debug("Store not read.", slog.String("prefix", string(f.prefix)), slog.Any("error", err))
+			w.log.Debug("Read or watch of the store failed.", slog.String("prefix", string(f.prefix)), slog.Any("error", err))
 			sleep(ctx, storeBackoff(failures))
 			failures++
 			continue
@@ -85,8 +86,9 @@
 	return nil
 }
 
-// step reads the feed at the start, later it waits for a change after from. An
-// empty store is at revision 0, so that its first write, at 1, is a change.
+// step reads the feed at the start and waits for a change after from later. An
+// empty store is at revision 0, so that its first write, at revision 1, is a
+// change.
 func (w *Watcher) step(ctx context.Context, f feed, from platform.Revision, started bool) (platform.Revision, error) {
 	if !started {
 		return w.readAll(ctx, f)
@@ -105,7 +107,8 @@
 	return max(from, next), nil
 }
 
-// readAll starts a watch: it returns the revision to watch from.
+// readAll publishes all values of the feed and returns the revision to watch
+// from.
 func (w *Watcher) readAll(ctx context.Context, f feed) (platform.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -119,14 +122,14 @@
 	return revision, nil
 }
 
-// publish offers one revision; the board refuses an older one.
+// publish publishes one value; the replica refuses an older revision.
 func (w *Watcher) publish(f feed, entry platform.Entry) {
-	rest, ok := strings.CutPrefix(string(entry.Path), string(f.prefix))
+	suffix, ok := strings.CutPrefix(string(entry.Path), string(f.prefix))
 	if !ok {
 		return
 	}
 	doc := Document{
-		Name:    f.name + Name(rest),
+		Name:    f.name + Name(suffix),
 		Version: Version{Major: uint64(entry.Revision)},
 		Body:    entry.Value,
 	}
@@ -136,7 +139,8 @@
 	}
 }
 
-// loopFleet reads the list of hosts and targets at each interval.
+// loopFleet reads the list of hosts and targets at random intervals of
+// fleetInterval on average.
 func (w *Watcher) loopFleet(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -147,7 +151,7 @@
 			continue
 		}
 		if failures >= outageLogThreshold {
-			w.log.Info("Platform's service answers again.")
+			w.log.Info("Store is available again.")
 		}
 		failures = 0
 		sleep(ctx, fleetInterval/2+rand.N(fleetInterval))
@@ -155,10 +159,10 @@
 	return nil
 }
 
-// logOutage logs that the store does not answer, once for each silence.
+// logOutage logs an outage of the store, once for each outage.
 func (w *Watcher) logOutage(failures int, err error) {
 	if failures+1 == outageLogThreshold {
-		w.log.Warn("Platform's service does not answer; this host goes on with what it and its peers have. Check --platform if it never did.",
+		w.log.Warn("Store is unavailable, this host goes on with the documents that it and its peers have. Check --platform if it was never available.",
 			slog.Any("error", err))
 	}
 }
@@ -179,37 +183,38 @@
 	return nil
 }
 
-// publishFleet offers a list only where this watcher saw the list move: two
-// watchers whose answers lag differently would else replace each other's list
-// once a second.
+// publishFleet publishes a list only where it differs from this watcher's last
+// read. Otherwise two watchers whose reads lag differently would replace each
+// other's list once a second.
 func (w *Watcher) publishFleet(now time.Time, body []byte) {
-	moved := !bytes.Equal(w.lastFleet, body)
+	changed := !bytes.Equal(w.lastFleet, body)
 	w.lastFleet = body
 	last, _ := w.replica.Get(Fleet)
-	if !moved || bytes.Equal(last.Body, body) {
+	if !changed || bytes.Equal(last.Body, body) {
 		return
 	}
 	major := max(uint64(now.UnixMilli()), last.Version.Major+1)
 	w.replica.offer(Document{Name: Fleet, Version: Version{Major: major}, Body: body}, originStore)
 }
 
-// sortFleet makes equal lists equal byte for byte.
+// sortFleet sorts a list, so that equal lists have equal encodings.
 func sortFleet(fleet *platform.Fleet) {
 	slices.SortFunc(fleet.Hosts, func(a, b place.HostRow) int { return cmp.Compare(a.Host, b.Host) })
 	slices.SortFunc(fleet.Targets, func(a, b place.TargetRow) int { return cmp.Compare(a.Target, b.Target) })
 }
 
-// storeBackoff returns the time before the next attempt at the store.
+// storeBackoff returns the time before the next attempt to read the store:
+// exponential with jitter.
 func storeBackoff(failures int) time.Duration {
 	const maxDoublings = 8
 	full := min(minStoreBackoff<<min(failures, maxDoublings), maxStoreBackoff)
 	return full/2 + rand.N(full/2)
 }
 
-// sleep waits for d or the end of ctx. It makes no timer for a time that has
+// sleep waits for d or the end of ctx. It creates no timer for a time that has
 // passed: under the race detector, such timers of several goroutines in one
-// test bubble crash the detector (the runtime runs them at once, each on its
-// own thread but all with the bubble's one race context).
+// synctest bubble crash the detector (the runtime runs them at once, each on
+// its own thread but all with the bubble's one race context).
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/docsync/watcher_test.go
+++ b/internal/docsync/watcher_test.go
@@ -13,22 +13,22 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// TestFirstWriteOfStore starts a watcher on an empty store: the very first
-// write, at revision 1, was missed until the next one.
+// TestFirstWriteOfStore starts a watcher on an empty store. It guards against a
+// first write, at revision 1, that the watcher misses until the second one.
 func TestFirstWriteOfStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, board := fake.NewPlatform(), docsync.New()
+		store, replica := fake.NewPlatform(), docsync.New()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() {
 			cancel()
 			synctest.Wait()
 		}()
-		go func() { _ = docsync.NewWatcher(store, board, logging.Nop()).Run(ctx) }()
+		go func() { _ = docsync.NewWatcher(store, replica, logging.Nop()).Run(ctx) }()
 		synctest.Wait()
 		_, err := store.Write(ctx, settings.StorePath, []byte("one"), 0)
 		assert.NilError(t, err)
 		synctest.Wait()
-		doc, ok := board.Get(docsync.Settings)
+		doc, ok := replica.Get(docsync.Settings)
 		assert.Assert(t, ok)
 		assert.Equal(t, doc.Version.Major, uint64(1))
 	})
--- a/internal/docsync/wire.go
+++ b/internal/docsync/wire.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed is returned for a message that can't be read.
-var ErrMalformed = errors.New("spread: malformed message")
+// ErrMalformed is returned for a message that can't be decoded.
+var ErrMalformed = errors.New("docsync: malformed message")
 
 const (
 	maxWireElements = 2 * MaxDocuments
@@ -17,11 +17,12 @@
 	maxNameBytes    = 256
 )
 
-// request is what one process asks or tells another.
+// request is a message from one process to another.
 type request interface{ request() }
 
-// poll asks for what is newer than the asking process has. Known tells what it
-// has, where that is little or the cursor is of another life of the board.
+// poll asks for documents that are newer than those of the sender. known lists
+// the sender's versions: in the first poll, and in all polls where they are
+// few.
 type poll struct {
 	replica instanceID
 	cursor  cursor
@@ -29,10 +30,11 @@
 	known   []header
 }
 
-// fetch asks for the newest versions of documents.
+// fetch asks for the newest versions of documents. wanted names the versions
+// that the sender has.
 type fetch struct{ wanted []header }
 
-// push hands over documents that the sender published.
+// push sends documents that the sender published itself.
 type push struct{ docs []encodedDoc }
 
 func (poll) request()  {}
@@ -45,7 +47,8 @@
 	version Version
 }
 
-// pollResponse tells what is newer; small documents and changes come along.
+// pollResponse lists the newer documents; inline contains the small ones and
+// small deltas.
 type pollResponse struct {
 	replica instanceID
 	cursor  cursor
@@ -53,10 +56,11 @@
 	inline  []encodedDoc
 }
 
-// fetchResponse answers a fetch.
+// fetchResponse responds to a fetch.
 type fetchResponse struct{ docs []encodedDoc }
 
-// pushResponse names the documents whose delta had no base; they come whole.
+// pushResponse names the documents whose delta had an unknown base; the sender
+// sends them again in full.
 type pushResponse struct{ resend []Name }
 
 type wireHeader struct {
@@ -111,20 +115,20 @@
 	return mode
 }
 
-func encodeRequest(q request) ([]byte, error) {
+func encodeRequest(req request) ([]byte, error) {
 	var w wireRequest
-	switch q := q.(type) {
+	switch req := req.(type) {
 	case poll:
 		w.Poll = &wirePoll{
-			Replica: uint64(q.replica),
-			Cursor:  uint64(q.cursor),
-			WaitMS:  uint32(q.wait.Milliseconds()),
-			Known:   wireHeaders(q.known),
+			Replica: uint64(req.replica),
+			Cursor:  uint64(req.cursor),
+			WaitMS:  uint32(req.wait.Milliseconds()),
+			Known:   wireHeaders(req.known),
 		}
 	case fetch:
-		w.Fetch = wireHeaders(q.wanted)
+		w.Fetch = wireHeaders(req.wanted)
 	case push:
-		w.Push = wireDocs(q.docs)
+		w.Push = wireDocs(req.docs)
 	}
 	return encodeWire(w)
 }
@@ -147,18 +151,18 @@
 		wanted, err := headersOf(w.Fetch)
 		return fetch{wanted: wanted}, err
 	case w.Push != nil:
-		parcels, err := docsOf(w.Push)
-		return push{docs: parcels}, err
+		decoded, err := docsOf(w.Push)
+		return push{docs: decoded}, err
 	}
 	return nil, ErrMalformed
 }
 
-func encodePollResponse(a pollResponse) ([]byte, error) {
+func encodePollResponse(resp pollResponse) ([]byte, error) {
 	return encodeWire(wireResponse{
-		Replica: uint64(a.replica),
-		Cursor:  uint64(a.cursor),
-		Newer:   wireHeaders(a.newer),
-		Docs:    wireDocs(a.inline),
+		Replica: uint64(resp.replica),
+		Cursor:  uint64(resp.cursor),
+		Newer:   wireHeaders(resp.newer),
+		Docs:    wireDocs(resp.inline),
 	})
 }
 
@@ -171,12 +175,12 @@
 	if err != nil {
 		return pollResponse{}, err
 	}
-	small, err := docsOf(w.Docs)
-	return pollResponse{replica: instanceID(w.Replica), cursor: cursor(w.Cursor), newer: newer, inline: small}, err
+	inlined, err := docsOf(w.Docs)
+	return pollResponse{replica: instanceID(w.Replica), cursor: cursor(w.Cursor), newer: newer, inline: inlined}, err
 }
 
-func encodeFetchResponse(a fetchResponse) ([]byte, error) {
-	return encodeWire(wireResponse{Docs: wireDocs(a.docs)})
+func encodeFetchResponse(resp fetchResponse) ([]byte, error) {
+	return encodeWire(wireResponse{Docs: wireDocs(resp.docs)})
 }
 
 func decodeFetchResponse(data []byte) (fetchResponse, error) {
@@ -184,13 +188,13 @@
 	if err := decodeWire(data, &w); err != nil {
 		return fetchResponse{}, err
 	}
-	parcels, err := docsOf(w.Docs)
-	return fetchResponse{docs: parcels}, err
+	decoded, err := docsOf(w.Docs)
+	return fetchResponse{docs: decoded}, err
 }
 
-func encodePushResponse(a pushResponse) ([]byte, error) {
+func encodePushResponse(resp pushResponse) ([]byte, error) {
 	var w wireResponse
-	for _, name := range a.resend {
+	for _, name := range resp.resend {
 		w.Resend = append(w.Resend, string(name))
 	}
 	return encodeWire(w)
@@ -201,17 +205,17 @@
 	if err := decodeWire(data, &w); err != nil {
 		return pushResponse{}, err
 	}
-	var a pushResponse
+	var resp pushResponse
 	for _, name := range w.Resend {
-		a.resend = append(a.resend, Name(name))
+		resp.resend = append(resp.resend, Name(name))
 	}
-	return a, nil
+	return resp, nil
 }
 
 func encodeWire(w any) ([]byte, error) {
 	data, err := cbor.Marshal(w)
 	if err != nil {
-		return nil, fmt.Errorf("spread: encode: %w", err)
+		return nil, fmt.Errorf("docsync: encode: %w", err)
 	}
 	return data, nil
 }
@@ -254,15 +258,15 @@
 	return header{name: Name(w.Name), version: Version{Major: w.Major, Minor: w.Minor}}, nil
 }
 
-func wireDocs(parcels []encodedDoc) []wireDoc {
-	out := make([]wireDoc, len(parcels))
-	for i, p := range parcels {
+func wireDocs(docs []encodedDoc) []wireDoc {
+	out := make([]wireDoc, len(docs))
+	for i, doc := range docs {
 		out[i] = wireDoc{
-			Header:    wireHeaderOf(header{name: p.name, version: p.version}),
-			Encoding:  uint8(p.encoding),
-			BaseMajor: p.base.Major,
-			BaseMinor: p.base.Minor,
-			Payload:   p.payload,
+			Header:    wireHeaderOf(header{name: doc.name, version: doc.version}),
+			Encoding:  uint8(doc.encoding),
+			BaseMajor: doc.base.Major,
+			BaseMinor: doc.base.Minor,
+			Payload:   doc.payload,
 		}
 	}
 	return out
@@ -270,20 +274,20 @@
 
 func docsOf(wire []wireDoc) ([]encodedDoc, error) {
 	out := make([]encodedDoc, len(wire))
-	for i, w := range wire {
-		h, err := headerOf(w.Header)
+	for i, doc := range wire {
+		h, err := headerOf(doc.Header)
 		if err != nil {
 			return nil, err
 		}
-		if len(w.Payload) > MaxDocumentBytes {
+		if len(doc.Payload) > MaxDocumentBytes {
 			return nil, ErrMalformed
 		}
 		out[i] = encodedDoc{
 			name:     h.name,
 			version:  h.version,
-			encoding: encoding(w.Encoding),
-			base:     Version{Major: w.BaseMajor, Minor: w.BaseMinor},
-			payload:  w.Payload,
+			encoding: encoding(doc.Encoding),
+			base:     Version{Major: doc.BaseMajor, Minor: doc.BaseMinor},
+			payload:  doc.Payload,
 		}
 	}
 	return out, nil
--- a/internal/docsync/wire_test.go
+++ b/internal/docsync/wire_test.go
@@ -16,11 +16,11 @@
 func sampleRequests(t testing.TB) map[string]request {
 	t.Helper()
 	h := header{name: "table/s/zone-a", version: Version{Major: 3, Minor: 9}}
-	p := encodedDoc{name: h.name, version: h.version, encoding: encodingDelta, base: Version{Major: 3, Minor: 8}, payload: []byte("x")}
+	doc := encodedDoc{name: h.name, version: h.version, encoding: encodingDelta, base: Version{Major: 3, Minor: 8}, payload: []byte("x")}
 	return map[string]request{
 		"poll":  poll{replica: 7, cursor: 8, wait: time.Second, known: []header{h}},
 		"fetch": fetch{wanted: []header{h, {name: "settings"}}},
-		"push":  push{docs: []encodedDoc{p, {name: "b", encoding: encodingRaw, payload: []byte{}}}},
+		"push":  push{docs: []encodedDoc{doc, {name: "b", encoding: encodingRaw, payload: []byte{}}}},
 	}
 }
 
@@ -61,10 +61,10 @@
 	f.Add(uint8(encodingZstd), compress(next))
 	f.Add(uint8(encodingDelta), deltaOf(f, next, base))
 	f.Fuzz(func(t *testing.T, kind uint8, payload []byte) {
-		board := New()
+		replica := New()
 		at := Version{Major: 1}
-		board.Publish(Document{Name: "d", Version: at, Body: base})
-		doc, err := board.decode(encodedDoc{name: "d", version: Version{Major: 2}, encoding: encoding(kind), base: at, payload: payload})
+		replica.Publish(Document{Name: "d", Version: at, Body: base})
+		doc, err := replica.decode(encodedDoc{name: "d", version: Version{Major: 2}, encoding: encoding(kind), base: at, payload: payload})
 		assert.Assert(t, err != nil || len(doc.Body) <= max(MaxDocumentBytes, len(payload)))
 	})
 }
@@ -81,23 +81,24 @@
 	})
 }
 
-// TestOnlyLeadsPush sends documents from processes of all roles.
+// TestOnlyLeadsPush sends a push from processes of all roles: only those of
+// lead processes are taken.
 func TestOnlyLeadsPush(t *testing.T) {
 	for role, taken := range map[peer.Role]bool{peer.RoleLead: true, peer.RoleEntry: false, peer.RoleOperator: false} {
 		t.Run(string(role), func(t *testing.T) {
-			board := New()
-			n := NewNode(board, unreachableTransport{}, Config{Self: peer.Identity{Host: "h1", Zone: "z1", Role: peer.RoleLead}})
+			replica := New()
+			n := NewNode(replica, unreachableTransport{}, Config{Self: peer.Identity{Host: "h1", Zone: "z1", Role: peer.RoleLead}})
 			data, err := encodeRequest(push{docs: []encodedDoc{{name: "settings", version: Version{Major: 9}, encoding: encodingRaw}}})
 			assert.NilError(t, err)
 			_, err = n.serve(t.Context(), peer.Identity{Host: "h2", Zone: "z1", Role: role}, data)
 			assert.Equal(t, errors.Is(err, peer.ErrRefused), !taken)
-			_, known := board.Get("settings")
+			_, known := replica.Get("settings")
 			assert.Equal(t, known, taken)
 		})
 	}
 }
 
-// unreachableTransport is a link without peers.
+// unreachableTransport is a transport that reaches no peer.
 type unreachableTransport struct{}
 
 func (unreachableTransport) Handle(peer.Kind, peer.Handler) {}
@@ -106,7 +107,8 @@
 	return nil, peer.ErrUnreachable
 }
 
-// TestDeltaNeedsItsBase hands a delta to a board that lacks the base.
+// TestDeltaNeedsItsBase decodes a delta in a replica without the base, then
+// with it.
 func TestDeltaNeedsItsBase(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 100)
 	sender, receiver := New(), New()
