--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -18,7 +18,7 @@
 	maxBackoff   = time.Second
 )
 
-// remote is one address that this process calls, with its connection.
+// remote is one address that this process calls, with the connection to it.
 type remote struct {
 	peer *Peer
 	addr netip.AddrPort
@@ -27,15 +27,16 @@
 	conn     *connection
 	inFlight int
 	lastUsed time.Time
-	dialing  chan struct{} // closed once the dial has ended
+	dialing  chan struct{} // closed at the end of the dial
 	failures int
 	retryAt  time.Time
 	lastErr  error
 }
 
-// Call implements Link. The deadline of ctx travels with the message; without
-// one it is five seconds. Errors: ErrUnreachable where nothing was sent,
-// ErrRefused, *RemoteError, ErrTooLarge, otherwise ErrLost.
+// Call implements Transport. The deadline of ctx is sent with the message;
+// without one it is defaultTimeout from now. Errors: ErrUnreachable where
+// nothing was sent, ErrRefused, *RemoteError, ErrTooLarge, otherwise
+// ErrNoResponse.
 func (p *Peer) Call(ctx context.Context, to netip.AddrPort, kind Kind, body []byte) ([]byte, error) {
 	if len(body) > MaxMessage {
 		return nil, ErrTooLarge
@@ -46,21 +47,21 @@
 		ctx = bounded
 	}
 	if p.partitioned != nil && p.partitioned(to) {
-		return nil, fmt.Errorf("%w: cut off from %s", ErrUnreachable, to)
+		return nil, fmt.Errorf("%w: partitioned from %s", ErrUnreachable, to)
 	}
 	r, err := p.remote(to)
 	if err != nil {
 		return nil, err
 	}
-	s, err := r.connect(ctx)
+	c, err := r.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer r.release()
-	if !mayServe(s.identity.Role, kind) {
+	if !mayServe(c.identity.Role, kind) {
 		return nil, ErrRefused
 	}
-	return s.call(ctx, kind, body)
+	return c.call(ctx, kind, body)
 }
 
 func (p *Peer) remote(to netip.AddrPort) (*remote, error) {
@@ -77,13 +78,14 @@
 	return r, nil
 }
 
-// connect returns an open connection and counts a call on it; release ends
-// the call. It dials where there is none and the backoff has passed.
+// connect returns an open connection and counts a call in flight; release ends
+// the call. Without a connection it dials, unless the backoff of a failed dial
+// still runs.
 func (r *remote) connect(ctx context.Context) (*connection, error) {
 	for {
-		s, wait, err := r.tryConnect(time.Now())
-		if s != nil || err != nil {
-			return s, err
+		c, wait, err := r.tryConnect(time.Now())
+		if c != nil || err != nil {
+			return c, err
 		}
 		select {
 		case <-wait:
@@ -120,9 +122,9 @@
 	r.lastUsed = time.Now()
 }
 
-// runDial dials once, for all calls that wait.
+// runDial dials once, for all calls that wait for a connection.
 func (r *remote) runDial() {
-	s, err := r.dial()
+	c, err := r.dial()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	close(r.dialing)
@@ -134,11 +136,11 @@
 		return
 	}
 	r.failures = 0
-	r.conn = s
+	r.conn = c
 }
 
-// backoff returns the time before the next attempt: doubling from
-// firstBackoff to maxBackoff, between half and all of it at random.
+// backoff returns the time before the next dial: doubling from firstBackoff to
+// maxBackoff, with a jitter of up to half of it.
 func backoff(failures int) time.Duration {
 	const maxDoublings = 10
 	full := min(firstBackoff<<min(failures, maxDoublings), maxBackoff)
@@ -154,16 +156,16 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := newConnection(r.peer, conn, time.Now())
+	c, err := newConnection(r.peer, conn, time.Now())
 	if err != nil {
 		_ = conn.CloseWithError(codeDenied, "")
 		return nil, err
 	}
-	return s, nil
+	return c, nil
 }
 
-// upkeep ends a connection that the keys no longer allow or that nobody uses;
-// it reports whether the remote is still of use.
+// upkeep closes a connection that has been unused for unusedTimeout. It reports
+// whether the remote is still needed.
 func (r *remote) upkeep(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,7 +180,7 @@
 	return !unused
 }
 
-// verify ends the connection if its certificate is no longer valid.
+// verify closes the connection if its certificate is no longer valid.
 func (r *remote) verify(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,9 +201,9 @@
 	}
 }
 
-// call sends one message on a stream of its own.
-func (s *connection) call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
-	stream, err := s.conn.OpenStreamSync(ctx)
+// call sends one message on a stream of its own and reads the response.
+func (c *connection) call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
+	stream, err := c.conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
@@ -218,11 +220,11 @@
 	if err := stream.Close(); err != nil {
 		return nil, noResponse(ctx, err)
 	}
-	answer, err := readResponse(stream)
+	response, err := readResponse(stream)
 	if errors.Is(err, ErrNoResponse) {
 		return nil, noResponse(ctx, err)
 	}
-	return answer, err
+	return response, err
 }
 
 func noResponse(ctx context.Context, err error) error {
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// MaxMessage bounds the body of a message or an answer, in bytes.
+// MaxMessage bounds the body of a message and of a response, in bytes.
 const MaxMessage = 8 << 20
 
-// Protocol names the version of the messages in the TLS handshake.
+// Protocol names the version of the message format in the TLS handshake (ALPN).
 const Protocol = "citrontray/1"
 
 const (
 	// requestHeaderSize: one byte for the kind, four for the timeout in
 	// milliseconds, in network order, the rest zero. The zeros make the
 	// smallest message larger than 42 bytes on the wire: a restarted process
-	// answers nothing smaller with a stateless reset, and the caller would
-	// hold on to the old connection until its idle timeout.
+	// doesn't respond to smaller packets with a stateless reset, and the caller
+	// would keep the old connection until its idle timeout.
 	requestHeaderSize = 24
-	// usedHeaderSize is the part of the header that is not zero.
+	// usedHeaderSize is the size of the kind and the timeout in the header.
 	usedHeaderSize = 5
 	// responseHeaderSize: one byte for the status.
 	responseHeaderSize = 1
@@ -29,7 +29,7 @@
 	maxErrorText = 1 << 10
 )
 
-// status is the first byte of an answer.
+// status is the first byte of a response.
 type status byte
 
 const (
@@ -41,20 +41,21 @@
 // ErrTooLarge is returned for a message above MaxMessage.
 var ErrTooLarge = errors.New("peer: message too large")
 
-// ErrMalformed is returned for a message that can't be read.
+// ErrMalformed is returned for a message that can't be decoded.
 var ErrMalformed = errors.New("peer: malformed message")
 
-// ErrRefused is returned where the other side has no such service for this
-// role, or where its own role is not the one that answers. Nothing was done.
+// ErrRefused is returned where the other process has no handler for this kind,
+// or where one of the two roles may not send or serve it. The message had no
+// effect.
 var ErrRefused = errors.New("peer: refused")
 
-// RemoteError is the failure that the other side's handler reported.
+// RemoteError is an error that the handler of the other process returned.
 type RemoteError struct{ Text string }
 
 // Error implements error.
 func (e *RemoteError) Error() string { return "peer: remote: " + e.Text }
 
-// request is one message as it arrives.
+// request is a received message.
 type request struct {
 	kind    Kind
 	timeout time.Duration
@@ -120,7 +121,7 @@
 	return nil, ErrMalformed
 }
 
-// readBounded reads to the end, at most MaxMessage bytes.
+// readBounded reads to the end; it returns ErrTooLarge beyond MaxMessage bytes.
 func readBounded(r io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, MaxMessage+1))
 	if err != nil {
--- a/internal/peer/loss_test.go
+++ b/internal/peer/loss_test.go
@@ -16,7 +16,7 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-// lossyConn is a socket that drops a part of what is sent.
+// lossyConn is a socket that drops a percentage of the packets sent on it.
 type lossyConn struct {
 	net.PacketConn
 
@@ -59,7 +59,7 @@
 	return p
 }
 
-// TestCallsSurviveLostPackets drops a tenth of all packets both ways.
+// TestCallsSurviveLostPackets drops a tenth of all packets in both directions.
 func TestCallsSurviveLostPackets(t *testing.T) {
 	const (
 		percent = 10
@@ -78,40 +78,41 @@
 	slowest := time.Duration(0)
 	for range calls {
 		sent := time.Now()
-		answer, err := client.Call(ctx, server.Addr(), peer.KindSync, make([]byte, 10_000))
+		response, err := client.Call(ctx, server.Addr(), peer.KindSync, make([]byte, 10_000))
 		assert.NilError(t, err)
-		assert.Equal(t, len(answer), 10_000+len("h2/entry:"))
+		assert.Equal(t, len(response), 10_000+len("h2/entry:"))
 		slowest = max(slowest, time.Since(sent))
 	}
 	t.Logf("slowest of %d calls: %v", calls, slowest)
 }
 
-// TestCrashAndRestartAtSameAddress loses a process without a word and starts
-// another at its address: the new one's resets end the old connection.
+// TestCrashAndRestartAtSameAddress ends a process without closing its
+// connections and starts another at its address: the stateless resets of the
+// new one end the old connection.
 func TestCrashAndRestartAtSameAddress(t *testing.T) {
 	const silent = 100
 	dir := newAuthority(t)
 	m := newCredentials(t, dir, "h1", peer.RoleLead)
 	socket := newLossyConn(t, anyPort(), 0)
 	first := startOn(t, m, socket)
-	at := first.Addr()
+	addr := first.Addr()
 	client := startOn(t, newCredentials(t, dir, "h2", peer.RoleEntry), newLossyConn(t, anyPort(), 0))
-	_, err := client.Call(t.Context(), at, peer.KindSync, nil)
+	_, err := client.Call(t.Context(), addr, peer.KindSync, nil)
 	assert.NilError(t, err)
 	socket.percent.Store(silent)
 	_ = first.Close()
-	startOn(t, m, newLossyConn(t, at, 0))
+	startOn(t, m, newLossyConn(t, addr, 0))
 	begin := time.Now()
 	eventually(t, "the new process answers", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		defer cancel()
-		_, err := client.Call(ctx, at, peer.KindSync, nil)
+		_, err := client.Call(ctx, addr, peer.KindSync, nil)
 		return err == nil
 	})
 	t.Logf("answered after %v", time.Since(begin))
 }
 
-// slowCloseConn takes its time to close.
+// slowCloseConn is a socket whose Close takes 50 ms.
 type slowCloseConn struct {
 	net.PacketConn
 
@@ -127,8 +128,8 @@
 	return s.PacketConn.Close()
 }
 
-// TestConcurrentClose: whoever closes a peer finds its address free afterwards, also
-// while another closes it.
+// TestConcurrentClose: when Close returns, the address is free, also where
+// another goroutine closes the peer at the same time.
 func TestConcurrentClose(t *testing.T) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(anyPort()))
 	assert.NilError(t, err)
@@ -139,7 +140,7 @@
 		group.Go(func() error {
 			err := p.Close()
 			if !socket.closed.Load() {
-				t.Error("closed with the socket open")
+				t.Error("Close returned before the socket was closed")
 			}
 			return err
 		})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries messages between the processes of the system over QUIC
-// with mutual TLS from the operator's own authority.
+// Package peer sends messages between the processes of the system over QUIC
+// with mutual TLS, with certificates of the operator's own authority.
 package peer
 
 import (
@@ -9,18 +9,18 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Role tells the processes of one host apart.
+// Role is what a process does on its host.
 type Role string
 
-// The roles of processes that meet over the peer link.
+// The roles of processes that communicate over peer connections.
 const (
 	RoleEntry Role = "entry"
 	RoleLead  Role = "lead"
-	// RoleOperator is the command line.
+	// RoleOperator is the operator's command line.
 	RoleOperator Role = "operator"
 )
 
-// Identity is who the other side is, by its certificate.
+// Identity is the identity of a process, as its certificate states it.
 type Identity struct {
 	Host place.Host
 	Zone place.Zone
@@ -32,20 +32,22 @@
 
 // The kinds of messages.
 const (
-	KindCell    Kind = iota + 1 // between leads and roster hosts of a cell
-	KindSync                    // documents by revision
-	KindLoad                    // load reports from entries to leads
+	KindCell    Kind = iota + 1 // between the lead processes of a cell's roster
+	KindSync                    // documents of package docsync
+	KindLoad                    // load reports from entry processes to leaders
 	KindStatus                  // status of a process
-	KindForward                 // a request handed to another entry host
+	KindForward                 // a request forwarded to another entry host
 )
 
-// Handler answers one message.
+// Handler handles one message and returns the response.
 type Handler func(ctx context.Context, from Identity, body []byte) ([]byte, error)
 
-// Transport sends messages to peers and serves theirs. Safe for concurrent use.
+// Transport sends messages to peers and handles theirs. It is safe for
+// concurrent use.
 type Transport interface {
-	// Call sends one message and waits for the answer.
+	// Call sends one message and waits for the response.
 	Call(ctx context.Context, to netip.AddrPort, kind Kind, body []byte) ([]byte, error)
-	// Handle sets the handler of a kind; call it before serving.
+	// Handle sets the handler of a kind. It must be called before messages are
+	// served.
 	Handle(kind Kind, handler Handler)
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -97,13 +97,13 @@
 		kind peer.Kind
 		body []byte
 		want error
-		// timeout is set where the call has to run into it.
+		// timeout is set for calls that have to time out.
 		timeout time.Duration
 	}{
-		"no such process":         {to: gone, kind: peer.KindSync, want: peer.ErrUnreachable},
-		"role may not ask":        {to: server.Addr(), kind: peer.KindCell, want: peer.ErrRefused},
-		"role does not answer":    {to: server.Addr(), kind: peer.KindForward, want: peer.ErrRefused},
-		"no answer in time":       {to: server.Addr(), kind: peer.KindLoad, want: peer.ErrNoResponse, timeout: time.Second},
+		"no process at address":   {to: gone, kind: peer.KindSync, want: peer.ErrUnreachable},
+		"role may not send":       {to: server.Addr(), kind: peer.KindCell, want: peer.ErrRefused},
+		"role does not serve":     {to: server.Addr(), kind: peer.KindForward, want: peer.ErrRefused},
+		"no response in time":     {to: server.Addr(), kind: peer.KindLoad, want: peer.ErrNoResponse, timeout: time.Second},
 		"message too large":       {to: server.Addr(), kind: peer.KindSync, body: make([]byte, peer.MaxMessage+1), want: peer.ErrTooLarge},
 		"unknown kind of message": {to: server.Addr(), kind: 99, want: peer.ErrRefused},
 	}
@@ -121,7 +121,7 @@
 		assert.Assert(t, errors.As(err, &remote))
 		assert.Equal(t, remote.Text, "no such document")
 	})
-	t.Run("answer too large", func(t *testing.T) {
+	t.Run("response too large", func(t *testing.T) {
 		_, err := client.Call(t.Context(), server.Addr(), peer.KindStatus, nil)
 		var remote *peer.RemoteError
 		assert.Assert(t, errors.As(err, &remote))
@@ -129,30 +129,31 @@
 }
 
 // TestRestartAtSameAddress ends a process and starts another at its address:
-// the caller's old connection must not stand in the way.
+// the caller's old connection must not prevent calls to the new one.
 func TestRestartAtSameAddress(t *testing.T) {
 	dir := newAuthority(t)
 	m := newCredentials(t, dir, "h1", peer.RoleLead)
 	first := start(t, m, anyPort())
 	first.Handle(peer.KindSync, echo)
-	at := first.Addr()
+	addr := first.Addr()
 	client := start(t, newCredentials(t, dir, "h2", peer.RoleEntry), anyPort())
-	_, err := client.Call(t.Context(), at, peer.KindSync, nil)
+	_, err := client.Call(t.Context(), addr, peer.KindSync, nil)
 	assert.NilError(t, err)
 	assert.NilError(t, first.Close())
-	second := start(t, m, at)
+	second := start(t, m, addr)
 	second.Handle(peer.KindSync, echo)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if _, err := client.Call(t.Context(), at, peer.KindSync, nil); err != nil {
+		if _, err := client.Call(t.Context(), addr, peer.KindSync, nil); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// TestCloseNotifiesCallers: a process that had stopped as planned left some
-// callers with connections that they took for alive. What they sent on them
-// reached the next process at the address, and ended as lost.
+// TestCloseNotifiesCallers: Close has to close all connections. Otherwise
+// callers take a connection for alive, their messages on it reach the next
+// process at the address, and the calls end with ErrNoResponse instead of
+// ErrUnreachable.
 func TestCloseNotifiesCallers(t *testing.T) {
 	dir := newAuthority(t)
 	server, err := peer.New(peer.Config{Listen: anyPort(), Keys: newCredentials(t, dir, "host-2", peer.RoleLead)})
@@ -161,11 +162,11 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- server.Run(ctx) }()
-	at := server.Addr()
+	addr := server.Addr()
 	var callers [16]*peer.Peer
 	for i := range callers {
 		callers[i] = start(t, newCredentials(t, dir, "host-1", peer.RoleLead), anyPort())
-		_, err = callers[i].Call(t.Context(), at, peer.KindSync, nil)
+		_, err = callers[i].Call(t.Context(), addr, peer.KindSync, nil)
 		assert.NilError(t, err)
 	}
 
@@ -180,7 +181,7 @@
 					open = false
 				default:
 				}
-				_, errs[i] = callers[i].Call(t.Context(), at, peer.KindSync, nil)
+				_, errs[i] = callers[i].Call(t.Context(), addr, peer.KindSync, nil)
 			}
 		})
 	}
--- a/internal/peer/policy.go
+++ b/internal/peer/policy.go
@@ -16,9 +16,9 @@
 	return false
 }
 
-// mayServe reports whether a process of role may answer a message of kind. The
-// caller checks it before it sends: an entry whose address was given to a lead
-// by mistake can't hand out documents.
+// mayServe reports whether a process of role may respond to a message of kind.
+// The caller checks it before it sends: an entry process whose address was
+// mistaken for that of a lead process can't provide documents.
 func mayServe(role Role, kind Kind) bool {
 	switch kind {
 	case KindCell, KindSync, KindLoad:
--- a/internal/peer/quic.go
+++ b/internal/peer/quic.go
@@ -20,34 +20,34 @@
 )
 
 const (
-	// maxTimeout bounds how long a message may be worked on.
+	// maxTimeout bounds the handling of a message.
 	maxTimeout = time.Minute
-	// defaultTimeout holds for a call whose context has no deadline.
+	// defaultTimeout is the timeout of a call whose context has no deadline.
 	defaultTimeout        = 5 * time.Second
 	handshakeTimeout      = 2 * time.Second
 	idleTimeout           = 6 * time.Second
 	keepAlivePeriod       = 2 * time.Second
 	defaultUpkeepInterval = 2 * time.Second
-	// verifyInterval is the time between two checks that the certificates of
-	// open connections are still in their period; new keys check them at once.
+	// verifyInterval is the time between two checks of whether the certificates
+	// of open connections are still valid; they are also checked whenever the
+	// credentials change.
 	verifyInterval = 30 * time.Second
-	// unusedTimeout is how long a connection without calls is kept.
+	// unusedTimeout is how long a connection without calls is kept open.
 	unusedTimeout = time.Minute
-	// maxInbound bounds the connections that others opened.
+	// maxInbound bounds the connections that other processes opened.
 	maxInbound = 4096
-	// maxStreams bounds the messages at once on one connection.
+	// maxStreams bounds the messages in flight on one connection.
 	maxStreams = 256
-	// windowBytes is the first flow-control window of a stream; it grows to
-	// maxWindowBytes where a long message needs it.
+	// windowBytes is the initial flow-control window of a stream; it grows to
+	// maxWindowBytes for large messages.
 	windowBytes    = 32 << 10
 	maxWindowBytes = 1 << 20
-	// packetBytes is the size that every path carries (RFC 9000, 14.1). Larger
-	// ones are not probed for: a probe that is lost on the way looks like a
-	// full link.
+	// packetBytes is the packet size that every path supports (RFC 9000, 14.1).
+	// Path MTU discovery is off: a lost probe would look like congestion.
 	packetBytes = 1200
 )
 
-// The codes with which connections and streams are closed.
+// The codes that connections and streams are closed with.
 const (
 	codeClosed    quic.ApplicationErrorCode = 0
 	codeDenied    quic.ApplicationErrorCode = 1
@@ -57,18 +57,18 @@
 	streamExpired quic.StreamErrorCode      = 2
 )
 
-// ErrUnreachable is returned where nothing was sent: there is no connection.
+// ErrUnreachable is returned where nothing was sent, as there is no connection.
 var ErrUnreachable = errors.New("peer: unreachable")
 
-// ErrNoResponse is returned where the message may have arrived but no whole answer
-// came back.
-var ErrNoResponse = errors.New("peer: answer lost")
+// ErrNoResponse is returned where the message may have arrived but no complete
+// response was received.
+var ErrNoResponse = errors.New("peer: no complete response")
 
 // ErrClosed is returned after Close.
 var ErrClosed = errors.New("peer: closed")
 
 // Credentials are the certificates of this process and the authorities that it
-// trusts. *keys.Material implements it.
+// trusts. *certs.Material implements it.
 type Credentials interface {
 	Self() Identity
 	Reload(now time.Time) (bool, error)
@@ -78,23 +78,23 @@
 	ResetSecret() [sha256.Size]byte
 }
 
-// Config is what a Peer needs.
+// Config configures a Peer.
 type Config struct {
-	// Listen is the UDP address to bind; the zero value takes a free port.
+	// Listen is the UDP address to bind; the zero value selects a free port.
 	Listen netip.AddrPort
-	// Conn is used in place of Listen where it is set.
+	// Conn, where set, is used instead of Listen.
 	Conn net.PacketConn
 	Keys Credentials
 	Log  *slog.Logger
-	// UpkeepInterval is the time between two looks at key files and connections;
-	// zero stands for 2 s.
+	// UpkeepInterval is the time between two checks of the key files and of
+	// unused connections; zero stands for 2 s.
 	UpkeepInterval time.Duration
-	// Partitioned, where set, reports whether this process is cut off from an
-	// address. Tests and the lab use it.
+	// Partitioned, where set, reports whether to simulate a network partition
+	// from an address. Tests and the lab use it.
 	Partitioned func(to netip.AddrPort) bool
 }
 
-// Peer is the link of one process to all others. It implements Link.
+// Peer is the QUIC transport of one process. It implements Transport.
 type Peer struct {
 	keys           Credentials
 	log            *slog.Logger
@@ -104,14 +104,14 @@
 	listener       *quic.Listener
 	ctx            context.Context
 	cancel         context.CancelFunc
-	// accepting is the loop that takes connections, serving the loops over
-	// connections of others, work all that answers messages.
+	// accepting is the loop that accepts connections, connections the loops of
+	// the accepted ones, handling the messages being handled.
 	accepting   sync.WaitGroup
 	connections sync.WaitGroup
 	handling    sync.WaitGroup
 
 	closeOnce sync.Once
-	closeErr  error // the result, once closing is done
+	closeErr  error // the result of Close, set once closeOnce is done
 
 	mu         sync.Mutex
 	handlers   map[Kind]Handler
@@ -122,15 +122,16 @@
 
 var _ Transport = (*Peer)(nil)
 
-// New binds the socket. Calls work from then on; Run serves those of others.
+// New binds the socket. Calls are possible from then on; Run accepts
+// connections.
 func New(cfg Config) (*Peer, error) {
 	conn := cfg.Conn
 	if conn == nil {
-		bound, err := listen(cfg.Listen)
+		socket, err := listen(cfg.Listen)
 		if err != nil {
 			return nil, err
 		}
-		conn = bound
+		conn = socket
 	}
 	if cfg.Log == nil {
 		cfg.Log = logging.Nop()
@@ -170,13 +171,13 @@
 	return conn, nil
 }
 
-// quicConfig returns the QUIC configuration; only the side that dialled keeps a
-// connection alive.
-func quicConfig(keepAlivePeriod time.Duration) *quic.Config {
+// quicConfig returns the QUIC configuration. Only the side that dialed sends
+// keep-alives.
+func quicConfig(period time.Duration) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           handshakeTimeout,
 		MaxIdleTimeout:                 idleTimeout,
-		KeepAlivePeriod:                keepAlivePeriod,
+		KeepAlivePeriod:                period,
 		MaxIncomingStreams:             maxStreams,
 		MaxIncomingUniStreams:          -1,
 		InitialPacketSize:              packetBytes,
@@ -201,14 +202,15 @@
 // Self returns the identity of this process.
 func (p *Peer) Self() Identity { return p.keys.Self() }
 
-// Handle implements Link.
+// Handle implements Transport.
 func (p *Peer) Handle(kind Kind, handler Handler) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.handlers[kind] = handler
 }
 
-// Run serves messages and follows the key files until ctx ends or Close.
+// Run accepts connections, reloads changed credentials and closes unused
+// connections, until ctx ends or Close is called.
 func (p *Peer) Run(ctx context.Context) error {
 	if p.listener != nil {
 		p.accepting.Go(p.acceptLoop)
@@ -217,15 +219,17 @@
 	return p.Close()
 }
 
-// Close ends all connections, telling the other sides, and frees the socket.
+// Close closes all connections, which notifies the other processes, and frees
+// the socket.
 //
-// Closing the transport tells nobody. A side that was not told goes on sending
-// on its connection, to the process that comes next at this address, and never
-// learns whether its messages were taken. So no connection may be left by then:
-// the listener is closed first, the sessions end themselves.
+// Closing the QUIC transport alone notifies nobody. A process that isn't
+// notified keeps sending on its connection, to the next process at this
+// address, and never learns whether its messages were received. So no
+// connection may be left by then: the listener is closed first, and each
+// connection is closed by its own loop.
 //
-// Run closes as well, once Close has told it to end; who comes second waits for
-// the first, so that the address is free when either returns.
+// Run calls Close too, once its context or the peer has ended. The second
+// caller waits for the first, so that the address is free when either returns.
 func (p *Peer) Close() error {
 	p.closeOnce.Do(func() { p.closeErr = p.close() })
 	return p.closeErr
@@ -249,7 +253,7 @@
 	return nil
 }
 
-// closeRemotes ends the connections that this process opened.
+// closeRemotes closes the connections that this process opened.
 func (p *Peer) closeRemotes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +262,8 @@
 	}
 }
 
-// upkeepLoop looks after keys and connections until the end.
+// upkeepLoop runs upkeep at each upkeepInterval until ctx ends or the peer is
+// closed.
 func (p *Peer) upkeepLoop(ctx context.Context) {
 	ticker := time.NewTicker(p.upkeepInterval)
 	defer ticker.Stop()
@@ -274,15 +279,15 @@
 	}
 }
 
-// upkeep reloads the keys, then ends what they no longer allow and what
-// nobody uses.
+// upkeep reloads the credentials, then closes the connections that they no
+// longer allow and those that are unused.
 func (p *Peer) upkeep(now time.Time) {
 	changed, err := p.keys.Reload(now)
 	if err != nil {
-		p.log.Warn("Keys not reloaded, the old ones stay.", slog.Any("error", err))
+		p.log.Warn("Credentials could not be reloaded, the old ones stay in use.", slog.Any("error", err))
 	}
 	if changed {
-		p.log.Info("Keys reloaded.")
+		p.log.Info("Credentials reloaded.")
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -297,13 +302,13 @@
 	}
 }
 
-// verifyAll ends the connections whose certificates are no longer valid. The
+// verifyAll closes the connections whose certificates are no longer valid. The
 // caller holds mu.
 func (p *Peer) verifyAll(now time.Time) {
-	for s := range p.inbound {
-		if _, err := p.keys.Verify(now, s.chain); err != nil {
-			p.log.Warn("Connection ended, its certificate is no longer valid.", slog.String("host", string(s.identity.Host)))
-			s.close(codeDenied)
+	for c := range p.inbound {
+		if _, err := p.keys.Verify(now, c.chain); err != nil {
+			p.log.Warn("Connection closed, its certificate is no longer valid.", slog.String("host", string(c.identity.Host)))
+			c.close(codeDenied)
 		}
 	}
 	for _, r := range p.remotes {
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -12,7 +12,7 @@
 	"citrontray.example/citrontray/internal/logging"
 )
 
-// connection is one open connection.
+// connection is one open QUIC connection.
 type connection struct {
 	peer     *Peer
 	conn     *quic.Conn
@@ -29,14 +29,14 @@
 	return &connection{peer: owner, conn: conn, identity: identity, chain: chain}, nil
 }
 
-func (s *connection) alive() bool { return s.conn.Context().Err() == nil }
+func (c *connection) alive() bool { return c.conn.Context().Err() == nil }
 
-func (s *connection) close(code quic.ApplicationErrorCode) {
-	// Closing reports only that the connection had ended already.
-	_ = s.conn.CloseWithError(code, "")
+func (c *connection) close(code quic.ApplicationErrorCode) {
+	// The error only reports that the connection had ended already.
+	_ = c.conn.CloseWithError(code, "")
 }
 
-// acceptLoop accepts connections until the end.
+// acceptLoop accepts connections until the listener or the peer is closed.
 func (p *Peer) acceptLoop() {
 	for {
 		conn, err := p.listener.Accept(p.ctx)
@@ -48,59 +48,61 @@
 }
 
 func (p *Peer) accept(conn *quic.Conn) {
-	s, err := newConnection(p, conn, time.Now())
+	c, err := newConnection(p, conn, time.Now())
 	if err != nil {
-		p.log.Warn("Connection refused.", slog.String("from", conn.RemoteAddr().String()), slog.Any("error", err))
+		p.log.Warn("Connection refused, its certificate is not valid.", slog.String("from", conn.RemoteAddr().String()), slog.Any("error", err))
 		_ = conn.CloseWithError(codeDenied, "")
 		return
 	}
-	if !p.admit(s) {
-		p.log.Warn("Connection refused, too many are open.", slog.String("from", conn.RemoteAddr().String()))
-		s.close(codeTooMany)
+	if !p.admit(c) {
+		p.log.Warn("Connection refused, too many connections are open.", slog.String("from", conn.RemoteAddr().String()))
+		c.close(codeTooMany)
 		return
 	}
-	p.connections.Go(s.serve)
+	p.connections.Go(c.serve)
 }
 
-// admit enters a session unless too many are open or the peer has ended.
-func (p *Peer) admit(s *connection) bool {
+// admit registers an inbound connection, unless too many are open or the peer
+// is closed.
+func (p *Peer) admit(c *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ctx.Err() != nil || len(p.inbound) >= maxInbound {
 		return false
 	}
-	p.inbound[s] = struct{}{}
+	p.inbound[c] = struct{}{}
 	return true
 }
 
-// serve takes the messages of one connection until it ends, or this process.
-func (s *connection) serve() {
-	defer s.peer.forget(s)
-	defer s.close(codeClosed)
+// serve accepts the streams of one connection until it ends or the peer is
+// closed.
+func (c *connection) serve() {
+	defer c.peer.forget(c)
+	defer c.close(codeClosed)
 	for {
-		stream, err := s.conn.AcceptStream(s.peer.ctx)
+		stream, err := c.conn.AcceptStream(c.peer.ctx)
 		if err != nil {
 			return
 		}
-		m := &message{conn: s, stream: stream}
-		s.peer.handling.Add(1)
+		m := &message{conn: c, stream: stream}
+		c.peer.handling.Add(1)
 		go m.serve()
 	}
 }
 
-func (p *Peer) forget(s *connection) {
+func (p *Peer) forget(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.inbound, s)
+	delete(p.inbound, c)
 }
 
-// message is one message of another process while it is answered.
+// message is a received message that is being handled.
 type message struct {
 	conn   *connection
 	stream *quic.Stream
 }
 
-// serve reads the message, lets its handler answer and sends that back.
+// serve reads the message, runs its handler and sends the response.
 func (m *message) serve() {
 	defer m.conn.peer.handling.Done()
 	defer m.stream.CancelRead(streamClosed)
@@ -116,8 +118,8 @@
 	defer cancel()
 	body, err := m.handle(ctx, req)
 	if err != nil && ctx.Err() != nil {
-		// The caller is about to give up too: an error text that wins that
-		// race by a moment would look like a decision of the handler.
+		// The caller's own deadline passes at this moment. An error that
+		// arrives just before it would look like a result of the handler.
 		m.stream.CancelWrite(streamExpired)
 		return
 	}
@@ -133,7 +135,7 @@
 	}
 }
 
-// handle runs the handler. One that panics ends its message alone.
+// handle runs the handler. A panic ends only its message.
 func (m *message) handle(ctx context.Context, req request) (body []byte, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -144,8 +146,8 @@
 	return m.conn.peer.dispatch(ctx, m.conn.identity, req)
 }
 
-// errPanicked is the answer to a message whose handler panicked.
-var errPanicked = errors.New("peer: handler failed")
+// errPanicked is the error that the caller of a panicked handler gets.
+var errPanicked = errors.New("peer: handler panicked")
 
 func (p *Peer) dispatch(ctx context.Context, from Identity, req request) ([]byte, error) {
 	p.mu.Lock()
--- a/internal/peer/trust_test.go
+++ b/internal/peer/trust_test.go
@@ -20,7 +20,8 @@
 	"citrontray.example/citrontray/internal/peer"
 )
 
-// wrongCertificate shows another certificate than its material's own.
+// wrongCertificate presents another certificate than that of its own
+// credentials.
 type wrongCertificate struct {
 	*certs.Material
 
@@ -33,7 +34,8 @@
 	return config
 }
 
-// certificateWithoutIdentity makes a certificate of the authority in dir that names no process.
+// certificateWithoutIdentity issues a certificate of the authority in dir
+// without the identity of a process.
 func certificateWithoutIdentity(t *testing.T, dir string) tls.Certificate {
 	t.Helper()
 	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.AuthorityFile), filepath.Join(dir, certs.AuthorityKeyFile))
@@ -60,7 +62,8 @@
 	old := t.TempDir()
 	assert.NilError(t, certs.CreateAuthority(past, old))
 	assert.NilError(t, certs.IssueHost(past, old, "h9", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
-	// The server trusts this authority too: the age alone speaks against it.
+	// The server trusts this authority too, so that expiry is the only reason
+	// to reject the certificate.
 	added, err := os.ReadFile(filepath.Join(old, certs.AuthorityFile))
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, certs.AuthorityFile), append(roots, added...), 0o600))
@@ -69,7 +72,8 @@
 	return m
 }
 
-// TestInvalidClientCertificatesRejected calls a lead's process with wrong certificates.
+// TestInvalidClientCertificatesRejected calls a lead process with invalid
+// certificates.
 func TestInvalidClientCertificatesRejected(t *testing.T) {
 	tests := map[string]func(t *testing.T, dir string) peer.Credentials{
 		"of another authority": func(t *testing.T, dir string) peer.Credentials {
@@ -79,18 +83,18 @@
 		"without a certificate": func(t *testing.T, dir string) peer.Credentials {
 			return wrongCertificate{Material: newCredentials(t, dir, "h2", peer.RoleLead)}
 		},
-		"that names no process": func(t *testing.T, dir string) peer.Credentials {
+		"without an identity": func(t *testing.T, dir string) peer.Credentials {
 			return wrongCertificate{Material: newCredentials(t, dir, "h2", peer.RoleLead), presented: []tls.Certificate{certificateWithoutIdentity(t, dir)}}
 		},
-		"that has expired": func(t *testing.T, dir string) peer.Credentials {
+		"with an expired certificate": func(t *testing.T, dir string) peer.Credentials {
 			old := expiredCredentials(t, dir)
 			return wrongCertificate{Material: newCredentials(t, dir, "h2", peer.RoleLead), presented: old.ClientTLS("").Certificates}
 		},
 	}
-	for name, stranger := range tests {
+	for name, newClient := range tests {
 		t.Run(name, func(t *testing.T) {
 			dir := newAuthority(t)
-			credentials := stranger(t, dir)
+			credentials := newClient(t, dir)
 			server := start(t, newCredentials(t, dir, "h1", peer.RoleLead), anyPort())
 			for kind := peer.KindCell; kind <= peer.KindForward; kind++ {
 				server.Handle(kind, echo)
@@ -98,13 +102,14 @@
 			client := start(t, credentials, anyPort())
 			for kind := peer.KindCell; kind <= peer.KindForward; kind++ {
 				_, err := client.Call(t.Context(), server.Addr(), kind, nil)
-				assert.Assert(t, err != nil, "kind %d was answered", kind)
+				assert.Assert(t, err != nil, "kind %d was served", kind)
 			}
 		})
 	}
 }
 
-// TestInvalidServersNotCalled calls processes that are not what they should be.
+// TestInvalidServersNotCalled calls servers with invalid certificates or of the
+// wrong role.
 func TestInvalidServersNotCalled(t *testing.T) {
 	dir := newAuthority(t)
 	other := newAuthority(t)
@@ -120,9 +125,9 @@
 		server peer.Credentials
 		want   error
 	}{
-		"of another authority":     {server: newCredentials(t, other, "h1", peer.RoleLead), want: peer.ErrUnreachable},
-		"with another IP number":   {server: elsewhere(t), want: peer.ErrUnreachable},
-		"an entry asked as a lead": {server: newCredentials(t, dir, "h1", peer.RoleEntry), want: peer.ErrRefused},
+		"of another authority":                      {server: newCredentials(t, other, "h1", peer.RoleLead), want: peer.ErrUnreachable},
+		"with another IP address":                   {server: elsewhere(t), want: peer.ErrUnreachable},
+		"an entry process called as a lead process": {server: newCredentials(t, dir, "h1", peer.RoleEntry), want: peer.ErrRefused},
 	}
 	client := start(t, newCredentials(t, dir, "h2", peer.RoleLead), anyPort())
 	for name, tt := range tests {
@@ -135,7 +140,7 @@
 	}
 }
 
-// startFastUpkeep is start with frequent looks at the key files.
+// startFastUpkeep is start with an upkeep interval of 10 ms.
 func startFastUpkeep(t *testing.T, m peer.Credentials) *peer.Peer {
 	t.Helper()
 	const upkeep = 10 * time.Millisecond
@@ -161,26 +166,26 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// TestRotationWithoutRestart replaces the authority and all certificates under
-// running processes, then takes the old authority out.
+// TestRotationWithoutRestart replaces the authority and all certificates of
+// running processes, then removes the old authority.
 func TestRotationWithoutRestart(t *testing.T) {
 	dir := newAuthority(t)
 	first, second := newCredentials(t, dir, "h1", peer.RoleLead), newCredentials(t, dir, "h2", peer.RoleLead)
-	left := t.TempDir()
-	assert.NilError(t, os.CopyFS(left, os.DirFS(dir)))
-	a, b := startFastUpkeep(t, first), startFastUpkeep(t, second)
-	assert.NilError(t, certs.IssueHost(time.Now(), left, "h3", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
-	third, err := certs.Load(time.Now(), left, "h3", peer.RoleLead)
+	oldDir := t.TempDir()
+	assert.NilError(t, os.CopyFS(oldDir, os.DirFS(dir)))
+	p1, p2 := startFastUpkeep(t, first), startFastUpkeep(t, second)
+	assert.NilError(t, certs.IssueHost(time.Now(), oldDir, "h3", "z1", []peer.Role{peer.RoleLead}, []netip.Addr{loopback}))
+	third, err := certs.Load(time.Now(), oldDir, "h3", peer.RoleLead)
 	assert.NilError(t, err)
 	stale := startFastUpkeep(t, third)
 	works := func(from, to *peer.Peer) bool {
 		_, err := from.Call(t.Context(), to.Addr(), peer.KindSync, nil)
 		return err == nil
 	}
-	assert.Assert(t, works(a, b) && works(b, a) && works(stale, a) && works(a, stale))
+	assert.Assert(t, works(p1, p2) && works(p2, p1) && works(stale, p1) && works(p1, stale))
 
 	assert.NilError(t, certs.CreateAuthority(time.Now(), dir))
-	assert.Assert(t, works(a, b) && works(b, a), "with both authorities")
+	assert.Assert(t, works(p1, p2) && works(p2, p1), "with both authorities")
 	oldLeaf := leafOf(t, dir, "h1")
 	newCredentials(t, dir, "h1", peer.RoleLead)
 	newCredentials(t, dir, "h2", peer.RoleLead)
@@ -188,12 +193,12 @@
 	eventually(t, "new certificates are in use", func() bool {
 		return presents(first, leafOf(t, dir, "h1")) && presents(second, leafOf(t, dir, "h2"))
 	})
-	assert.Assert(t, works(a, b) && works(b, a), "with new certificates")
+	assert.Assert(t, works(p1, p2) && works(p2, p1), "with new certificates")
 
 	assert.NilError(t, certs.RemoveOldAuthorities(dir))
-	eventually(t, "the one left behind is shut out", func() bool { return !works(stale, a) && !works(a, stale) })
-	eventually(t, "the others go on", func() bool { return works(a, b) && works(b, a) })
-	assert.Assert(t, !works(stale, a) && !works(a, stale))
+	eventually(t, "the process with old credentials is rejected", func() bool { return !works(stale, p1) && !works(p1, stale) })
+	eventually(t, "the other processes communicate", func() bool { return works(p1, p2) && works(p2, p1) })
+	assert.Assert(t, !works(stale, p1) && !works(p1, stale))
 }
 
 func leafOf(t *testing.T, dir string, host string) []byte {
