--- a/internal/fake/admin.go
+++ b/internal/fake/admin.go
@@ -11,7 +11,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// The admin pages of the stand-ins.
+// The admin paths of the fakes.
 const (
 	pathTargets = "/lab/targets"
 	pathHosts   = "/lab/hosts"
@@ -21,10 +21,10 @@
 	pathFault   = "/lab/fault"
 )
 
-// maxAdminBytes bounds the body of an admin call.
+// maxAdminBytes bounds the body of an admin request.
 const maxAdminBytes = 256 << 20
 
-// wireRow is a host's or a target's row in JSON.
+// wireRow is the fleet list's row of a host or a target in JSON.
 type wireRow struct {
 	Name    string         `json:"name"`
 	Service string         `json:"service,omitempty"`
@@ -46,13 +46,13 @@
 	PartitionedZones []string `json:"cut_zones"`
 }
 
-// wireAct asks for a verb on one target.
+// wireAct requests a verb for one target.
 type wireAct struct {
 	Target string `json:"target"`
 	Verb   string `json:"verb"`
 }
 
-// wireLedger is what the ledger holds, in JSON.
+// wireLedger is the content of a ledger in JSON.
 type wireLedger struct {
 	Counts     wireCounts `json:"counts"`
 	Violations []string   `json:"findings"`
@@ -70,7 +70,7 @@
 	RefusedConns     uint64 `json:"refused"`
 }
 
-// NewPlatformAdmin serves the admin pages of a platform's stand-in.
+// NewPlatformAdmin serves the admin interface of a fake platform.
 func NewPlatformAdmin(p *Platform) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(pathTargets, func(w http.ResponseWriter, r *http.Request) {
@@ -123,31 +123,31 @@
 	return out
 }
 
-// NewTargetAdmin serves the admin pages of a farm.
-func NewTargetAdmin(f *TargetSet) http.Handler {
+// NewTargetAdmin serves the admin interface of a set of targets.
+func NewTargetAdmin(s *TargetSet) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(pathRuns, func(w http.ResponseWriter, r *http.Request) {
 		var operations []string
 		if readAdmin(w, r, &operations) {
-			writeAdmin(w, f.Ledger.RunsOf(operations))
+			writeAdmin(w, s.Ledger.RunsOf(operations))
 		}
 	}).Methods(http.MethodPost)
 	r.HandleFunc(pathLedger, func(w http.ResponseWriter, _ *http.Request) {
-		c := f.Ledger.Counts()
-		writeAdmin(w, wireLedger{Violations: f.Ledger.Violations(), Counts: wireCounts(c)})
+		c := s.Ledger.Counts()
+		writeAdmin(w, wireLedger{Violations: s.Ledger.Violations(), Counts: wireCounts(c)})
 	})
 	r.HandleFunc(pathAct, func(w http.ResponseWriter, r *http.Request) {
 		var act wireAct
 		if readAdmin(w, r, &act) {
-			w.WriteHeader(f.runVerb(act))
+			w.WriteHeader(s.runVerb(act))
 		}
 	}).Methods(http.MethodPost)
 	return r
 }
 
-// runVerb carries out a verb and returns the status to answer with.
-func (f *TargetSet) runVerb(act wireAct) int {
-	t, ok := f.Target(place.Target(act.Target))
+// runVerb carries out a verb and returns the HTTP status of the response.
+func (s *TargetSet) runVerb(act wireAct) int {
+	t, ok := s.Target(place.Target(act.Target))
 	if !ok {
 		return http.StatusNotFound
 	}
--- a/internal/fake/adminclient.go
+++ b/internal/fake/adminclient.go
@@ -13,22 +13,22 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// adminTimeout bounds an admin call.
+// adminTimeout bounds an admin request.
 const adminTimeout = 10 * time.Second
 
-// AdminClient reaches the admin pages of a stand-in in another process.
+// AdminClient is a client of the admin interface of a fake in another process.
 type AdminClient struct {
 	addr   netip.AddrPort
 	client *http.Client
 }
 
-// NewAdminClient returns a remote for the admin pages at addr.
+// NewAdminClient returns a client of the admin interface at addr.
 func NewAdminClient(addr netip.AddrPort) *AdminClient {
 	return &AdminClient{addr: addr, client: &http.Client{Timeout: adminTimeout}}
 }
 
-// SetTargets enters targets in the platform's list.
-func (r *AdminClient) SetTargets(ctx context.Context, rows []place.TargetRow) error {
+// SetTargets adds targets to the platform's fleet list.
+func (c *AdminClient) SetTargets(ctx context.Context, rows []place.TargetRow) error {
 	out := make([]wireRow, len(rows))
 	for i, row := range rows {
 		out[i] = wireRow{
@@ -36,11 +36,11 @@
 			State: uint8(row.State), Addr: row.Addr,
 		}
 	}
-	return r.call(ctx, pathTargets, out, nil)
+	return c.call(ctx, pathTargets, out, nil)
 }
 
-// SetHosts enters entry hosts in the platform's list.
-func (r *AdminClient) SetHosts(ctx context.Context, rows []place.HostRow) error {
+// SetHosts adds entry hosts to the platform's fleet list.
+func (c *AdminClient) SetHosts(ctx context.Context, rows []place.HostRow) error {
 	out := make([]wireRow, len(rows))
 	for i, row := range rows {
 		out[i] = wireRow{
@@ -48,56 +48,56 @@
 			State: uint8(row.State), Lead: row.LeadAddr, Entry: row.EntryAddr,
 		}
 	}
-	return r.call(ctx, pathHosts, out, nil)
+	return c.call(ctx, pathHosts, out, nil)
 }
 
-// RunsOf returns how often each of the operations ran, in their order.
-func (r *AdminClient) RunsOf(ctx context.Context, operations []string) ([]uint32, error) {
+// RunsOf returns how often each of the operations ran, in the same order.
+func (c *AdminClient) RunsOf(ctx context.Context, operations []string) ([]uint32, error) {
 	var out []uint32
-	if err := r.call(ctx, pathRuns, operations, &out); err != nil {
+	if err := c.call(ctx, pathRuns, operations, &out); err != nil {
 		return nil, err
 	}
 	if len(out) != len(operations) {
-		return nil, fmt.Errorf("standin: %d counts for %d operations", len(out), len(operations))
+		return nil, fmt.Errorf("fake: got %d counts for %d operations", len(out), len(operations))
 	}
 	return out, nil
 }
 
-// Ledger returns the counts of a farm and what broke.
-func (r *AdminClient) Ledger(ctx context.Context) (LedgerCounts, []string, error) {
+// Ledger returns the counts of the ledger and the violations that it found.
+func (c *AdminClient) Ledger(ctx context.Context) (LedgerCounts, []string, error) {
 	var out wireLedger
-	err := r.call(ctx, pathLedger, nil, &out)
+	err := c.call(ctx, pathLedger, nil, &out)
 	return LedgerCounts(out.Counts), out.Violations, err
 }
 
-// Act has a target do something: kill, start, freeze, thaw, drain or heal.
-func (r *AdminClient) Act(ctx context.Context, target place.Target, verb string) error {
-	return r.call(ctx, pathAct, wireAct{Target: string(target), Verb: verb}, nil)
+// Act carries out a verb on a target: kill, start, freeze, thaw, drain or heal.
+func (c *AdminClient) Act(ctx context.Context, target place.Target, verb string) error {
+	return c.call(ctx, pathAct, wireAct{Target: string(target), Verb: verb}, nil)
 }
 
-func (r *AdminClient) call(ctx context.Context, path string, in, out any) error {
+func (c *AdminClient) call(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addr.String()+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.addr.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	response, err := r.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	payload, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("standin: %s answered %d: %s", path, response.StatusCode, answer)
+		return fmt.Errorf("fake: %s: status %d: %s", path, response.StatusCode, payload)
 	}
 	if out == nil {
 		return nil
 	}
-	return json.Unmarshal(answer, out)
+	return json.Unmarshal(payload, out)
 }
--- a/internal/fake/adminclient_test.go
+++ b/internal/fake/adminclient_test.go
@@ -21,39 +21,39 @@
 }
 
 func TestAdminClientReachesTargets(t *testing.T) {
-	farm := newTargetSet(t)
-	remote := newAdminClient(t, fake.NewTargetAdmin(farm))
+	set := newTargetSet(t)
+	client := newAdminClient(t, fake.NewTargetAdmin(set))
 	ctx := context.Background()
-	grantShard(t, farm.Targets()[0], 3)
-	_, _, err := sendRequest(t, farm.Targets()[0], "3", "/balance/k?operation=op1", "")
+	grantShard(t, set.Targets()[0], 3)
+	_, _, err := sendRequest(t, set.Targets()[0], "3", "/balance/k?operation=op1", "")
 	assert.NilError(t, err)
 
-	runs, err := remote.RunsOf(ctx, []string{"op1", "op2"})
+	runs, err := client.RunsOf(ctx, []string{"op1", "op2"})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, runs, []uint32{1, 0})
-	counts, findings, err := remote.Ledger(ctx)
+	counts, violations, err := client.Ledger(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, counts.Runs, uint64(1))
-	assert.Equal(t, len(findings), 0)
+	assert.Equal(t, len(violations), 0)
 
-	assert.NilError(t, remote.Act(ctx, "balance-1", "kill"))
-	_, _, err = sendRequest(t, farm.Targets()[0], "3", "/balance/k?operation=op3", "")
+	assert.NilError(t, client.Act(ctx, "balance-1", "kill"))
+	_, _, err = sendRequest(t, set.Targets()[0], "3", "/balance/k?operation=op3", "")
 	assert.Assert(t, err != nil)
-	assert.NilError(t, remote.Act(ctx, "balance-1", "start"))
-	assert.ErrorContains(t, remote.Act(ctx, "balance-1", "fly"), "400")
-	assert.ErrorContains(t, remote.Act(ctx, "balance-9", "kill"), "404")
+	assert.NilError(t, client.Act(ctx, "balance-1", "start"))
+	assert.ErrorContains(t, client.Act(ctx, "balance-1", "fly"), "400")
+	assert.ErrorContains(t, client.Act(ctx, "balance-9", "kill"), "404")
 }
 
 func TestAdminClientSetsFleet(t *testing.T) {
 	p := fake.NewPlatform()
 	p.SetFleetLag(0)
-	remote := newAdminClient(t, fake.NewPlatformAdmin(p))
+	client := newAdminClient(t, fake.NewPlatformAdmin(p))
 	ctx := context.Background()
 	addr := netip.MustParseAddrPort("127.0.0.1:9")
 	host := place.HostRow{Host: "host-1", Zone: "zone-a", LeadAddr: addr, EntryAddr: addr}
 	target := place.TargetRow{Target: "balance-1", Service: "balance", Zone: "zone-a", Addr: addr}
-	assert.NilError(t, remote.SetHosts(ctx, []place.HostRow{host}))
-	assert.NilError(t, remote.SetTargets(ctx, []place.TargetRow{target}))
+	assert.NilError(t, client.SetHosts(ctx, []place.HostRow{host}))
+	assert.NilError(t, client.SetTargets(ctx, []place.TargetRow{target}))
 	fleet, err := p.Fleet(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, len(fleet.Hosts), 1)
--- a/internal/fake/kill_test.go
+++ b/internal/fake/kill_test.go
@@ -17,7 +17,8 @@
 )
 
 // TestKilledTargetSendsNoResponse sends requests while the target is killed: a
-// dead process sends no answer, whole or empty, for work that did not run.
+// killed process must not respond with status 200, not even with an empty body,
+// to a request that did not run.
 func TestKilledTargetSendsNoResponse(t *testing.T) {
 	const rounds, callers = 150, 8
 	ledger := fake.NewLedger()
@@ -25,13 +26,13 @@
 		Name: "plan-1", Service: "plan", Slots: 3, Connections: 100,
 		Addr: netip.MustParseAddrPort("127.0.0.1:0"),
 	}
-	var empty int
+	var okResponses int
 	var mu sync.Mutex
 	for range rounds {
-		one := fake.NewTarget(config, ledger)
-		assert.NilError(t, one.Start())
-		addr := one.Addr().String()
-		one.Freeze()
+		fakeTarget := fake.NewTarget(config, ledger)
+		assert.NilError(t, fakeTarget.Start())
+		addr := fakeTarget.Addr().String()
+		fakeTarget.Freeze()
 		var wg sync.WaitGroup
 		for i := range callers {
 			wg.Go(func() {
@@ -51,14 +52,14 @@
 				if resp.StatusCode == http.StatusOK {
 					mu.Lock()
 					defer mu.Unlock()
-					empty++
+					okResponses++
 				}
 			})
 		}
 		time.Sleep(100 * time.Microsecond)
-		one.Kill()
+		fakeTarget.Kill()
 		wg.Wait()
 	}
-	assert.Equal(t, empty, 0)
+	assert.Equal(t, okResponses, 0)
 	assert.Equal(t, ledger.Counts().Runs, uint64(0))
 }
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -10,45 +10,50 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// maxViolations bounds the descriptions of broken invariants that are kept.
+// maxViolations bounds the violations whose descriptions are kept.
 const maxViolations = 32
 
-// maxRuns bounds the operations whose runs are counted.
+// maxRuns bounds the operations, and the idempotency keys, whose runs are
+// counted.
 const maxRuns = 4 << 20
 
-// Ledger records who owns what and what ran, over all targets of a process.
-// A shard that two targets hold at one instant is found when the second one
-// takes or lengthens its grant. Safe for concurrent use.
+// Ledger records the owners and the runs of all targets of a process and
+// detects violations of invariants. It detects that two targets hold a shard at
+// the same time when the second one gets or extends its grant. It is safe for
+// concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	owners     map[serviceShard]map[place.Target]ownership
-	runs       map[string]uint32 // by the caller's own id of the operation
+	runs       map[string]uint32 // by the caller's own ID of the operation
 	keyed      map[string]uint32 // by idempotency key
 	counts     LedgerCounts
 	violations []string
 }
 
-// LedgerCounts is what the targets saw since the start.
+// LedgerCounts counts what the targets have seen since the start.
 type LedgerCounts struct {
-	// DuplicateOwners counts the shards found with two owners at one instant.
+	// DuplicateOwners counts the times that a shard was found with two owners
+	// at once.
 	DuplicateOwners uint64
-	// DuplicateRuns counts runs after the first of one idempotency key.
+	// DuplicateRuns counts the runs after the first one for the same
+	// idempotency key.
 	DuplicateRuns uint64
-	// Moves counts the changes of owner of a shard.
+	// Moves counts the changes of a shard's owner.
 	Moves uint64
-	// Runs counts all runs; Sheds, Misrouted and Late count refusals.
+	// Runs counts all runs. Sheds, Misrouted and DeadlineExceeded count refused
+	// requests.
 	Runs, Sheds, Misrouted, DeadlineExceeded uint64
 	// RefusedConns counts connections beyond a target's limit.
 	RefusedConns uint64
 }
 
-// serviceShard names one shard of one service.
+// serviceShard identifies a shard of a service.
 type serviceShard struct {
 	service key.Service
 	shard   key.Shard
 }
 
-// ownership is a target's hold of a shard until end.
+// ownership is a target's grant of a shard until its expiry.
 type ownership struct {
 	epoch  grant.Epoch
 	expiry time.Time
@@ -63,20 +68,20 @@
 	}
 }
 
-// recordHold records that target holds the shard at epoch until end.
+// recordHold records that target holds the shard at the epoch until end.
 func (l *Ledger) recordHold(now time.Time, service key.Service, target place.Target, held grant.ShardEpoch, end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := serviceShard{service: service, shard: held.Shard}
-	row := l.owners[at]
+	id := serviceShard{service: service, shard: held.Shard}
+	row := l.owners[id]
 	if row == nil {
 		row = make(map[place.Target]ownership)
-		l.owners[at] = row
+		l.owners[id] = row
 	}
 	for other, o := range row {
 		if other != target && now.Before(o.expiry) {
 			l.counts.DuplicateOwners++
-			l.addViolation("doubled owner: %s shard %d: %s at epoch %d for another %s, and %s at epoch %d",
+			l.addViolation("duplicate owner: %s shard %d: %s at epoch %d for another %s, and %s at epoch %d",
 				service, held.Shard, other, o.epoch, o.expiry.Sub(now), target, held.Epoch)
 		}
 	}
@@ -89,7 +94,7 @@
 	row[target] = ownership{epoch: held.Epoch, expiry: end}
 }
 
-// recordRelease records that target holds the shard no longer.
+// recordRelease records that target no longer holds the shard.
 func (l *Ledger) recordRelease(now time.Time, service key.Service, target place.Target, shard key.Shard) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,8 +105,8 @@
 	}
 }
 
-// recordRun records that one piece of work starts. Operation is the caller's own id
-// of it; idempotency may be empty.
+// recordRun records the start of a run. operation is the caller's own ID of it;
+// idempotency may be empty.
 func (l *Ledger) recordRun(operation, idempotency string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,11 +120,11 @@
 	l.keyed[idempotency]++
 	if l.keyed[idempotency] > 1 {
 		l.counts.DuplicateRuns++
-		l.addViolation("doubled run: idempotency key %s ran %d times", idempotency, l.keyed[idempotency])
+		l.addViolation("duplicate run: idempotency key %s ran %d times", idempotency, l.keyed[idempotency])
 	}
 }
 
-// count changes the counts under the lock.
+// count changes the counts with mu held.
 func (l *Ledger) count(change func(*LedgerCounts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,14 +138,14 @@
 	return l.counts
 }
 
-// Violations describes the first broken invariants.
+// Violations describes the first maxViolations violations.
 func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.violations...)
 }
 
-// RunsOf returns how often each of the operations ran, in their order.
+// RunsOf returns how often each of the operations ran, in the same order.
 func (l *Ledger) RunsOf(operations []string) []uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,20 +156,20 @@
 	return out
 }
 
-// addViolation keeps one description. The caller holds mu.
+// addViolation adds the description of a violation. The caller holds mu.
 func (l *Ledger) addViolation(format string, args ...any) {
 	if len(l.violations) < maxViolations {
 		l.violations = append(l.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Owned returns how many shards of the service have an owner at now.
+// Owned returns how many shards of the service have an owner at the time now.
 func (l *Ledger) Owned(now time.Time, service key.Service) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for at, row := range l.owners {
-		if at.service == service && anyOwner(now, row) {
+	for id, row := range l.owners {
+		if id.service == service && anyOwner(now, row) {
 			n++
 		}
 	}
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -12,32 +12,32 @@
 
 const (
 	maxPacketBytes = 64 << 10
-	// maxFlows bounds the senders that one address of the network remembers.
+	// maxFlows bounds the senders of one proxy.
 	maxFlows = 1024
 )
 
-// Network stands between the peers of different hosts: each process has an
-// address in it that passes packets on, unless the zones are cut. Replies take
-// the same way back. Safe for concurrent use.
+// Network simulates the network between hosts: each process has a proxy that
+// forwards packets to it, unless their zones are partitioned. Packets that the
+// process sends back take the same way. It is safe for concurrent use.
 type Network struct {
 	mu          sync.Mutex
-	zones       map[netip.AddrPort]place.Zone // by the processes' own addresses
+	zones       map[netip.AddrPort]place.Zone // by the process's own address
 	partitioned []place.Zone
 	proxies     []*proxy
 }
 
-// proxy is the address of one process in the network.
+// proxy is the UDP proxy in front of one process.
 type proxy struct {
 	network  *Network
 	zone     place.Zone
-	upstream *net.UDPAddr // where the process itself listens
-	conn     *net.UDPConn // where others reach it
+	upstream *net.UDPAddr // address of the process itself
+	conn     *net.UDPConn // socket at the address that others use
 
 	mu    sync.Mutex
 	flows map[netip.AddrPort]*flow
 }
 
-// flow is one sender's way to a node.
+// flow is the path from one sender through a proxy to its process.
 type flow struct {
 	proxy  *proxy
 	sender netip.AddrPort
@@ -49,43 +49,43 @@
 	return &Network{zones: make(map[netip.AddrPort]place.Zone)}
 }
 
-// Add enters a process that listens at own and returns the address at which
-// other hosts reach it.
-func (n *Network) Add(own netip.AddrPort, zone place.Zone) (netip.AddrPort, error) {
+// Add adds a process that listens at addr and returns the address at which other
+// hosts reach it.
+func (n *Network) Add(addr netip.AddrPort, zone place.Zone) (netip.AddrPort, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	next := &proxy{
-		network: n, zone: zone, upstream: net.UDPAddrFromAddrPort(own), conn: conn,
+	added := &proxy{
+		network: n, zone: zone, upstream: net.UDPAddrFromAddrPort(addr), conn: conn,
 		flows: make(map[netip.AddrPort]*flow),
 	}
 	n.mu.Lock()
-	n.zones[own] = zone
-	n.proxies = append(n.proxies, next)
+	n.zones[addr] = zone
+	n.proxies = append(n.proxies, added)
 	n.mu.Unlock()
-	go next.run()
+	go added.run()
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-// Partition drops all packets between the zones and all others, from now on; no
-// zones join all again.
+// Partition drops all packets between these zones and all other zones from now
+// on. Without zones it ends the partition.
 func (n *Network) Partition(zones ...place.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned = zones
 }
 
-// Close ends the network.
+// Close closes all proxies.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, each := range n.proxies {
-		each.close()
+	for _, proxy := range n.proxies {
+		proxy.close()
 	}
 }
 
-// allows reports whether packets go between a sender and a zone.
+// allows reports whether packets are forwarded between a sender and a zone.
 func (n *Network) allows(sender netip.AddrPort, zone place.Zone) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -96,45 +96,46 @@
 	return !slices.Contains(n.partitioned, from) && !slices.Contains(n.partitioned, zone)
 }
 
-// run passes packets on to the process until the network is closed.
-func (d *proxy) run() {
+// run forwards packets to the process until the network is closed.
+func (p *proxy) run() {
 	packet := make([]byte, maxPacketBytes)
 	for {
-		size, sender, err := d.conn.ReadFromUDPAddrPort(packet)
+		size, sender, err := p.conn.ReadFromUDPAddrPort(packet)
 		if err != nil {
 			return
 		}
 		sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
-		if !d.network.allows(sender, d.zone) {
+		if !p.network.allows(sender, p.zone) {
 			continue
 		}
-		if f := d.flow(sender); f != nil {
-			_, _ = f.conn.Write(packet[:size]) // a lost packet, as networks do
+		if f := p.flow(sender); f != nil {
+			_, _ = f.conn.Write(packet[:size]) // a lost packet is allowed in UDP
 		}
 	}
 }
 
-// flow returns the sender's way, or nil where there are too many.
-func (d *proxy) flow(sender netip.AddrPort) *flow {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if f, ok := d.flows[sender]; ok {
+// flow returns the sender's flow, or nil beyond maxFlows.
+func (p *proxy) flow(sender netip.AddrPort) *flow {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if f, ok := p.flows[sender]; ok {
 		return f
 	}
-	if len(d.flows) >= maxFlows {
+	if len(p.flows) >= maxFlows {
 		return nil
 	}
-	conn, err := net.DialUDP("udp", nil, d.upstream)
+	conn, err := net.DialUDP("udp", nil, p.upstream)
 	if err != nil {
 		return nil
 	}
-	f := &flow{proxy: d, sender: sender, conn: conn}
-	d.flows[sender] = f
+	f := &flow{proxy: p, sender: sender, conn: conn}
+	p.flows[sender] = f
 	go f.run()
 	return f
 }
 
-// run passes replies back until the network is closed.
+// run forwards packets of the process to the sender until the network is
+// closed.
 func (f *flow) run() {
 	packet := make([]byte, maxPacketBytes)
 	for {
@@ -143,7 +144,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the process is not there now
+			continue // the process isn't listening now
 		}
 		if f.proxy.network.allows(f.sender, f.proxy.zone) {
 			_, _ = f.proxy.conn.WriteToUDPAddrPort(packet[:size], f.sender)
@@ -151,11 +152,11 @@
 	}
 }
 
-func (d *proxy) close() {
-	_ = d.conn.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, f := range d.flows {
+func (p *proxy) close() {
+	_ = p.conn.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, f := range p.flows {
 		_ = f.conn.Close()
 	}
 }
--- a/internal/fake/network_test.go
+++ b/internal/fake/network_test.go
@@ -23,14 +23,14 @@
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, conn.Close()) })
-	own := conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	inside, err := network.Add(netip.AddrPortFrom(own.Addr().Unmap(), own.Port()), zone)
+	addr := conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	proxyAddr, err := network.Add(netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()), zone)
 	assert.NilError(t, err)
-	return process{UDPConn: conn, proxied: net.UDPAddrFromAddrPort(inside)}
+	return process{UDPConn: conn, proxied: net.UDPAddrFromAddrPort(proxyAddr)}
 }
 
-// reaches reports whether a packet goes from one process to the other and an
-// answer comes back. A packet that was not dropped needs no time to wait for.
+// reaches reports whether a packet from one process reaches the other and a
+// response comes back. It takes as long as wait only where a packet is dropped.
 func reaches(t *testing.T, from, to process, wait time.Duration) bool {
 	t.Helper()
 	_, err := from.WriteTo([]byte("ask"), to.proxied)
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -1,6 +1,6 @@
-// Package fake takes the place of the platform and of the targets in tests
-// and measurements: in one process, over real sockets, with faults on demand
-// and counts of all that happened.
+// Package fake provides fakes of the platform and of the targets for tests and
+// measurements. They run in one process over real sockets, inject faults on
+// demand and count all that happens.
 package fake
 
 import (
@@ -16,24 +16,24 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// maxValueBytes is the platform's bound on one value.
+// maxValueBytes is the platform's limit on the size of a value.
 const maxValueBytes = 1 << 20
 
-// maxChanges bounds the changes kept for watches; an older watch gets all
-// present values.
+// maxChanges bounds the changes that are kept for watches. A watch from an
+// older revision gets the present values that changed since.
 const maxChanges = 4096
 
-// defaultFleetLag is how long a change takes to show in the fleet list.
+// defaultFleetLag is the delay until a change is visible in the fleet list.
 const defaultFleetLag = time.Second
 
-// Platform is the stand-in of the platform's service and of its fleet list.
-// It implements platform.Store; calls pass the faults first. Safe for
+// Platform is a fake of the platform's store and of its fleet list. It
+// implements platform.Store and injects faults into the calls. It is safe for
 // concurrent use.
 type Platform struct {
 	mu        sync.Mutex
 	revision  platform.Revision
 	values    map[platform.Path]platform.Entry
-	previous  map[platform.Path]platform.Entry // for answers with old values
+	previous  map[platform.Path]platform.Entry // for stale reads
 	writtenAt map[platform.Path]time.Time
 	changes   []platform.Change
 	changed   chan struct{} // closed at the next change
@@ -46,7 +46,7 @@
 	faults PlatformFaults
 	counts PlatformCounts
 	calls  map[platform.Caller]uint64
-	down   chan struct{} // closed when the store goes down
+	down   chan struct{} // closed at the start of an outage
 }
 
 // lease is one named lease.
@@ -55,10 +55,10 @@
 	expiry time.Time
 }
 
-// delayedRow is a row whose newest state shows only from at on.
+// delayedRow is a row whose pending state becomes visible at visibleAt.
 type delayedRow[T any] struct {
 	current, pending T
-	listed           bool // old is in the list
+	listed           bool // current is in the list
 	visibleAt        time.Time
 }
 
@@ -125,7 +125,7 @@
 	return err
 }
 
-// compareAndSwap is the compare-and-swap below Write and Delete.
+// compareAndSwap carries out a Write or Delete.
 func (p *Platform) compareAndSwap(ctx context.Context, change platform.Change, expect platform.Revision) (platform.Revision, error) {
 	done, err := p.beginCall(ctx, writeCall)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return change.Revision, done()
 }
 
-// apply stores a change and wakes the watches. The caller holds mu.
+// apply applies a change and wakes up the watches. The caller holds mu.
 func (p *Platform) apply(change platform.Change, current platform.Entry) {
 	if current.Revision != 0 {
 		p.previous[change.Path] = current
@@ -192,7 +192,8 @@
 	}
 }
 
-// changesSince returns the changes below prefix after from. The caller holds mu.
+// changesSince returns the changes of values with the prefix after from. The
+// caller holds mu.
 func (p *Platform) changesSince(prefix platform.Path, from platform.Revision) []platform.Change {
 	var out []platform.Change
 	if len(p.changes) > 0 && p.changes[0].Revision > from+1 {
@@ -211,7 +212,8 @@
 	return out
 }
 
-// withPrefix returns the values below prefix, sorted. The caller holds mu.
+// withPrefix returns the values with the prefix, sorted by path. The caller
+// holds mu.
 func (p *Platform) withPrefix(prefix platform.Path) []platform.Entry {
 	var out []platform.Entry
 	for path, entry := range p.values {
@@ -283,34 +285,36 @@
 	return fleet, done()
 }
 
-// SetHost changes a row of the list; it shows after the lag.
+// SetHost changes a row of the fleet list; the change is visible after the lag.
 func (p *Platform) SetHost(now time.Time, row place.HostRow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts[row.Host] = p.hosts[row.Host].withPending(row, now, p.lag)
 }
 
-// SetTarget changes a row of the list; it shows after the lag.
+// SetTarget changes a row of the fleet list; the change is visible after the
+// lag.
 func (p *Platform) SetTarget(now time.Time, row place.TargetRow) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.targets[row.Target] = p.targets[row.Target].withPending(row, now, p.lag)
 }
 
-// SetFleetLag sets how long later changes take to show.
+// SetFleetLag sets the delay until later changes are visible.
 func (p *Platform) SetFleetLag(lag time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lag = lag
 }
 
-// withPending returns the row with a new state that shows after lag.
+// withPending returns the row with a new state that is visible after lag.
 func (l delayedRow[T]) withPending(row T, now time.Time, lag time.Duration) delayedRow[T] {
 	old, known := l.visible(now)
 	return delayedRow[T]{current: old, listed: known, pending: row, visibleAt: now.Add(lag)}
 }
 
-// visible returns what the list shows at now.
+// visible returns the state that is visible at the time now, and false where
+// the list doesn't contain the row.
 func (l delayedRow[T]) visible(now time.Time) (T, bool) {
 	if !l.visibleAt.IsZero() && !now.Before(l.visibleAt) {
 		return l.pending, true
@@ -318,15 +322,15 @@
 	return l.current, l.listed
 }
 
-// LastHolder returns who held a lease last, also where it has lapsed since, or
-// "" where it was released or never held.
+// LastHolder returns the last holder of a lease, even after the lease has
+// expired. It returns "" for a lease that was released or never held.
 func (p *Platform) LastHolder(name string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.leases[name].holder
 }
 
-// RevisionOf returns the revision of a value and when it was written.
+// RevisionOf returns the revision of a value and the time of its last change.
 func (p *Platform) RevisionOf(path platform.Path) (platform.Revision, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/platform_test.go
+++ b/internal/fake/platform_test.go
@@ -14,7 +14,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// newStore returns a client of a platform stand-in over a real socket.
+// newStore returns a client of a fake platform over a real socket.
 func newStore(t *testing.T) (*fake.Platform, *platform.Client) {
 	t.Helper()
 	p := fake.NewPlatform()
@@ -92,13 +92,13 @@
 		err    error
 		wrote  bool
 	}{
-		"none":            {wrote: true},
-		"down":            {faults: fake.PlatformFaults{Down: true}, err: platform.ErrUnavailable},
-		"answer lost":     {faults: fake.PlatformFaults{LoseResponses: 1}, err: platform.ErrOutcomeUnknown, wrote: true},
-		"host cut":        {faults: fake.PlatformFaults{PartitionedHosts: []place.Host{"host-1"}}, err: platform.ErrUnavailable},
-		"other host cut":  {faults: fake.PlatformFaults{PartitionedHosts: []place.Host{"host-2"}}, wrote: true},
-		"zone cut":        {faults: fake.PlatformFaults{PartitionedZones: []place.Zone{"zone-a"}}, err: platform.ErrUnavailable},
-		"slow, yet taken": {faults: fake.PlatformFaults{SlowMin: time.Millisecond, SlowMax: 2 * time.Millisecond}, wrote: true},
+		"none":                   {wrote: true},
+		"down":                   {faults: fake.PlatformFaults{Down: true}, err: platform.ErrUnavailable},
+		"response lost":          {faults: fake.PlatformFaults{LoseResponses: 1}, err: platform.ErrOutcomeUnknown, wrote: true},
+		"host partitioned":       {faults: fake.PlatformFaults{PartitionedHosts: []place.Host{"host-1"}}, err: platform.ErrUnavailable},
+		"other host partitioned": {faults: fake.PlatformFaults{PartitionedHosts: []place.Host{"host-2"}}, wrote: true},
+		"zone partitioned":       {faults: fake.PlatformFaults{PartitionedZones: []place.Zone{"zone-a"}}, err: platform.ErrUnavailable},
+		"slow but successful":    {faults: fake.PlatformFaults{SlowMin: time.Millisecond, SlowMax: 2 * time.Millisecond}, wrote: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -125,7 +125,7 @@
 		_, _, err := store.Watch(context.Background(), "a/", 0)
 		ended <- err
 	}()
-	for p.Counts().Reads == 0 { // until the watch waits
+	for p.Counts().Reads == 0 { // until the watch has started
 		time.Sleep(time.Millisecond)
 	}
 	p.SetFaults(fake.PlatformFaults{Down: true})
--- a/internal/fake/platformfaults.go
+++ b/internal/fake/platformfaults.go
@@ -12,32 +12,34 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// errResponseLost makes the handler answer in a way that leaves the outcome open.
-var errResponseLost = errors.New("standin: answer lost after the call took effect")
+// errResponseLost makes the handler respond in a way that leaves the outcome
+// unknown.
+var errResponseLost = errors.New("fake: response lost after the call took effect")
 
-// PlatformFaults is what goes wrong at the platform. The zero value: nothing.
+// PlatformFaults are the faults of the platform. The zero value means none.
 type PlatformFaults struct {
-	// Down refuses every call and ends the waiting watches.
+	// Down refuses all calls and ends waiting watches.
 	Down bool
-	// SlowMin and SlowMax bound the delay of each call before it takes effect.
+	// SlowMin and SlowMax bound the delay of a call before it takes effect.
 	SlowMin, SlowMax time.Duration
-	// LoseResponses is the part of the calls, 0 to 1, that take effect and
-	// whose answer is then lost.
+	// LoseResponses is the share of the calls, from 0 to 1, that take effect
+	// and whose response is then lost.
 	LoseResponses float64
-	// StaleReads answers reads with the value before the newest one.
+	// StaleReads makes Get return the value before the newest one.
 	StaleReads bool
-	// PartitionedHosts and CutZones are the callers that are refused.
+	// PartitionedHosts and PartitionedZones are the callers whose calls are
+	// refused.
 	PartitionedHosts []place.Host
 	PartitionedZones []place.Zone
 }
 
-// PlatformCounts counts what callers did since the start. A waiting watch is
-// one read.
+// PlatformCounts counts calls since the start. A waiting watch counts as one
+// read.
 type PlatformCounts struct {
 	Reads, Writes, Conflicts, Refused, LostResponses uint64
 }
 
-// callKind tells a read from a write.
+// callKind distinguishes reads from writes.
 type callKind uint8
 
 const (
@@ -79,8 +81,9 @@
 	return maps.Clone(p.calls)
 }
 
-// beginCall counts a call and lets the faults act on it. The function that it
-// returns gives the error to answer with after the call took effect.
+// beginCall counts a call and injects faults into it. The caller calls the
+// returned function after the call has taken effect; it returns the error to
+// respond with.
 func (p *Platform) beginCall(ctx context.Context, kind callKind) (func() error, error) {
 	caller := platform.CallerOf(ctx)
 	p.mu.Lock()
@@ -103,7 +106,7 @@
 	return p.endCall, nil
 }
 
-// endCall decides whether the answer is lost.
+// endCall decides whether the response is lost.
 func (p *Platform) endCall() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/rangetarget.go
+++ b/internal/fake/rangetarget.go
@@ -16,34 +16,36 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// RangeTargetFaults is what goes wrong with a Ranged now.
+// RangeTargetFaults are the present faults of a RangeTarget.
 type RangeTargetFaults struct {
-	// Work is how long a request takes.
+	// Work is the duration of a run.
 	Work time.Duration
-	// Fail, Refuse and Cut are the shares of requests that end with the
-	// target's own failure, that it refuses, and whose connection breaks after
-	// they have run.
+	// Fail, Refuse and Reset are the shares of requests that end with an error
+	// of the target itself, that are refused, and whose connection is reset
+	// after they ran.
 	Fail, Refuse, Reset float64
-	// DropOrders: orders are neither answered nor carried out.
+	// DropOrders drops orders: they have no effect and no response.
 	DropOrders bool
-	// Unreachable: no connection for orders can be had.
+	// Unreachable makes connections for orders fail.
 	Unreachable bool
-	// Leaving: all answers say that the target stops soon.
+	// Leaving makes all responses announce that the target is leaving.
 	Leaving bool
-	// RetryAfter is what refusals ask for, in seconds, zero for nothing.
+	// RetryAfter is the retry delay that refusals ask for; zero for none.
 	RetryAfter time.Duration
 }
 
-// RangeTarget is the stand-in of a target that owns ranges of keys, or of one of a
-// keyless service. It serves requests over real sockets, in the product's own
-// header names, and takes orders by method calls. Safe for concurrent use.
+// RangeTarget is a fake of a target that owns ranges of keys, or of one of a
+// keyless service. It serves requests over real sockets, with the header names
+// that it is given, and takes orders by method calls. It is safe for concurrent
+// use.
 type RangeTarget struct {
 	Name  place.Target
 	Addr  netip.AddrPort
 	Slots int
-	// Keyless targets take any request.
+	// Keyless targets accept requests without a key.
 	Keyless bool
-	// SlowClock is how much slower than real time its clock runs.
+	// SlowClock is the fraction by which the target's clock is slower than real
+	// time.
 	SlowClock float64
 
 	server *http.Server
@@ -53,8 +55,8 @@
 	mu     sync.Mutex
 	faults RangeTargetFaults
 	held   []heldRange
-	// fences is the highest fence of each point that a grant has brought; it
-	// stays when the grant has ended.
+	// fences holds the highest fencing token of a grant for each point. It
+	// outlives the grant.
 	fences  map[key.Point]target.FencingToken
 	running int
 	arrived int
@@ -68,41 +70,42 @@
 	expiry time.Time
 }
 
-// RunCounter counts the runs of each request over all targets. Safe for
+// RunCounter counts the runs of each request on all targets. It is safe for
 // concurrent use.
 type RunCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewRunCounter returns an empty ledger.
+// NewRunCounter returns an empty counter.
 func NewRunCounter() *RunCounter { return &RunCounter{runs: make(map[string]int)} }
 
-func (l *RunCounter) add(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[id]++
+func (c *RunCounter) add(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runs[id]++
 }
 
 // Runs returns how often a request ran.
-func (l *RunCounter) Runs(id string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.runs[id]
+func (c *RunCounter) Runs(id string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.runs[id]
 }
 
-// NewRangeTarget returns a target that somebody else serves at addr.
+// NewRangeTarget returns a target that the caller serves at addr.
 func NewRangeTarget(name place.Target, addr netip.AddrPort, slots int, names *target.HeaderNames, runs *RunCounter) *RangeTarget {
 	return &RangeTarget{
 		Name: name, Addr: addr, Slots: slots, names: names, runs: runs, faults: RangeTargetFaults{Work: 10 * time.Millisecond},
 	}
 }
 
-// StartRangeTarget starts a target on a free loopback port.
+// StartRangeTarget starts a target that serves requests on a free loopback
+// port.
 func StartRangeTarget(name place.Target, slots int, names *target.HeaderNames, runs *RunCounter) (*RangeTarget, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("standin: %w", err)
+		return nil, fmt.Errorf("fake: %w", err)
 	}
 	r := NewRangeTarget(name, netip.MustParseAddrPort(l.Addr().String()), slots, names, runs)
 	r.server = &http.Server{Handler: r}
@@ -112,7 +115,7 @@
 
 func (r *RangeTarget) run(l net.Listener) { _ = r.server.Serve(l) }
 
-// Close ends the target at once.
+// Close stops the target at once.
 func (r *RangeTarget) Close() { _ = r.server.Close() }
 
 // SetFaults replaces the faults.
@@ -128,21 +131,22 @@
 	return r.faults.Unreachable
 }
 
-// Arrived returns how many requests arrived.
+// Arrived returns the number of requests that have arrived.
 func (r *RangeTarget) Arrived() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.arrived
 }
 
-// Holds reports whether the target holds a point now.
+// Holds reports whether the target holds a point at the time now.
 func (r *RangeTarget) Holds(now time.Time, p key.Point) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holds(now, p)
 }
 
-// HoldsAny reports whether the target holds any point of a range now.
+// HoldsAny reports whether the target holds any point of a range at the time
+// now.
 func (r *RangeTarget) HoldsAny(now time.Time, span key.Range) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +167,7 @@
 	return false
 }
 
-// admit decides on a request; the returned status is 0 where it runs.
+// admit decides whether a request runs; the returned status is 0 where it does.
 func (r *RangeTarget) admit(req *http.Request) (status int, f RangeTargetFaults, draw float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,25 +231,26 @@
 	}
 }
 
-// RangeOrderDialer carries orders to targets by their addresses.
+// RangeOrderDialer connects to the targets by their addresses, without a
+// network.
 type RangeOrderDialer struct {
 	mu      sync.Mutex
 	targets map[netip.AddrPort]*RangeTarget
 }
 
-// NewRangeOrderDialer returns orders that reach nobody yet.
+// NewRangeOrderDialer returns a dialer without targets.
 func NewRangeOrderDialer() *RangeOrderDialer {
 	return &RangeOrderDialer{targets: make(map[netip.AddrPort]*RangeTarget)}
 }
 
-// Add lets orders reach a target.
+// Add adds a target to the dialer.
 func (o *RangeOrderDialer) Add(r *RangeTarget) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.targets[r.Addr] = r
 }
 
-// Dial implements target.Orders.
+// Dial implements target.OrderDialer.
 func (o *RangeOrderDialer) Dial(_ context.Context, addr netip.AddrPort, to place.Target) (target.OrderConn, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -311,22 +316,22 @@
 	return nil
 }
 
-// release takes a range out of what is held. The caller holds mu.
-func (r *RangeTarget) release(out key.Range) {
+// release removes a range from what the target holds. The caller holds mu.
+func (r *RangeTarget) release(removed key.Range) {
 	var next []heldRange
 	for _, h := range r.held {
-		if !h.Overlaps(out) {
+		if !h.Overlaps(removed) {
 			next = append(next, h)
 			continue
 		}
-		if h.First < out.First {
+		if h.First < removed.First {
 			left := h
-			left.Last = out.First - 1
+			left.Last = removed.First - 1
 			next = append(next, left)
 		}
-		if h.Last > out.Last {
+		if h.Last > removed.Last {
 			right := h
-			right.First = out.Last + 1
+			right.First = removed.Last + 1
 			next = append(next, right)
 		}
 	}
--- a/internal/fake/sessionstore.go
+++ b/internal/fake/sessionstore.go
@@ -10,23 +10,22 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// SessionFaults is what goes wrong with a Sessions now.
+// SessionFaults are the present faults of a SessionStore.
 type SessionFaults struct {
-	// Down: no call is answered, and sessions go on to lapse.
+	// Down makes all calls fail, while sessions expire as usual.
 	Down bool
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseEveryNth: every so many writes take effect without an answer, LateBy
-	// after they came.
+	// LoseEveryNth makes every nth write take effect without a response,
+	// CommitDelay after its arrival.
 	LoseEveryNth int
 	CommitDelay  time.Duration
-	// ExpireSessions: all sessions end.
+	// ExpireSessions ends all sessions.
 	ExpireSessions bool
 }
 
-// SessionStore is the stand-in of a platform's service with sessions and
-// transactions, in memory. It implements platform.SessionStore. Safe for
-// concurrent use.
+// SessionStore is a fake of a store with sessions and transactions, in memory.
+// It implements platform.SessionStore. It is safe for concurrent use.
 type SessionStore struct {
 	mu       sync.Mutex
 	era      platform.Era
@@ -34,7 +33,8 @@
 	values   map[platform.Path]sessionValue
 	sessions map[int64]*openSession
 	lastID   int64
-	// snapshots are those that were taken, oldest first, while copying is set.
+	// snapshots are sorted by age, the oldest first; they are taken while
+	// snapshotting is set.
 	snapshots    []snapshot
 	snapshotting bool
 	changes      []platform.Change
@@ -57,7 +57,7 @@
 
 var _ platform.SessionStore = (*SessionStore)(nil)
 
-// NewSessionStore returns an empty service without faults.
+// NewSessionStore returns an empty store without faults.
 func NewSessionStore() *SessionStore {
 	return &SessionStore{
 		values:   make(map[platform.Path]sessionValue),
@@ -66,7 +66,8 @@
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults. ExpireSessions takes effect once, at this
+// moment.
 func (s *SessionStore) SetFaults(f SessionFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,14 +79,14 @@
 	}
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls so far.
 func (s *SessionStore) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// beginCall passes the faults of a call.
+// beginCall counts a call and injects faults into it.
 func (s *SessionStore) beginCall(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// expire ends the sessions whose time is over. The caller holds mu.
+// expire ends the sessions that have expired. The caller holds mu.
 func (s *SessionStore) expire(now time.Time) {
 	for id, session := range s.sessions {
 		if now.After(session.expiry) {
@@ -139,14 +140,15 @@
 	s.changed = make(chan struct{})
 }
 
-// Set writes a value as somebody else, such as an operator or a target.
+// Set writes a value on behalf of another writer, such as an operator or a
+// target.
 func (s *SessionStore) Set(path platform.Path, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(platform.Put{Path: path, Value: value})
 }
 
-// Remove removes a value as somebody else.
+// Remove removes a value on behalf of another writer.
 func (s *SessionStore) Remove(path platform.Path) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,7 +243,7 @@
 	if !lost {
 		return s.commit(txn)
 	}
-	// Its outcome is nobody's to see.
+	// The caller doesn't learn the outcome.
 	if f.CommitDelay > 0 {
 		time.AfterFunc(f.CommitDelay, func() { _, _ = s.commit(txn) })
 	} else {
@@ -282,7 +284,7 @@
 	for _, path := range txn.Remove {
 		s.remove(path)
 	}
-	// All changes of a transaction have its revision.
+	// All values that a transaction writes have its revision.
 	for _, p := range txn.Put {
 		value := s.values[p.Path]
 		value.Revision = s.era.Revision(s.revision)
@@ -306,8 +308,9 @@
 	return platform.SessionID{Era: s.era, Number: s.lastID}, nil
 }
 
-// KeepAlive implements platform.SessionStore. The store knows a session by its number
-// alone; that the answer is of another era is the caller's to see.
+// KeepAlive implements platform.SessionStore. A store identifies a session by
+// its number alone, so a session of an earlier era renews a present one of that
+// number; the error then reports the other era.
 func (s *SessionStore) KeepAlive(ctx context.Context, id platform.SessionID) error {
 	if err := s.beginCall(ctx); err != nil {
 		return err
--- a/internal/fake/snapshot.go
+++ b/internal/fake/snapshot.go
@@ -8,9 +8,9 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// snapshot is a Sessions as it was before a change.
+// snapshot is the state of a SessionStore before a change.
 type snapshot struct {
-	// until is when the change came.
+	// until is the time of that change.
 	until    time.Time
 	revision uint64
 	lastID   int64
@@ -18,14 +18,14 @@
 	sessions map[int64]openSession
 }
 
-// StartSnapshots has copies taken from now on, to be restored from.
+// StartSnapshots takes a snapshot before each change from now on.
 func (s *SessionStore) StartSnapshots() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.snapshotting = true
 }
 
-// takeSnapshot takes a copy before a change. The caller holds mu.
+// takeSnapshot takes a snapshot before a change. The caller holds mu.
 func (s *SessionStore) takeSnapshot(now time.Time) {
 	if !s.snapshotting {
 		return
@@ -39,9 +39,10 @@
 	s.snapshots = append(s.snapshots, c)
 }
 
-// Restore goes back to what was there so long ago. What others than the hosts wrote
-// since, operators and targets, is written again; all else is gone, sessions too, and
-// revisions and session numbers are given out again.
+// Restore restores the store from a snapshot of the given age. The values of
+// other writers, such as operators and targets, are written again as they are
+// now. All else that is newer than the snapshot is lost, sessions included, and
+// revisions and session numbers are assigned again.
 func (s *SessionStore) Restore(age time.Duration, others func(platform.Path) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +55,7 @@
 	}
 }
 
-// rollBackTo goes back to the copy of that age. The caller holds mu.
+// rollBackTo restores the snapshot of the given age. The caller holds mu.
 func (s *SessionStore) rollBackTo(age time.Duration) {
 	at := time.Now().Add(-age)
 	s.era++
@@ -74,14 +75,15 @@
 	}
 }
 
-// RollBack is Restore where operators and targets have not written again yet.
+// RollBack is Restore at the moment before other writers have written their
+// values again.
 func (s *SessionStore) RollBack(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rollBackTo(age)
 }
 
-// Era returns the era of the store.
+// Era returns the present era of the store.
 func (s *SessionStore) Era() platform.Era {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/target.go
+++ b/internal/fake/target.go
@@ -20,38 +20,40 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// HealthPath is where a target tells how it is; it may lie.
+// HealthPath is the path of a target's health endpoint, which can report
+// wrongly.
 const HealthPath = "/citrontray/health"
 
-// maxOrderBytes bounds an order; maxRequestBytes a request's body.
+// maxOrderBytes bounds the body of an order, maxRequestBytes that of a request.
 const (
 	maxOrderBytes   = 2 << 20
 	maxRequestBytes = 8 << 20
 )
 
-// coldFactor is how much longer work takes on a target that just started.
+// coldFactor is the factor by which runs take longer in the ColdPeriod.
 const coldFactor = 3
 
-// TargetConfig describes one target.
+// TargetConfig configures a Target.
 type TargetConfig struct {
 	Name    place.Target
 	Service key.Service
 	Zone    place.Zone
-	// Addr is where it listens; port 0 picks one.
+	// Addr is the address to listen at; port 0 selects a free one.
 	Addr netip.AddrPort
-	// Slots is how many requests run at once, Connections how many
-	// connections are taken.
+	// Slots is the number of concurrent runs, Connections the number of open
+	// connections that the target allows (0: any number).
 	Slots, Connections int
-	// MeanWork is the mean time of one run; single runs vary by a third.
+	// MeanWork is the mean duration of a run; each run varies by up to a third.
 	MeanWork time.Duration
-	// ConnectDelay is what each new connection costs.
+	// ConnectDelay is the delay of a new connection before its first byte is
+	// read.
 	ConnectDelay time.Duration
-	// ColdPeriod is how long work takes longer after a restart.
+	// ColdPeriod is the time after a start in which runs take longer.
 	ColdPeriod  time.Duration
 	ChecksTerms bool
 }
 
-// Target is the stand-in of one target. Safe for concurrent use.
+// Target is a fake of one target. It is safe for concurrent use.
 type Target struct {
 	config TargetConfig
 	ledger *Ledger
@@ -62,36 +64,37 @@
 	addr         netip.AddrPort
 	faults       TargetFaults
 	thawed       chan struct{} // closed while the target is not frozen
-	lastResponse response      // for crossed answers
+	lastResponse response      // for swapped responses
 	served       uint64
-	lastStart    time.Time // of a run
+	lastStart    time.Time // of the last run
 }
 
-// targetProcess is one life of the target's process: from its start until it is killed.
+// targetProcess is one process of the target, from its start until it is
+// killed.
 type targetProcess struct {
 	started  time.Time
 	holdings *target.Holdings
-	held     map[key.Shard]bool // what the ledger knows
+	held     map[key.Shard]bool // shards that the ledger has recorded as held
 	server   *http.Server
 	done     chan struct{}
 	running  int
 	open     int
 }
 
-// response is one answer that was given.
+// response is the response to one request.
 type response struct {
 	request string
 	body    []byte
 }
 
-// NewTarget returns a target that records into ledger. Call Start.
+// NewTarget returns a target that records into ledger. It serves after Start.
 func NewTarget(config TargetConfig, ledger *Ledger) *Target {
 	gate := make(chan struct{})
 	close(gate)
 	return &Target{config: config, ledger: ledger, addr: config.Addr, thawed: gate}
 }
 
-// Start listens and serves: a new life that holds nothing.
+// Start starts a new process of the target, which holds no shards.
 func (t *Target) Start() error {
 	listener, err := net.Listen("tcp", t.addr.String())
 	if err != nil {
@@ -101,7 +104,7 @@
 	defer t.mu.Unlock()
 	t.incarnation = place.Incarnation(rand.Uint64N(1<<53)) + 1
 	t.addr = listener.Addr().(*net.TCPAddr).AddrPort()
-	l := &targetProcess{
+	p := &targetProcess{
 		started: time.Now(),
 		held:    make(map[key.Shard]bool),
 		done:    make(chan struct{}),
@@ -110,26 +113,26 @@
 			Incarnation: t.incarnation, ChecksTerms: t.config.ChecksTerms,
 		}),
 	}
-	l.server = &http.Server{Handler: t.handler(l), ConnState: t.connState(l), ReadHeaderTimeout: time.Minute}
-	t.process = l
-	go l.run(&slowListener{Listener: listener, delay: t.config.ConnectDelay})
+	p.server = &http.Server{Handler: t.handler(p), ConnState: t.connState(p), ReadHeaderTimeout: time.Minute}
+	t.process = p
+	go p.run(&slowListener{Listener: listener, delay: t.config.ConnectDelay})
 	return nil
 }
 
-// run serves until the life ends.
-func (l *targetProcess) run(listener net.Listener) {
-	defer close(l.done)
-	_ = l.server.Serve(listener) // always ends with ErrServerClosed or a dead listener
+// run serves until the process ends.
+func (p *targetProcess) run(listener net.Listener) {
+	defer close(p.done)
+	_ = p.server.Serve(listener) // always returns an error: ErrServerClosed or that of the listener
 }
 
-// Addr returns where the target listens.
+// Addr returns the address at which the target listens.
 func (t *Target) Addr() netip.AddrPort {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.addr
 }
 
-// Row returns the target's row of the platform's list.
+// Row returns the target's row of the fleet list.
 func (t *Target) Row(state place.Liveness) place.TargetRow {
 	return place.TargetRow{
 		Target: t.config.Name, Service: string(t.config.Service), Zone: t.config.Zone,
@@ -137,34 +140,34 @@
 	}
 }
 
-// Served returns how many requests ran here.
+// Served returns the number of runs on this target.
 func (t *Target) Served() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.served
 }
 
-// LastStart returns when work was last started here.
+// LastStart returns when the last run started.
 func (t *Target) LastStart() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastStart
 }
 
-// handler serves orders, health and requests of one life.
-func (t *Target) handler(l *targetProcess) http.Handler {
+// handler serves the orders, health checks and requests of one process.
+func (t *Target) handler(p *targetProcess) http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	r.HandleFunc(target.OrderPath, func(w http.ResponseWriter, r *http.Request) { t.order(l, w, r) }).Methods(http.MethodPost)
-	r.HandleFunc(HealthPath, func(w http.ResponseWriter, r *http.Request) { t.health(l, w, r) })
-	r.PathPrefix("/").HandlerFunc(func(w http.ResponseWriter, r *http.Request) { t.request(l, w, r) })
+	r.HandleFunc(target.OrderPath, func(w http.ResponseWriter, r *http.Request) { t.order(p, w, r) }).Methods(http.MethodPost)
+	r.HandleFunc(HealthPath, func(w http.ResponseWriter, r *http.Request) { t.health(p, w, r) })
+	r.PathPrefix("/").HandlerFunc(func(w http.ResponseWriter, r *http.Request) { t.request(p, w, r) })
 	return r
 }
 
-// stamp reads the clock of one life.
-func (l *targetProcess) stamp(now time.Time) grant.Stamp { return grant.Stamp(now.Sub(l.started)) }
+// stamp converts a time to the clock of the process.
+func (p *targetProcess) stamp(now time.Time) grant.Stamp { return grant.Stamp(now.Sub(p.started)) }
 
-// order takes one order of ownership.
-func (t *Target) order(l *targetProcess, w http.ResponseWriter, r *http.Request) {
+// order handles an order.
+func (t *Target) order(p *targetProcess, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -175,10 +178,10 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	t.abortIfKilled(l)
-	answer := t.apply(l, order)
-	t.abortIfKilled(l)
-	body, err = target.EncodeAnswer(answer)
+	t.abortIfKilled(p)
+	resp := t.apply(p, order)
+	t.abortIfKilled(p)
+	body, err = target.EncodeAnswer(resp)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -187,36 +190,36 @@
 	w.Write(body)
 }
 
-// apply gives the order to the holdings and records what came of it.
-func (t *Target) apply(l *targetProcess, order grant.Order) grant.Response {
+// apply applies an order to the holdings and records the result in the ledger.
+func (t *Target) apply(p *targetProcess, order grant.Order) grant.Response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	l.holdings.SetDraining(t.faults.Draining)
-	answer := l.holdings.Apply(l.stamp(now), order)
-	if t.process == l {
-		t.record(now, l)
+	p.holdings.SetDraining(t.faults.Draining)
+	resp := p.holdings.Apply(p.stamp(now), order)
+	if t.process == p {
+		t.record(now, p)
 	}
-	return answer
+	return resp
 }
 
-// record tells the ledger what the target holds. The caller holds mu.
-func (t *Target) record(now time.Time, l *targetProcess) {
+// record records in the ledger what the target holds. The caller holds mu.
+func (t *Target) record(now time.Time, p *targetProcess) {
 	held := make(map[key.Shard]bool)
-	for _, h := range l.holdings.List(l.stamp(now)) {
+	for _, h := range p.holdings.List(p.stamp(now)) {
 		held[h.Shard] = true
-		t.ledger.recordHold(now, t.config.Service, t.config.Name, h.ShardEpoch, l.started.Add(time.Duration(h.End)))
+		t.ledger.recordHold(now, t.config.Service, t.config.Name, h.ShardEpoch, p.started.Add(time.Duration(h.End)))
 	}
-	for shard := range l.held {
+	for shard := range p.held {
 		if !held[shard] {
 			t.ledger.recordRelease(now, t.config.Service, t.config.Name, shard)
 		}
 	}
-	l.held = held
+	p.held = held
 }
 
-// request runs one forwarded request, or refuses it.
-func (t *Target) request(l *targetProcess, w http.ResponseWriter, r *http.Request) {
+// request runs or refuses one forwarded request.
+func (t *Target) request(p *targetProcess, w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(target.HeaderRequest)
 	w.Header().Set(target.HeaderRequest, id)
 	arrived := time.Now()
@@ -225,7 +228,7 @@
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
-	t.abortIfKilled(l)
+	t.abortIfKilled(p)
 	faults := t.currentFaults()
 	if faults.occurs(faults.Shed) {
 		t.refuse(w, target.RefusalBusy)
@@ -235,23 +238,23 @@
 		t.refuse(w, target.RefusalDeadline)
 		return
 	}
-	shard, refusal := t.beginRun(l, r)
+	shard, refusal := t.beginRun(p, r)
 	if refusal != "" {
 		t.refuse(w, refusal)
 		return
 	}
-	defer t.endRun(l, shard)
-	t.abortIfKilled(l)
+	defer t.endRun(p, shard)
+	t.abortIfKilled(p)
 	t.ledger.recordRun(r.URL.Query().Get(OperationParameter), r.Header.Get(target.HeaderIdempotency))
-	if sleep(r.Context(), t.workTime(l, faults)) != nil {
-		return // cancelled: the work stops, nobody waits for an answer
+	if sleep(r.Context(), t.workTime(p, faults)) != nil {
+		return // cancelled: the run ends, nobody waits for the response
 	}
-	t.abortIfKilled(l)
+	t.abortIfKilled(p)
 	t.respond(w, faults, response{request: id, body: ResponseBody(r.URL.RequestURI(), payload, faults.PaddingBytes)})
 }
 
-// beginRun checks that the target owns the shard and has a free slot.
-func (t *Target) beginRun(l *targetProcess, r *http.Request) (key.Shard, target.Refusal) {
+// beginRun starts a run if the target owns the shard and has a free slot.
+func (t *Target) beginRun(p *targetProcess, r *http.Request) (key.Shard, target.Refusal) {
 	shard, errShard := strconv.ParseUint(r.Header.Get(target.HeaderShard), 10, 32)
 	epoch, errEpoch := strconv.ParseUint(r.Header.Get(target.HeaderEpoch), 10, 64)
 	if errShard != nil || errEpoch != nil {
@@ -259,26 +262,26 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l.running >= t.config.Slots {
+	if p.running >= t.config.Slots {
 		return 0, target.RefusalBusy
 	}
-	if !l.holdings.Begin(l.stamp(time.Now()), key.Shard(shard), grant.Epoch(epoch)) {
+	if !p.holdings.Begin(p.stamp(time.Now()), key.Shard(shard), grant.Epoch(epoch)) {
 		return 0, target.RefusalOwner
 	}
-	l.running++
+	p.running++
 	t.served++
 	t.lastStart = time.Now()
 	return key.Shard(shard), ""
 }
 
-func (t *Target) endRun(l *targetProcess, shard key.Shard) {
+func (t *Target) endRun(p *targetProcess, shard key.Shard) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l.running--
-	l.holdings.End(shard)
+	p.running--
+	p.holdings.End(shard)
 }
 
-// refuse answers that nothing ran.
+// refuse responds that the request did not run.
 func (t *Target) refuse(w http.ResponseWriter, refusal target.Refusal) {
 	status := http.StatusServiceUnavailable
 	t.ledger.count(func(c *LedgerCounts) {
@@ -297,54 +300,54 @@
 	w.WriteHeader(status)
 }
 
-// workTime is the time of one run.
-func (t *Target) workTime(l *targetProcess, faults TargetFaults) time.Duration {
+// workTime returns the duration of one run.
+func (t *Target) workTime(p *targetProcess, faults TargetFaults) time.Duration {
 	work := t.config.MeanWork
 	work += time.Duration((rand.Float64()*2 - 1) / 3 * float64(work))
-	if time.Since(l.started) < t.config.ColdPeriod {
+	if time.Since(p.started) < t.config.ColdPeriod {
 		work *= coldFactor
 	}
 	return work + faults.Slow
 }
 
-// health tells the number of running requests; a lying target says it is idle.
-func (t *Target) health(l *targetProcess, w http.ResponseWriter, _ *http.Request) {
-	t.abortIfKilled(l)
+// health reports the number of running requests, or zero with the fault
+// ReportIdle.
+func (t *Target) health(p *targetProcess, w http.ResponseWriter, _ *http.Request) {
+	t.abortIfKilled(p)
 	t.mu.Lock()
-	running, lies := l.running, t.faults.ReportIdle
+	running, reportIdle := p.running, t.faults.ReportIdle
 	t.mu.Unlock()
-	if lies {
+	if reportIdle {
 		running = 0
 	}
 	fmt.Fprintf(w, "{\"running\":%d}\n", running)
 }
 
-// deadlineOf returns the time left for the request, as its sender says.
+// deadlineOf returns the time that the sender has left for the request.
 func deadlineOf(r *http.Request) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(r.Header.Get(target.HeaderDeadline), 10, 64)
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-// connState closes the connections beyond the target's limit.
-func (t *Target) connState(l *targetProcess) func(net.Conn, http.ConnState) {
+// connState closes connections beyond the target's limit.
+func (t *Target) connState(p *targetProcess) func(net.Conn, http.ConnState) {
 	return func(conn net.Conn, state http.ConnState) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		switch state {
 		case http.StateNew:
-			l.open++
-			if t.config.Connections > 0 && l.open > t.config.Connections {
+			p.open++
+			if t.config.Connections > 0 && p.open > t.config.Connections {
 				t.ledger.count(func(c *LedgerCounts) { c.RefusedConns++ })
 				_ = conn.Close()
 			}
 		case http.StateClosed, http.StateHijacked:
-			l.open--
+			p.open--
 		}
 	}
 }
 
-// slowListener makes each new connection cost delay before its first byte is
-// read.
+// slowListener delays the first read of each accepted connection.
 type slowListener struct {
 	net.Listener
 	delay time.Duration
--- a/internal/fake/target_test.go
+++ b/internal/fake/target_test.go
@@ -25,36 +25,36 @@
 // newTargetSet returns two started targets of one service.
 func newTargetSet(t *testing.T) *fake.TargetSet {
 	t.Helper()
-	farm := fake.NewTargetSet([]fake.TargetGroup{{
+	set := fake.NewTargetSet([]fake.TargetGroup{{
 		Count: 2,
 		TargetConfig: fake.TargetConfig{
 			Service: "balance", Slots: 2, Connections: 10, ChecksTerms: true,
 		},
 	}}, []place.Zone{"zone-a"})
-	assert.NilError(t, farm.Start())
+	assert.NilError(t, set.Start())
 	t.Cleanup(func() {
-		for _, member := range farm.Targets() {
+		for _, member := range set.Targets() {
 			member.Kill()
 		}
 	})
-	return farm
+	return set
 }
 
-// grantShard grants shard 1 at the epoch to a target for an hour.
+// grantShard grants shard 1 at the epoch to a target for one hour.
 func grantShard(t *testing.T, to *fake.Target, epoch grant.Epoch) {
 	t.Helper()
 	control := target.NewControl(5 * time.Second)
 	defer control.Close()
 	ctx := context.Background()
-	answer, err := control.Order(ctx, to.Addr(), grant.Order{Service: "balance", Term: 1})
+	resp, err := control.Order(ctx, to.Addr(), grant.Order{Service: "balance", Term: 1})
 	assert.NilError(t, err)
-	answer, err = control.Order(ctx, to.Addr(), grant.Order{
-		Service: "balance", Term: 1, Incarnation: answer.Incarnation,
-		Anchor: answer.Clock, Duration: time.Hour, Inventory: true,
+	resp, err = control.Order(ctx, to.Addr(), grant.Order{
+		Service: "balance", Term: 1, Incarnation: resp.Incarnation,
+		Anchor: resp.Clock, Duration: time.Hour, Inventory: true,
 		Items: []grant.Item{{Shard: 1, Epoch: epoch, Kind: grant.Grant}},
 	})
 	assert.NilError(t, err)
-	assert.Equal(t, len(answer.Held), 1)
+	assert.Equal(t, len(resp.Held), 1)
 }
 
 // sendRequest sends one request for shard 1.
@@ -76,49 +76,49 @@
 }
 
 func TestTargetRunsWhatItOwns(t *testing.T) {
-	farm := newTargetSet(t)
-	first := farm.Targets()[0]
-	grantShard(t, first, 3)
+	set := newTargetSet(t)
+	member := set.Targets()[0]
+	grantShard(t, member, 3)
 	const uri = "/balance/k?operation=op1"
-	header, body, err := sendRequest(t, first, "3", uri, "hello")
+	header, body, err := sendRequest(t, member, "3", uri, "hello")
 	assert.NilError(t, err)
 	assert.Equal(t, header.Get(target.HeaderRequest), "r1")
 	assert.Assert(t, fake.CheckResponse(body, uri, []byte("hello")))
 	assert.Assert(t, !fake.CheckResponse(body, uri, []byte("other")))
 	assert.Assert(t, !fake.CheckResponse(body[:len(body)-1], uri, []byte("hello")))
 
-	header, _, err = sendRequest(t, first, "2", uri, "hello")
+	header, _, err = sendRequest(t, member, "2", uri, "hello")
 	assert.NilError(t, err)
 	assert.Equal(t, header.Get(target.HeaderNotRun), string(target.RefusalOwner))
-	assert.DeepEqual(t, farm.Ledger.RunsOf([]string{"op1", "op2"}), []uint32{1, 0})
+	assert.DeepEqual(t, set.Ledger.RunsOf([]string{"op1", "op2"}), []uint32{1, 0})
 }
 
 func TestLedgerDetectsDuplicateOwner(t *testing.T) {
-	farm := newTargetSet(t)
-	grantShard(t, farm.Targets()[0], 3)
-	assert.Equal(t, farm.Ledger.Counts().DuplicateOwners, uint64(0))
-	grantShard(t, farm.Targets()[1], 4)
-	assert.Equal(t, farm.Ledger.Counts().DuplicateOwners, uint64(1))
+	set := newTargetSet(t)
+	grantShard(t, set.Targets()[0], 3)
+	assert.Equal(t, set.Ledger.Counts().DuplicateOwners, uint64(0))
+	grantShard(t, set.Targets()[1], 4)
+	assert.Equal(t, set.Ledger.Counts().DuplicateOwners, uint64(1))
 }
 
 func TestLedgerNoDuplicateOwnerAfterKill(t *testing.T) {
-	farm := newTargetSet(t)
-	grantShard(t, farm.Targets()[0], 3)
-	farm.Targets()[0].Kill()
-	grantShard(t, farm.Targets()[1], 4)
-	counts := farm.Ledger.Counts()
+	set := newTargetSet(t)
+	grantShard(t, set.Targets()[0], 3)
+	set.Targets()[0].Kill()
+	grantShard(t, set.Targets()[1], 4)
+	counts := set.Ledger.Counts()
 	assert.Equal(t, counts.DuplicateOwners, uint64(0))
 	assert.Equal(t, counts.Moves, uint64(1))
 }
 
 func TestLedgerDetectsDuplicateRun(t *testing.T) {
-	farm := newTargetSet(t)
-	grantShard(t, farm.Targets()[0], 3)
+	set := newTargetSet(t)
+	grantShard(t, set.Targets()[0], 3)
 	for range 2 {
-		_, _, err := sendRequest(t, farm.Targets()[0], "3", "/plans/k?operation=op1", "")
+		_, _, err := sendRequest(t, set.Targets()[0], "3", "/plans/k?operation=op1", "")
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, farm.Ledger.Counts().DuplicateRuns, uint64(1))
+	assert.Equal(t, set.Ledger.Counts().DuplicateRuns, uint64(1))
 }
 
 func TestTargetFaults(t *testing.T) {
@@ -143,27 +143,27 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			farm := newTargetSet(t)
-			grantShard(t, farm.Targets()[0], 3)
-			farm.Targets()[0].SetFaults(tt.faults)
-			header, body, err := sendRequest(t, farm.Targets()[0], "3", "/balance/k?operation=op1", "")
+			set := newTargetSet(t)
+			grantShard(t, set.Targets()[0], 3)
+			set.Targets()[0].SetFaults(tt.faults)
+			header, body, err := sendRequest(t, set.Targets()[0], "3", "/balance/k?operation=op1", "")
 			tt.check(t, header, body, err)
 		})
 	}
 }
 
 func TestFrozenTargetRunsAfterThaw(t *testing.T) {
-	farm := newTargetSet(t)
-	first := farm.Targets()[0]
-	grantShard(t, first, 3)
-	first.Freeze()
+	set := newTargetSet(t)
+	member := set.Targets()[0]
+	grantShard(t, member, 3)
+	member.Freeze()
 	ended := make(chan error, 1)
 	go func() {
-		_, _, err := sendRequest(t, first, "3", "/balance/k?operation=op1", "")
+		_, _, err := sendRequest(t, member, "3", "/balance/k?operation=op1", "")
 		ended <- err
 	}()
-	assert.DeepEqual(t, farm.Ledger.RunsOf([]string{"op1"}), []uint32{0})
-	first.Thaw()
+	assert.DeepEqual(t, set.Ledger.RunsOf([]string{"op1"}), []uint32{0})
+	member.Thaw()
 	assert.NilError(t, <-ended)
-	assert.DeepEqual(t, farm.Ledger.RunsOf([]string{"op1"}), []uint32{1})
+	assert.DeepEqual(t, set.Ledger.RunsOf([]string{"op1"}), []uint32{1})
 }
--- a/internal/fake/targetfaults.go
+++ b/internal/fake/targetfaults.go
@@ -13,33 +13,35 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// OperationParameter is the query parameter by which a caller names its own
-// operation; runs are counted by it.
+// OperationParameter is the query parameter with the caller's own ID of an
+// operation, by which runs are counted.
 const OperationParameter = "operation"
 
-// oversizedPadding is the length of an oversized answer.
+// oversizedPadding is the number of bytes added to an oversized response.
 const oversizedPadding = 16 << 20
 
-// responseDelay is how long a late answer is held back.
+// responseDelay is the delay of a delayed response.
 const responseDelay = 3 * time.Second
 
-// TargetFaults is what goes wrong at one target. The probabilities are from 0
-// to 1, for each request.
+// TargetFaults are the faults of one target. The probabilities, from 0 to 1,
+// apply to each request.
 type TargetFaults struct {
-	// Reset closes the connection before the answer, Truncated within it.
+	// Reset closes the connection before the response, Truncated in the middle
+	// of it.
 	Reset, Truncated float64
-	// DelayResponse holds the answer back for 3 s; Crossed gives the answer of an
-	// earlier request; Oversized gives 16 MiB.
+	// DelayResponse delays the response by 3 s, SwapResponse sends that of an
+	// earlier request, Oversized adds 16 MiB to it.
 	DelayResponse, SwapResponse, Oversized float64
-	// Shed refuses as busy.
+	// Shed refuses the request as busy.
 	Shed float64
-	// Slow is added to each run.
+	// Slow is added to the duration of each run.
 	Slow time.Duration
-	// PaddingBytes pads each answer.
+	// PaddingBytes is added to the size of each response.
 	PaddingBytes int
-	// ReportIdle makes the health endpoint always tell that it is idle.
+	// ReportIdle makes the health endpoint always report an idle target.
 	ReportIdle bool
-	// Draining makes the target ask to leave in its answers to orders.
+	// Draining makes the target announce in its responses to orders that it is
+	// leaving.
 	Draining bool
 }
 
@@ -56,13 +58,13 @@
 	return t.faults
 }
 
-// occurs decides a probability.
+// occurs decides at random whether a fault of the probability occurs.
 func (TargetFaults) occurs(probability float64) bool {
 	return probability > 0 && rand.Float64() < probability
 }
 
-// Freeze stops the target between any two steps of its work, as if the
-// process were paused; its clock goes on.
+// Freeze stops the target between any two steps of its work, as if the process
+// were paused; its clock continues.
 func (t *Target) Freeze() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +75,7 @@
 	}
 }
 
-// Thaw lets the target go on as if nothing had happened.
+// Thaw lets the target continue.
 func (t *Target) Thaw() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,63 +86,66 @@
 	}
 }
 
-// waitThawed waits while the target is frozen; it reports false where its life has
-// ended.
-func (t *Target) waitThawed(l *targetProcess) bool {
+// waitThawed waits while the target is frozen; it reports false where the
+// process has ended.
+func (t *Target) waitThawed(p *targetProcess) bool {
 	t.mu.Lock()
 	gate := t.thawed
 	t.mu.Unlock()
 	select {
 	case <-gate:
-	case <-l.done:
+	case <-p.done:
 	}
 	select {
-	case <-l.done:
+	case <-p.done:
 		return false
 	default:
 		return true
 	}
 }
 
-// Kill ends the target's process: connections are cut, holdings are gone.
+// Kill kills the target's process: its connections are closed and it holds no
+// shards any more.
 func (t *Target) Kill() {
 	t.mu.Lock()
-	l := t.process
+	p := t.process
 	t.process = nil
-	if l == nil {
+	if p == nil {
 		t.mu.Unlock()
 		return
 	}
 	now := time.Now()
-	for shard := range l.held {
+	for shard := range p.held {
 		t.ledger.recordRelease(now, t.config.Service, t.config.Name, shard)
 	}
 	t.mu.Unlock()
-	_ = l.server.Close()
-	<-l.done
+	_ = p.server.Close()
+	<-p.done
 }
 
-// Stop ends the target after the work in flight, or at the end of ctx.
+// Stop ends the target's process after the work in flight, or at the end of
+// ctx.
 func (t *Target) Stop(ctx context.Context) {
 	t.mu.Lock()
-	l := t.process
+	p := t.process
 	t.mu.Unlock()
-	if l != nil {
-		_ = l.server.Shutdown(ctx)
+	if p != nil {
+		_ = p.server.Shutdown(ctx)
 	}
 	t.Kill()
 }
 
-// abortIfKilled waits while the target is frozen. A process that was killed sends no
-// answer: returning from the handler would send an empty one with status 200.
-func (t *Target) abortIfKilled(l *targetProcess) {
-	if !t.waitThawed(l) {
+// abortIfKilled waits while the target is frozen and aborts the handler of a
+// killed process. A return from the handler would send an empty response with
+// status 200.
+func (t *Target) abortIfKilled(p *targetProcess) {
+	if !t.waitThawed(p) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// respond writes an answer, or what the faults make of it.
-func (t *Target) respond(w http.ResponseWriter, faults TargetFaults, answer response) {
+// respond sends a response as the faults change it.
+func (t *Target) respond(w http.ResponseWriter, faults TargetFaults, resp response) {
 	if faults.occurs(faults.DelayResponse) {
 		time.Sleep(responseDelay)
 	}
@@ -148,36 +153,38 @@
 		panic(http.ErrAbortHandler)
 	}
 	if faults.occurs(faults.SwapResponse) {
-		answer = t.swapResponse(answer)
-		w.Header().Set(target.HeaderRequest, answer.request)
+		resp = t.swapResponse(resp)
+		w.Header().Set(target.HeaderRequest, resp.request)
 	}
 	if faults.occurs(faults.Oversized) {
-		answer.body = append(answer.body, make([]byte, oversizedPadding)...)
+		resp.body = append(resp.body, make([]byte, oversizedPadding)...)
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
 	if faults.occurs(faults.Truncated) {
-		w.Write(answer.body[:len(answer.body)/2])
-		_ = http.NewResponseController(w).Flush() // else nothing would go out
+		w.Write(resp.body[:len(resp.body)/2])
+		_ = http.NewResponseController(w).Flush() // otherwise nothing would be sent
 		panic(http.ErrAbortHandler)
 	}
-	w.Write(answer.body)
+	w.Write(resp.body)
 }
 
-// swapResponse returns the answer given before and keeps this one for the next.
-func (t *Target) swapResponse(answer response) response {
+// swapResponse returns the previous response and keeps this one for the next
+// call.
+func (t *Target) swapResponse(resp response) response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	previous := t.lastResponse
-	t.lastResponse = answer
+	t.lastResponse = resp
 	if previous.body == nil {
-		return answer
+		return resp
 	}
 	return previous
 }
 
-// ResponseBody is the answer to a request: its path and query, the checksum of
-// its body, padding, and the checksum of all that. CheckAnswer knows it again.
+// ResponseBody returns the body of the response to a request: the request's
+// path and query, the checksum of its body, padding, and the checksum of all
+// that. CheckResponse verifies it.
 func ResponseBody(uri string, payload []byte, padding int) []byte {
 	var out bytes.Buffer
 	out.WriteString(uri)
@@ -188,7 +195,7 @@
 	return out.Bytes()
 }
 
-// CheckResponse reports whether body is the whole answer to that request.
+// CheckResponse reports whether body is a complete response to that request.
 func CheckResponse(body []byte, uri string, payload []byte) bool {
 	cut := len(body) - checksumBytes
 	if cut < 0 || !bytes.Equal(checksum(body[:cut]), body[cut:]) {
--- a/internal/peer/loss_test.go
+++ b/internal/peer/loss_test.go
@@ -103,13 +103,13 @@
 	_ = first.Close()
 	startOn(t, m, newLossyConn(t, addr, 0))
 	begin := time.Now()
-	eventually(t, "the new process answers", func() bool {
+	eventually(t, "the new process responds", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		defer cancel()
 		_, err := client.Call(ctx, addr, peer.KindSync, nil)
 		return err == nil
 	})
-	t.Logf("answered after %v", time.Since(begin))
+	t.Logf("response after %v", time.Since(begin))
 }
 
 // slowCloseConn is a socket whose Close takes 50 ms.
