--- a/internal/docsync/delta_bench_test.go
+++ b/internal/docsync/delta_bench_test.go
@@ -51,13 +51,13 @@
 		for _, moves := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("rows=%d/moves=%d", rows, moves), func(b *testing.B) {
 				base, next := encodedTable(b, rows, 0), encodedTable(b, rows, moves)
-				whole := encodeFull(Document{Body: next})
+				full := encodeFull(Document{Body: next})
 				var delta []byte
 				for b.Loop() {
 					delta = deltaOf(b, next, base)
 				}
 				b.ReportMetric(float64(len(next)), "body_B")
-				b.ReportMetric(float64(len(whole.payload)), "packed_B")
+				b.ReportMetric(float64(len(full.payload)), "packed_B")
 				b.ReportMetric(float64(len(delta)), "delta_B")
 			})
 		}
--- a/internal/docsync/follower.go
+++ b/internal/docsync/follower.go
@@ -16,8 +16,9 @@
 const (
 	// leadPollWait is how long a poll of a lead process waits for a change.
 	leadPollWait = 700 * time.Millisecond
-	// entryPollWait is the same for an entry process. It is short, as an entry
-	// process follows one process alone and has to notice when that fails.
+	// entryPollWait is the same for an entry process. An entry process follows
+	// one process alone, so the wait bounds the time until it notices that this
+	// one has failed.
 	entryPollWait = time.Second
 	// responseMargin is added to the wait for the timeout of a poll.
 	responseMargin = 400 * time.Millisecond
--- a/internal/docsync/network_test.go
+++ b/internal/docsync/network_test.go
@@ -48,10 +48,10 @@
 	return w
 }
 
-func (n *network) setPartition(cut func(from, to netip.AddrPort) bool) {
+func (n *network) setPartition(drops func(from, to netip.AddrPort) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned = cut
+	n.partitioned = drops
 }
 
 // dropLargeResponses drops all large responses of an address from now on, as a
--- a/internal/docsync/node_test.go
+++ b/internal/docsync/node_test.go
@@ -188,10 +188,10 @@
 				d.startAll()
 				time.Sleep(settingsBound + moment)
 				watchers := docsync.Watchers("zone-a", d.hosts)
-				dark := func(a netip.AddrPort) bool {
+				hasFailed := func(a netip.AddrPort) bool {
 					return a.Addr() == watchers[0].LeadAddr.Addr() || a.Addr() == watchers[1].LeadAddr.Addr()
 				}
-				d.net.setPartition(func(from, to netip.AddrPort) bool { return dark(from) || dark(to) })
+				d.net.setPartition(func(from, to netip.AddrPort) bool { return hasFailed(from) || hasFailed(to) })
 				for _, w := range watchers {
 					d.stops[w.Host]()
 					delete(d.leads, w.Host)
@@ -213,15 +213,15 @@
 // document but can't transfer it. Its followers fetch it in time from the
 // zone's other watcher, whichever of the two they ask first.
 func TestCongestedWatcher(t *testing.T) {
-	for name, choked := range map[string]int{"first": 0, "second": 1} {
+	for name, congested := range map[string]int{"first": 0, "second": 1} {
 		t.Run(name, func(t *testing.T) {
 			runDeployment(t, 12, 3, func(t *testing.T, d *deployment) {
 				d.store.set("one")
 				d.startAll()
 				time.Sleep(settingsBound)
 				watchers := docsync.Watchers("zone-a", d.hosts)
-				d.net.dropLargeResponses(watchers[choked].LeadAddr)
-				delete(d.leads, watchers[choked].Host)
+				d.net.dropLargeResponses(watchers[congested].LeadAddr)
+				delete(d.leads, watchers[congested].Host)
 				d.entry = nil
 				large := make([]byte, 16<<10)
 				rng := rand.New(rand.NewPCG(1, 2)) // random bytes, which don't compress
@@ -268,27 +268,29 @@
 		time.Sleep(settingsBound)
 		const zone = place.Zone("zone-a")
 		watchers := docsync.Watchers(zone, d.hosts)
-		var silent netip.Addr
-		var lead *docsync.MemoryReplica
+		var unresponsive netip.Addr
+		var publisher *docsync.MemoryReplica
 		for _, row := range d.hosts {
 			switch {
 			case row.Host == watchers[0].Host:
-				silent = row.LeadAddr.Addr()
+				unresponsive = row.LeadAddr.Addr()
 			case row.Zone == zone && row.Host != watchers[1].Host:
-				lead = d.leads[row.Host]
+				publisher = d.leads[row.Host]
 			}
 		}
 		published := uint64(0)
 		publish := func(within time.Duration) {
 			published++
 			doc := docsync.Document{Name: "table/s/zone-a", Version: docsync.Version{Major: 1, Minor: published}, Body: []byte{byte(published)}}
-			lead.Publish(doc)
+			publisher.Publish(doc)
 			time.Sleep(within)
 			assert.DeepEqual(t, d.outdated(doc.Name, string(doc.Body)), []string(nil))
 		}
 		publish(600 * time.Millisecond) // after it, all polls have just begun
 		publish(600 * time.Millisecond)
-		d.net.setPartition(func(from, to netip.AddrPort) bool { return (from.Addr() == silent) != (to.Addr() == silent) })
+		d.net.setPartition(func(from, to netip.AddrPort) bool {
+			return (from.Addr() == unresponsive) != (to.Addr() == unresponsive)
+		})
 		delete(d.leads, watchers[0].Host)
 		delete(d.entry, watchers[0].Host)
 		for range 3 {
--- a/internal/docsync/random_test.go
+++ b/internal/docsync/random_test.go
@@ -47,11 +47,11 @@
 	c.checkMonotonic(t)
 }
 
-func (c *chaos) setPartition(cut func(from, to netip.AddrPort) bool) {
-	if cut == nil {
-		cut = func(_, _ netip.AddrPort) bool { return false }
+func (c *chaos) setPartition(drops func(from, to netip.AddrPort) bool) {
+	if drops == nil {
+		drops = func(_, _ netip.AddrPort) bool { return false }
 	}
-	c.net.setPartition(cut)
+	c.net.setPartition(drops)
 }
 
 func (c *chaos) partitionZones(a, b byte) {
--- a/internal/docsync/replica.go
+++ b/internal/docsync/replica.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// Get implements Board.
+// Get implements Replica.
 func (m *MemoryReplica) Get(name Name) (Document, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,7 +175,7 @@
 	return r.Document, true
 }
 
-// Subscribe implements Board.
+// Subscribe implements Replica.
 func (m *MemoryReplica) Subscribe(prefix Name) <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,7 +184,7 @@
 	return tokens
 }
 
-// List implements Board.
+// List implements Replica.
 func (m *MemoryReplica) List(prefix Name) []Document {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fake/target.go
+++ b/internal/fake/target.go
@@ -89,9 +89,9 @@
 
 // NewTarget returns a target that records into ledger. It serves after Start.
 func NewTarget(config TargetConfig, ledger *Ledger) *Target {
-	gate := make(chan struct{})
-	close(gate)
-	return &Target{config: config, ledger: ledger, addr: config.Addr, thawed: gate}
+	resumed := make(chan struct{})
+	close(resumed)
+	return &Target{config: config, ledger: ledger, addr: config.Addr, thawed: resumed}
 }
 
 // Start starts a new process of the target, which holds no shards.
--- a/internal/fake/targetfaults.go
+++ b/internal/fake/targetfaults.go
@@ -90,10 +90,10 @@
 // process has ended.
 func (t *Target) waitThawed(p *targetProcess) bool {
 	t.mu.Lock()
-	gate := t.thawed
+	resumed := t.thawed
 	t.mu.Unlock()
 	select {
-	case <-gate:
+	case <-resumed:
 	case <-p.done:
 	}
 	select {
@@ -197,8 +197,8 @@
 
 // CheckResponse reports whether body is a complete response to that request.
 func CheckResponse(body []byte, uri string, payload []byte) bool {
-	cut := len(body) - checksumBytes
-	if cut < 0 || !bytes.Equal(checksum(body[:cut]), body[cut:]) {
+	split := len(body) - checksumBytes
+	if split < 0 || !bytes.Equal(checksum(body[:split]), body[split:]) {
 		return false
 	}
 	want := append([]byte(uri+"\n"), checksum(payload)...)
--- a/internal/peer/loss_test.go
+++ b/internal/peer/loss_test.go
@@ -90,7 +90,7 @@
 // connections and starts another at its address: the stateless resets of the
 // new one end the old connection.
 func TestCrashAndRestartAtSameAddress(t *testing.T) {
-	const silent = 100
+	const allPackets = 100
 	dir := newAuthority(t)
 	m := newCredentials(t, dir, "h1", peer.RoleLead)
 	socket := newLossyConn(t, anyPort(), 0)
@@ -99,7 +99,7 @@
 	client := startOn(t, newCredentials(t, dir, "h2", peer.RoleEntry), newLossyConn(t, anyPort(), 0))
 	_, err := client.Call(t.Context(), addr, peer.KindSync, nil)
 	assert.NilError(t, err)
-	socket.percent.Store(silent)
+	socket.percent.Store(allPackets)
 	_ = first.Close()
 	startOn(t, m, newLossyConn(t, addr, 0))
 	begin := time.Now()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -32,7 +32,7 @@
 
 // The kinds of messages.
 const (
-	KindCell    Kind = iota + 1 // between the lead processes of a cell's roster
+	KindCell    Kind = iota + 1 // between a cell's leader and its roster hosts
 	KindSync                    // documents of package docsync
 	KindLoad                    // load reports from entry processes to leaders
 	KindStatus                  // status of a process
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -85,9 +85,9 @@
 		return make([]byte, peer.MaxMessage+1), nil
 	})
 	client := start(t, newCredentials(t, dir, "h2", peer.RoleEntry), anyPort())
-	nobody := start(t, newCredentials(t, dir, "h3", peer.RoleEntry), anyPort())
-	gone := nobody.Addr()
-	assert.NilError(t, nobody.Close())
+	closed := start(t, newCredentials(t, dir, "h3", peer.RoleEntry), anyPort())
+	closedAddr := closed.Addr()
+	assert.NilError(t, closed.Close())
 	eventually(t, "connected", func() bool {
 		_, err := client.Call(t.Context(), server.Addr(), peer.KindCell, nil)
 		return errors.Is(err, peer.ErrRefused)
@@ -100,7 +100,7 @@
 		// timeout is set for calls that have to time out.
 		timeout time.Duration
 	}{
-		"no process at address":   {to: gone, kind: peer.KindSync, want: peer.ErrUnreachable},
+		"no process at address":   {to: closedAddr, kind: peer.KindSync, want: peer.ErrUnreachable},
 		"role may not send":       {to: server.Addr(), kind: peer.KindCell, want: peer.ErrRefused},
 		"role does not serve":     {to: server.Addr(), kind: peer.KindForward, want: peer.ErrRefused},
 		"no response in time":     {to: server.Addr(), kind: peer.KindLoad, want: peer.ErrNoResponse, timeout: time.Second},
