--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,8 @@
-// Package platform accesses the customer's platform: its key-value store
-// (compare-and-swap, leases, watches) and its list of hosts and targets, which
-// lags behind. It is the only package that knows the platform's protocol.
+// Package platform defines the access to the customer's platform: stores with
+// compare-and-swap, leases, sessions and watches, and a list of hosts and
+// targets, which lags behind. Client and NewHandler are the two sides of an
+// HTTP protocol for a Store; a change of that protocol touches this package
+// alone.
 package platform
 
 import (
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -15,8 +15,8 @@
 // ErrSessionEnded is returned where a session has expired or was ended.
 var ErrSessionEnded = errors.New("platform: session has ended")
 
-// ErrTooOld is returned by Watch for a revision whose later changes the store
-// no longer has all.
+// ErrTooOld is returned by Watch where the store no longer has all changes
+// after the revision.
 var ErrTooOld = errors.New("platform: history after the revision is gone, list again")
 
 // Condition holds if the path has the revision (0: no value).
