--- a/internal/docsync/delta_bench_test.go
+++ b/internal/docsync/delta_bench_test.go
@@ -15,8 +15,8 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// encodedTable returns the encoded table of a cell with 20 targets, with every
-// shard at an epoch of its own, after some moves.
+// encodedTable returns the encoded routing table of a cell with 20 targets,
+// with random epochs and owners, after some moves.
 func encodedTable(tb testing.TB, rows, moves int) []byte {
 	tb.Helper()
 	const targets = 20
@@ -44,20 +44,20 @@
 	return data
 }
 
-// BenchmarkDelta measures a table's update as a delta and whole, by the number
-// of rows and of moves.
+// BenchmarkDelta measures the delta of a table's update against its full
+// encoding, by the number of rows and of moves.
 func BenchmarkDelta(b *testing.B) {
 	for _, rows := range []int{256, 1024, 4096} {
 		for _, moves := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("rows=%d/moves=%d", rows, moves), func(b *testing.B) {
 				base, next := encodedTable(b, rows, 0), encodedTable(b, rows, moves)
-				whole := encodeFull(Document{Body: next})
+				full := encodeFull(Document{Body: next})
 				var delta []byte
 				for b.Loop() {
 					delta = deltaOf(b, next, base)
 				}
 				b.ReportMetric(float64(len(next)), "body_B")
-				b.ReportMetric(float64(len(whole.payload)), "packed_B")
+				b.ReportMetric(float64(len(full.payload)), "packed_B")
 				b.ReportMetric(float64(len(delta)), "delta_B")
 			})
 		}
