--- a/internal/owner/codec_test.go
+++ b/internal/owner/codec_test.go
@@ -35,8 +35,8 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// FuzzTable: no body makes the decoder panic, and what it takes covers each key
-// at most once.
+// FuzzTable: no input makes the decoder panic, and a decoded table covers each key at
+// most once.
 func FuzzTable(f *testing.F) {
 	body, err := codecTable().Encode()
 	assert.NilError(f, err)
@@ -56,7 +56,8 @@
 	})
 }
 
-// FuzzDoc: no body makes the decoder panic, and what it takes covers all keys once.
+// FuzzDoc: no input makes the decoder panic, and a decoded document covers every key
+// exactly once.
 func FuzzDoc(f *testing.F) {
 	doc := EmptyDoc("s")
 	doc.Rows[0].Target, doc.Rows[0].Addr = "a", netip.MustParseAddrPort("10.0.0.1:80")
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -12,73 +12,79 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// Config holds the times that the rules rest on.
+// Config holds the durations that the ownership rules depend on.
 type Config struct {
 	Service     key.Service
 	Host        place.Host
 	Incarnation place.Incarnation
-	// GrantDuration is the length of a grant, Renew the time between two grants to one
-	// target.
+	// GrantDuration is the length of a grant. RenewInterval is the time between two
+	// grants to the same target.
 	GrantDuration time.Duration
 	RenewInterval time.Duration
-	// OrderTimeout bounds an order and its answer; after it the connection is reset.
+	// OrderTimeout bounds the time until an order is answered; after it the connection
+	// is reset.
 	OrderTimeout time.Duration
-	// RenewGrace is how long after the end of its lease a lead still renews what
-	// stands. Whoever follows waits that long before it counts a grant of its
-	// predecessor's as ended.
+	// RenewGrace is how long after the end of its lease a leader still renews grants.
+	// The next leader waits that long before it counts a grant of its predecessor as
+	// expired.
 	RenewGrace time.Duration
-	// LeaseTTL is the length of the lead's own lease.
+	// LeaseTTL is the length of the leader's own lease.
 	LeaseTTL time.Duration
 	Plan     partition.Config
-	// PlanInterval is the time between two plans. With many targets those that even
-	// out all of them are up to LevelMost apart, and the others are for targets far
-	// above what they can do: moves that begin together share writes and tables.
+	// PlanInterval is the time between two plans. With many targets, plans that
+	// rebalance all of them are up to MaxRebalanceInterval apart, and the plans in
+	// between only relieve targets far above their capacity: moves that start together
+	// share writes and tables.
 	PlanInterval         time.Duration
 	MaxRebalanceInterval time.Duration
-	// FirstGrantTimeout is how long a new owner may take to answer its first grant.
+	// FirstGrantTimeout is how long a new owner may take to acknowledge its first
+	// grant.
 	FirstGrantTimeout time.Duration
-	// MaxPublishInterval is the longest time between two tables: an old one tells hosts
-	// that they have lost touch with the lead.
+	// MaxPublishInterval is the longest time between two tables. Hosts take an older
+	// table to mean that they have lost contact with the leader.
 	MaxPublishInterval time.Duration
-	// MinPublishInterval is the least time between two tables: each goes to every host.
+	// MinPublishInterval is the shortest time between two tables, as each goes to every
+	// host.
 	MinPublishInterval time.Duration
-	// ReleaseNotice is how long before a planned release a table tells hosts to send
-	// nothing more: what comes later is refused by the owner.
+	// ReleaseNotice is how long before a planned release a table tells hosts to stop
+	// sending requests; the owner refuses requests that arrive after the release.
 	ReleaseNotice time.Duration
 	// LeaseFreshness is how recent the last renewal of the lease must be for moves to
-	// begin: a range that is released while the store is away waits for it.
+	// start: a range that is released during a store outage has no owner until it ends.
 	LeaseFreshness time.Duration
-	// ConfirmTimeout is how long a range that shall move stays with its owner until the lease
-	// has been renewed by a call that was sent after that was decided: a range that is
-	// released and whose new owner can't be written has none until the store is back.
+	// ConfirmTimeout is how long a move waits for a renewal of the lease that was sent
+	// after the move was decided. Until then the range stays with its owner: if it were
+	// released and the store could not record the new owner, it would have none until
+	// the outage ends.
 	ConfirmTimeout time.Duration
-	// ReclaimTimeout is how long a released range waits for its new owner to be
-	// written before it goes back to the old one.
+	// ReclaimTimeout is how long a released range waits until its new owner is recorded
+	// before it returns to the old one.
 	ReclaimTimeout time.Duration
-	// WriteBatchDelay is how long a free range waits for others whose release is on its
-	// way, so that one write records them all.
+	// WriteBatchDelay is how long a free range waits for ranges that are being
+	// released, so that one write records all of them.
 	WriteBatchDelay time.Duration
-	// SettleTime is how long the list of targets must have stood still before a
-	// service gets its first owners.
+	// SettleTime is how long the list of targets must not grow before a service gets
+	// its first owners.
 	SettleTime time.Duration
 }
 
-// maxClockDrift is how much slower than ours a target's clock may run.
+// maxClockDrift bounds how much slower than this host's clock a target's clock runs.
 const maxClockDrift = 0.02
 
-// transitSlack covers the way of an order that was sent just before its bound.
+// transitSlack covers the transit of an order that was sent just before its timeout.
 const transitSlack = 50 * time.Millisecond
 
-// maxGrantDuration returns how long after its arrival a grant may last.
+// maxGrantDuration returns how long a grant may last after its arrival, by this host's
+// clock.
 func (c *Config) maxGrantDuration() time.Duration {
 	return time.Duration(float64(c.GrantDuration)*(1+maxClockDrift)) + transitSlack
 }
 
-// Effect is what a core wants done.
+// Effect is an action that a core asks its caller to carry out.
 type Effect interface{ effect() }
 
-// SendGrants sends grants to a target one after the other on the connection
-// of that number, which is opened for its first order and never again.
+// SendGrants sends grants to a target, one after the other, on the connection with
+// number Conn. That connection is opened for its first order and never reopened.
 type SendGrants struct {
 	Target place.Target
 	Addr   netip.AddrPort
@@ -94,26 +100,27 @@
 	Release target.Release
 }
 
-// WriteDoc replaces the document at the revision, if this host still leads.
+// WriteDoc replaces the document at revision Expect, if this host is still the leader.
 type WriteDoc struct {
 	Doc    Doc
 	Expect platform.Revision
 }
 
-// RenewLease wants the lease renewed at once, as a sign that the store answers.
+// RenewLease asks for an immediate renewal of the lease, as proof that the store is
+// available.
 type RenewLease struct{}
 
-// Publish puts a table in force.
+// Publish puts a routing table in force.
 type Publish struct{ Table *Table }
 
-// Note is a decision worth a line in the log.
+// Note is a decision to be logged.
 type Note struct {
 	Text  string
 	Range key.Range
 	From  place.Target
 	To    place.Target
 	Fence target.FencingToken
-	// Age is the age of what the decision rests on.
+	// Age is the time since the range entered its state.
 	Age time.Duration
 }
 
@@ -124,44 +131,46 @@
 func (Publish) effect()     {}
 func (Note) effect()        {}
 
-// Prior is what is known of the leads before.
+// Prior says what is known of the prior leaders.
 type Prior uint8
 
-// A lead that has stopped or whose process has ended sends nothing any more;
-// one of which nothing is known may renew until its right ends. The end of the
-// last one tells nothing of those before it: see Doc.Stragglers.
+// A leader that has stopped, or whose process has ended, sends no more orders; one of
+// unknown state may renew grants until its renewal grace ends. That the predecessor has
+// ended says nothing of the leaders before it: see Doc.PriorMayRenew.
 const (
 	PriorUnknown Prior = iota
 	PriorEnded
-	// PriorLost: the store has come back from an older copy, so that nothing is
-	// known of who led, and moved what, since that was taken.
+	// PriorLost: the store was restored from an older snapshot, so that leaders and
+	// moves since that snapshot are unknown.
 	PriorLost
 )
 
-// targetConn is what a lead knows of one target that it orders about.
+// targetConn is the leader's connection for grants to one target, with the state of its
+// orders.
 type targetConn struct {
 	conn     uint64
 	inFlight bool
-	// allSentAt is when all grants were last sent, asked when any were.
+	// allSentAt is when all grants were last sent, sentAt when any grant was.
 	allSentAt time.Time
 	sentAt    time.Time
-	// uncertain tells that the last failure was an order that may have been
-	// carried out.
+	// uncertain is true if the target may have carried out the last order that failed.
 	uncertain bool
-	// failingSince is since when orders got no answer; zero if the last one did.
+	// failingSince is the time since which orders have failed; zero if the last one
+	// succeeded.
 	failingSince time.Time
-	// failedAt is when one last got no answer, retryAt when the next is sent.
+	// failedAt is when an order last failed, retryAt when the next one may be sent.
 	failedAt time.Time
 	retryAt  time.Time
 }
 
-// Core leads one service, or waits to. It is not safe for concurrent use.
+// Core is the leader of one service, or a candidate for it. It is not safe for
+// concurrent use.
 type Core struct {
 	cfg      Config
 	leading  bool
 	term     Term
 	revision platform.Revision
-	// leaseEnd is when this lead's lease ends by its own clock.
+	// leaseEnd is when this leader's lease ends, by its own clock.
 	leaseEnd  time.Time
 	lastFence uint64
 	sequence  uint64
@@ -170,7 +179,8 @@
 	rows        []*row
 	targetConns map[place.Target]*targetConn
 	targetRows  map[place.Target]place.TargetRow
-	// reclaimedAt is when a range last went back for want of a write.
+	// reclaimedAt is when a range last stayed with or returned to its owner because the
+	// store did not respond.
 	reclaimedAt time.Time
 	// joinedAt is when the newest target joined.
 	joinedAt time.Time
@@ -180,32 +190,34 @@
 	measured  map[place.Target]partition.Target
 	load      *partition.Load
 	plannedAt time.Time
-	// rebalancedAt is when all targets were last evened out.
+	// rebalancedAt is when a plan last rebalanced all targets.
 	rebalancedAt time.Time
 	pending      *Doc
-	// writeRefusedAt is when the store last took no write.
+	// writeRefusedAt is when a write to the store last failed.
 	writeRefusedAt time.Time
 	// renewalAskedAt is when a renewal of the lease was last asked for.
 	renewalAskedAt time.Time
-	// priorMayRenewUntil is until when leads before this one may renew; it has passed
-	// where they have ended.
+	// priorMayRenewUntil is until when prior leaders may renew grants; it is in the
+	// past if they have ended.
 	priorMayRenewUntil time.Time
-	// frozenUntil is until when leads that the store has forgotten may still order targets
-	// about: ranges are only renewed, and none is taken to be free.
+	// frozenUntil is until when leaders that were lost in a restore of the store may
+	// still send orders. Until then ranges are only renewed, and none is taken to be
+	// free.
 	frozenUntil time.Time
-	// docFlagged tells that the document says so, and that a write should end that.
+	// docFlagged is true if PriorMayRenew or AfterRestore is set in the document; a
+	// write clears them when they no longer hold.
 	docFlagged  bool
 	lastConn    uint64
 	lastRelease uint64
-	// termLost tells that the store has come back from an older copy since this term
-	// began.
+	// termLost is true if the store was restored from an older snapshot during this
+	// term.
 	termLost bool
 	stopping bool
 	changed  bool
 	effects  []Effect
 }
 
-// New returns a core that leads nothing.
+// New returns a core that is not a leader.
 func New(cfg Config) *Core {
 	return &Core{
 		cfg:         cfg,
@@ -216,21 +228,21 @@
 	}
 }
 
-// Leading reports whether this core leads, with or without a lease.
+// Leading reports whether this core is the leader, with or without a lease.
 func (c *Core) Leading() bool { return c.leading }
 
-// Term returns the term that this core leads, or led last.
+// Term returns the current term, or the last one if this core is not the leader.
 func (c *Core) Term() Term { return c.term }
 
-// BeginTerm starts a term: doc, with the new term and this host as its lead, is what
-// the store holds at the revision.
+// BeginTerm starts a term. doc is the document in the store at the revision; it has the
+// new term and names this host as the leader.
 func (c *Core) BeginTerm(now time.Time, doc Doc, revision platform.Revision, leaseEnd time.Time, prior Prior) {
 	if c.leading && prior == PriorLost {
 		c.resumeAfterRestore(now, doc, revision, leaseEnd)
 		return
 	}
 	if c.leading && doc.Term == c.term+1 && c.pending == nil && !c.termLost {
-		// Nobody led in between: all that is known still holds.
+		// No other host led in between, so the state is still valid.
 		c.term, c.revision, c.leaseEnd = doc.Term, revision, leaseEnd
 		c.changed, c.docFlagged = true, doc.PriorMayRenew || doc.AfterRestore
 		return
@@ -247,11 +259,11 @@
 		c.frozenUntil = end
 	}
 	for _, r := range doc.Rows {
-		// The lead before has probably renewed until a moment ago.
+		// The predecessor has probably renewed this grant until just now.
 		next := &row{Row: r, state: held, since: now, expiresBy: end, routable: true, heldUntil: now.Add(c.cfg.GrantDuration)}
 		switch {
 		case now.Before(c.frozenUntil):
-			// The document may name none of those that hold it.
+			// The document may not name the target that holds the range.
 			next.routable, next.heldUntil = false, now
 		case r.Target == "":
 			next.state, next.routable, next.expiresBy = free, false, now
@@ -261,11 +273,11 @@
 	c.changed = true
 }
 
-// PriorEnded tells that all leads before have ended, or have stopped and have
-// no order on their way.
+// PriorEnded says that all prior leaders have ended, or have stopped and have no order
+// in flight.
 func (c *Core) PriorEnded(now time.Time) {
 	if now.Before(c.frozenUntil) {
-		return // it need not have been the last one
+		return // leaders lost in the restore may not have ended
 	}
 	c.priorMayRenewUntil = time.Time{}
 	end := now.Add(c.cfg.maxGrantDuration())
@@ -276,7 +288,7 @@
 	}
 }
 
-// reset forgets all that one term knew.
+// reset drops the state of a term.
 func (c *Core) reset() {
 	c.leading, c.pending, c.rows = false, nil, nil
 	c.lastFence = 0
@@ -285,32 +297,31 @@
 	c.docFlagged, c.termLost, c.frozenUntil = false, false, time.Time{}
 }
 
-// StepDown ends leading: another host does.
+// StepDown ends leadership, as another host is the leader.
 func (c *Core) StepDown() { c.reset() }
 
-// ExtendLease tells until when this host's lease runs.
+// ExtendLease sets the end of this host's lease, if it is later than the known one.
 func (c *Core) ExtendLease(end time.Time) {
 	if end.After(c.leaseEnd) {
 		c.leaseEnd = end
 	}
 }
 
-// Stop ends all sending until Resume; Idle tells when nothing is on its way any
-// more.
+// Stop ends all sending until Resume. Idle reports when nothing is in flight any more.
 func (c *Core) Stop() { c.stopping = true }
 
-// Resume lets a core that was stopped go on.
+// Resume undoes Stop.
 func (c *Core) Resume() { c.stopping = false }
 
-// LeaseFresh reports whether the store has renewed the lease a moment ago.
+// LeaseFresh reports whether the lease was renewed within LeaseFreshness.
 func (c *Core) LeaseFresh(now time.Time) bool {
 	return now.Before(c.lastRenewal().Add(c.cfg.LeaseFreshness))
 }
 
-// lastRenewal returns when the last renewal that the store answered was sent.
+// lastRenewal returns when the last successful renewal of the lease was sent.
 func (c *Core) lastRenewal() time.Time { return c.leaseEnd.Add(-c.cfg.LeaseTTL) }
 
-// Idle reports whether no order and no write is on its way.
+// Idle reports whether no order and no write is in flight.
 func (c *Core) Idle() bool {
 	if c.pending != nil {
 		return false
@@ -335,7 +346,7 @@
 	return d
 }
 
-// Ranges returns the ranges in order, neighbours of one owner as one.
+// Ranges returns all ranges in order, with adjacent ranges of one owner merged.
 func (c *Core) Ranges() []key.Range {
 	var out []key.Range
 	var last place.Target
@@ -349,15 +360,15 @@
 	return out
 }
 
-// Changed reports whether a table is due: something changed that requests
-// depend on.
+// Changed reports whether anything that requests depend on has changed since the last
+// table.
 func (c *Core) Changed() bool { return c.changed }
 
 // Revision returns the revision of the document that the core works on.
 func (c *Core) Revision() platform.Revision { return c.revision }
 
-// SetTargets takes over the newest list of the targets of all services. Leaving
-// targets, and those that are not in it, lose their ranges.
+// SetTargets sets the current list of the targets of all services. Targets that are
+// leaving or not in the list lose their ranges.
 func (c *Core) SetTargets(now time.Time, targets map[place.Target]place.TargetRow) {
 	old := c.targetRows
 	c.targetRows = make(map[place.Target]place.TargetRow, len(targets))
@@ -381,26 +392,26 @@
 		if r.Target == "" || r.state == free || r.state == writing || r.Incarnation == 0 {
 			continue
 		}
-		// Another target at the address is proof that this one has ended. A
-		// later life of its own is none: it may have taken a renewal already.
+		// Another target at the address proves that this one has ended. A later
+		// incarnation of the same target does not: it may have accepted a renewal
+		// already.
 		if t := newest[r.Addr]; t.Target != r.Target && t.Incarnation > r.Incarnation {
 			c.markFree(now, r, "Another target has the address.")
 		}
 	}
 }
 
-// SetLoad tells the work of the key space, what each target can do, and which
-// targets are out of reach of those that send requests.
+// SetLoad sets the work of the key space, the measured capacities of targets, and the
+// targets that hosts suspect to be unreachable.
 func (c *Core) SetLoad(load *partition.Load, measured map[place.Target]partition.Target, suspect map[place.Target]bool) {
 	c.load, c.measured, c.suspect = load, measured, suspect
 }
 
-// SetWarmup tells how long keys stay slow at an owner that took them without a
-// handover.
+// SetWarmup sets how long keys stay slow at an owner that took them without a handover.
 func (c *Core) SetWarmup(d time.Duration) { c.warmup = d }
 
-// failureCooldown is how long a target that failed to answer orders gets no
-// ranges; one that has none is sent no orders by which it could show itself.
+// failureCooldown is how long a target gets no ranges after an order to it has failed.
+// It must end by time, as a target without ranges is sent no orders that could succeed.
 const failureCooldown = 2 * time.Second
 
 // usable reports whether a target may be given ranges.
@@ -423,7 +434,7 @@
 	return false
 }
 
-// ownerLive reports whether a target may keep its ranges.
+// ownerLive reports whether the owner is listed as live and so may keep the range.
 func (c *Core) ownerLive(r *row) bool {
 	t, ok := c.targetRows[r.Target]
 	return ok && t.State == place.Live
@@ -439,7 +450,7 @@
 	return l
 }
 
-// Tick lets what is due happen and returns all effects since the last call.
+// Tick does what is due and returns all effects since the last call.
 func (c *Core) Tick(now time.Time) []Effect {
 	if c.leading && !c.stopping {
 		c.checkRows(now)
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -56,24 +56,24 @@
 	assert.Equal(t, len(write.Doc.Rows), 3)
 }
 
-// driver answers a core's effects at once.
+// driver runs a core and carries out its effects immediately.
 type driver struct {
 	*Core
 
 	now      time.Time
 	revision platform.Revision
-	// refuseWrites tells that the store takes no write, refused counts them.
+	// refuseWrites makes the store refuse writes; refusedWrites counts them.
 	refuseWrites  bool
 	refusedWrites int
-	// conn is the last connection of grants to each target.
+	// conn is the connection of the last grants to each target.
 	conn map[place.Target]uint64
-	// storeDown tells that the store renews no lease, hangs that it answers no write, and
-	// work that targets answer no release while work runs there.
+	// storeDown stops renewals of the lease, writesHang responses to writes, and
+	// releasesHang responses to releases, as work still running would.
 	storeDown, writesHang, releasesHang bool
 	heldBack                            []Effect
-	// grantsHang tells that targets answer no grant yet.
+	// grantsHang stops responses to grants.
 	grantsHang bool
-	// silentTarget answers no order.
+	// silentTarget does not respond to orders.
 	silentTarget place.Target
 	tables       []*Table
 	notes        []Note
@@ -88,7 +88,7 @@
 	return d
 }
 
-// run lets time pass with a lease that is renewed.
+// run advances time in steps of 20 ms, with the lease renewed at each.
 func (d *driver) run(span time.Duration) {
 	for end := d.now.Add(span); d.now.Before(end); d.now = d.now.Add(20 * time.Millisecond) {
 		if !d.storeDown {
@@ -100,7 +100,7 @@
 	}
 }
 
-// answerHeldBack answers all that was held back.
+// answerHeldBack carries out all effects that were held back.
 func (d *driver) answerHeldBack() {
 	held := d.heldBack
 	d.releasesHang, d.writesHang, d.heldBack = false, false, nil
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestStoreRefusesOwner: a range whose new owner can't be written goes back to
-// the old one, and is served there.
+// TestStoreRefusesOwner: a range whose new owner can't be recorded returns to the old
+// one and is served there.
 func TestStoreRefusesOwner(t *testing.T) {
 	d := newDriver(2)
 	d.run(3 * time.Second)
@@ -162,12 +162,12 @@
 	meter.Decay(d.now)
 	var load partition.Load
 	meter.Load(d.now, &load, 20*time.Microsecond)
-	d.SetLoad(&load, nil, nil) // the first target is far busier than the second
+	d.SetLoad(&load, nil, nil) // the first target has far more load than the second
 	d.refuseWrites = true
 	d.run(2 * time.Second)
-	assert.Assert(t, d.refusedWrites > 0, "nothing had to be written")
+	assert.Assert(t, d.refusedWrites > 0, "no write was attempted")
 	// Reclaimed after 0.4 s, planned again after 2 s: each call is billed.
-	assert.Assert(t, d.refusedWrites <= 5, "%d writes to a store that takes none", d.refusedWrites)
+	assert.Assert(t, d.refusedWrites <= 5, "%d writes to a store that refuses all", d.refusedWrites)
 	last := d.tables[len(d.tables)-1]
 	for _, s := range last.Spans {
 		assert.Assert(t, s.Target != "", "%v has no owner", s.Range)
@@ -175,13 +175,13 @@
 	}
 }
 
-// TestMoveDuringStoreOutage: a range whose move meets an outage of the store is served by
-// the owner that the document names, soon after and until the right to renew ends.
-// What is looked at is a range that the balance moves.
+// TestMoveDuringStoreOutage: a range that moves for balance when a store outage begins
+// is soon served by the owner named in the document, and remains so until the renewal
+// grace ends.
 func TestMoveDuringStoreOutage(t *testing.T) {
-	const without = 900 * time.Millisecond // Warn, Confirm or Reclaim, and tables
+	const maxGap = 900 * time.Millisecond // ReleaseNotice, ConfirmTimeout or ReclaimTimeout, and tables
 	for name, test := range map[string]struct {
-		// until lets the move come to the point at which the store goes away.
+		// until advances the move to the point at which the outage begins.
 		until func(d *driver)
 	}{
 		"before the plan": {func(*driver) {}},
@@ -192,7 +192,7 @@
 			d.releasesHang = true
 			d.runUntil(func() bool { return d.countState(releasing) > 0 })
 		}},
-		"after a release without an answer": {func(d *driver) {
+		"after a release without a response": {func(d *driver) {
 			d.releasesHang = true
 			d.runUntil(func() bool { return d.countState(releasing) > 0 })
 			for _, e := range d.heldBack {
@@ -208,7 +208,7 @@
 			d.storeDown = true
 			d.run(d.cfg.LeaseTTL - 150*time.Millisecond)
 		}},
-		"while the write is on its way": {func(d *driver) {
+		"while the write is in flight": {func(d *driver) {
 			d.writesHang = true
 			d.runUntil(func() bool { return d.countState(writing) > 0 })
 		}},
@@ -230,15 +230,16 @@
 				if d.allRoutable() {
 					served = d.now
 				}
-				assert.Assert(t, d.now.Sub(served) < without, "a range has had no owner for %v", d.now.Sub(served))
+				assert.Assert(t, d.now.Sub(served) < maxGap, "a range had no owner for %v", d.now.Sub(served))
 			}
 		})
 	}
 }
 
-// TestAvailableInAfterRecord: a range whose new owner has been recorded is said to be back in
-// the time of a move: requests that are told more are refused, though its grant is
-// answered within moments. TestLeadStopsWithoutStore failed by it once.
+// TestAvailableInAfterRecord: a range whose new owner has just been recorded is
+// announced as available within the time of a move. With a longer time, hosts refuse
+// requests for it, although its grant is acknowledged within moments;
+// TestLeaderStopsWithoutStore failed because of that.
 func TestAvailableInAfterRecord(t *testing.T) {
 	d := newDriver(2)
 	d.run(3 * time.Second)
@@ -256,7 +257,7 @@
 	assert.Assert(t, d.availableIn(d.now, recorded()) <= typicalMoveTime)
 }
 
-// skewLoad makes the first range far busier than all others.
+// skewLoad gives the first range far more load than all others.
 func (d *driver) skewLoad() {
 	var meter partition.Meter
 	for p := range d.tables[len(d.tables)-1].Spans[0].Range.Last {
@@ -268,7 +269,7 @@
 	d.SetLoad(&load, nil, nil)
 }
 
-// runUntil lets time pass until something has happened.
+// runUntil advances time until a condition holds.
 func (d *driver) runUntil(happened func() bool) {
 	for range 200 {
 		if happened() {
@@ -276,10 +277,10 @@
 		}
 		d.run(20 * time.Millisecond)
 	}
-	panic("it never happened")
+	panic("condition not met within 4 s")
 }
 
-// countState returns how many ranges are in a state, noted how often a text was noted.
+// countState returns how many ranges are in a state.
 func (d *driver) countState(s state) (out int) {
 	for _, r := range d.rows {
 		if r.state == s {
@@ -298,13 +299,13 @@
 	return out
 }
 
-// allRoutable reports whether all ranges have an owner by the last table.
+// allRoutable reports whether all ranges have an owner in the last table.
 func (d *driver) allRoutable() bool {
 	return !slices.ContainsFunc(d.tables[len(d.tables)-1].Spans, func(s Span) bool { return s.Target == "" })
 }
 
-// TestReleaseAfterTable: a range is released only after a table has told hosts
-// for a while to send nothing more to its owner.
+// TestReleaseAfterTable: a range is released only after a table has told hosts,
+// ReleaseNotice earlier, to stop sending requests to its owner.
 func TestReleaseAfterTable(t *testing.T) {
 	d := newDriver(2)
 	d.cfg.ReleaseNotice = 100 * time.Millisecond
@@ -335,18 +336,19 @@
 					}
 				}
 			case SendRelease:
-				assert.Assert(t, !hidden.IsZero(), "released before a table said so")
+				assert.Assert(t, !hidden.IsZero(), "released before a table announced it")
 				assert.Assert(t, d.now.Sub(hidden) >= d.cfg.ReleaseNotice, "released after %v", d.now.Sub(hidden))
 				return
 			}
 			d.do(e)
 		}
 	}
-	t.Fatal("nothing was released")
+	t.Fatal("no release was sent")
 }
 
-// TestSilentTarget: a range that a target let lapse in silence goes to another
-// one at once, and back to the silent one only where there is no other.
+// TestSilentTarget: a range whose grant expired because its owner stopped responding
+// goes to another target at once. It returns to the unresponsive one only if there is
+// no other.
 func TestSilentTarget(t *testing.T) {
 	tests := map[string]struct {
 		targets int
@@ -364,7 +366,7 @@
 				d.silentTarget = "t0"
 			}
 			lapsed := func() bool {
-				return slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant has lapsed." })
+				return slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant expired." })
 			}
 			for !lapsed() {
 				d.run(20 * time.Millisecond)
@@ -382,8 +384,8 @@
 	}
 }
 
-// TestColdSpans: tables say which keys are slow, as their owner took them
-// without a handover, and for how long.
+// TestColdSpans: tables say which keys are slow, as their owner took them without a
+// handover, and for how long.
 func TestColdSpans(t *testing.T) {
 	d := newDriver(4)
 	d.SetWarmup(2 * time.Second)
@@ -406,7 +408,7 @@
 	d.run(time.Second)
 	assert.Equal(t, cold(), 0, "handed over")
 	d.silentTarget, d.notes = "t1", nil
-	for !slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant has lapsed." }) {
+	for !slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant expired." }) {
 		d.run(20 * time.Millisecond)
 	}
 	d.run(time.Second)
@@ -422,15 +424,15 @@
 	assert.Equal(t, cold(), 0, "warm again")
 }
 
-// TestRenewalAfterLeaseEnd: a lead whose lease has ended renews what its targets surely
-// hold, and gives nothing to one that may have started again.
+// TestRenewalAfterLeaseEnd: a leader whose lease has ended renews ranges that their
+// owners certainly hold, and sends no grant to a target that may have restarted.
 func TestRenewalAfterLeaseEnd(t *testing.T) {
 	tests := map[string]struct {
-		breaks bool // the connections to a target break, once
+		breaks bool // whether the connections to a target break once
 		want   int  // ranges with an owner at the end
 	}{
-		"connections stay":     {false, 2},
-		"one connection broke": {true, 1},
+		"connections hold":      {false, 2},
+		"one connection breaks": {true, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -445,7 +447,7 @@
 						test.breaks = false
 						d.Granted(d.now, g, []error{target.ErrUnanswered})
 					default:
-						assert.Assert(t, !ok || !d.now.After(ended) || g.Conn == d.conn[g.Target], "a grant to %s over a new connection", g.Target)
+						assert.Assert(t, !ok || !d.now.After(ended) || g.Conn == d.conn[g.Target], "grant to %s on a new connection", g.Target)
 						d.do(e)
 					}
 				}
@@ -461,21 +463,21 @@
 	}
 }
 
-// TestPriorMayRenew: what a lead writes says whether leads before it may still
-// renew, so that one that follows soon does not take them for ended. Seed 60496
-// of the random runs found it.
+// TestPriorMayRenew: the document says whether prior leaders may still renew. Otherwise
+// a leader that takes over soon would count their grants as expired; seed 60496 of the
+// random runs found that.
 func TestPriorMayRenew(t *testing.T) {
 	tests := map[string]struct {
 		prior Prior
-		ended bool // it is told so later
+		ended bool // PriorEnded is called after BeginTerm
 		after time.Duration
 		want  bool
 	}{
-		"all have ended":           {PriorEnded, false, 0, false},
-		"unknown":                  {PriorUnknown, false, 0, true},
-		"told in between":          {PriorUnknown, true, 0, false},
-		"still within their right": {PriorUnknown, false, 9 * time.Second, true},
-		"their right is over":      {PriorUnknown, false, 10 * time.Second, false},
+		"all have ended":             {PriorEnded, false, 0, false},
+		"unknown":                    {PriorUnknown, false, 0, true},
+		"found to have ended":        {PriorUnknown, true, 0, false},
+		"still within renewal grace": {PriorUnknown, false, 9 * time.Second, true},
+		"after the renewal grace":    {PriorUnknown, false, 10 * time.Second, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -494,7 +496,7 @@
 			got, err = DecodeDoc(body)
 			assert.NilError(t, err)
 			assert.Equal(t, got.PriorMayRenew, test.want)
-			// A mark that is no longer true is taken off, once.
+			// A flag that no longer holds is cleared by one write.
 			writes := 0
 			for _, e := range append(c.Tick(now), c.Tick(now)...) {
 				if w, ok := e.(WriteDoc); ok {
@@ -507,15 +509,15 @@
 	}
 }
 
-// TestDuplicateResponse: where answers to orders came twice, no range that was granted
-// over that connection is released before its owner has answered a higher fence:
-// the grant that it seemed to answer may yet arrive.
+// TestDuplicateResponse: after a duplicate response to an order, no range that was
+// granted on that connection is released until its owner has acknowledged a higher
+// fencing token. A grant that seemed to be acknowledged may still arrive.
 func TestDuplicateResponse(t *testing.T) {
 	d := newDriver(3)
 	d.run(3 * time.Second)
 	first := d.rows[0]
 	beside := d.split(key.Range{First: first.Range.First + 1, Last: first.Range.Last})
-	beside.Handover = "token" // the two are not joined
+	beside.Handover = "token" // keeps the two rows from being merged
 	name, before := first.Target, beside.fence
 	granted := false
 	for end := d.now.Add(2 * time.Second); !granted && d.now.Before(end); d.now = d.now.Add(20 * time.Millisecond) {
@@ -547,9 +549,9 @@
 	assert.Assert(t, beside.state != releasePending)
 }
 
-// TestBusyRangeMovesInParts answers a busy range that moves while requests run on
-// it: the keys on which none runs are served by the new owner within moments, the
-// others once their work has ended.
+// TestBusyRangeMovesInParts: when a range moves while requests run on it, the new owner
+// serves the keys without running requests within moments, and the others once their
+// requests have ended.
 func TestBusyRangeMovesInParts(t *testing.T) {
 	d := newDriver(2)
 	var meter partition.Meter
@@ -560,7 +562,7 @@
 		}
 	}
 	var load partition.Load
-	meter.Load(d.now, &load, 4*time.Millisecond) // some five requests at a time
+	meter.Load(d.now, &load, 4*time.Millisecond) // about five concurrent requests
 	d.SetLoad(&load, nil, nil)
 	d.run(3 * time.Second)
 	r := d.rows[0]
@@ -573,7 +575,7 @@
 		for _, e := range d.Tick(d.now) {
 			if s, ok := e.(SendRelease); ok && s.Release.Range.Contains(busy) {
 				waits++
-				continue // not answered while this test looks
+				continue // not answered during the test
 			}
 			d.do(e)
 		}
@@ -590,6 +592,6 @@
 			back += int(last - first + 1)
 		}
 	}
-	assert.Assert(t, float64(back) > 0.8*float64(keys), "%d of %d keys are back", back, keys)
+	assert.Assert(t, float64(back) > 0.8*float64(keys), "%d of %d keys have an owner again", back, keys)
 	assert.Assert(t, back < keys)
 }
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -1,11 +1,12 @@
 // Package owner decides which target owns which range of a service's keys.
 //
-// One host leads a service: it holds the service's key in the store, renews the
-// grants of all owners, and moves ranges between them. What must outlast it
-// stands in one document in the store. The rules that keep a range from having
-// two owners are in docs/design/ranges.md.
+// One host is the leader of a service: it holds the service's leader entry in the
+// store, renews the grants of all owners, and moves ranges between them. State that
+// must outlast the leader is kept in one document in the store. The rules that keep a
+// range from having two owners are in docs/design/ranges.md.
 //
-// The core is pure: events and the present time go in, effects come out.
+// Core does no I/O and reads no clock: events and the current time go in, effects come
+// out.
 package owner
 
 import (
@@ -20,63 +21,64 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// Term numbers the leads of a service; it rises with each one.
+// Term numbers the leaders of a service; each new leader has a higher term.
 type Term uint64
 
-// termsPerEra is how many terms there are in an era of the store. A lead of one era
-// does not know which terms an earlier one gave out last; its own are higher.
+// termsPerEra is the number of terms in an era of the store. A leader does not know the
+// last terms of an earlier era, which may be lost; its own terms are higher all the
+// same.
 const termsPerEra = 1 << 20
 
-// Next returns the next term in an era.
+// Next returns the term that follows t in an era.
 func (t Term) Next(era platform.Era) Term { return max(t+1, Term(era)*termsPerEra+1) }
 
-// Era returns the era of the store that a term began in.
+// Era returns the era of the store in which a term began.
 func (t Term) Era() platform.Era { return platform.Era(t / termsPerEra) }
 
-// fencesPerTerm is how many fences a lead may use before it must raise its
-// term. Fences of a later term are higher than all of an earlier one, so a lead
-// takes a new fence without a write to the store.
+// fencesPerTerm is the number of fencing tokens that a leader may use before it must
+// start a new term. Tokens of a later term are higher than all of an earlier one, so a
+// leader takes a new token without a write to the store.
 const fencesPerTerm = 1 << 20
 
-// fence returns the fence of that number in a term.
+// fence returns the n-th fencing token of a term.
 func (t Term) fence(n uint64) target.FencingToken {
 	return target.FencingToken(uint64(t)*fencesPerTerm + n)
 }
 
-// Doc is what the store holds of a service: who may own what.
+// Doc is the stored document of a service: which target may own which range.
 type Doc struct {
 	Service key.Service
 	Term    Term
-	// Leader and Life name the process that wrote it; Lead is empty once that
-	// has stopped and will send no more grants.
+	// Leader and LeaderIncarnation name the process that wrote the document. Leader is
+	// empty once that process has stopped and will send no more grants.
 	Leader            place.Host
 	LeaderIncarnation place.Incarnation
-	// PriorMayRenew tells that a lead before this one may still renew.
+	// PriorMayRenew is true while a leader before this one may still renew grants.
 	PriorMayRenew bool
-	// AfterRestore tells that the store came back from an older copy a moment before, so that
-	// the rows may not name those that hold the ranges.
+	// AfterRestore is true if the store was recently restored from an older snapshot,
+	// so that the rows may not name the targets that hold the ranges.
 	AfterRestore bool
-	// WriteID tells this write from all others.
+	// WriteID is unique to this write.
 	WriteID uint64
-	// Rows cover the key space, in order.
+	// Rows cover the key space without gaps, in order.
 	Rows []Row
 }
 
-// Row is a range and the one target that may hold it.
+// Row is a range and the only target that may hold it.
 type Row struct {
 	Range key.Range
 	// Target is empty where no target may hold the range.
 	Target      place.Target
 	Incarnation place.Incarnation
 	Addr        netip.AddrPort
-	// Handover is what the last owner handed on, until the new one has it.
+	// Handover is what the last owner handed over, until the new owner has it.
 	Handover target.Handover
 }
 
-// HistoryLost reports whether leads and owners since the document was written may be
-// known to nobody: the store is of a later era, or came back a moment before it. Where
-// there is no document, first tells that there has been none: not before this process
-// started, nor before the era did.
+// HistoryLost reports whether a restore of the store may have lost the names of
+// leaders and owners that came after this document: the store is of a later era, or was
+// restored shortly before the document was written. If there is no document, first is
+// true if none existed before this process started, nor before the era began.
 func (d *Doc) HistoryLost(era platform.Era, first bool) bool {
 	if d.Term == 0 {
 		return era > 0 && !first
@@ -84,7 +86,7 @@
 	return d.AfterRestore || d.Term.Era() < era
 }
 
-// EmptyDoc returns the document of a service that nobody has led yet.
+// EmptyDoc returns the document of a service that has never had a leader.
 func EmptyDoc(service key.Service) Doc {
 	return Doc{Service: service, Rows: []Row{{Range: key.FullRange()}}}
 }
@@ -110,7 +112,7 @@
 	Handover    string
 }
 
-// Encode returns the document as the store holds it.
+// Encode returns the document in its stored form.
 func (d *Doc) Encode() ([]byte, error) {
 	w := wireDoc{
 		Service: string(d.Service), Term: uint64(d.Term), Leader: string(d.Leader), LeaderIncarnation: uint64(d.LeaderIncarnation), WriteID: d.WriteID,
@@ -129,8 +131,8 @@
 	return body, nil
 }
 
-// DecodeDoc reads a document; one whose rows do not cover the key space once
-// is an error.
+// DecodeDoc reads a document. Rows that do not cover the key space exactly once are an
+// error.
 func DecodeDoc(body []byte) (Doc, error) {
 	var w wireDoc
 	if err := cbor.Unmarshal(body, &w); err != nil {
@@ -147,13 +149,13 @@
 			Incarnation: place.Incarnation(r.Incarnation), Addr: r.Addr, Handover: target.Handover(r.Handover),
 		}
 		if !row.Range.Valid() || row.Range.First != next {
-			return Doc{}, fmt.Errorf("owner: decode document: range %s does not follow %d", row.Range, next)
+			return Doc{}, fmt.Errorf("owner: decode document: range %s does not start at point %d", row.Range, next)
 		}
 		next = row.Range.Last + 1
 		d.Rows = append(d.Rows, row)
 	}
 	if next != key.Points {
-		return Doc{}, fmt.Errorf("owner: decode document: rows end at %d", next)
+		return Doc{}, fmt.Errorf("owner: decode document: rows end before point %d", next)
 	}
 	return d, nil
 }
--- a/internal/owner/lead_bench_test.go
+++ b/internal/owner/lead_bench_test.go
@@ -11,8 +11,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// BenchmarkLeader is a second of a lead's decisions, with the load of its key space
-// taken in and plans made, but without messages.
+// BenchmarkLeader measures one simulated second of a leader's decisions, including the
+// load and the plans but no messages.
 func BenchmarkLeader(b *testing.B) {
 	for _, targets := range []int{37, 164, 575, 1200} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -12,16 +12,16 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// plan decides which ranges go where next.
+// plan chooses the next moves and the owners of free ranges.
 func (c *Core) plan(now time.Time) {
-	homeless := false
+	unassigned := false
 	for _, r := range c.rows {
 		if r.to != "" && !c.usable(now, r.to) && r.state != writing {
 			r.to = ""
 		}
-		homeless = homeless || r.to == "" && r.state != held && r.state != writing
+		unassigned = unassigned || r.to == "" && r.state != held && r.state != writing
 	}
-	if !homeless && now.Sub(c.plannedAt) < c.cfg.PlanInterval || c.neverOwned() && now.Sub(c.joinedAt) < c.cfg.SettleTime {
+	if !unassigned && now.Sub(c.plannedAt) < c.cfg.PlanInterval || c.neverOwned() && now.Sub(c.joinedAt) < c.cfg.SettleTime {
 		return
 	}
 	c.plannedAt = now
@@ -41,7 +41,7 @@
 		switch r.state {
 		case held:
 			if now.Sub(c.reclaimedAt) > reclaimPause {
-				c.startMove(now, r, m.To, "Range moves for balance.")
+				c.startMove(now, r, m.To, "Range moves to rebalance load.")
 			}
 		case releasePending, releasing, free:
 			r.to = m.To
@@ -50,20 +50,21 @@
 	}
 }
 
-// reclaimPause is how long no range is moved for balance after one could not be
-// recorded elsewhere: the store's outages last for seconds.
+// reclaimPause is how long no range moves for balance after the store failed to record
+// a new owner: its outages last for seconds.
 const reclaimPause = 2 * time.Second
 
-// targetsPerMove is how many targets a service has for each move at once: a
-// larger one has as many more busy ranges.
+// targetsPerMove is the number of targets for each move that may run at once: a larger
+// service has proportionally more busy ranges.
 const targetsPerMove = 4
 
-// rebalanceIntervalPerTarget is, for each target, the time between two plans that even out all of
-// them: more targets move more, and each move costs every host a table.
+// rebalanceIntervalPerTarget is the time between two plans that rebalance all targets,
+// for each target. More targets cause more moves, and each move costs every host a
+// table.
 const rebalanceIntervalPerTarget = 2 * time.Millisecond
 
-// urgentUtilization is the use of a target, its work over its capacity, from which it
-// gives work away at the next plan: requests there wait for longer than they take.
+// urgentUtilization is the utilization from which a target gives work away at the next
+// plan: requests there wait longer than they run.
 const urgentUtilization = 1.3
 
 // targets returns the targets that may own ranges.
@@ -82,8 +83,8 @@
 	return out
 }
 
-// spans returns the rows as a plan sees them: those on the move with their
-// next owner, and those whose release waits for one as without any.
+// spans returns the rows as input to a plan: rows on the move have their next owner, or
+// none if that is not chosen yet.
 func (c *Core) spans(now time.Time) []partition.Span {
 	out := make([]partition.Span, 0, len(c.rows))
 	for _, r := range c.rows {
@@ -98,8 +99,8 @@
 	return out
 }
 
-// recentWindow is how long a range counts as recent at its owner: the time in
-// which the averages take in what its move changed.
+// recentWindow is how long a range counts as recent at its owner: the time until the
+// averages reflect its move.
 const recentWindow = 3 * time.Second
 
 // sendOrders sends the grants and releases that are due.
@@ -121,8 +122,9 @@
 	}
 }
 
-// grantDue reports whether a grant of the row should be sent now: one that its owner
-// has not answered for yet at once, all others each Renew.
+// grantDue reports whether a grant of the row should be sent now: at once if its owner
+// has not acknowledged one yet or the range is about to be released, otherwise every
+// RenewInterval.
 func (c *Core) grantDue(now time.Time, r *row) bool {
 	l := c.targetConn(r.Target)
 	if l.inFlight || now.Before(l.retryAt) {
@@ -131,9 +133,9 @@
 	return r.acked == 0 || r.state == releasePending && c.confirmed(r) || now.Sub(l.allSentAt) >= c.cfg.RenewInterval
 }
 
-// releasable reports whether the answer to a release would be evidence: no
-// grant that is still on its way can take effect after it, as the owner has
-// seen a higher fence.
+// releasable reports whether the response to a release would be evidence: the owner has
+// seen a higher fencing token than any grant in flight, so that no such grant can take
+// effect after it.
 func (c *Core) releasable(r *row) bool {
 	return r.acked > r.unacked && !c.targetConn(r.Target).inFlight
 }
@@ -151,33 +153,35 @@
 	})
 }
 
-// confirmInterval is the time between two wishes to have the lease renewed.
+// confirmInterval is the time between two requests to renew the lease.
 const confirmInterval = 100 * time.Millisecond
 
-// confirm hides the ranges that are about to be released, once the store has answered
-// since their move was decided. Until then their owners serve them, and moves that wait
-// for too long are called off. What an owner that leaves has is hidden at once.
+// confirm makes ranges that are about to be released unroutable, once the store has
+// responded since their move was decided. Until then their owners serve them, and moves
+// that wait too long are canceled. Ranges of an owner that is leaving become unroutable
+// at once.
 func (c *Core) confirm(now time.Time) {
 	waiting := false
 	for _, r := range c.rows {
 		if r.state != releasePending {
 			continue
 		}
-		sure, stays := c.confirmed(r), c.ownerLive(r)
-		if r.routable && (sure || !stays) {
+		renewed, live := c.confirmed(r), c.ownerLive(r)
+		if r.routable && (renewed || !live) {
 			r.routable, c.changed = false, true
 		}
-		// The answer to a grant that is on its way tells until when it may hold.
-		if !sure && stays && now.Sub(r.since) > c.cfg.ConfirmTimeout && !c.targetConn(r.Target).inFlight {
-			c.note(now, "Range stays, the store does not answer.", r, r.to)
+		// A grant in flight may still change until when the owner certainly holds the
+		// range.
+		if !renewed && live && now.Sub(r.since) > c.cfg.ConfirmTimeout && !c.targetConn(r.Target).inFlight {
+			c.note(now, "Move canceled, store not responding.", r, r.to)
 			r.state, r.to, r.since = held, "", now
 			if r.releaseID != 0 && now.Before(c.leaseEnd) {
-				r.grantConn, r.acked = 0, 0 // it may have been released: it is granted anew at once
+				r.grantConn, r.acked = 0, 0 // it may have been released: grant it anew at once
 			}
 			c.reclaimedAt = now
 			continue
 		}
-		waiting = waiting || !sure
+		waiting = waiting || !renewed
 	}
 	if waiting && now.Sub(c.renewalAskedAt) >= confirmInterval {
 		c.renewalAskedAt = now
@@ -185,15 +189,15 @@
 	}
 }
 
-// confirmed reports whether the store has answered since a move was decided.
+// confirmed reports whether the store has responded since a move was decided.
 func (c *Core) confirmed(r *row) bool { return !c.lastRenewal().Before(r.since) }
 
-// grant renews what a target holds, or gives it what is new.
+// grant sends a target the grants of new ranges and the renewals that are due.
 func (c *Core) grant(now time.Time, name place.Target, rows []*row) {
 	l := c.targetConn(name)
 	if !l.failingSince.IsZero() && l.uncertain {
-		// An order that is not answered may lengthen a grant all the same:
-		// where the owner no longer surely holds a range, it is left to lapse.
+		// An order that gets no response may extend a grant all the same. A range that
+		// the owner may no longer hold is left to expire.
 		rows = slices.DeleteFunc(rows, func(r *row) bool { return now.After(r.heldUntil) })
 	}
 	if !now.Before(c.leaseEnd) || now.Before(c.frozenUntil) {
@@ -205,8 +209,8 @@
 	e := SendGrants{Target: name, Addr: rows[0].Addr, Conn: l.conn}
 	for _, r := range rows {
 		if r.grantConn != l.conn || r.acked < r.fence || r.acked <= r.unacked {
-			// Another life of the target may be behind a new connection, and
-			// a life must not get a range at the fence of the one before.
+			// There may be another incarnation of the target behind a new connection,
+			// which must not get a range with a fencing token of the one before.
 			c.lastFence++
 			r.fence = c.term.fence(c.lastFence)
 		}
@@ -220,17 +224,17 @@
 	c.emit(e)
 }
 
-// renewable reports whether a lead may renew a range after its lease has ended.
-// Another lead may have had the range released, and given it away; the owner
-// refuses the grant then, but not if it has started again meanwhile. So a grant
-// then goes only over the connection that the last one was answered on, at the
-// same fence, and only while the owner surely holds the range.
+// renewable reports whether a leader may renew a range after its lease has ended.
+// Another leader may have released the range and given it away. The owner then refuses
+// the grant, unless it has restarted in between. So the grant is sent only on the
+// connection on which the last one was acknowledged, with the same fencing token, and
+// only while the owner certainly holds the range.
 func (c *Core) renewable(now time.Time, r *row) bool {
 	return r.grantConn == c.targetConn(r.Target).conn && r.acked == r.fence && r.acked > r.unacked && !now.After(r.heldUntil)
 }
 
-// Granted takes the result of each grant in a SendGrants; a grant after a
-// failed one was not sent and has target.ErrNotSent.
+// Granted takes the result of each grant in a SendGrants. A grant after a failed one
+// was not sent and has target.ErrNotSent.
 func (c *Core) Granted(now time.Time, e SendGrants, results []error) {
 	l := c.targetConns[e.Target]
 	if !c.leading || l == nil || l.conn != e.Conn {
@@ -245,7 +249,7 @@
 		case errors.Is(err, target.ErrMisdirected):
 			ended = true
 		case errors.Is(err, target.ErrFenced):
-			// The next grant gets a new fence, as this one has no answer.
+			// The next grant gets a new fencing token, as this one is not acknowledged.
 			c.grantFenced(now, e, e.Grants[i])
 			failed = true
 		case errors.Is(err, target.ErrNotSent), errors.Is(err, target.ErrRejected):
@@ -269,7 +273,7 @@
 	}
 }
 
-// noteFailure notes that orders to a target fail. The next ones go over a new
+// noteFailure records that an order to a target failed. The next ones use a new
 // connection.
 func (c *Core) noteFailure(now time.Time, l *targetConn) {
 	const retry = 200 * time.Millisecond
@@ -302,7 +306,7 @@
 		}
 		r.acked = max(r.acked, g.FencingToken)
 		if r.acked > r.unacked {
-			// All that was sent before is refused from now on.
+			// The target refuses all grants that were sent before.
 			r.expiresBy = now.Add(c.cfg.maxGrantDuration())
 		} else {
 			r.expiresBy = later(r.expiresBy, now.Add(c.cfg.maxGrantDuration()))
@@ -323,8 +327,8 @@
 	})
 }
 
-// invalidateAcks notes that answers on a connection may have been to other orders than
-// they were taken for: no grant that was sent over it counts as answered.
+// invalidateAcks records that responses on a connection may have been to other orders
+// than they were taken for: no grant that was sent on it counts as acknowledged.
 func (c *Core) invalidateAcks(now time.Time, e SendGrants) {
 	for _, r := range c.rows {
 		if r.Target == e.Target && r.grantConn == e.Conn {
@@ -334,19 +338,20 @@
 	}
 }
 
-// grantFenced notes that a target has seen a higher fence. Only a lead of a later
-// term has one; until the store says so, this one tries on with its own.
+// grantFenced records that a target has seen a higher fencing token. Only a leader of a
+// later term has one. Until the store names that leader, this one goes on with its own
+// tokens.
 func (c *Core) grantFenced(now time.Time, e SendGrants, g target.Grant) {
 	c.eachMatching(e, g, func(r *row) {
-		c.note(now, "Target has seen a higher fence.", r, "")
+		c.note(now, "Target has seen a higher fencing token.", r, "")
 		if now.Before(c.frozenUntil) {
-			c.markUnknown(now, r) // of a lead that was forgotten
+			c.markUnknown(now, r) // given by a leader that was lost in the restore
 		}
 	})
 }
 
-// targetEnded notes that another target has the address: the life that held the
-// ranges is over.
+// targetEnded records that another target has the address: the incarnation that held
+// the ranges has ended.
 func (c *Core) targetEnded(now time.Time, name place.Target) {
 	for _, r := range c.rows {
 		if r.Target == name && r.state != free && r.state != writing {
@@ -371,15 +376,15 @@
 			c.markFree(now, r, "Another target has the address.")
 		default:
 			const retry = 200 * time.Millisecond
-			c.note(now, "Release not answered.", r, r.to)
-			r.state, r.since = releasePending, now // the store has to answer once more
+			c.note(now, "Release not acknowledged.", r, r.to)
+			r.state, r.since = releasePending, now // the move has to be confirmed again
 			c.targetConn(r.Target).retryAt = now.Add(retry)
 		}
 	}
 }
 
-// publish makes a table if anything changed that requests depend on, or the
-// last one is old.
+// publish emits a table if anything that requests depend on has changed, or if the last
+// table is old.
 func (c *Core) publish(now time.Time) {
 	if age := now.Sub(c.publishedAt); !c.changed && age < c.cfg.MaxPublishInterval || age < c.cfg.MinPublishInterval {
 		return
@@ -403,16 +408,16 @@
 	c.emit(Publish{t})
 }
 
-// typicalMoveTime is about how long a planned move takes: the end of the running
+// typicalMoveTime is the estimated duration of a planned move: the end of the running
 // work, a write, and a grant.
 const typicalMoveTime = 300 * time.Millisecond
 
-// availableIn returns when a range without an owner probably has one again.
+// availableIn returns the estimated time until a range without an owner has one again.
 func (c *Core) availableIn(now time.Time, r *row) time.Duration {
 	switch r.state {
 	case held:
 		if r.acked == 0 && r.unacked == 0 && now.Before(r.heldUntil) {
-			return typicalMoveTime // its first grant is on its way
+			return typicalMoveTime // its first grant is in flight
 		}
 		return max(r.expiresBy.Sub(now), 0) + typicalMoveTime
 	case releasePending, releasing:
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -15,21 +15,21 @@
 var (
 	randomRuns = flag.Int("owner.runs", 300, "random runs of the core")
 	randomSeed = flag.Uint64("owner.seed", 1, "first seed of the random runs")
-	randomStep = flag.Uint64("owner.step", 1, "step between two seeds; 4 from 2 on plays runs with all faults only")
-	// randomBreak leaves one guard against restored stores out.
-	randomBreak = flag.Int("owner.break", 0, "guard to leave out, 0 for none")
+	randomStep = flag.Uint64("owner.step", 1, "step between two seeds; 4, with first seed 2, runs only those with all kinds of faults")
+	// randomBreak disables one of the guards against a restored store.
+	randomBreak = flag.Int("owner.break", 0, "guard to disable, 0 for none")
 )
 
-// The guards that -owner.break leaves out.
+// The guards that -owner.break disables.
 const (
-	breakHistoryLost = iota + 1 // a lead goes by a document from before a restore
+	breakHistoryLost = iota + 1 // a leader trusts a document from before a restore
 	breakEraTerms               // terms do not rise with the era
-	breakFreeze                 // what was forgotten is not waited for
+	breakFreeze                 // leaders lost in a restore are not waited for
 )
 
 func (w *sim) leavesOut(guard int) bool { return *randomBreak == guard }
 
-// scheduleFaults lets something go wrong now and then.
+// scheduleFaults injects a fault now and then.
 func (w *sim) scheduleFaults(until time.Time) {
 	w.after(w.randomDuration(100*time.Millisecond, 2500*time.Millisecond), func() {
 		if w.now.After(until) {
@@ -40,8 +40,8 @@
 	})
 }
 
-// hasNewFaults reports whether a run has the faults that came later than the seeds that
-// are kept: those play as they did when they failed.
+// hasNewFaults reports whether a run has the kinds of faults that were added after the
+// first kept seeds; those seeds must replay as they did when they failed.
 func (w *sim) hasNewFaults() bool { return w.seed%4 == 2 }
 
 func (w *sim) injectFault() {
@@ -54,37 +54,37 @@
 		}
 	}
 	t := w.targets[w.rng.IntN(len(w.targets))]
-	lasts := w.randomDuration(200*time.Millisecond, 9*time.Second)
+	duration := w.randomDuration(200*time.Millisecond, 9*time.Second)
 	kinds := 14
 	if w.seed%2 == 0 {
-		kinds += 2 // these came later than the first seed that is kept
+		kinds += 2 // added after the first kept seed
 	}
 	if w.hasNewFaults() {
-		kinds += 3 // a store that comes back older
+		kinds += 3 // restores of the store from an older snapshot
 	}
 	switch w.rng.IntN(kinds) {
 	case 0:
-		w.tracef("freeze %s %v", h.name, lasts)
-		h.frozen = w.now.Add(lasts)
+		w.tracef("freeze %s %v", h.name, duration)
+		h.frozen = w.now.Add(duration)
 	case 1:
 		w.tracef("kill %s", h.name)
 		h.dead = true
-		w.after(lasts, func() { h.dead, h.incarnation = false, h.incarnation+1; h.boot() })
+		w.after(duration, func() { h.dead, h.incarnation = false, h.incarnation+1; h.boot() })
 	case 2:
-		w.tracef("cut %s from the store %v", h.name, lasts)
+		w.tracef("cut %s off from the store %v", h.name, duration)
 		h.cutStore = true
-		w.after(lasts, func() { h.cutStore = false })
+		w.after(duration, func() { h.cutStore = false })
 	case 3:
-		w.tracef("cut %s off %v", h.name, lasts)
+		w.tracef("isolate %s %v", h.name, duration)
 		h.cutAll = true
-		w.after(lasts, func() { h.cutAll = false })
+		w.after(duration, func() { h.cutAll = false })
 	case 4:
-		w.tracef("store down %v", lasts)
+		w.tracef("store outage %v", duration)
 		w.store.down = true
 		if w.chance(0.5) {
-			w.store.listed = make(map[place.Target]place.TargetRow) // entries lapse
+			w.store.listed = make(map[place.Target]place.TargetRow) // entries expire
 		}
-		w.after(lasts, func() {
+		w.after(duration, func() {
 			w.store.down = false
 			for _, t := range w.targets {
 				if t.up {
@@ -93,47 +93,47 @@
 			}
 		})
 	case 5:
-		w.tracef("store slow %v", lasts)
+		w.tracef("store slow %v", duration)
 		w.store.slow = 250 * time.Millisecond
-		w.after(lasts, func() { w.store.slow = 0 })
+		w.after(duration, func() { w.store.slow = 0 })
 	case 6:
-		w.tracef("store loses answers %v", lasts)
+		w.tracef("store loses responses %v", duration)
 		w.store.losesResponses = true
-		w.after(lasts, func() { w.store.losesResponses = false })
+		w.after(duration, func() { w.store.losesResponses = false })
 	case 7:
 		w.tracef("%s's lease is revoked", w.store.lead)
 		w.store.leadSessionEnd = w.now
 	case 8:
-		w.tracef("crash %s %v", t.row.Target, lasts)
+		w.tracef("crash %s %v", t.row.Target, duration)
 		w.crash(t)
-		w.after(lasts, func() {
+		w.after(duration, func() {
 			if !t.up {
-				w.tracef("%s starts again", t.row.Target)
+				w.tracef("%s restarts", t.row.Target)
 				t.boot()
 			}
 		})
 	case 9:
-		w.tracef("cut %s %v", t.row.Target, lasts)
+		w.tracef("isolate target %s %v", t.row.Target, duration)
 		t.cut = true
-		w.after(lasts, func() { t.cut = false })
+		w.after(duration, func() { t.cut = false })
 		if w.chance(0.5) {
 			w.after(2600*time.Millisecond, func() { delete(w.store.listed, t.row.Target) })
-			w.after(lasts, func() {
+			w.after(duration, func() {
 				if t.up {
 					t.writeEntry(t.row)
 				}
 			})
 		}
 	case 10, 11:
-		w.tracef("%s carries out late %v", t.row.Target, lasts)
+		w.tracef("%s applies orders late %v", t.row.Target, duration)
 		t.appliesLate = true
-		w.after(lasts, func() { t.appliesLate = false })
+		w.after(duration, func() { t.appliesLate = false })
 	case 12:
-		w.tracef("%s leaves", t.row.Target)
+		w.tracef("%s is leaving", t.row.Target)
 		row := t.row
 		row.State = place.Leaving
 		w.store.listed[row.Target] = row
-		w.after(lasts, func() {
+		w.after(duration, func() {
 			if t.up && t.row.Incarnation == row.Incarnation {
 				t.writeEntry(t.row)
 			}
@@ -147,11 +147,11 @@
 			}
 		})
 	case 14:
-		w.tracef("stop %s %v", h.name, lasts)
+		w.tracef("stop %s %v", h.name, duration)
 		h.stopping = true
-		life := h.incarnation
-		w.after(lasts, func() {
-			if h.incarnation == life {
+		inc := h.incarnation
+		w.after(duration, func() {
+			if h.incarnation == inc {
 				h.incarnation++
 				h.boot()
 			}
@@ -160,7 +160,7 @@
 		age := w.randomDuration(0, 10*time.Second)
 		if w.chance(0.3) {
 			w.store.down = true
-			w.after(lasts/4, func() { w.store.down = false; w.restore(age) })
+			w.after(duration/4, func() { w.store.down = false; w.restore(age) })
 			break
 		}
 		w.restore(age)
@@ -168,9 +168,9 @@
 			w.after(w.randomDuration(10*time.Millisecond, 2*time.Second), func() { w.restore(w.randomDuration(0, 5*time.Second)) })
 		}
 	case 15:
-		w.tracef("cut %s from %s %v", h.name, t.row.Target, lasts)
+		w.tracef("cut %s off from %s %v", h.name, t.row.Target, duration)
 		h.cutFrom = t
-		w.after(lasts, func() { h.cutFrom = nil })
+		w.after(duration, func() { h.cutFrom = nil })
 	}
 }
 
@@ -189,7 +189,7 @@
 	calmPhase  = 25 * time.Second
 )
 
-// run runs the world: faults for a while, then calm.
+// run runs the simulation: a phase with faults, then a calm one.
 func (w *sim) run() {
 	until := w.start.Add(faultPhase)
 	w.after(4*time.Second, func() { w.scheduleFaults(until) })
@@ -202,7 +202,7 @@
 	}
 }
 
-// trackHeld notes which points are held.
+// trackHeld records which points are held.
 func (w *sim) trackHeld() {
 	for _, p := range w.points {
 		for _, t := range w.targets {
@@ -217,40 +217,41 @@
 // maxMoveTime is longer than any planned move takes.
 const maxMoveTime = 1500 * time.Millisecond
 
-// unheldPoint returns a point that nobody holds at the end, and not only because
-// it is on the move, or "".
+// unheldPoint describes a point that no target holds at the end, other than one that is
+// on the move, or returns "".
 func (w *sim) unheldPoint() string {
 	for _, p := range w.points {
 		if gone := w.now.Sub(w.heldAt[p]); gone > maxMoveTime {
-			return fmt.Sprintf("nobody holds %d for %v after %v of calm", p, gone, calmPhase)
+			return fmt.Sprintf("no target has held %d for %v after a calm phase of %v", p, gone, calmPhase)
 		}
 	}
 	return ""
 }
 
-// shortShare is the part of the runs that -short plays, for the race detector:
-// it makes each ten times as long, and the core has no goroutines to race.
+// shortShare is the share of the runs that -short does, for the race detector: it makes
+// each run ten times as long, and the core has no goroutines that could race.
 const shortShare = 0.2
 
-// randomSeeds returns the seeds that failed once, and those that were asked for.
+// randomSeeds returns the seeds that found a fault before, and those that the flags ask
+// for.
 func randomSeeds() []uint64 {
 	runs := *randomRuns
 	if testing.Short() {
 		runs = int(shortShare * float64(runs))
 	}
 	seeds := make([]uint64, 0, runs+1)
-	// A lead without a lease took released ranges back, at a target that had
-	// started again.
+	// A leader without a lease took released ranges back, at a target that had
+	// restarted.
 	seeds = append(seeds, 90193)
-	// A lead handed on before its own predecessor had surely ended; the next one
-	// took it that all leads before had.
+	// A leader resigned before its own predecessor had certainly ended. The next leader
+	// assumed that all prior leaders had ended.
 	seeds = append(seeds, 60496)
-	// An answer to a write of the term before a restore came after the next term had
-	// begun, and ended that for good.
+	// The response to a write of the term before a restore came after the next term had
+	// begun, and ended that term for good.
 	seeds = append(seeds, 1047082, 1083642)
-	// A release was tried again while the store was out.
+	// A release was retried during a store outage.
 	seeds = append(seeds, 1092906)
-	// A move was called off while a grant of the range was on its way.
+	// A move was canceled while a grant of the range was in flight.
 	seeds = append(seeds, 3007942, 3045894, 3049594)
 	// A write was refused in the last moment of the lease: checkStranded allows it.
 	seeds = append(seeds, 2001522, 2081334)
@@ -260,9 +261,9 @@
 	return seeds
 }
 
-// TestRandomRuns plays random worlds: no point may ever be held by two targets
-// that are up, and all must be held again after a calm. -owner.runs plays more,
-// -owner.seed others.
+// TestRandomRuns does random runs: no point may ever be held by two running targets,
+// and each must be held again after the calm phase. -owner.runs sets the number of
+// runs, -owner.seed the first seed.
 func TestRandomRuns(t *testing.T) {
 	moves := 0
 	for _, seed := range randomSeeds() {
@@ -286,5 +287,5 @@
 		}
 		t.Errorf("seed %d: %s; trace in %s", w.seed, problem, file)
 	}
-	t.Logf("%d writes of new owners", moves)
+	t.Logf("%d writes of the document", moves)
 }
--- a/internal/owner/restore.go
+++ b/internal/owner/restore.go
@@ -6,10 +6,10 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// StoreRestored tells that the store has come back from an older copy since a term began:
-// the term's lease and what it last wrote are gone, or will be another's. Until this
-// host leads again by the store, and has waited for leads that nobody remembers, it
-// renews what its owners surely hold and does nothing else.
+// StoreRestored says that the store was restored from an older snapshot since a term
+// began: the lease of the term and its last writes are lost, or belong to another host.
+// Until this host is elected again, and leaders that were lost in the restore can no
+// longer send orders, it only renews ranges that their owners certainly hold.
 func (c *Core) StoreRestored(now time.Time, term Term) {
 	if !c.leading || c.termLost || term != c.term {
 		return
@@ -21,17 +21,19 @@
 	c.freeze(now, now.Add(c.restoreWait()))
 }
 
-// TermLost reports whether this host leads by a store that has forgotten it.
+// TermLost reports whether this core leads a term that was lost in a restore of the
+// store.
 func (c *Core) TermLost() bool { return c.leading && c.termLost }
 
-// restoreWait is how long after a restore any lead of before may have held ranges:
-// the lease that it had, the right to renew after that, an order on its way, and what
-// that granted.
+// restoreWait returns how long after a restore a leader from before it may cause a
+// range to be held: its lease, its renewal grace, an order in flight, and the grant in
+// that order.
 func (c *Core) restoreWait() time.Duration {
 	return c.cfg.LeaseTTL + c.cfg.RenewGrace + c.cfg.OrderTimeout + c.cfg.maxGrantDuration()
 }
 
-// resumeAfterRestore starts a term after one that the store has forgotten, on what this host knows.
+// resumeAfterRestore starts a term after one that was lost in a restore, with this
+// host's own state.
 func (c *Core) resumeAfterRestore(now time.Time, doc Doc, revision platform.Revision, leaseEnd time.Time) {
 	c.term, c.revision, c.leaseEnd = doc.Term, revision, leaseEnd
 	c.termLost, c.docFlagged, c.lastFence = false, true, 0
@@ -39,9 +41,9 @@
 	c.freeze(now, now.Add(c.restoreWait()))
 }
 
-// freeze ends all moves, and lets no range become free before until: a lead that was
-// forgotten may have had it released, and given it to another owner. What this host
-// has released on its way to another owner may be held by anyone.
+// freeze cancels all moves, and lets no range become free before until: a leader that
+// was lost in the restore may have released the range and given it to another owner. A
+// range that this host was moving to another owner may be held by any target.
 func (c *Core) freeze(now, until time.Time) {
 	c.frozenUntil, c.changed = later(c.frozenUntil, until), true
 	for _, r := range c.rows {
@@ -56,8 +58,8 @@
 	}
 }
 
-// markUnknown notes that nothing is known of who holds a range, until all that leads of
-// before may have granted has ended.
+// markUnknown records that it is unknown which target holds a range, until all grants
+// that leaders from before a restore may have sent have expired.
 func (c *Core) markUnknown(now time.Time, r *row) {
 	r.state, r.routable, r.since, r.heldUntil, r.released = held, false, now, now, false
 	r.acked, r.unacked, r.fence, r.grantConn = 0, 0, 0, 0
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -9,59 +9,59 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// state is where a row stands in a move.
+// state is the step of a move that a row is in.
 type state uint8
 
 const (
 	// held: the owner holds the range, or may hold it.
 	held state = iota
-	// releasePending: the range shall go elsewhere; requests are no longer sent.
+	// releasePending: the range is to move; its release has not been sent.
 	releasePending
-	// releasing: a release is on its way.
+	// releasing: the release is in flight.
 	releasing
-	// free: there is evidence that nobody holds the range.
+	// free: there is evidence that no target holds the range.
 	free
-	// writing: its new owner is being written.
+	// writing: the new owner is being written to the store.
 	writing
 )
 
-// row is a range with one owner and one history.
+// row is a range with one owner and the state of its grant.
 type row struct {
 	Row
 
 	state state
-	// to is the next owner, once one is chosen.
+	// to is the next owner; empty until one is chosen.
 	to place.Target
 	// since is when the state began.
 	since time.Time
-	// grantConn and fence are those of the newest grant.
+	// grantConn and fence are the connection and the fencing token of the newest grant.
 	grantConn uint64
 	fence     target.FencingToken
-	// acked is the highest fence that the owner answered in this term, lost
-	// the highest of those without an answer: such a grant may take effect
-	// late, unless the owner has seen a higher fence.
+	// acked is the highest fencing token that the owner has acknowledged in this term,
+	// unacked the highest one without a response. Such a grant may take effect late,
+	// unless the owner has seen a higher token.
 	acked   target.FencingToken
 	unacked target.FencingToken
-	// expiresBy is when the owner holds the range no more, if no further grant is
-	// sent.
+	// expiresBy is when the owner certainly no longer holds the range if no further
+	// grant is sent.
 	expiresBy time.Time
 	// heldUntil is until when the owner certainly holds the range.
 	heldUntil time.Time
-	// routable tells that requests may be sent to the owner, hidden since when a
-	// table has said that they may not.
+	// routable is true if requests may be sent to the owner, unroutableSince the time
+	// since which tables say that they may not.
 	routable        bool
 	unroutableSince time.Time
-	// warmAt is when the keys are as fast as ever at an owner that took them
-	// without a handover; zero where they are.
+	// warmAt is when warm-up ends at an owner that took the keys without a handover;
+	// zero if they are warm.
 	warmAt time.Time
-	// releaseID numbers the release under way.
+	// releaseID numbers the release in flight.
 	releaseID uint64
-	// released tells that a free range was released by its owner, which the
-	// document still names.
+	// released is true if a free range was released by its owner, which the document
+	// still names.
 	released bool
 }
 
-// checkRows looks at what the passing of time has decided.
+// checkRows applies the changes that are due to the passing of time.
 func (c *Core) checkRows(now time.Time) {
 	for _, r := range c.rows {
 		if !now.Before(r.warmAt) {
@@ -82,28 +82,30 @@
 	}
 }
 
-// checkHeld hides a range whose owner does not surely hold it, and lets one leave an
-// owner that leaves. A move has to wait where another lead may have made one.
+// checkHeld makes a range unroutable if its owner may no longer hold it, and starts to
+// move it off an owner that is leaving. While frozen, no move starts, as a leader lost
+// in a restore may have made one.
 func (c *Core) checkHeld(now time.Time, r *row) {
 	switch {
 	case c.ownerLive(r):
 	case !now.Before(c.frozenUntil):
-		c.startMove(now, r, "", "Range leaves a target that leaves.")
+		c.startMove(now, r, "", "Range moves off a leaving target.")
 		return
 	case r.routable:
 		r.routable, c.changed = false, true
 	}
 	if r.routable && now.After(r.heldUntil) {
-		c.note(now, "Target leaves grants unanswered.", r, "")
+		c.note(now, "Target does not acknowledge grants.", r, "")
 		r.routable, c.changed = false, true
 	}
 }
 
-// expire notes that the last grant of a range has ended.
+// expire frees a range whose last grant has expired.
 func (c *Core) expire(now time.Time, r *row) {
-	c.markFree(now, r, "Grant has lapsed.")
+	c.markFree(now, r, "Grant expired.")
 	if l := c.targetConn(r.Target); !l.failingSince.IsZero() && c.hasAlternative(now, r.Target) {
-		// No order went out after it was in doubt: its silence is as new as the lapse.
+		// No order was sent once it was uncertain that the target holds the range: its
+		// failure counts from the expiry.
 		l.failedAt = now
 	}
 }
@@ -113,15 +115,15 @@
 }
 
 const (
-	// partsPerRequest is into how many parts a range is cut to be released, for each
-	// request that runs on it at a time; partsMost bounds them.
+	// partsPerRequest is the number of parts into which a range is cut for a release,
+	// for each request that runs on it at a time. maxParts bounds the number of parts.
 	partsPerRequest = 4
 	maxParts        = 8
 )
 
-// startMove starts the move of a range; to may be empty. A release is answered once all
-// work on its keys has ended, so a busy range leaves in parts: most of them have no
-// work running, and are back in a moment.
+// startMove starts the move of a range; to may be empty. A release is answered only
+// when all work on its keys has ended, so a busy range moves in parts: most of them
+// have no work running and are available again within moments.
 func (c *Core) startMove(now time.Time, r *row, to place.Target, why string) {
 	c.note(now, why, r, to)
 	parts := int(partsPerRequest * c.load.Work(r.Range))
@@ -132,7 +134,7 @@
 	c.confirm(now)
 }
 
-// markFree notes that nobody holds the range.
+// markFree records that no target holds the range.
 func (c *Core) markFree(now time.Time, r *row, why string) {
 	c.note(now, why, r, r.to)
 	if now.Before(c.frozenUntil) {
@@ -144,12 +146,13 @@
 	c.changed = true
 }
 
-// reclaimMargin is how long before the end of its lease a lead takes back what it
-// could not record elsewhere: without a lease, another lead may have given it away.
+// reclaimMargin is how long before the end of its lease a leader takes back ranges
+// whose new owner it could not record: without a lease, another leader may have given
+// them away.
 const reclaimMargin = 100 * time.Millisecond
 
-// shouldReclaim reports whether a released range should go back to its owner: the
-// store has refused to record another one, or takes too long.
+// shouldReclaim reports whether a released range should return to its owner: the store
+// refused to record another one, or takes too long.
 func (c *Core) shouldReclaim(now time.Time, r *row) bool {
 	if !now.Before(c.leaseEnd) {
 		return false
@@ -157,10 +160,10 @@
 	return c.writeRefusedAt.After(r.since) || now.Sub(r.since) > c.cfg.ReclaimTimeout || now.After(c.leaseEnd.Add(-reclaimMargin))
 }
 
-// reclaim gives a released range back to its owner: the store does not take the
-// new one.
+// reclaim returns a released range to its owner, as the new owner could not be
+// recorded.
 func (c *Core) reclaim(now time.Time, r *row) {
-	c.note(now, "Range goes back, its new owner can't be recorded.", r, r.to)
+	c.note(now, "Range returned to its owner, new owner not recorded.", r, r.to)
 	r.state, r.to, r.since, r.released = held, "", now, false
 	r.expiresBy, r.heldUntil = now.Add(c.cfg.FirstGrantTimeout), now.Add(c.cfg.FirstGrantTimeout)
 	c.changed, c.reclaimedAt = true, now
@@ -171,7 +174,7 @@
 	return len(c.rows) == 1 && c.rows[0].Target == "" && c.rows[0].state == free
 }
 
-// coalesce joins neighbouring rows of one owner, so that one grant renews them.
+// coalesce merges adjacent rows of one owner, so that one grant renews them.
 func (c *Core) coalesce() {
 	out := c.rows[:0]
 	for _, r := range c.rows {
@@ -180,7 +183,7 @@
 			last.Range.Last = r.Range.Last
 			last.expiresBy = later(last.expiresBy, r.expiresBy)
 			last.acked, last.unacked, last.fence = min(last.acked, r.acked), max(last.unacked, r.unacked), max(last.fence, r.fence)
-			last.grantConn = 0 // the next grant gets a fence above both
+			last.grantConn = 0 // forces a new fencing token, above both
 			continue
 		}
 		out = append(out, r)
@@ -195,7 +198,7 @@
 	return same && quiet && a.warmAt.Equal(b.warmAt) && a.Target != "" && min(a.acked, b.acked) > max(a.unacked, b.unacked) && !c.targetConn(a.Target).inFlight
 }
 
-// split cuts a row so that one row has exactly the range, and returns it.
+// split cuts a row so that one row covers exactly the range, and returns that row.
 func (c *Core) split(r key.Range) *row {
 	for i := 0; i < len(c.rows); i++ {
 		at := c.rows[i]
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -14,9 +14,9 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// The sim of one random run: hosts that may lead, one store, targets, and
-// faults of all of them. Times are one clock's; targets measure holds with
-// clocks of their own that run up to 2% slow.
+// sim is the simulation of one random run: hosts that may become leader, a store,
+// targets, and faults in all of them. All times are of one clock, except that targets
+// measure grants with clocks of their own that run up to 2% slow.
 type sim struct {
 	t      *testing.T
 	rng    *rand.Rand
@@ -31,9 +31,9 @@
 	store     simStore
 	snapshots []simSnapshot
 	points    []key.Point
-	// highest is the highest fence that any target has taken of each point.
+	// highest is the highest fencing token that any target has accepted for each point.
 	highest map[key.Point]simFence
-	// heldAt is when each point was last seen held.
+	// heldAt is when each point was last seen to be held.
 	heldAt    map[key.Point]time.Time
 	violation string
 	trace     []string
@@ -71,14 +71,14 @@
 
 type simStore struct {
 	era platform.Era
-	// leadEra is the era that the lead's entry was written in.
+	// leadEra is the era in which the leader's entry was written.
 	leadEra         platform.Era
 	doc             Doc
 	revision        platform.Revision
 	lead            place.Host
 	leadIncarnation place.Incarnation
 	leadRev         platform.Revision
-	leadSessionEnd  time.Time // of the lead's session
+	leadSessionEnd  time.Time // of the leader's session
 	down            bool
 	slow            time.Duration
 	losesResponses  bool
@@ -91,19 +91,19 @@
 	row         place.TargetRow
 	up          bool
 	cut         bool
-	appliesLate bool // carries orders out late and does not answer them
+	appliesLate bool // applies orders late and does not respond
 	clockRate   float64
 	seen        map[key.Point]target.FencingToken
 	until       map[key.Point]time.Time
 }
 
-// simSnapshot is what of the store a lead has written, as it was before a change.
+// simSnapshot is the part of the store that leaders write, as it was before a change.
 type simSnapshot struct {
 	until time.Time
 	store simStore
 }
 
-// takeSnapshot takes a copy of the store before a change.
+// takeSnapshot takes a snapshot of the store before a change.
 func (w *sim) takeSnapshot() {
 	w.snapshots = append(w.snapshots, simSnapshot{w.now, w.store})
 	const kept = 400
@@ -112,16 +112,16 @@
 	}
 }
 
-// restore lets the store come back from a copy of that age. Leases of the copy have
-// lapsed, or go on; what targets and hosts have entered is written again.
+// restore restores the store from a snapshot of the given age. Leases in the snapshot
+// have expired or run on. The entries of targets and hosts are written anew.
 func (w *sim) restore(age time.Duration) {
 	s := &w.store
-	w.tracef("store comes back from a copy %v old", age)
+	w.tracef("store restored from a snapshot %v old", age)
 	for i, c := range w.snapshots {
 		if c.until.After(w.now.Add(-age)) {
-			back := c.store
-			s.doc, s.revision = back.doc, back.revision
-			s.lead, s.leadIncarnation, s.leadRev, s.leadEra = back.lead, back.leadIncarnation, back.leadRev, back.leadEra
+			older := c.store
+			s.doc, s.revision = older.doc, older.revision
+			s.lead, s.leadIncarnation, s.leadRev, s.leadEra = older.lead, older.leadIncarnation, older.leadRev, older.leadEra
 			w.snapshots = w.snapshots[:i]
 			break
 		}
@@ -191,7 +191,7 @@
 	w.targets = append(w.targets, t)
 }
 
-// boot starts a life of a target; it knows nothing of before.
+// boot starts an incarnation of a target, with no state of earlier ones.
 func (t *simTarget) boot() {
 	t.up = true
 	t.seen, t.until = make(map[key.Point]target.FencingToken), make(map[key.Point]time.Time)
@@ -199,7 +199,7 @@
 	t.writeEntry(t.row)
 }
 
-// writeEntry puts the target's entry into the store; it is there a moment later.
+// writeEntry writes the target's entry to the store, after a delay.
 func (t *simTarget) writeEntry(row place.TargetRow) {
 	t.w.after(t.w.randomDuration(10*time.Millisecond, 900*time.Millisecond), func() {
 		if t.up && t.row.Incarnation == row.Incarnation {
@@ -220,7 +220,7 @@
 	}
 }
 
-// grant applies an order that arrived at a time.
+// grant applies a grant that arrived at the given time.
 func (t *simTarget) grant(g target.Grant, arrived time.Time) error {
 	fenced := false
 	t.eachPoint(g.Range, func(p key.Point) { fenced = fenced || t.seen[p] > g.FencingToken })
@@ -230,7 +230,7 @@
 	end := arrived.Add(time.Duration(float64(g.Duration) / t.clockRate))
 	t.eachPoint(g.Range, func(p key.Point) {
 		if last := t.w.highest[p]; end.After(t.w.now) && last.fence >= g.FencingToken && last.holder != t && t.w.violation == "" {
-			t.w.violation = fmt.Sprintf("%s takes %d at fence %d, %s had it at %d", t.row.Target, p, g.FencingToken, last.holder.row.Target, last.fence)
+			t.w.violation = fmt.Sprintf("%s accepts %d with fencing token %d, %s had it with %d", t.row.Target, p, g.FencingToken, last.holder.row.Target, last.fence)
 		}
 		if t.w.highest[p].fence < g.FencingToken {
 			t.w.highest[p] = simFence{g.FencingToken, t}
--- a/internal/owner/simhost_test.go
+++ b/internal/owner/simhost_test.go
@@ -18,29 +18,30 @@
 	incarnation place.Incarnation
 	core        *Core
 	dead        bool
-	frozen      time.Time // until
+	frozen      time.Time // until then
 	cutStore    bool
-	cutAll      bool // from targets and hosts too
+	cutAll      bool // from the store, targets and hosts
 	leaseEnd    time.Time
 	campaignAt  time.Time
-	campaigning bool // campaigning
-	// stopping is set for a planned stop, resigning while it hands the lead on.
+	campaigning bool
+	// stopping is true during a planned stop, resigning while the host resigns as
+	// leader.
 	stopping, resigning bool
-	// priorMayRenew tells that leads before the one before may send.
+	// priorMayRenew is true if leaders before the predecessor may still send orders.
 	priorMayRenew bool
-	// cutFrom is the target that this host doesn't reach.
+	// cutFrom is a target that this host can't reach.
 	cutFrom *simTarget
 	leadRev platform.Revision
-	// era is the latest that this host has heard of, leadEra that of its lead's entry,
-	// firstEra that in which its life began.
+	// era is the latest that this host knows, leadEra that of its leader entry,
+	// firstEra that in which its incarnation began.
 	era, leadEra, firstEra platform.Era
 	inFlight               int
 	predecessor            place.Host
 	predecessorIncarnation place.Incarnation
 	predecessorSettled     bool
-	// conns are the connections for grants: each is to one life of a target.
+	// conns are the connections for grants, each to one incarnation of a target.
 	conns map[place.Target]simConn
-	// tickedAt is when it last ticked.
+	// tickedAt is when the last tick was.
 	tickedAt time.Time
 }
 
@@ -49,7 +50,7 @@
 	incarnation place.Incarnation
 }
 
-// boot starts a life of a host.
+// boot starts an incarnation of a host.
 func (h *simHost) boot() {
 	h.core = New(simConfig(h))
 	h.inFlight, h.campaigning, h.leaseEnd, h.campaignAt = 0, false, time.Time{}, time.Time{}
@@ -59,23 +60,25 @@
 	h.w.store.incarnations[h.name] = h.incarnation
 }
 
-func (h *simHost) alive(life place.Incarnation) bool { return !h.dead && h.incarnation == life }
+func (h *simHost) alive(inc place.Incarnation) bool {
+	return !h.dead && h.incarnation == inc
+}
 
-// run calls f in the host's life, once it is not frozen.
-func (h *simHost) run(life place.Incarnation, f func()) {
-	if !h.alive(life) {
+// run calls f if the incarnation still runs, once it is not frozen.
+func (h *simHost) run(inc place.Incarnation, f func()) {
+	if !h.alive(inc) {
 		return
 	}
 	if wait := h.frozen.Sub(h.w.now); wait > 0 {
-		h.w.after(wait, func() { h.run(life, f) })
+		h.w.after(wait, func() { h.run(inc, f) })
 		return
 	}
 	f()
 }
 
 func (h *simHost) tick() {
-	life := h.incarnation
-	h.run(life, func() {
+	inc := h.incarnation
+	h.run(inc, func() {
 		h.step()
 		h.apply(h.core.Tick(h.w.now))
 		h.checkStranded()
@@ -84,28 +87,28 @@
 	h.w.after(h.w.randomDuration(15*time.Millisecond, 25*time.Millisecond), h.tick)
 }
 
-// checkStranded looks for ranges that a planned move has left without an owner at
-// the end of the lease: they have none until the store is back.
+// checkStranded looks for released ranges without an owner at the end of the lease:
+// they would have none until the store outage ends.
 func (h *simHost) checkStranded() {
-	const steady = 50 * time.Millisecond // between two ticks of a host that is not frozen
+	const steady = 50 * time.Millisecond // longest time between two ticks of a host that is not frozen
 	c, now := h.core, h.w.now
 	ends := c.Leading() && h.tickedAt.Before(c.leaseEnd) && !now.Before(c.leaseEnd)
 	if now.Sub(c.writeRefusedAt) <= steady {
-		return // a write was on its way until now: seeds 2001522, 2081334
+		return // a write was in flight until now: seeds 2001522, 2081334
 	}
 	if !ends || now.Sub(h.tickedAt) > steady || c.stopping || c.pending != nil || h.w.violation != "" {
 		return
 	}
 	for _, r := range c.rows {
 		if r.state == free && r.released && c.usable(now, r.Target) && now.Sub(r.since) > reclaimMargin {
-			h.w.violation = fmt.Sprintf("%s has released %v and can't record another owner at %.3f s", h.name, r.Range, now.Sub(h.w.start).Seconds())
+			h.w.violation = fmt.Sprintf("%s has released %v and can't record a new owner at %.3f s", h.name, r.Range, now.Sub(h.w.start).Seconds())
 		}
 	}
 }
 
 func (h *simHost) reachesStore() bool { return !h.cutStore && !h.cutAll && !h.w.store.down }
 
-// step keeps the lease, looks at the store and campaigns.
+// step renews the lease, reads the store and campaigns.
 func (h *simHost) step() {
 	w := h.w
 	if h.reachesStore() {
@@ -115,7 +118,7 @@
 		return
 	}
 	h.core.ExtendLease(h.leaseEnd)
-	h.core.SetTargets(w.now, w.store.listed) // a stale list is as good
+	h.core.SetTargets(w.now, w.store.listed) // a stale list will do
 	if w.chance(0.02) {
 		load := w.randomLoad()
 		h.core.SetLoad(load, nil, nil)
@@ -124,9 +127,9 @@
 	h.resign()
 }
 
-// resign hands the lead on in a planned stop, as soon as the store takes it.
+// resign ends leadership in a planned stop, as soon as the store accepts it.
 func (h *simHost) resign() {
-	w, life, leadRev := h.w, h.incarnation, h.leadRev
+	w, inc, leadRev := h.w, h.incarnation, h.leadRev
 	if !h.stopping || h.resigning {
 		return
 	}
@@ -143,15 +146,15 @@
 	doc.Leader, doc.LeaderIncarnation = "", 0
 	w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond)+w.store.slow, func() {
 		s := &w.store
-		away := !h.reachesStore()
-		if !away && s.revision == expect && s.leadRev == leadRev && w.now.Before(s.leadSessionEnd) {
-			w.tracef("%s hands on term %d", h.name, doc.Term)
+		unreachable := !h.reachesStore()
+		if !unreachable && s.revision == expect && s.leadRev == leadRev && w.now.Before(s.leadSessionEnd) {
+			w.tracef("%s resigns from term %d", h.name, doc.Term)
 			w.takeSnapshot()
 			s.doc, s.revision, s.lead, s.leadSessionEnd = doc, s.revision+1, "", w.now
 		}
 		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
-			h.run(life, func() {
-				if away { // surely not carried out
+			h.run(inc, func() {
+				if unreachable { // certainly not carried out
 					h.resigning = false
 					h.core.Resume()
 					return
@@ -173,7 +176,8 @@
 	return l
 }
 
-// followStore follows the store: its lead, this host's session, a campaign.
+// followStore reads the store: the leader entry, this host's session, whether to
+// campaign.
 func (h *simHost) followStore() {
 	w, s := h.w, &h.w.store
 	h.era = s.era
@@ -202,7 +206,7 @@
 		return
 	}
 	if h.core.TermLost() && !h.campaigning && !h.stopping {
-		h.campaign() // others give it time
+		h.campaign() // other hosts wait before they campaign
 		return
 	}
 	if h.campaignAt.IsZero() {
@@ -214,7 +218,7 @@
 }
 
 func (h *simHost) campaign() {
-	w, life := h.w, h.incarnation
+	w, inc := h.w, h.incarnation
 	h.campaigning = true
 	base, era := w.store.revision, w.store.era
 	doc := w.store.doc
@@ -256,14 +260,14 @@
 		revision := s.revision
 		ok = ok && s.era == era
 		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
-			h.run(life, func() {
+			h.run(inc, func() {
 				h.campaigning = false
 				if !ok {
 					return
 				}
 				h.leadRev, h.leadEra = revision, era
 				h.leaseEnd = sent.Add(simConfig(h).LeaseTTL)
-				w.tracef("%s leads term %d prior %d", h.name, next.Term, prior)
+				w.tracef("%s becomes leader of term %d prior %d", h.name, next.Term, prior)
 				h.core.BeginTerm(w.now, next, revision, h.leaseEnd, prior)
 				if w.leavesOut(breakFreeze) {
 					h.core.frozenUntil = time.Time{}
@@ -273,7 +277,7 @@
 	})
 }
 
-// askPredecessor asks the lead before whether it has stopped.
+// askPredecessor asks the predecessor whether it has stopped.
 func (h *simHost) askPredecessor() {
 	if h.predecessorSettled || !h.w.chance(0.1) {
 		return
@@ -311,10 +315,10 @@
 			h.sendRelease(e)
 		case WriteDoc:
 			h.write(&simWrite{WriteDoc: e, w: h.w, era: h.leadEra}, h.incarnation, h.leadRev)
-		case RenewLease: // look renews it within moments
+		case RenewLease: // followStore renews it within moments
 		case Publish:
 		case Note:
-			h.w.tracef("%s %s %s %s>%s fence %d", h.name, e.Text, e.Range, e.From, e.To, e.Fence)
+			h.w.tracef("%s %s %s %s>%s fencing token %d", h.name, e.Text, e.Range, e.From, e.To, e.Fence)
 		}
 	}
 }
@@ -328,22 +332,22 @@
 	return nil
 }
 
-// order carries one order to a target and its answer back: it arrives in time,
-// or its connection is reset and it never does. An order that arrived may be
+// order sends an order to a target and its response back. The order arrives in time, or
+// its connection is reset and it never arrives. An order that has arrived may be
 // carried out late and never answered.
 func (h *simHost) order(addr netip.AddrPort, apply func(t *simTarget, arrived time.Time) error, done func(error)) {
-	w, life := h.w, h.incarnation
+	w, inc := h.w, h.incarnation
 	bound := simConfig(h).OrderTimeout
 	t := w.targetAt(addr)
 	if h.cutAll || t == nil || !t.up || t.cut || h.cutFrom == t {
 		wait := w.randomDuration(time.Millisecond, bound)
-		w.after(wait, func() { h.run(life, func() { done(target.ErrNotSent) }) })
+		w.after(wait, func() { h.run(inc, func() { done(target.ErrNotSent) }) })
 		return
 	}
 	born := t.row.Incarnation
 	w.after(w.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
 		if !t.up || t.row.Incarnation != born || t.cut || h.cutAll || h.cutFrom == t {
-			w.after(bound, func() { h.run(life, func() { done(target.ErrUnanswered) }) })
+			w.after(bound, func() { h.run(inc, func() { done(target.ErrUnanswered) }) })
 			return
 		}
 		if t.appliesLate && w.chance(0.5) {
@@ -353,7 +357,7 @@
 					_ = apply(t, arrived)
 				}
 			})
-			w.after(bound, func() { h.run(life, func() { done(target.ErrUnanswered) }) })
+			w.after(bound, func() { h.run(inc, func() { done(target.ErrUnanswered) }) })
 			return
 		}
 		err := apply(t, w.now)
@@ -362,12 +366,12 @@
 		if lost {
 			back, err = bound, target.ErrUnanswered
 		}
-		w.after(back, func() { h.run(life, func() { done(err) }) })
+		w.after(back, func() { h.run(inc, func() { done(err) }) })
 	})
 }
 
 func (h *simHost) sendGrants(e SendGrants) {
-	life := h.incarnation
+	inc := h.incarnation
 	results := make([]error, len(e.Grants))
 	for i := range results {
 		results[i] = target.ErrNotSent
@@ -389,7 +393,7 @@
 		}
 		h.order(e.Addr, func(t *simTarget, arrived time.Time) error {
 			if t.row.Incarnation != h.conns[e.Target].incarnation {
-				return target.ErrNotSent // the connection ended with the life
+				return target.ErrNotSent // the connection ended with the incarnation
 			}
 			return t.grant(e.Grants[i], arrived)
 		}, func(err error) {
@@ -397,8 +401,8 @@
 			next(i + 1)
 		})
 	}
-	// The process may be frozen between its decision and the sending.
-	h.w.after(h.w.randomDuration(0, 2*time.Millisecond), func() { h.run(life, func() { next(0) }) })
+	// The process may freeze between the decision and the sending.
+	h.w.after(h.w.randomDuration(0, 2*time.Millisecond), func() { h.run(inc, func() { next(0) }) })
 }
 
 func (h *simHost) sendRelease(e SendRelease) {
@@ -412,17 +416,17 @@
 	})
 }
 
-// simWrite is a write on its way; sent tells that the store may have it.
+// simWrite is a write in flight; sent is true if the store may have received it.
 type simWrite struct {
 	WriteDoc
 
 	w *sim
-	// era is that of the lead that writes.
+	// era is that of the leader that writes.
 	era  platform.Era
 	sent bool
 }
 
-// commit carries the write out where its conditions hold.
+// commit carries out the write if its conditions hold.
 func (e *simWrite) commit(leadRev platform.Revision) bool {
 	w, s := e.w, &e.w.store
 	if s.revision != e.Expect || s.leadRev != leadRev || !w.now.Before(s.leadSessionEnd) {
@@ -434,47 +438,46 @@
 	return true
 }
 
-// write carries the document to the store until it is certain whether it is
-// there.
-func (h *simHost) write(e *simWrite, life place.Incarnation, leadRev platform.Revision) {
+// write sends the document to the store until it is known whether it is stored.
+func (h *simHost) write(e *simWrite, inc place.Incarnation, leadRev platform.Revision) {
 	w := h.w
 	w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond)+w.store.slow, func() {
 		s := &w.store
 		if !h.reachesStore() {
 			refused := w.hasNewFaults() && !e.sent && w.chance(0.5)
 			w.after(100*time.Millisecond, func() {
-				h.run(life, func() {
+				h.run(inc, func() {
 					if refused {
 						h.core.NotWritten(w.now, e.WriteDoc)
 						return
 					}
-					h.write(e, life, leadRev)
+					h.write(e, inc, leadRev)
 				})
 			})
 			return
 		}
 		e.sent = true
-		there := s.doc.WriteID == e.Doc.WriteID
-		if !there && e.commit(leadRev) {
-			there = true
+		stored := s.doc.WriteID == e.Doc.WriteID
+		if !stored && e.commit(leadRev) {
+			stored = true
 		}
 		if s.losesResponses && w.chance(0.4) {
-			w.after(100*time.Millisecond, func() { h.run(life, func() { h.write(e, life, leadRev) }) })
+			w.after(100*time.Millisecond, func() { h.run(inc, func() { h.write(e, inc, leadRev) }) })
 			return
 		}
 		revision, era := s.revision, s.era
 		if w.hasNewFaults() && w.chance(0.02) {
-			// A copy of it that was held up takes effect late, if it still may.
+			// A delayed duplicate of the write takes effect late, if it still may.
 			w.after(w.randomDuration(time.Second, 6*time.Second), func() { e.commit(leadRev) })
 		}
 		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
-			h.run(life, func() {
+			h.run(inc, func() {
 				if era != e.era {
 					h.era = max(h.era, era)
 					h.core.StoreRestored(w.now, e.Doc.Term)
 					return
 				}
-				if there {
+				if stored {
 					h.core.Written(w.now, e.WriteDoc, revision)
 					return
 				}
--- a/internal/owner/table.go
+++ b/internal/owner/table.go
@@ -15,7 +15,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// Version orders the tables of a service.
+// Version orders the routing tables of a service.
 type Version struct {
 	Term     Term
 	Sequence uint64
@@ -29,34 +29,34 @@
 	return v.Sequence < w.Sequence
 }
 
-// Table tells where requests go.
+// Table is a routing table: it names the target that serves each range.
 type Table struct {
 	Service key.Service
 	Version Version
 	Leader  place.Host
-	// LeaderIncarnation is the lead's.
+	// LeaderIncarnation is the incarnation of the leader's process.
 	LeaderIncarnation place.Incarnation
-	// DocRevision is the revision of the document that the table rests on.
+	// DocRevision is the revision of the document that the table is made from.
 	DocRevision platform.Revision
-	// Spans cover the key space, in order.
+	// Spans cover the key space without gaps, in order.
 	Spans []Span
 }
 
-// Span is a range and its owner now.
+// Span is a range and its current owner.
 type Span struct {
 	Range key.Range
 	// Target is empty while the range has no owner to send requests to.
 	Target place.Target
 	Addr   netip.AddrPort
-	// AvailableIn is, for a range without one, the time after the table was made at
-	// which it probably has one again.
+	// AvailableIn is the estimated time from the making of the table until a range
+	// without an owner has one again.
 	AvailableIn time.Duration
-	// ColdFor is how long after the table was made the keys are slow, as their
+	// ColdFor is how long after the making of the table the keys are slow, as their
 	// owner took them without a handover.
 	ColdFor time.Duration
 }
 
-// add appends a span, or joins it to the last one where only their ranges differ.
+// add appends a span, or extends the last span if only the ranges differ.
 func (t *Table) add(s Span) {
 	if n := len(t.Spans); n > 0 {
 		if last := &t.Spans[n-1]; last.Target == s.Target && last.AvailableIn == s.AvailableIn && last.ColdFor == s.ColdFor {
@@ -67,7 +67,7 @@
 	t.Spans = append(t.Spans, s)
 }
 
-// Find returns the span of a point.
+// Find returns the span that contains a point.
 func (t *Table) Find(p key.Point) *Span {
 	i := sort.Search(len(t.Spans), func(i int) bool { return t.Spans[i].Range.Last >= p })
 	if i == len(t.Spans) {
@@ -76,8 +76,8 @@
 	return &t.Spans[i]
 }
 
-// TableFromDoc returns the table that follows from a document alone, for hosts that
-// hear no lead. Ranges on the move are not known to be.
+// TableFromDoc returns the table that follows from a document alone, for hosts that get
+// no tables from a leader. It does not show which ranges are on the move.
 func TableFromDoc(d *Doc, revision platform.Revision) *Table {
 	t := &Table{Service: d.Service, Version: Version{Term: d.Term}, Leader: d.Leader, LeaderIncarnation: d.LeaderIncarnation, DocRevision: revision}
 	for _, r := range d.Rows {
@@ -86,24 +86,24 @@
 	return t
 }
 
-// wireTable holds the targets and spans in columns of their own, so that a host
-// reads a table of a thousand spans, several times a second, at the cost of a few
-// allocations.
+// wireTable holds targets and spans in byte columns, so that a host decodes a table of
+// a thousand spans, several times a second, with a few allocations.
 type wireTable struct {
 	Service  string `cbor:"1,keyasint"`
 	Term     uint64 `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
 	Leader   string `cbor:"4,keyasint"`
-	// Targets are the length of a name, the name, the length of an address, the
-	// address. Spans are the number of keys less one, and a word: 0 for no owner,
-	// followed by Back in ms, or 2i+1 for target i, 2i+2 followed by Cold in ms.
+	// Targets holds, for each target, the length of the name, the name, the length of
+	// the address, and the address. Spans holds, for each span, the number of keys
+	// minus one and a code: 0 for no owner, followed by AvailableIn in ms; 2i+1 for
+	// target i; or 2i+2 for target i, followed by ColdFor in ms.
 	Targets           []byte `cbor:"5,keyasint"`
 	Spans             []byte `cbor:"6,keyasint"`
 	DocRevision       uint64 `cbor:"7,keyasint,omitempty"`
 	LeaderIncarnation uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Encode returns the table as hosts pass it on.
+// Encode returns the table as hosts distribute it.
 func (t *Table) Encode() ([]byte, error) {
 	w := wireTable{
 		Service: string(t.Service), Term: uint64(t.Version.Term), Sequence: t.Version.Sequence, Leader: string(t.Leader),
@@ -140,7 +140,7 @@
 	return body, nil
 }
 
-// DecodeTable reads what Encode wrote.
+// DecodeTable reads a table that Encode wrote.
 func DecodeTable(body []byte) (*Table, error) {
 	var w wireTable
 	if err := cbor.Unmarshal(body, &w); err != nil {
@@ -161,18 +161,18 @@
 	return t, nil
 }
 
-// tableTarget is a target that a table names.
+// tableTarget is a target named in a table.
 type tableTarget struct {
 	name place.Target
 	addr netip.AddrPort
 }
 
-var errTruncated = errors.New("column ends early")
+var errTruncated = errors.New("truncated column")
 
 func decodeTargets(column []byte) ([]tableTarget, error) {
-	const shortest = 12 // bytes of a target, about
+	const shortest = 12 // approximate bytes per target
 	out := make([]tableTarget, 0, len(column)/shortest)
-	names := string(column) // all names share it
+	names := string(column) // one allocation for all names
 	for at := 0; at < len(column); {
 		first, last, ok := fieldBounds(column, at)
 		if !ok {
@@ -190,7 +190,7 @@
 	return out, nil
 }
 
-// fieldBounds returns where the field lies whose length stands at a place.
+// fieldBounds returns the bounds of the length-prefixed field at an offset.
 func fieldBounds(column []byte, at int) (first, last int, ok bool) {
 	length, n := binary.Uvarint(column[at:])
 	if n <= 0 || length > uint64(len(column)-at-n) {
@@ -199,7 +199,7 @@
 	return at + n, at + n + int(length), true
 }
 
-// uvarintReader reads the numbers of a column one after the other.
+// uvarintReader reads the unsigned varints of a column one after the other.
 type uvarintReader struct {
 	column    []byte
 	truncated bool
@@ -215,7 +215,7 @@
 	return v
 }
 
-// maxDurationMs bounds the times in a table, in ms.
+// maxDurationMs bounds the durations in a table, in milliseconds.
 const maxDurationMs = uint64(time.Hour / time.Millisecond)
 
 func (r *uvarintReader) duration() time.Duration {
@@ -223,27 +223,27 @@
 }
 
 func decodeSpans(column []byte, targets []tableTarget) ([]Span, error) {
-	const shortest = 3 // bytes of a span, about
+	const shortest = 3 // approximate bytes per span
 	out := make([]Span, 0, len(column)/shortest)
 	next := uint64(0)
 	for r := (uvarintReader{column: column}); len(r.column) > 0; {
 		last := next + r.next()
 		if r.truncated || last < next || last >= key.Points {
-			return nil, fmt.Errorf("bad span from %d", next)
+			return nil, fmt.Errorf("invalid span at point %d", next)
 		}
 		s := Span{Range: key.Range{First: key.Point(next), Last: key.Point(last)}}
-		word := r.next()
+		code := r.next()
 		switch {
-		case word == 0:
+		case code == 0:
 			s.AvailableIn = r.duration()
-		case (word-1)/2 < uint64(len(targets)):
-			t := targets[(word-1)/2]
+		case (code-1)/2 < uint64(len(targets)):
+			t := targets[(code-1)/2]
 			s.Target, s.Addr = t.name, t.addr
-			if word%2 == 0 {
+			if code%2 == 0 {
 				s.ColdFor = r.duration()
 			}
 		default:
-			return nil, fmt.Errorf("no target %d", (word-1)/2)
+			return nil, fmt.Errorf("no target with index %d", (code-1)/2)
 		}
 		if r.truncated {
 			return nil, errTruncated
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -6,17 +6,17 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// writeRetryDelay is the pause after a write that the store did not take: each call
-// is billed, and the store is out for seconds.
+// writeRetryDelay is the delay after a failed write: each call is billed, and store
+// outages last for seconds.
 const writeRetryDelay = 200 * time.Millisecond
 
-// writeDoc puts the new owners of free ranges into the store, all in one write.
+// writeDoc records the new owners of free ranges in the store, all in one write.
 func (c *Core) writeDoc(now time.Time) {
-	cleared := c.docFlagged && !now.Before(later(c.priorMayRenewUntil, c.frozenUntil))
-	if c.pending != nil || !c.writeDue(now) && !cleared || now.Sub(c.writeRefusedAt) < writeRetryDelay {
+	clearFlags := c.docFlagged && !now.Before(later(c.priorMayRenewUntil, c.frozenUntil))
+	if c.pending != nil || !c.writeDue(now) && !clearFlags || now.Sub(c.writeRefusedAt) < writeRetryDelay {
 		return
 	}
-	c.docFlagged = c.docFlagged && !cleared
+	c.docFlagged = c.docFlagged && !clearFlags
 	for _, r := range c.rows {
 		if c.placeable(now, r) {
 			r.state = writing
@@ -40,18 +40,18 @@
 
 // writeDue reports whether there is something to write that should not wait.
 func (c *Core) writeDue(now time.Time) bool {
-	ready, due, coming := false, false, false
+	ready, due, releases := false, false, false
 	for _, r := range c.rows {
 		if c.placeable(now, r) {
 			ready = true
 			due = due || now.Sub(r.since) >= c.cfg.WriteBatchDelay
 		}
-		coming = coming || r.state == releasing
+		releases = releases || r.state == releasing
 	}
-	return ready && (due || !coming)
+	return ready && (due || !releases)
 }
 
-// Written tells that the document has been written.
+// Written says that the document has been written.
 func (c *Core) Written(now time.Time, e WriteDoc, revision platform.Revision) {
 	if !c.leading || c.pending == nil || c.pending.WriteID != e.Doc.WriteID {
 		return
@@ -71,14 +71,14 @@
 			}
 		}
 		r.state, r.to, r.since = held, "", now
-		// An owner that takes no grant by then holds nothing.
+		// An owner that accepts no grant by then holds nothing.
 		r.expiresBy, r.heldUntil = now.Add(c.cfg.FirstGrantTimeout), now.Add(c.cfg.FirstGrantTimeout)
 		c.targetConn(r.Target)
 		c.note(now, "New owner recorded.", r, r.Target)
 	}
 }
 
-// NotWritten tells that the document has certainly not been written.
+// NotWritten says that the document has certainly not been written.
 func (c *Core) NotWritten(now time.Time, e WriteDoc) {
 	if !c.leading || c.pending == nil || c.pending.WriteID != e.Doc.WriteID {
 		return
@@ -91,8 +91,8 @@
 	}
 }
 
-// WriteConflict tells that another write came before this one. If the document is
-// still this lead's concern, another host leads.
+// WriteConflict says that another write came first. If this one is still pending,
+// another host is the leader.
 func (c *Core) WriteConflict(e WriteDoc) {
 	if c.leading && c.pending != nil && c.pending.WriteID == e.Doc.WriteID {
 		c.StepDown()
