--- a/internal/partition/load.go
+++ b/internal/partition/load.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// longDecay is the time in which a count loses most of its weight while
-	// the load stays as it is: long enough that chance moves nothing.
+	// longDecay is the decay time of the long averages while the load does not change:
+	// long enough that noise moves nothing.
 	longDecay = 12 * time.Second
-	// shortDecay is the same for the rates by which a change is noticed:
-	// busy keys change within seconds.
+	// shortDecay is the decay time of the short averages, by which changes are
+	// detected: keys become busy within seconds.
 	shortDecay = 450 * time.Millisecond
-	// baseWork is the work, in requests at once, that is spread over the whole
-	// key space on top of what was seen, so that unused keys are dealt out
-	// evenly too.
+	// baseWork is an amount of work, in concurrent requests, that is spread over the
+	// whole key space in addition to the measured work, so that unused keys are
+	// distributed evenly, too.
 	baseWork = 0.5
 )
 
-// maxPeriods bounds the times from which parts of the key space are averaged
-// anew at once; beyond it all are from the last one.
+// maxPeriods bounds the number of averaging periods. Once it is reached, all further
+// restarts count from the start of the last period.
 const maxPeriods = 32
 
-// Meter follows the rate of requests for each point. It averages over a long
-// time while the load is steady, and starts anew from what it saw last where a
-// range gets far more or less than before. It answers single keys that become
-// hot within a moment while thousands of others stay as they are.
+// Meter measures the rate of requests for each point. It averages over a long time
+// while the load is steady, and restarts the average of a range from recent counts when
+// its rate changes a lot. It is made for loads in which single keys become hot within
+// moments while thousands of others stay as they are.
 type Meter struct {
-	// long and short are decaying rates, in requests a second.
+	// long and short are exponentially decaying rates, in requests per second.
 	long, short [key.Points]float32
-	// period tells from when each point's long average is, as an index into
-	// begun; no more is known of what has lasted for the long memory.
+	// period is the averaging period of each point's long average, as an index into
+	// starts. Periods older than longDecay are alike.
 	period    [key.Points]uint8
 	starts    []time.Time
 	decayedAt time.Time
-	// changedAt is when the load last surely changed somewhere.
+	// changedAt is when the load of any range last changed significantly.
 	changedAt time.Time
 }
 
-// decayTime returns the length of a long average that began at a time.
-func decayTime(begun, now time.Time) time.Duration {
-	return min(shortDecay+max(now.Sub(begun), 0), longDecay)
+// decayTime returns the decay time of a long average that was started at began: it
+// grows with the age of the average, up to longDecay.
+func decayTime(began, now time.Time) time.Duration {
+	return min(shortDecay+max(now.Sub(began), 0), longDecay)
 }
 
 // Add counts requests for a point.
@@ -62,7 +63,7 @@
 	}
 }
 
-// Decay lets the counts age up to now.
+// Decay ages the counts up to now.
 func (m *Meter) Decay(now time.Time) {
 	m.start(now)
 	age := now.Sub(m.decayedAt).Seconds()
@@ -71,8 +72,8 @@
 	}
 	m.decayedAt = now
 	var long [maxPeriods]float32
-	for i, begun := range m.starts {
-		long[i] = float32(math.Exp(-age / decayTime(begun, now).Seconds()))
+	for i, began := range m.starts {
+		long[i] = float32(math.Exp(-age / decayTime(began, now).Seconds()))
 	}
 	short := float32(math.Exp(-age / shortDecay.Seconds()))
 	for i := range m.long {
@@ -82,16 +83,16 @@
 	m.mergePeriods(now)
 }
 
-// mergePeriods forgets spells that have lasted for the long memory.
+// mergePeriods merges the periods that are older than longDecay into the first one.
 func (m *Meter) mergePeriods(now time.Time) {
 	var to [maxPeriods]uint8
 	kept := m.starts[:1]
-	for i, begun := range m.starts[1:] {
-		if decayTime(begun, now) == longDecay {
-			continue // as good as the first one
+	for i, began := range m.starts[1:] {
+		if decayTime(began, now) == longDecay {
+			continue // same decay time as the first period
 		}
 		to[i+1] = uint8(len(kept))
-		kept = append(kept, begun)
+		kept = append(kept, began)
 	}
 	if len(kept) == len(m.starts) || decayTime(m.starts[0], now) < longDecay {
 		return
@@ -102,7 +103,7 @@
 	m.starts = kept
 }
 
-// restart starts the long average of a range anew from the short one.
+// restart sets the long average of a range to the short one, in a new period.
 func (m *Meter) restart(now time.Time, r key.Range) {
 	last := len(m.starts) - 1
 	if m.starts[last] != now && len(m.starts) < maxPeriods {
@@ -115,29 +116,30 @@
 }
 
 const (
-	// changeDeviations is the difference in standard deviations that counts as a
-	// change: chance reaches it once in a million looks.
+	// changeDeviations is the number of standard deviations that counts as a change:
+	// noise exceeds it in one of a million checks.
 	changeDeviations = 5
-	// suspectDeviations is that from which a range is averaged anew while others change
-	// too, or have for alarm: what gets less shows later than what gets more.
+	// suspectDeviations is the number of standard deviations from which the average of
+	// a range is restarted if any range has changed within suspectWindow. A falling
+	// rate shows later than a rising one.
 	suspectDeviations = 3.5
 	suspectWindow     = 6 * shortDecay
-	// minCount is the count up to which nothing is concluded: a range with less
-	// matters little.
+	// minCount is the count up to which a deviation is ignored: a range with fewer
+	// requests matters little.
 	minCount = 15
-	// resetFactor is the factor between the whole load lately and its long average
-	// from which nothing that was known is of use.
+	// resetFactor is the factor between the recent total load and its long average
+	// beyond which all averages are restarted.
 	resetFactor = 2
 )
 
-// DetectChanges compares what each range got lately with the long average. Where chance
-// can't explain the difference, the points that changed are averaged anew; where
-// all got more or less alike, what is known of them keeps its proportions. It
-// reports whether anything changed.
+// DetectChanges compares the recent count of each range with its long average. The
+// averages of points that changed by more than noise are restarted; where all ranges
+// changed by about the same factor, their averages are scaled. It reports whether
+// anything changed.
 func (m *Meter) DetectChanges(now time.Time, ranges []key.Range) bool {
 	m.start(now)
 	if now.Sub(m.starts[0]) < shortDecay {
-		return false // what the average has seen is all from lately
+		return false // all counts are recent
 	}
 	seen, expected := make([]float64, len(ranges)), make([]float64, len(ranges))
 	var all, before float64
@@ -176,8 +178,8 @@
 	return true
 }
 
-// commonScale returns the factor by which the ranges that did not change by
-// themselves get more or less than expected, and whether it is no chance.
+// commonScale returns the factor by which the ranges that did not change individually
+// differ from the expected counts, and whether it is significant.
 func commonScale(seen, expected []float64) (float64, bool) {
 	const rounds = 3
 	scale, common := 1.0, false
@@ -196,25 +198,25 @@
 	return scale, common
 }
 
-// counts returns the requests for a range that the short average stands for,
-// and those that the long one lets expect in the same time.
+// counts returns the number of requests for a range that the short average stands for,
+// and the number expected in the same time from the long average.
 func (m *Meter) counts(r key.Range) (seen, expected float64) {
 	for p := r.First; p <= r.Last; p++ {
 		seen += float64(m.short[p])
 		expected += float64(m.long[p])
 	}
-	// A decayed rate varies as a count over twice its memory does.
+	// A decaying rate has the variance of a count over twice its decay time.
 	return 2 * seen * shortDecay.Seconds(), 2 * expected * shortDecay.Seconds()
 }
 
-// deviates reports whether a count is that many standard deviations from what
-// was expected.
+// deviates reports whether a count is more than that many standard deviations from the
+// expected one.
 func deviates(seen, expected, deviations float64) bool {
 	return max(seen, expected) > minCount && math.Abs(seen-expected) > deviations*math.Sqrt(expected+1)
 }
 
-// restartChanged renews those points of a range that changed by themselves, and all of it
-// where they don't explain its change.
+// restartChanged restarts the averages of the points of a range that changed
+// individually, and of the whole range if these do not explain its change.
 func (m *Meter) restartChanged(now time.Time, r key.Range) {
 	for p := r.First; p <= r.Last; p++ {
 		one := key.Range{First: p, Last: p}
@@ -227,30 +229,31 @@
 	}
 }
 
-// Load is the work of each point at one moment, in requests at once.
+// Load is the work of each point at one moment, in concurrent requests.
 type Load struct {
-	// workSums[i] is the work of all points below i, doubts[i] its variance.
+	// workSums[i] is the work of all points below i, varianceSums[i] the variance of
+	// that work.
 	workSums, varianceSums [key.Points + 1]float64
 }
 
-// Load sets l to the work that follows from the rates, where one request takes
-// the mean time.
+// Load sets l to the work that follows from the long averages, if a request takes the
+// mean time.
 func (m *Meter) Load(now time.Time, l *Load, mean time.Duration) {
-	const even = baseWork / key.Points
+	const base = baseWork / key.Points
 	seconds := mean.Seconds()
-	// A decayed count of n stands for a rate with the variance of n/2 requests.
-	var grains [maxPeriods]float64
-	for i, begun := range m.starts {
-		grains[i] = seconds / decayTime(begun, now).Seconds() / 2
+	// A decaying count n has the variance of a count of n/2 requests.
+	var variancePerWork [maxPeriods]float64
+	for i, began := range m.starts {
+		variancePerWork[i] = seconds / decayTime(began, now).Seconds() / 2
 	}
 	for i, rate := range m.long {
 		work := float64(rate) * seconds
-		l.workSums[i+1] = l.workSums[i] + work + even
-		l.varianceSums[i+1] = l.varianceSums[i] + work*grains[m.period[i]]
+		l.workSums[i+1] = l.workSums[i] + work + base
+		l.varianceSums[i+1] = l.varianceSums[i] + work*variancePerWork[m.period[i]]
 	}
 }
 
-// UniformLoad returns the work of a key space of which nothing has been seen.
+// UniformLoad returns the work of a key space without measured requests.
 func UniformLoad() *Load {
 	l := &Load{}
 	(&Meter{}).Load(time.Time{}, l, 0)
@@ -260,18 +263,18 @@
 // Work returns the work of a range.
 func (l *Load) Work(r key.Range) float64 { return l.workSums[r.Last+1] - l.workSums[r.First] }
 
-// cappedWork returns the work of all points, of each at most what one target can
-// do: no other target can help with the rest.
-func (l *Load) cappedWork(most float64) float64 {
+// cappedWork returns the work of all points, with that of each point capped at what one
+// target can do: no other target can share the rest.
+func (l *Load) cappedWork(limit float64) float64 {
 	var sum float64
 	for i := range key.Points {
-		sum += min(l.workSums[i+1]-l.workSums[i], most)
+		sum += min(l.workSums[i+1]-l.workSums[i], limit)
 	}
 	return sum
 }
 
 // busiestPoint returns the point of a range with the most work, and that work. It
-// halves the range, so it finds a point only if that dominates its half.
+// bisects the range, so it finds only a point that dominates its half.
 func (l *Load) busiestPoint(r key.Range) (key.Point, float64) {
 	for r.Len() > 1 {
 		middle := r.First + key.Point(r.Len()/2)
@@ -290,8 +293,8 @@
 	return l.varianceSums[r.Last+1] - l.varianceSums[r.First]
 }
 
-// prefix returns the part of a range from its start whose work is closest to
-// want: at least one point, and not all of it.
+// prefix returns the part from the start of a range whose work is closest to want. It
+// has at least one point, and does not have all of them.
 func (l *Load) prefix(r key.Range, want float64) key.Range {
 	goal := l.workSums[r.First] + want
 	n := r.Len() - 1
@@ -314,7 +317,7 @@
 	return append(out, r)
 }
 
-// suffix is prefix from the end of the range.
+// suffix is like prefix, for the part up to the end of the range.
 func (l *Load) suffix(r key.Range, want float64) key.Range {
 	rest := l.prefix(r, l.Work(r)-want)
 	return key.Range{First: rest.Last + 1, Last: r.Last}
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -1,8 +1,8 @@
-// Package partition plans which ranges of a key space move between targets, so
-// that each has work in proportion to what it can do. It answers loads in which
-// a few neighbouring keys carry many times the work of one target, and in which
-// those keys change within seconds: busy ranges are cut out and dealt to the
-// least busy targets, and grow together again when they cool.
+// Package partition plans which ranges of a key space move between targets, so that
+// each has work in proportion to its capacity. It is made for loads in which a few
+// adjacent keys have many times the work of one target, and in which these keys change
+// within seconds: busy ranges are split and given to the least utilized targets, and
+// merged again when they cool down.
 package partition
 
 import (
@@ -17,23 +17,22 @@
 // Target is a target that may own ranges.
 type Target struct {
 	Name place.Target
-	// Capacity is how many requests it can work on at once, less where it is
-	// slow.
+	// Capacity is the number of requests that the target can run at once, lower if it
+	// is slow.
 	Capacity float64
-	// RelStdDev is the standard deviation of what the capacity was measured as, as a
-	// share of it.
+	// RelStdDev is the standard deviation of the measured capacity, relative to it.
 	RelStdDev float64
 }
 
 // Span is a range and its owner.
 type Span struct {
 	Range key.Range
-	// Owner is empty where the range has none.
+	// Owner is empty if the range has no owner.
 	Owner place.Target
-	// Fixed spans are on the move already and stay as they are.
+	// Fixed spans are already on the move and are not changed.
 	Fixed bool
-	// Recent spans came to their owner a moment ago: they may be cut, but are
-	// not handed on whole.
+	// Recent spans came to their owner recently: they may be split, but do not move as
+	// a whole.
 	Recent bool
 }
 
@@ -45,23 +44,26 @@
 
 // Config bounds a plan.
 type Config struct {
-	// MaxMoves is how many ranges may move at once.
+	// MaxMoves bounds the moves that rebalance and merge in one plan. Spans without an
+	// owner get one regardless.
 	MaxMoves int
-	// MaxSpans is how many ranges a target may own before cool ones are merged.
+	// MaxSpans is the number of ranges that a target may own before its cool ones are
+	// merged with their neighbours.
 	MaxSpans int
-	// MaxImbalance is the use of the busiest target over the mean that is left
-	// alone, Gap the least difference of use between two targets that is
-	// worth a move. Use is work over capacity.
+	// MaxImbalance is how far the utilization of the busiest target may exceed the
+	// mean, relative to it, without a move. MinGap is the least difference in
+	// utilization between two targets that is worth a move. Utilization is work divided
+	// by capacity.
 	MaxImbalance float64
 	MinGap       float64
-	// UrgentUtilization is the use from which work is taken from a target. Where it is zero,
-	// all that is too uneven is evened out.
+	// UrgentUtilization is the utilization from which work is taken from a target. If
+	// it is zero, all targets are rebalanced.
 	UrgentUtilization float64
 }
 
-// Plan returns the moves that even out the use of the targets, the most
-// pressing first. Spans without an owner, or whose owner is not among the
-// targets, come first of all.
+// Plan returns the moves that balance the utilization of the targets, the most urgent
+// first. Spans without an owner, or with an owner that is not in targets, come before
+// all others.
 func Plan(cfg Config, targets []Target, spans []Span, load *Load) []Move {
 	p := newPlanner(cfg, targets, spans, load)
 	if len(p.targets) == 0 {
@@ -79,9 +81,9 @@
 
 	work  float64
 	spans int
-	// variance is that of its work.
+	// variance is the variance of work.
 	variance float64
-	// immovable tells that nothing of its work can usefully be moved.
+	// immovable is true if no part of its work is worth moving.
 	immovable bool
 }
 
@@ -124,31 +126,32 @@
 
 func (p *planner) atLimit() bool { return len(p.moves) >= p.cfg.MaxMoves }
 
-// leastUtilized returns the target with the lowest use.
+// leastUtilized returns the target with the lowest utilization.
 func (p *planner) leastUtilized() *targetState {
 	return slices.MinFunc(p.targets, func(a, b *targetState) int {
 		return cmp.Or(cmp.Compare(a.utilization(), b.utilization()), cmp.Compare(a.spans, b.spans), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// mostUtilized returns the target with the highest use that is not stuck, or nil.
+// mostUtilized returns the target with the highest utilization that is not immovable,
+// or nil.
 func (p *planner) mostUtilized() *targetState {
-	var most *targetState
+	var best *targetState
 	for _, b := range p.targets {
-		if !b.immovable && (most == nil || b.utilization() > most.utilization()) {
-			most = b
+		if !b.immovable && (best == nil || b.utilization() > best.utilization()) {
+			best = b
 		}
 	}
-	return most
+	return best
 }
 
-// minRoomShare is the part of a target's fair share that it may be given of a
-// span without an owner although it has its share already: smaller pieces
-// would make more spans than they are worth.
+// minRoomShare is the least part of a target's fair share that it is given of a span
+// without an owner, even if it has its share already. Smaller pieces would fragment the
+// key space for little gain.
 const minRoomShare = 0.2
 
 // assignUnowned finds owners for the spans that have none. A span with more work than
-// the least busy target should take is dealt out in parts.
+// the least utilized target should take is split.
 func (p *planner) assignUnowned() {
 	for i := 0; i < len(p.spans); i++ {
 		s := p.spans[i]
@@ -166,12 +169,13 @@
 	}
 }
 
-// overloadDeviations is how many standard deviations a target's work must lie above
-// its share to be taken from it. Of hundreds of targets many lie that far above by
-// chance; a move of a few of them costs less than one that is truly too busy.
+// overloadDeviations is the number of standard deviations by which a target's work must
+// exceed its fair share before work is taken from it. Among hundreds of targets many
+// exceed it by chance, but moving work from a few of them costs less than leaving an
+// overloaded one alone.
 const overloadDeviations = 1.6
 
-// rebalance takes work from the busiest targets and gives it to the least busy.
+// rebalance moves work from the most to the least utilized targets.
 func (p *planner) rebalance() {
 	for !p.atLimit() {
 		hot, cool := p.mostUtilized(), p.leastUtilized()
@@ -180,7 +184,7 @@
 		}
 		fair := p.meanUtilization * hot.Capacity
 		if chance := math.Hypot(math.Sqrt(hot.variance), fair*hot.RelStdDev); hot.work-fair < overloadDeviations*chance {
-			hot.immovable = true // chance may explain it
+			hot.immovable = true // within noise
 			continue
 		}
 		want := min(hot.work-p.meanUtilization*hot.Capacity, p.meanUtilization*cool.Capacity-cool.work)
@@ -198,25 +202,25 @@
 	}
 }
 
-// idleUse is the use up to which a target has a free slot nearly always, so
-// that work need not be even; idleImbalance is what is left alone there.
+// lowUtilization is the utilization below which a target nearly always has a free slot,
+// so that work need not be even; lowMaxImbalance is the imbalance allowed there.
 const (
 	lowUtilization  = 0.45
 	lowMaxImbalance = 0.5
 )
 
-// overloaded reports whether a use is too far above the mean.
-func (p *planner) overloaded(use float64) bool {
-	if use < lowUtilization {
-		return use > p.meanUtilization*(1+max(p.cfg.MaxImbalance, lowMaxImbalance))
+// overloaded reports whether a utilization is too far above the mean.
+func (p *planner) overloaded(utilization float64) bool {
+	if utilization < lowUtilization {
+		return utilization > p.meanUtilization*(1+max(p.cfg.MaxImbalance, lowMaxImbalance))
 	}
-	return use > p.meanUtilization*(1+p.cfg.MaxImbalance)
+	return utilization > p.meanUtilization*(1+p.cfg.MaxImbalance)
 }
 
-// heavySpan finds a span of a hot target that is too much for any target's room,
-// such as one very busy key, and the target that would be least busy with it.
-// That one gives its other work away in turn. Each move interrupts the span's
-// requests, so it must gain a good deal.
+// heavySpan finds a span of a hot target that no other target has room for, such as a
+// very hot key, and the target that would be least utilized with it. That target gives
+// away its other work in turn. A move interrupts the requests of the span, so it must
+// gain a lot.
 func (p *planner) heavySpan(hot *targetState) (int, key.Range, *targetState) {
 	best, to := -1, (*targetState)(nil)
 	lowest := hot.utilization() * maxHeavyRatio
@@ -238,16 +242,16 @@
 }
 
 const (
-	// minHeavyShare is the share of a target's capacity from which a span is
-	// moved although no target has room for it.
+	// minHeavyShare is the least work of a span, as a share of its target's capacity,
+	// for which it is moved although no target has room for it.
 	minHeavyShare = 0.3
-	// maxHeavyRatio is the use of the new owner over the hot one's up to which
-	// such a move pays.
+	// maxHeavyRatio is the highest ratio of the new owner's utilization to the old
+	// owner's for which such a move pays off.
 	maxHeavyRatio = 0.75
 )
 
-// aroundBusiest returns the parts of a span on both sides of its busiest point, where
-// that point alone is more than a target should have.
+// aroundBusiest returns the parts of a span on both sides of its busiest point, if that
+// point alone is more than a target should have.
 func (p *planner) aroundBusiest(r key.Range, most float64) []key.Range {
 	at, work := p.load.busiestPoint(r)
 	if work < most || r.Len() == 1 {
@@ -263,21 +267,20 @@
 	return out
 }
 
-// Scores of a piece besides how well its work fits: a whole span leaves no
-// more spans than before, a neighbour of the taker's grows together with it.
+// Scores of a piece in addition to how well its work fits: a whole span adds no span,
+// and a neighbour of a span of the new owner can be merged with it.
 const (
 	wholeBonus     = 0.1
 	neighbourBonus = 0.15
-	// keyCost is taken off for moving all keys: what a move costs goes by its
-	// keys, what it gains by its work.
+	// keyCost is the cost of moving all keys: the cost of a move depends on its keys,
+	// its gain on its work.
 	keyCost = 1.5
-	// minFit is the score of a piece that is too small or too large to be
-	// worth its move.
+	// minFit is the score of a piece that is too small or too large to be worth a move.
 	minFit = 0.25
 )
 
-// bestPiece returns the part of a hot target's spans that best carries the work
-// wanted, as an index into spans and a range; the index is -1 where none does.
+// bestPiece returns the part of a hot target's spans whose move best carries the wanted
+// work, as an index into spans and a range. The index is -1 if there is none.
 func (p *planner) bestPiece(hot, cool *targetState, want float64) (int, key.Range) {
 	best, at := minFit, -1
 	var part key.Range
@@ -314,8 +317,8 @@
 	return at, part
 }
 
-// besideHotKey returns the largest part that lies beside a very busy key of a hot
-// target: it goes elsewhere however little it is, as the key itself stays.
+// besideHotKey returns the largest part that lies beside a very hot key of a hot
+// target. It is moved even if it is small, as the hot key itself stays.
 func (p *planner) besideHotKey(hot *targetState, want float64) (int, key.Range) {
 	at, most := -1, 0.0
 	var part key.Range
@@ -333,11 +336,11 @@
 }
 
 const (
-	// minRestShare is the work beside a very busy key, as a share of its target's
-	// capacity, that is worth a move.
+	// minRestShare is the least work beside a very hot key that is worth a move, as a
+	// share of its target's capacity.
 	minRestShare = 0.02
-	// maxRestExcess is how far such work may exceed what is wanted: it can't be
-	// cut to size.
+	// maxRestExcess bounds the ratio of such work to the wanted work, as it is moved as
+	// a whole.
 	maxRestExcess = 1.5
 )
 
@@ -349,7 +352,7 @@
 	return before || after
 }
 
-// assign moves a part of span i, a prefix, a suffix or all of it.
+// assign moves a part of span i, which is a prefix, a suffix or all of it, to a target.
 func (p *planner) assign(i int, part key.Range, to *targetState) {
 	s := p.spans[i]
 	p.moves = append(p.moves, Move{Range: part, To: to.Name})
@@ -371,11 +374,13 @@
 	}
 }
 
-// coolShare is the share of a target's capacity up to which a span counts as
-// cool and may go to a neighbour's owner whatever their use.
+// coolShare is the work up to which a span is cool, as a share of its target's
+// capacity. A cool span may move to the owner of an adjacent span whatever their
+// utilization.
 const coolShare = 0.05
 
-// mergeCool gives cool spans of targets with many spans to the owner next to them.
+// mergeCool moves cool spans of targets with too many spans to the owner of an adjacent
+// span.
 func (p *planner) mergeCool() {
 	for i := 0; i < len(p.spans) && !p.atLimit(); i++ {
 		s := p.spans[i]
@@ -392,7 +397,7 @@
 	}
 }
 
-// neighbourOwner returns the less busy owner next to span i.
+// neighbourOwner returns the less utilized of the owners next to span i.
 func (p *planner) neighbourOwner(i int, from *targetState) *targetState {
 	var best *targetState
 	lowest := math.Inf(1)
--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -14,43 +14,45 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// fleetSim is a world of many targets whose speeds show only in the times of
-// their requests. Each has three slots and refuses what would be late.
+// fleetSim simulates many targets whose speeds show only in the times of their
+// requests. Each has three slots and refuses requests that would be late.
 type fleetSim struct {
 	*sim
 
 	times map[place.Target]*timeSample
 	speed map[place.Target]float64
 	plans int
-	// reports are what the lead has not heard yet, under what is on the move; both
-	// take fleetLag steps.
+	// reports are load reports that have not reached the leader yet, inFlight the moves
+	// that have not taken effect; both take lagSteps.
 	reports  []loadReport
 	inFlight [][]Move
 }
 
-// loadReport is what a lead hears of one step: requests by key, and times of targets.
+// loadReport is a report to the leader of one step: requests by key, and times of
+// targets.
 type loadReport struct {
 	points map[key.Point]int
 	times  map[place.Target]timeSample
 }
 
-// timeSample is a target's time as its home measures it.
+// timeSample is the mean request time of a target as measured by its home.
 type timeSample struct{ mean, seen float64 }
 
 const (
-	// fleetMean is the mean time of a request at a target of speed 1, in seconds,
-	// fleetSpread the deviation of its logarithm; one in fleetRare takes
-	// fleetRareX times as long.
+	// fleetMean is the mean time of a request at a target of speed 1, in seconds, and
+	// fleetSpread the standard deviation of its logarithm. A share of slowShare of the
+	// requests takes slowFactor times as long.
 	fleetMean   = 0.36
 	fleetSpread = 0.5
 	slowShare   = 0.01
 	slowFactor  = 5
-	// latencyObjective is the time within which an answer has its whole worth, fleetLate
-	// the worth of a later one.
+	// latencyObjective is the time in seconds within which a response has its full
+	// utility, lateUtility the utility of a later one.
 	latencyObjective = 1.0
 	lateUtility      = 0.3
-	// rebalanceEvery is how many steps lie between two plans that even out all, and
-	// fleetLag how many pass until the lead hears of one, or a move has ended.
+	// rebalanceEvery is the number of steps between two plans that rebalance all
+	// targets, lagSteps the number until a report reaches the leader or a move has
+	// ended.
 	rebalanceEvery = 5
 	lagSteps       = 2
 )
@@ -73,7 +75,8 @@
 	return f
 }
 
-// planConfig are those of a lead: the more targets, the more moves at once.
+// planConfig returns the bounds that a leader uses: the more targets, the more moves at
+// once.
 func (f *fleetSim) planConfig() Config {
 	b := testConfig
 	b.MaxMoves = max(b.MaxMoves, len(f.targets)/4)
@@ -84,7 +87,7 @@
 	return b
 }
 
-// serve has a target work on requests.
+// serve runs requests at a target.
 func (f *fleetSim) serve(name place.Target, requests int) {
 	const weight = 0.02
 	s := f.times[name]
@@ -98,7 +101,7 @@
 	}
 }
 
-// simulate lets time pass, with a plan every 200 ms.
+// simulate advances time, with a plan every 200 ms.
 func (f *fleetSim) simulate(d time.Duration) {
 	const step = 200 * time.Millisecond
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
@@ -125,7 +128,7 @@
 	}
 }
 
-// plan is what a lead does when it hears a report.
+// plan does what a leader does with a load report.
 func (f *fleetSim) plan(heard loadReport) {
 	const remembered = 50 // requests
 	for _, p := range slices.Sorted(maps.Keys(heard.points)) {
@@ -153,14 +156,14 @@
 		}
 	}
 	f.meter.Load(f.now, &f.load, mean)
-	planned := &sim{spans: f.spans} // what is on the move is planned for already
+	planned := &sim{spans: f.spans} // plans take moves in flight into account
 	for _, moves := range f.inFlight {
 		planned.apply(moves)
 	}
 	f.inFlight = append(f.inFlight, Plan(f.planConfig(), targets, planned.spans, &f.load))
 }
 
-// find returns the index of the span that a point lies in.
+// find returns the index of the span that contains a point.
 func (f *fleetSim) find(p key.Point) int {
 	low, high := 0, len(f.spans)-1
 	for low < high {
@@ -190,14 +193,15 @@
 	return (1-slowShare)*under(left) + slowShare*under(left/slowFactor)
 }
 
-// worth returns what callers get from a target of a speed, a request: it has three
-// slots, and refuses what would wait for longer than four fifths of the aim leave.
-func worth(perS, speed float64) float64 {
+// targetUtility returns the mean utility of a request at a target of the given speed.
+// It has three slots, and refuses requests whose wait and own time would exceed four
+// fifths of the latency objective.
+func targetUtility(perSecond, speed float64) float64 {
 	const slots, patience = 3, 0.8
 	mean := fleetMean / speed
-	work := perS * mean * (1 + slowShare*(slowFactor-1))
+	work := perSecond * mean * (1 + slowShare*(slowFactor-1))
 	queue := max(0, int(slots*(patience*latencyObjective/mean-1)))
-	chance := make([]float64, slots+queue+1) // of so many requests there
+	chance := make([]float64, slots+queue+1) // probability of that many requests at the target
 	chance[0] = 1
 	sum := 1.0
 	for n := 1; n < len(chance); n++ {
@@ -213,8 +217,8 @@
 	return out
 }
 
-// meanUtility returns what callers get a request by the true load, and what they would
-// get if each target had its share of it.
+// meanUtility returns the mean utility of a request by the true load, and the one that
+// callers would get if each target had its fair share.
 func (f *fleetSim) meanUtility() (got, best float64) {
 	const draws = 200000
 	rates := make(map[place.Target]float64)
@@ -227,22 +231,22 @@
 	}
 	for _, t := range f.targets {
 		speed := f.speed[t.Name]
-		got += rates[t.Name] * worth(rates[t.Name], speed)
+		got += rates[t.Name] * targetUtility(rates[t.Name], speed)
 		fair := f.rate * math.Pow(speed, speedExponent) / all
-		best += fair * worth(fair, speed)
+		best += fair * targetUtility(fair, speed)
 	}
 	return got / f.rate, best / f.rate
 }
 
-// TestManyTargets answers loads of services of 37 to 575 targets whose speeds
-// differ by more than two times and show only in the times of their requests, a
-// few a second each, from the first request on. Callers get nine tenths of what
-// they would if all were known at once, and chance moves no more at a target of
-// many than at one of a few.
+// TestManyTargets runs services of 37 to 575 targets whose speeds differ by more than a
+// factor of two and show only in the times of their requests, a few per second and
+// target, from the first request on. Callers get nine tenths of the utility that they
+// would get if all speeds were known at once, and noise causes no more moves per target
+// with many targets than with few.
 func TestManyTargets(t *testing.T) {
 	tests := map[string]struct {
 		targets int
-		perS    float64 // requests a target
+		perS    float64 // requests per second and target
 	}{
 		"few, quiet":  {37, 3.45},
 		"few, heavy":  {37, 6},
@@ -254,7 +258,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleetSim(test.targets, test.perS)
-			const learning, known = 20, 15 // s
+			const learning, known = 20, 15 // seconds
 			early := 0.0
 			for range learning {
 				f.simulate(time.Second)
@@ -267,11 +271,11 @@
 			got, best := f.meanUtility()
 			perTarget := float64(f.moves) / known / float64(test.targets)
 			keys := float64(f.keys) / key.Points
-			t.Logf("%d moves at first, then %.3f a second and target, %.2f of the keys; worth %.3f at first, %.3f then, of %.3f",
+			t.Logf("%d moves at first, then %.3f per second and target with %.2f of the keys; utility %.3f at first, then %.3f, of %.3f",
 				first, perTarget, keys, early, got, best)
-			assert.Assert(t, early >= 0.9*best, "worth %.3f of %.3f at first", early, best)
-			assert.Assert(t, got >= 0.9*best, "worth %.3f of %.3f", got, best)
-			assert.Assert(t, perTarget <= 0.04, "%.3f moves a second and target", perTarget)
+			assert.Assert(t, early >= 0.9*best, "utility %.3f of %.3f at first", early, best)
+			assert.Assert(t, got >= 0.9*best, "utility %.3f of %.3f", got, best)
+			assert.Assert(t, perTarget <= 0.04, "%.3f moves per second and target", perTarget)
 			assert.Assert(t, keys <= 0.1, "%.2f of the keys moved", keys)
 		})
 	}
--- a/internal/partition/sim_test.go
+++ b/internal/partition/sim_test.go
@@ -17,7 +17,7 @@
 
 var testConfig = Config{MaxMoves: 12, MaxSpans: 6, MaxImbalance: 0.1, MinGap: 0.08}
 
-// sim is a key space under a load, whose plans take effect at once.
+// sim simulates a key space under load. Its plans take effect at once.
 type sim struct {
 	rng     *rand.Rand
 	meter   Meter
@@ -28,20 +28,20 @@
 	rate    float64
 
 	capacities CapacityFilter
-	// hot is a range that gets a share of all requests.
+	// hot is a range that gets the given share of all requests.
 	hot   key.Range
 	share float64
 	moves int
 	keys  int
-	// flat spreads the requests over all keys, the first ones a few times as
-	// busy as the others.
+	// flat spreads the requests over all keys, with the first ones a few times as busy
+	// as the others.
 	flat bool
 }
 
 const meanTime = 90 * time.Millisecond
 
-func newSim(targets int, perS float64) *sim {
-	w := &sim{rng: rand.New(rand.NewPCG(5, 5)), now: time.Unix(1000, 0), rate: perS}
+func newSim(targets int, perSecond float64) *sim {
+	w := &sim{rng: rand.New(rand.NewPCG(5, 5)), now: time.Unix(1000, 0), rate: perSecond}
 	speeds := []float64{0.6, 1, 1.4}
 	for i := range targets {
 		w.targets = append(w.targets, Target{Name: place.Target(fmt.Sprintf("t%02d", i)), Capacity: 3 * speeds[i%3]})
@@ -52,8 +52,8 @@
 	return w
 }
 
-// point draws the key of a request: few keys are far busier than most, and
-// they lie together.
+// point draws the key of a request: few keys are far busier than most, and they are
+// adjacent.
 func (w *sim) point() key.Point {
 	if w.rng.Float64() < w.share {
 		return w.hot.First + key.Point(w.rng.IntN(w.hot.Len()))
@@ -65,7 +65,7 @@
 	return key.Point(u * u * u * (key.Points - 1))
 }
 
-// run lets time pass, with a plan every 200 ms.
+// run advances time, with a plan every 200 ms.
 func (w *sim) run(d time.Duration) {
 	const step = 200 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(step) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// estimated returns the targets with capacities as they are measured: off by a
-// tenth either way.
+// estimated returns the targets with measured capacities, which are off by up to a
+// tenth.
 func (w *sim) estimated() []Target {
 	out := slices.Clone(w.targets)
 	for i := range out {
@@ -131,8 +131,8 @@
 	}
 }
 
-// imbalance returns the use of the busiest target over the mean by the true
-// load.
+// imbalance returns the utilization of the busiest target relative to the mean, by the
+// true load.
 func (w *sim) imbalance() float64 {
 	const draws = 200000
 	rng := w.rng
@@ -155,25 +155,25 @@
 	return most / (total / capacity)
 }
 
-// TestSteadyLoad: a skewed load is evened out within seconds, and then nothing
-// moves for chance.
+// TestSteadyLoad: a skewed load is balanced within seconds, and then noise causes few
+// moves.
 func TestSteadyLoad(t *testing.T) {
-	for name, perS := range map[string]float64{"quiet": 200, "heavy": 450} {
+	for name, perSecond := range map[string]float64{"quiet": 200, "heavy": 450} {
 		t.Run(name, func(t *testing.T) {
-			w := newSim(19, perS)
+			w := newSim(19, perSecond)
 			w.run(4 * time.Second)
 			assert.Assert(t, w.imbalance() < 1.5, "imbalance %.2f", w.imbalance())
 			w.moves, w.keys = 0, 0
 			w.run(20 * time.Second)
-			t.Logf("moves %d, of all keys %.2f, imbalance %.2f", w.moves, float64(w.keys)/key.Points, w.imbalance())
+			t.Logf("%d moves of %.2f of all keys, imbalance %.2f", w.moves, float64(w.keys)/key.Points, w.imbalance())
 			assert.Assert(t, w.moves <= 30, "%d moves in 20 s", w.moves)
 			assert.Assert(t, w.imbalance() < 1.5, "imbalance %.2f", w.imbalance())
 		})
 	}
 }
 
-// TestHotRange: two hundred keys get a third of all requests, five times what
-// one target can do; they are dealt out within a second, and a second hot range
+// TestHotRange: two hundred keys get a third of all requests, five times what one
+// target can do. They are distributed within a second, and so is a second hot range
 // after it.
 func TestHotRange(t *testing.T) {
 	w := newSim(19, 450)
@@ -182,24 +182,24 @@
 		w.hot, w.share = hot, 0.35
 		w.moves, w.keys = 0, 0
 		w.run(time.Second)
-		t.Logf("moves %d, of all keys %.2f, imbalance %.2f", w.moves, float64(w.keys)/key.Points, w.imbalance())
+		t.Logf("%d moves of %.2f of all keys, imbalance %.2f", w.moves, float64(w.keys)/key.Points, w.imbalance())
 		assert.Assert(t, w.imbalance() < 2.5, "imbalance %.2f", w.imbalance())
 		w.run(4 * time.Second)
-		t.Logf("later: moves %d, of all keys %.2f, imbalance %.2f", w.moves, float64(w.keys)/key.Points, w.imbalance())
+		t.Logf("later: %d moves of %.2f of all keys, imbalance %.2f", w.moves, float64(w.keys)/key.Points, w.imbalance())
 		assert.Assert(t, w.imbalance() < 1.5, "imbalance %.2f", w.imbalance())
 		assert.Assert(t, w.moves <= 100, "%d moves", w.moves)
 	}
 }
 
-// TestRecurringHotKeys: single keys become hot and cool again every few seconds,
-// as they do all through a heavy day. What is known of all other keys is kept:
-// the targets without a hot key stay even.
+// TestRecurringHotKeys: single keys become hot and cool again every few seconds, as
+// under a heavy load. The averages of all other keys are kept: the targets without a
+// hot key stay balanced.
 func TestRecurringHotKeys(t *testing.T) {
 	w := newSim(60, 1200)
 	w.run(8 * time.Second)
 	var sum float64
-	const spells = 6
-	for i := range spells {
+	const cycles = 6
+	for i := range cycles {
 		hot := key.Point(7000 + 9000*i)
 		w.hot, w.share = key.Range{First: hot, Last: hot}, 0.35
 		w.run(2500 * time.Millisecond)
@@ -207,21 +207,21 @@
 		w.share = 0
 		w.run(1500 * time.Millisecond)
 	}
-	t.Logf("unevenness %.3f", sum/spells)
-	assert.Assert(t, sum/spells < 0.16, "unevenness %.3f", sum/spells)
+	t.Logf("utilization spread %.3f", sum/cycles)
+	assert.Assert(t, sum/cycles < 0.16, "utilization spread %.3f", sum/cycles)
 }
 
-// utilizationSpread returns the deviation of the targets' use from its mean, as a
-// share of it, by the true load without the owner of a hot key.
+// utilizationSpread returns the coefficient of variation of the targets' utilization by
+// the true load, without the owner of a hot key.
 func (w *sim) utilizationSpread(hot key.Point) float64 {
 	const draws = 200000
 	share := w.share
 	w.share = 0
 	work := make(map[place.Target]float64)
-	without := place.Target("")
+	excluded := place.Target("")
 	for _, s := range w.spans {
 		if s.Range.Contains(hot) {
-			without = s.Owner
+			excluded = s.Owner
 		}
 	}
 	for range draws {
@@ -232,7 +232,7 @@
 	w.share = share
 	var sum, squares, n float64
 	for _, target := range w.targets {
-		if target.Name == without {
+		if target.Name == excluded {
 			continue
 		}
 		use := work[target.Name] / target.Capacity
@@ -242,9 +242,8 @@
 	return math.Sqrt(squares/n-mean*mean) / mean
 }
 
-// TestOneHotKey: a single key has more than twice the work that any target can
-// do. It stays where it is, on one of the faster targets, and what lay beside it
-// goes elsewhere.
+// TestOneHotKey: a single key has more than twice the work that any target can do. It
+// stays in place, on one of the faster targets, and the keys beside it move elsewhere.
 func TestOneHotKey(t *testing.T) {
 	w := newSim(19, 400)
 	w.run(5 * time.Second)
@@ -260,33 +259,33 @@
 			}
 		}
 	}
-	assert.Assert(t, len(owners) <= 2, "moved between %v", owners)
+	assert.Assert(t, len(owners) <= 2, "the key moved between %v", owners)
 	for _, s := range w.spans {
 		if !s.Range.Contains(17490) {
 			continue
 		}
 		beside := w.load.Work(s.Range)
 		alone := w.load.Work(key.Range{First: 17490, Last: 17490})
-		assert.Assert(t, beside-alone < 0.3, "%.2f beside it", beside-alone)
+		assert.Assert(t, beside-alone < 0.3, "work of %.2f beside the key", beside-alone)
 		for _, target := range w.targets {
 			if target.Name == s.Owner {
-				assert.Assert(t, target.Capacity >= 3, "on a target of %.1f", target.Capacity)
+				assert.Assert(t, target.Capacity >= 3, "the key is on a target with capacity %.1f", target.Capacity)
 			}
 		}
 	}
 	t.Logf("%d moves in 6 s", w.moves)
 }
 
-// TestBalanceBesideHotKey: a key with far more work than any target can do stays for
-// seconds. The others are evened out all the same: what nobody can do does not
-// count as work that they might share.
+// TestBalanceBesideHotKey: a key with far more work than any target can do stays hot
+// for seconds. The other targets are balanced all the same: work that no target can do
+// does not count as work to share.
 func TestBalanceBesideHotKey(t *testing.T) {
 	w := newSim(60, 1200)
 	w.run(2 * time.Second)
 	w.hot, w.share = key.Range{First: 40000, Last: 40000}, 0.5
 	w.rate *= 2
 	w.run(10 * time.Second)
-	uneven := w.utilizationSpread(w.hot.First)
-	t.Logf("unevenness %.3f", uneven)
-	assert.Assert(t, uneven < 0.13, "unevenness %.3f", uneven)
+	deviation := w.utilizationSpread(w.hot.First)
+	t.Logf("utilization spread %.3f", deviation)
+	assert.Assert(t, deviation < 0.13, "utilization spread %.3f", deviation)
 }
