--- a/internal/fleet/codec_test.go
+++ b/internal/fleet/codec_test.go
@@ -9,7 +9,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// FuzzDoc: no document makes the decoder panic; what it takes can be written again.
+// FuzzDoc: no input makes the decoder panic, and a decoded list can be encoded again.
 func FuzzDoc(f *testing.F) {
 	d := List{Targets: []place.TargetRow{{Target: "t", Service: "s", Zone: "z", State: place.Live, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 3, Incarnation: 7}}}
 	body, err := d.Encode()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet follows which targets are there. Targets list themselves in the
-// platform's service; an entry that is gone may mean that its target has left,
-// or only that the service was away.
+// Package fleet tracks which targets are available. Targets list themselves in the
+// platform's store; a missing entry may mean that its target has left, or only that the
+// store was unavailable.
 package fleet
 
 import (
@@ -19,11 +19,11 @@
 // List is the list of targets at one revision of the store.
 type List struct {
 	Targets []place.TargetRow
-	// RecentOutage tells that the store was out of reach a moment ago: entries that
-	// lapsed meanwhile come back within moments.
+	// RecentOutage is true if the store was recently unavailable: entries that expired
+	// in the outage come back within moments.
 	RecentOutage bool
-	// StoreStable tells that the store has answered each read for a while: entries
-	// that are missing have not lapsed in an outage.
+	// StoreStable is true if all reads of the store have succeeded for a while, so that
+	// missing entries did not expire in an outage.
 	StoreStable bool
 }
 
@@ -45,10 +45,10 @@
 	WarmupLeft  int64
 }
 
-// Encode returns the list as hosts pass it on.
-func (d *List) Encode() ([]byte, error) {
-	w := wireList{RecentOutage: d.RecentOutage, StoreStable: d.StoreStable}
-	for _, t := range d.Targets {
+// Encode returns the list as hosts distribute it.
+func (l *List) Encode() ([]byte, error) {
+	w := wireList{RecentOutage: l.RecentOutage, StoreStable: l.StoreStable}
+	for _, t := range l.Targets {
 		w.Targets = append(w.Targets, wireTarget{
 			Target: string(t.Target), Service: t.Service, Zone: string(t.Zone), State: uint8(t.State),
 			Addr: t.Addr, Incarnation: uint64(t.Incarnation), Slots: t.Slots, WarmupLeft: t.WarmupLeft.Milliseconds(),
@@ -56,83 +56,84 @@
 	}
 	body, err := cbor.Marshal(w)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: encode: %w", err)
+		return nil, fmt.Errorf("fleet: encode list: %w", err)
 	}
 	return body, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode reads a list that Encode wrote.
 func Decode(body []byte) (List, error) {
 	var w wireList
 	if err := cbor.Unmarshal(body, &w); err != nil {
-		return List{}, fmt.Errorf("fleet: decode: %w", err)
+		return List{}, fmt.Errorf("fleet: decode list: %w", err)
 	}
-	d := List{RecentOutage: w.RecentOutage, StoreStable: w.StoreStable}
+	l := List{RecentOutage: w.RecentOutage, StoreStable: w.StoreStable}
 	for _, t := range w.Targets {
-		d.Targets = append(d.Targets, place.TargetRow{
+		l.Targets = append(l.Targets, place.TargetRow{
 			Target: place.Target(t.Target), Service: t.Service, Zone: place.Zone(t.Zone), State: place.Liveness(t.State),
 			Addr: t.Addr, Incarnation: place.Incarnation(t.Incarnation), Slots: t.Slots, WarmupLeft: time.Duration(t.WarmupLeft) * time.Millisecond,
 		})
 	}
-	return d, nil
+	return l, nil
 }
 
 const (
-	// missingGrace is how long a target whose entry is gone is still used: long
-	// enough for a list that was read in the middle of a change.
+	// missingGrace is how long a target is still used after its entry is gone. It
+	// covers a list that was read in the middle of a change.
 	missingGrace = 200 * time.Millisecond
-	// outageGrace is the same after the store was away. The platform has
-	// entries back within two seconds.
+	// outageGrace is the same after a store outage. The platform has the entries back
+	// within two seconds.
 	outageGrace = 2500 * time.Millisecond
 )
 
 // Tracker follows the lists over time. It is not safe for concurrent use.
 type Tracker struct {
 	targets map[place.Target]*trackedTarget
-	// ended are the lives that have left or gone, and era that of the last list.
+	// ended holds the incarnations that have left or disappeared, era is the era of the
+	// last list.
 	ended map[place.Target]endedTarget
 	era   platform.Era
 }
 
-// endedTarget is the end of one life of a target.
+// endedTarget is an incarnation of a target that has ended.
 type endedTarget struct {
 	incarnation place.Incarnation
-	// wasLeaving tells that it had said that it leaves.
+	// wasLeaving is true if the target had announced that it is leaving.
 	wasLeaving bool
-	// era is that of the store when its entry was gone, at the time of that.
+	// era and at are the era of the store and the time at which the entry was gone.
 	era platform.Era
 	at  time.Time
 }
 
 const (
-	// endedRetention is how long the end of a life is remembered: a store that comes back
-	// from an older copy has lost some seconds.
+	// endedRetention is how long the end of an incarnation is remembered. A store that
+	// is restored from an older snapshot has lost only some seconds.
 	endedRetention = time.Minute
-	// restoredHoldOff is how long an entry that is back with such a copy is not gone by:
-	// without a sign of its target, which writes about once a second, it lapses after
-	// three times that.
+	// restoredHoldOff is how long an entry that came back with an older snapshot is
+	// ignored. Without a target that renews it, about once a second, it expires after
+	// three times that period.
 	restoredHoldOff = 4 * time.Second
 )
 
 type trackedTarget struct {
 	place.TargetRow
 
-	// leavingSince is when its notice was first seen.
+	// leavingSince is when the target was first seen to be leaving.
 	leavingSince time.Time
-	// usableFrom is when a target that is back with a copy of the store is used again.
+	// usableFrom is when a target that came back with an older snapshot is used again.
 	usableFrom time.Time
-	// removeAt is when a target whose entry is gone is no longer used; zero
-	// while the entry is there.
+	// removeAt is when a target with a missing entry is removed; zero while the entry
+	// is there.
 	removeAt time.Time
 }
 
-// NewTracker returns a tracker that knows no target.
+// NewTracker returns a tracker without targets.
 func NewTracker() *Tracker {
 	return &Tracker{targets: make(map[place.Target]*trackedTarget), ended: make(map[place.Target]endedTarget)}
 }
 
-// readmit returns from when on a target that had ended is used again, zero for at
-// once, and whether it may come back at all.
+// readmit returns from when on a target that had ended is used again, zero for at once,
+// and whether it may come back at all.
 func (t *Tracker) readmit(now time.Time, row *place.TargetRow) (from time.Time, ok bool) {
 	e, known := t.ended[row.Target]
 	delete(t.ended, row.Target)
@@ -149,12 +150,12 @@
 	return time.Time{}, true
 }
 
-// Update takes over a newer list, of a store in an era.
-func (t *Tracker) Update(now time.Time, d List, era platform.Era) {
+// Update applies a newer list, read in the given era of the store.
+func (t *Tracker) Update(now time.Time, l List, era platform.Era) {
 	t.expire(now)
 	t.era = max(t.era, era)
-	listed := make(map[place.Target]bool, len(d.Targets))
-	for _, row := range d.Targets {
+	listed := make(map[place.Target]bool, len(l.Targets))
+	for _, row := range l.Targets {
 		from, ok := t.readmit(now, &row)
 		if !ok {
 			continue
@@ -162,10 +163,10 @@
 		listed[row.Target] = true
 		known := t.targets[row.Target]
 		if known != nil && row.Incarnation < known.Incarnation {
-			continue // a late word of an earlier life
+			continue // late entry of an earlier incarnation
 		}
 		if known != nil && known.State == place.Leaving && row.Incarnation == known.Incarnation {
-			row.State = place.Leaving // a life that leaves does not come back
+			row.State = place.Leaving // an incarnation that is leaving does not become live again
 		}
 		next := &trackedTarget{TargetRow: row, usableFrom: from}
 		if known != nil && known.Incarnation == row.Incarnation {
@@ -180,7 +181,7 @@
 		t.targets[row.Target] = next
 	}
 	grace := missingGrace
-	if d.RecentOutage {
+	if l.RecentOutage {
 		grace = outageGrace
 	}
 	for name, row := range t.targets {
@@ -190,9 +191,9 @@
 			row.removeAt = now
 		case row.removeAt.IsZero():
 			row.removeAt = now.Add(grace)
-		case d.StoreStable:
-			if sure := now.Add(missingGrace); sure.Before(row.removeAt) {
-				row.removeAt = sure
+		case l.StoreStable:
+			if end := now.Add(missingGrace); end.Before(row.removeAt) {
+				row.removeAt = end
 			}
 		}
 	}
@@ -211,7 +212,7 @@
 	}
 }
 
-// Rows returns the targets that are there at now, sorted by name.
+// Rows returns the targets that are available at now, sorted by name.
 func (t *Tracker) Rows(now time.Time) []place.TargetRow {
 	t.expire(now)
 	out := make([]place.TargetRow, 0, len(t.targets))
@@ -224,7 +225,7 @@
 	return out
 }
 
-// NextChange returns when Rows changes by itself, or the zero time.
+// NextChange returns when Rows next changes without an update, or the zero time.
 func (t *Tracker) NextChange() time.Time {
 	var next time.Time
 	for _, row := range t.targets {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,28 +10,28 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// TestMissingTarget: how long a target is used whose entry is missing depends on what
-// the watchers know of the store. One that was turned away alone must not make
-// hosts keep what another one has surely seen go.
+// TestMissingTarget: how long a target with a missing entry is still used depends on
+// what the watchers know of the store. A watcher that alone had no access to the store
+// must not make hosts keep a target that another watcher reliably saw disappear.
 func TestMissingTarget(t *testing.T) {
 	row := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
 	leaving := row
 	leaving.State = place.Leaving
-	there, gone := List{Targets: []place.TargetRow{row}}, List{}
-	unsure, steady := List{RecentOutage: true}, List{StoreStable: true}
+	listed, gone := List{Targets: []place.TargetRow{row}}, List{}
+	outage, stable := List{RecentOutage: true}, List{StoreStable: true}
 	const step = 100 * time.Millisecond // between two lists
 	tests := map[string]struct {
 		lists []List
-		grace time.Duration // after the first list without it
+		grace time.Duration // after the first list without the target
 	}{
-		"gone":                          {[]List{there, gone}, missingGrace},
-		"gone after its notice":         {[]List{{Targets: []place.TargetRow{leaving}}, gone}, 0},
-		"store was away":                {[]List{there, unsure}, outageGrace},
-		"store was away, is read anew":  {[]List{there, unsure, gone}, outageGrace},
-		"another watcher surely knows":  {[]List{there, unsure, steady}, step + missingGrace},
-		"another one, then this again":  {[]List{there, unsure, steady, unsure}, step + missingGrace},
-		"surely gone, then store away":  {[]List{there, steady, unsure}, missingGrace},
-		"one watcher's store was never": {[]List{there, unsure, unsure, unsure}, outageGrace},
+		"gone":                                 {[]List{listed, gone}, missingGrace},
+		"gone while leaving":                   {[]List{{Targets: []place.TargetRow{leaving}}, gone}, 0},
+		"store outage":                         {[]List{listed, outage}, outageGrace},
+		"store outage, then a read":            {[]List{listed, outage, gone}, outageGrace},
+		"another watcher's store is stable":    {[]List{listed, outage, stable}, step + missingGrace},
+		"another store is stable, then outage": {[]List{listed, outage, stable, outage}, step + missingGrace},
+		"stable store, then outage":            {[]List{listed, stable, outage}, missingGrace},
+		"outage in all lists":                  {[]List{listed, outage, outage, outage}, outageGrace},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -53,12 +53,12 @@
 	}
 }
 
-// TestRestoredEntries: a store that comes back from an older copy brings entries of targets
-// that have left or gone with it.
+// TestRestoredEntries: a store that is restored from an older snapshot also restores
+// the entries of targets that have left or disappeared since.
 func TestRestoredEntries(t *testing.T) {
 	row := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
-	leaving, again := row, row
-	leaving.State, again.Incarnation = place.Leaving, 2
+	leaving, second := row, row
+	leaving.State, second.Incarnation = place.Leaving, 2
 	list := func(r place.TargetRow) List { return List{Targets: []place.TargetRow{r}} }
 	const step = time.Second
 	type listed struct {
@@ -67,19 +67,19 @@
 	}
 	for name, test := range map[string]struct {
 		lists []listed
-		// want is the state a step after the last list, later that when a copy's entry
-		// of a dead target would have lapsed.
+		// want is the state a step after the last list, later the state when the
+		// restored entry of an ended target would have expired.
 		want, later place.Liveness
 	}{
-		"leaves, by the copy not yet":   {[]listed{{list(leaving), 1}, {list(row), 2}}, place.Leaving, place.Leaving},
-		"left, back with the copy":      {[]listed{{list(leaving), 1}, {List{}, 1}, {list(row), 2}}, place.Absent, place.Absent},
-		"left, started again":           {[]listed{{list(leaving), 1}, {List{}, 1}, {list(again), 2}}, place.Live, place.Live},
-		"gone, back with the copy":      {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 2}}, place.Absent, place.Live},
-		"gone, back in the same era":    {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 1}}, place.Live, place.Live},
-		"gone, back and gone":           {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 2}, {List{}, 2}}, place.Absent, place.Absent},
-		"there all the while":           {[]listed{{list(row), 1}, {list(row), 2}}, place.Live, place.Live},
-		"leaves and is called off":      {[]listed{{list(leaving), 1}, {list(row), 1}}, place.Leaving, place.Leaving},
-		"started again while it leaves": {[]listed{{list(leaving), 1}, {list(again), 1}}, place.Live, place.Live},
+		"leaving, live in the snapshot":       {[]listed{{list(leaving), 1}, {list(row), 2}}, place.Leaving, place.Leaving},
+		"left, restored with the snapshot":    {[]listed{{list(leaving), 1}, {List{}, 1}, {list(row), 2}}, place.Absent, place.Absent},
+		"left, restarted":                     {[]listed{{list(leaving), 1}, {List{}, 1}, {list(second), 2}}, place.Live, place.Live},
+		"missing, restored with the snapshot": {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 2}}, place.Absent, place.Live},
+		"missing, back in the same era":       {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 1}}, place.Live, place.Live},
+		"missing, restored, missing again":    {[]listed{{list(row), 1}, {List{}, 1}, {list(row), 2}, {List{}, 2}}, place.Absent, place.Absent},
+		"listed throughout":                   {[]listed{{list(row), 1}, {list(row), 2}}, place.Live, place.Live},
+		"leaving, then listed as live":        {[]listed{{list(leaving), 1}, {list(row), 1}}, place.Leaving, place.Leaving},
+		"restarted while leaving":             {[]listed{{list(leaving), 1}, {list(second), 1}}, place.Live, place.Live},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -1,5 +1,5 @@
-// Package grant holds the vocabulary of ownership: epochs, terms, grants
-// anchored on a target's own clock, and the evidence that a grant has ended.
+// Package grant has the types of shard ownership: epochs, terms, grants anchored on a
+// target's own clock, and evidence that a grant has ended.
 package grant
 
 import (
@@ -9,30 +9,30 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Epoch rises at each change of owner of one shard.
+// Epoch is the number of a shard's owner; it rises with each change of owner.
 type Epoch uint64
 
-// Term is the number of a cell's lead; it rises at each change of lead.
+// Term is the number of a cell's leader; it rises with each change of leader.
 type Term uint64
 
-// Stamp is a reading of a target's monotonic clock, in nanoseconds since the
-// start of that incarnation of the target.
+// Stamp is a reading of a target's monotonic clock, in nanoseconds since the start of
+// that incarnation of the target.
 type Stamp int64
 
-// Add returns the reading d later.
+// Add returns the reading that is d later.
 func (s Stamp) Add(d time.Duration) Stamp { return s + Stamp(d) }
 
-// Kind tells whether an order may create ownership or only lengthen it.
+// Kind says whether an item of an order may create ownership or only extend it.
 type Kind uint8
 
-// Extend lengthens what the target holds at that very epoch and is ignored
-// otherwise. Grant gives the target a shard that it may not hold yet.
+// Extend extends the grant of a shard that the target holds with the same epoch, and is
+// ignored otherwise. Grant gives the target a shard that it may not hold yet.
 const (
 	Extend Kind = iota
 	Grant
 )
 
-// ShardEpoch is one shard that a target holds.
+// ShardEpoch is a shard with an epoch, such as one that a target holds.
 type ShardEpoch struct {
 	Shard key.Shard
 	Epoch Epoch
@@ -45,52 +45,51 @@
 	Kind  Kind
 }
 
-// Order is a renewal sent by a lead to one target for one service.
+// Order is sent by a leader to a target and renews its grants for one service.
 //
-// The end of every grant that it makes or lengthens is Anchor + Duration by
-// the target's clock, however late the order is read.
+// Every grant that it makes or extends ends at Anchor + Duration by the target's clock,
+// however late the order arrives.
 type Order struct {
 	Service key.Service
 	Zone    place.Zone
 	Term    Term
-	// Incarnation and Anchor come from the target's latest answer. An order
-	// without them (Incarnation 0) only asks for an answer.
+	// Incarnation and Anchor come from the target's latest response. An order without
+	// them (Incarnation 0) only asks for a response.
 	Incarnation place.Incarnation
 	Anchor      Stamp
 	Duration    time.Duration
-	// ExtendAll lengthens all that the target holds, if its holdings have
-	// the digest Digest; otherwise it is ignored and the answer carries the
-	// whole inventory.
+	// ExtendAll extends all grants of the target if Digest is the digest of its
+	// holdings. Otherwise it is ignored and the response has the full inventory.
 	ExtendAll bool
 	Digest    uint64
-	// Inventory asks for the whole list of holdings and floors.
+	// Inventory asks for the full list of holdings and floors.
 	Inventory bool
 	Items     []Item
-	// Release lists shards to give up at that epoch; in-flight work ends
-	// before the answer reports them as not held.
+	// Release lists shards to give up if held with that epoch. The response reports
+	// them as not held once the work in flight has ended.
 	Release []ShardEpoch
 }
 
-// Response is a target's reply to an Order.
+// Response is a target's response to an Order.
 type Response struct {
 	Target      place.Target
 	Incarnation place.Incarnation
-	// Clock is the target's clock when it wrote the answer.
+	// Clock is the target's clock when it wrote the response.
 	Clock Stamp
 	// Term is the highest term that the target has accepted.
 	Term Term
-	// Accepted is false where the order's term is below Term.
+	// Accepted is false if the order's term is below Term.
 	Accepted bool
 	Digest   uint64
-	// Full tells that Held and Floors are the whole inventory.
+	// Full is true if Held and Floors are the full inventory.
 	Full   bool
 	Held   []ShardEpoch
 	Floors []ShardEpoch
-	// Draining tells that the target itself asks to leave.
+	// Draining is true if the target has announced that it is leaving.
 	Draining bool
 }
 
-// Digest returns an order-independent digest of holdings.
+// Digest returns a digest of holdings that does not depend on their order.
 func Digest(held []ShardEpoch) uint64 {
 	var sum uint64
 	for _, h := range held {
@@ -108,21 +107,21 @@
 	return x ^ (x >> 31)
 }
 
-// Evidence is proof that a grant has ended. A refused connection, a failed
-// health check and the platform's list are hints and never evidence.
+// Evidence is proof that a grant has ended. A refused connection, a failed health check
+// and the platform's list are only hints.
 type Evidence interface{ evidence() }
 
-// Released says that the old owner confirmed the release of that epoch.
+// Released is evidence that the old owner has confirmed the release of the epoch.
 type Released struct{ Epoch Epoch }
 
-// Expired says that nobody who may renew is left and the duration plus the clock-rate
-// margin has passed since the last anchor.
+// Expired is evidence by time: no host that could renew the grant is left, and the
+// grant's duration plus the margin for clock drift has passed since the last anchor.
 type Expired struct{ Since time.Time }
 
-// Restarted says that a new incarnation answers at the old owner's address.
+// Restarted is evidence that a new incarnation runs at the old owner's address.
 type Restarted struct{ Old, New place.Incarnation }
 
-// Declared says that an operator wrote that the host or zone is lost.
+// Declared is evidence by an operator, who declared the host or zone lost.
 type Declared struct{ By, Reason string }
 
 func (Released) evidence()  {}
--- a/internal/key/key.go
+++ b/internal/key/key.go
@@ -1,4 +1,4 @@
-// Package key maps the keys of a service onto the shards of its key space.
+// Package key maps the keys of a service to the shards of its key space.
 package key
 
 import "github.com/cespare/xxhash/v2"
@@ -9,23 +9,23 @@
 // Hash is the 64-bit xxHash of a key within its service.
 type Hash uint64
 
-// Shard is an index into the shard rows of a service. Values below the
-// service's ShardCount are hash ranges; values from it upwards are solo keys.
+// Shard is an index into the shard rows of a service. Values below the service's
+// ShardCount are hash ranges; higher values are single-key shards.
 type Shard uint32
 
 // ShardCount is the number of hash-range shards of a service, a power of two.
 type ShardCount uint32
 
-// DefaultShardCount is used where the settings name none.
+// DefaultShardCount is used if the settings name no count.
 const DefaultShardCount ShardCount = 1024
 
-// HashOf returns the hash of one key.
+// HashOf returns the hash of a key.
 func HashOf(k string) Hash {
 	return Hash(xxhash.Sum64String(k))
 }
 
-// Shard returns the hash-range shard of h. The count is a power of two, so
-// the high bits select the shard and a doubled count splits each in two.
+// Shard returns the hash-range shard of h. The high bits of the hash select the shard,
+// so that doubling the count splits each shard in two.
 func (h Hash) Shard(count ShardCount) Shard {
 	if count <= 1 {
 		return 0
--- a/internal/key/point.go
+++ b/internal/key/point.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Point is a key of a ranged key space: such a service numbers its keys and
-// its targets own ranges of them.
+// Point is a key of a ranged key space: the keys of such a service are numbers, and its
+// targets own ranges of them.
 type Point uint32
 
-// Points is the size of a ranged key space; its points are 0 to Points-1.
+// Points is the number of points of a ranged key space, numbered 0 to Points-1.
 const Points = 1 << 16
 
 // Range is the points from First to Last, both included.
 type Range struct{ First, Last Point }
 
-// FullRange is the range of all points.
+// FullRange returns the range of all points.
 func FullRange() Range { return Range{0, Points - 1} }
 
 // Valid reports whether the range lies within the key space.
@@ -24,7 +24,7 @@
 // Contains reports whether the range includes a point.
 func (r Range) Contains(p Point) bool { return r.First <= p && p <= r.Last }
 
-// Covers reports whether the range includes all points of another.
+// Covers reports whether the range includes all points of o.
 func (r Range) Covers(o Range) bool { return r.First <= o.First && o.Last <= r.Last }
 
 // Overlaps reports whether the ranges have a point in common.
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,4 +1,4 @@
-// Package place names where things run: regions, zones, hosts and targets.
+// Package place names where things run: regions, availability zones, hosts and targets.
 package place
 
 import (
@@ -12,26 +12,26 @@
 // Zone is the name of an availability zone.
 type Zone string
 
-// Host is the name of an entry host. Every process of the host shares it.
+// Host is the name of an entry host, shared by all processes on it.
 type Host string
 
 // Target is the name of a target, unique in the whole deployment.
 type Target string
 
-// Incarnation tells one life of a process from the next at the same address.
+// Incarnation distinguishes successive runs of a process at the same address.
 type Incarnation uint64
 
-// Liveness is what the platform's lagging list says of a host or target.
+// Liveness is the state of a host or target in the platform's list, which lags.
 type Liveness uint8
 
-// The states of the platform's list.
+// The states in the platform's list.
 const (
 	Live Liveness = iota
 	Leaving
 	Absent
 )
 
-// String returns the state's word in logs and output.
+// String returns the name of the state in logs and output.
 func (l Liveness) String() string {
 	switch l {
 	case Live:
@@ -44,38 +44,39 @@
 	return "invalid"
 }
 
-// HostRow is one entry host as the platform lists it.
+// HostRow is an entry host as listed by the platform.
 type HostRow struct {
 	Host  Host
 	Zone  Zone
 	State Liveness
-	// LeadAddr and Entry are the peer addresses (UDP) of the host's processes.
+	// LeadAddr and EntryAddr are the peer addresses (UDP) of the host's lead and entry
+	// processes.
 	LeadAddr  netip.AddrPort
 	EntryAddr netip.AddrPort
-	// CPUShare is the host's share of a core, zero where it is not known.
+	// CPUShare is the host's share of a CPU core; zero if unknown.
 	CPUShare float64
 }
 
-// strongShare is the part of the strongest host's processor from which a host
-// counts as strong: work that grows with a whole service or zone goes to these.
+// strongShare is the least CPU share of a strong host, relative to the strongest one.
+// Strong hosts get the work that grows with a whole service or zone.
 const strongShare = 0.5
 
-// Strong reports whether a host with a processor is strong where the strongest
-// one has most.
-func Strong(processor, most float64) bool { return processor >= strongShare*most }
+// Strong reports whether a host with the given CPU share is strong if the strongest
+// host has most.
+func Strong(cpuShare, most float64) bool { return cpuShare >= strongShare*most }
 
-// TargetRow is one target as the platform lists it.
+// TargetRow is a target as listed by the platform.
 type TargetRow struct {
 	Target  Target
 	Service string
 	Zone    Zone
 	State   Liveness
 	Addr    netip.AddrPort
-	// Incarnation tells the lives of a target that starts again under its name; zero
-	// where the platform does not say.
+	// Incarnation distinguishes successive runs of a target with the same name; zero if
+	// the platform does not report it.
 	Incarnation Incarnation
-	// Slots is how many requests the target works on at once, where the
-	// platform says so.
+	// Slots is the number of requests that the target runs at once; zero if the
+	// platform does not report it.
 	Slots int
 	// WarmupLeft is how much longer the target is slow after its start.
 	WarmupLeft time.Duration
