--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -58,28 +58,28 @@
 	}
 }
 
-// Encode returns the presence as a host tells it.
+// Encode returns the heartbeat in its wire form.
 func (p *Heartbeat) Encode() ([]byte, error) {
 	body, err := cbor.Marshal(wireHeartbeat{Host: wireOf(p.Host), Rank: p.Rank})
 	if err != nil {
-		return nil, fmt.Errorf("member: encode presence: %w", err)
+		return nil, fmt.Errorf("member: encode heartbeat: %w", err)
 	}
 	return body, nil
 }
 
-// DecodeHeartbeat reads what Encode wrote.
+// DecodeHeartbeat reads a heartbeat that Encode wrote.
 func DecodeHeartbeat(body []byte) (Heartbeat, error) {
 	var w wireHeartbeat
 	if err := cbor.Unmarshal(body, &w); err != nil {
-		return Heartbeat{}, fmt.Errorf("member: decode presence: %w", err)
+		return Heartbeat{}, fmt.Errorf("member: decode heartbeat: %w", err)
 	}
 	if w.Host.Name == "" || w.Rank < 0 {
-		return Heartbeat{}, errors.New("member: decode presence: no host or turn")
+		return Heartbeat{}, errors.New("member: decode heartbeat: no host name or negative rank")
 	}
 	return Heartbeat{Host: w.Host.host(), Rank: w.Rank}, nil
 }
 
-// Encode returns the list as hosts pass it on.
+// Encode returns the list as hosts distribute it.
 func (l *List) Encode() ([]byte, error) {
 	var w wireList
 	for _, h := range l.Hosts {
@@ -97,7 +97,7 @@
 	return body, nil
 }
 
-// DecodeList reads what Encode wrote.
+// DecodeList reads a list that Encode wrote.
 func DecodeList(body []byte) (List, error) {
 	var w wireList
 	if err := cbor.Unmarshal(body, &w); err != nil {
--- a/internal/member/codec_test.go
+++ b/internal/member/codec_test.go
@@ -11,7 +11,8 @@
 	Name: "a", Incarnation: 5, Zone: "z", PeerAddr: netip.MustParseAddrPort("10.0.0.1:1"), TicketAddr: netip.MustParseAddrPort("10.0.0.1:2"), CPUShare: 0.5,
 }
 
-// FuzzPresence: no datagram makes the decoder panic; one that is taken names a host.
+// FuzzPresence: no datagram makes the decoder panic, and a decoded heartbeat names a
+// host.
 func FuzzPresence(f *testing.F) {
 	body, err := (&Heartbeat{Host: codecHost, Rank: 1}).Encode()
 	assert.NilError(f, err)
@@ -24,7 +25,7 @@
 	})
 }
 
-// FuzzList: no document makes the decoder panic.
+// FuzzList: no input makes the decoder panic.
 func FuzzList(f *testing.F) {
 	l := List{Hosts: []Host{codecHost}, Leaders: []Leader{{Service: "s", Host: "a", Incarnation: 5, Revision: 9}}}
 	body, err := l.Encode()
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,6 @@
-// Package member holds which hosts are there and which of them lead services.
-// Hosts find each other through the platform's service: each keeps an entry
-// there that goes with its session.
+// Package member tracks which hosts are up and which of them are leaders of services.
+// Hosts find each other through entries in the platform's store. Registrars write and
+// remove the entry of a host; see Registry.
 package member
 
 import (
@@ -19,7 +19,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// The paths of members, all below Prefix.
+// Paths of the entries of hosts and leaders, all below Prefix.
 const (
 	Prefix       platform.Path = "members/"
 	hostPrefix   platform.Path = "members/hosts/"
@@ -29,37 +29,37 @@
 // HostPath returns the path of a host's entry.
 func HostPath(host place.Host) platform.Path { return hostPrefix + platform.Path(host) }
 
-// LeaderPath returns the path of the entry that the lead of a service holds.
+// LeaderPath returns the path of the entry of a service's leader.
 func LeaderPath(service key.Service) platform.Path { return leaderPrefix + platform.Path(service) }
 
-// Host is one life of a host.
+// Host is one incarnation of a host.
 type Host struct {
 	Name        place.Host
 	Incarnation place.Incarnation
 	Zone        place.Zone
-	// PeerAddr and Ticket are its UDP addresses.
+	// PeerAddr and TicketAddr are its UDP addresses.
 	PeerAddr   netip.AddrPort
 	TicketAddr netip.AddrPort
-	// CPUShare is its share of a core; hosts with more get more of the work
-	// that can be anywhere.
+	// CPUShare is its share of a CPU core. Hosts with more get more of the work that
+	// can run on any host.
 	CPUShare float64
-	// Revision is that of its entry.
+	// Revision is the revision of its entry.
 	Revision platform.Revision
 }
 
-// Leader is the lead of a service.
+// Leader is the leader of a service.
 type Leader struct {
 	Service     key.Service
 	Host        place.Host
 	Incarnation place.Incarnation
-	// Era is that of the store in which it began to lead.
+	// Era is the era of the store in which it became the leader.
 	Era platform.Era
-	// Revision is that of its entry.
+	// Revision is the revision of its entry.
 	Revision platform.Revision
 }
 
-// Restored reports whether the entry is from a copy that the store came back from:
-// its session is gone, and others may have led since the copy was taken.
+// Restored reports whether the entry was restored from an older snapshot of the store:
+// its session has ended, and other hosts may have led since the snapshot.
 func (l *Leader) Restored() bool { return l.Era < l.Revision.Era() }
 
 type hostValue struct {
@@ -84,25 +84,25 @@
 		Peer: h.PeerAddr.String(), Ticket: h.TicketAddr.String(), Share: h.CPUShare,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("member: encode: %w", err)
+		return nil, fmt.Errorf("member: encode host: %w", err)
 	}
 	return body, nil
 }
 
-// EncodeLeader returns the value of a lead's entry.
+// EncodeLeader returns the value of a leader's entry.
 func EncodeLeader(l Leader) ([]byte, error) {
 	body, err := json.Marshal(leaderValue{Host: string(l.Host), Incarnation: uint64(l.Incarnation), Era: uint64(l.Era)})
 	if err != nil {
-		return nil, fmt.Errorf("member: encode: %w", err)
+		return nil, fmt.Errorf("member: encode leader: %w", err)
 	}
 	return body, nil
 }
 
-// DecodeLeader reads the value of a lead's entry.
+// DecodeLeader reads the value of a leader's entry.
 func DecodeLeader(e platform.Entry) (Leader, error) {
 	var w leaderValue
 	if err := json.Unmarshal(e.Value, &w); err != nil {
-		return Leader{}, fmt.Errorf("member: %s: %w", e.Path, err)
+		return Leader{}, fmt.Errorf("member: decode leader %s: %w", e.Path, err)
 	}
 	service, _ := strings.CutPrefix(string(e.Path), string(leaderPrefix))
 	return Leader{
@@ -114,29 +114,29 @@
 func decodeHost(e platform.Entry) (Host, error) {
 	var w hostValue
 	if err := json.Unmarshal(e.Value, &w); err != nil {
-		return Host{}, fmt.Errorf("member: %s: %w", e.Path, err)
+		return Host{}, fmt.Errorf("member: decode host %s: %w", e.Path, err)
 	}
 	h := Host{
 		Name: place.Host(w.Host), Incarnation: place.Incarnation(w.Incarnation), Zone: place.Zone(w.Zone), CPUShare: w.Share, Revision: e.Revision,
 	}
 	var err error
 	if h.PeerAddr, err = netip.ParseAddrPort(w.Peer); err != nil {
-		return Host{}, fmt.Errorf("member: %s: %w", e.Path, err)
+		return Host{}, fmt.Errorf("member: decode host %s: %w", e.Path, err)
 	}
 	if h.TicketAddr, err = netip.ParseAddrPort(w.Ticket); err != nil {
-		return Host{}, fmt.Errorf("member: %s: %w", e.Path, err)
+		return Host{}, fmt.Errorf("member: decode host %s: %w", e.Path, err)
 	}
 	return h, nil
 }
 
-// List is all members at one moment, sorted by name.
+// List is all hosts, sorted by name, and all leaders, sorted by service.
 type List struct {
 	Hosts   []Host
 	Leaders []Leader
 }
 
-// NewList reads the entries below Prefix. It returns an error for each entry
-// that can't be read; the others are in the list.
+// NewList reads the entries below Prefix. It returns an error for each unreadable
+// entry; the list has all others.
 func NewList(entries []platform.Entry) (List, []error) {
 	var l List
 	var errs []error
@@ -163,7 +163,7 @@
 	return l, errs
 }
 
-// Host returns a host by its name.
+// Host returns the host with the given name.
 func (l *List) Host(name place.Host) (Host, bool) {
 	i := slices.IndexFunc(l.Hosts, func(h Host) bool { return h.Name == name })
 	if i < 0 {
@@ -172,7 +172,7 @@
 	return l.Hosts[i], true
 }
 
-// Leader returns the lead of a service.
+// Leader returns the leader of a service.
 func (l *List) Leader(service key.Service) (Leader, bool) {
 	i := slices.IndexFunc(l.Leaders, func(lead Leader) bool { return lead.Service == service })
 	if i < 0 {
@@ -181,20 +181,20 @@
 	return l.Leaders[i], true
 }
 
-// Replaced reports whether a life of a host is over, of which something was
-// written at a revision: the host has entered itself with a later one since. The
-// pages of a list are no snapshot, and a write of an earlier life may come late;
-// so neither the life nor the revision says it alone. Revisions of two eras of the
-// store say nothing of what came first.
-func (l *List) Replaced(host place.Host, life place.Incarnation, revision platform.Revision) bool {
+// Replaced reports whether an incarnation of a host, known from a write at a revision,
+// has ended: the host has been entered with a later incarnation at a later revision.
+// Neither suffices alone, as the pages of a list are not one snapshot and a write of an
+// earlier incarnation may come late. Revisions of different eras of the store can't be
+// ordered in time.
+func (l *List) Replaced(host place.Host, inc place.Incarnation, revision platform.Revision) bool {
 	h, ok := l.Host(host)
-	return ok && h.Incarnation > life && h.Revision > revision && h.Revision.Era() == revision.Era()
+	return ok && h.Incarnation > inc && h.Revision > revision && h.Revision.Era() == revision.Era()
 }
 
-// Ended reports whether the life of a lead is over.
+// Ended reports whether the incarnation of a leader has ended.
 func (l *List) Ended(lead Leader) bool { return l.Replaced(lead.Host, lead.Incarnation, lead.Revision) }
 
-// HostRows returns the hosts as the passing on of documents wants them.
+// HostRows returns the hosts as rows, which document replication uses.
 func (l *List) HostRows() []place.HostRow {
 	out := make([]place.HostRow, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
@@ -203,8 +203,8 @@
 	return out
 }
 
-// RankLeaders orders hosts for the lead of a service: the strong ones first, as a
-// lead orders all targets of its service about, twice a second.
+// RankLeaders orders hosts by preference for the leader of a service. Strong hosts come
+// first, as a leader sends orders to all targets of its service twice a second.
 func RankLeaders(work string, hosts []Host) []place.Host {
 	var most float64
 	for _, h := range hosts {
@@ -221,9 +221,9 @@
 	return append(Rank(work, strong), Rank(work, weak)...)
 }
 
-// Rank orders hosts for a piece of work by weighted rendezvous hashing: all
-// who know the same hosts agree, a host's share follows its processor, and the
-// loss of one moves only what it had.
+// Rank orders hosts for a piece of work by weighted rendezvous hashing: processes that
+// know the same hosts get the same order, a host's share of the work follows its CPU
+// share, and the loss of a host moves only its own work.
 func Rank(work string, hosts []Host) []place.Host {
 	type scored struct {
 		name  place.Host
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -9,25 +9,25 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// TestReplaced: a life is over if its host has entered a later one since. Lists
-// whose pages are of different times, and late writes, must not look like that.
+// TestReplaced: an incarnation has ended if its host has entered a later one since.
+// Lists whose pages are from different times, and late writes, must not look like that.
 func TestReplaced(t *testing.T) {
 	for name, test := range map[string]struct {
 		entry    Host
-		life     place.Incarnation
+		inc      place.Incarnation
 		revision platform.Revision
 		want     bool
 	}{
-		"entered again since":         {Host{Name: "a", Incarnation: 9, Revision: 20}, 5, 10, true},
-		"the same life":               {Host{Name: "a", Incarnation: 5, Revision: 20}, 5, 10, false},
-		"the list is older":           {Host{Name: "a", Incarnation: 3, Revision: 8}, 5, 10, false},
-		"late entry of an older life": {Host{Name: "a", Incarnation: 3, Revision: 20}, 5, 10, false},
-		"it wrote after the entry":    {Host{Name: "a", Incarnation: 9, Revision: 8}, 5, 10, false},
-		"not listed":                  {Host{Name: "b", Incarnation: 9, Revision: 20}, 5, 10, false},
+		"entered again since":                {Host{Name: "a", Incarnation: 9, Revision: 20}, 5, 10, true},
+		"same incarnation":                   {Host{Name: "a", Incarnation: 5, Revision: 20}, 5, 10, false},
+		"older list":                         {Host{Name: "a", Incarnation: 3, Revision: 8}, 5, 10, false},
+		"late entry of an older incarnation": {Host{Name: "a", Incarnation: 3, Revision: 20}, 5, 10, false},
+		"written after the entry":            {Host{Name: "a", Incarnation: 9, Revision: 8}, 5, 10, false},
+		"not listed":                         {Host{Name: "b", Incarnation: 9, Revision: 20}, 5, 10, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := List{Hosts: []Host{test.entry}}
-			assert.Equal(t, l.Replaced("a", test.life, test.revision), test.want)
+			assert.Equal(t, l.Replaced("a", test.inc, test.revision), test.want)
 		})
 	}
 }
--- a/internal/member/registry.go
+++ b/internal/member/registry.go
@@ -8,60 +8,61 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Heartbeat is what a host tells its registrars, again and again.
+// Heartbeat is sent periodically by a host to its registrars.
 type Heartbeat struct {
 	Host Host
-	// Rank is the place of the registrar that is told, from 0 on: the first one
-	// acts at once, the others in case it does not.
+	// Rank is the rank of the registrar that gets the heartbeat, from 0. The first
+	// registrar acts at once, the others only if it does not.
 	Rank int
 }
 
-// Registry decides, at a host that others tell their presence, which of them
-// are entered in the store and which entries are removed. Entries need no
-// session: what the store is asked for grows with the hosts that come and go,
-// not with those that are there. It is not safe for concurrent use.
+// Registry decides, at a registrar, which hosts that send heartbeats are entered in the
+// store, and which entries are removed. Entries need no session, so that the load on
+// the store grows with the hosts that come and go, not with those that are up. It is
+// not safe for concurrent use.
 type Registry struct {
 	zone  place.Zone
 	hosts map[place.Host]*heardHost
-	// activeSince is when this host was first told of late, told when last, turn its
-	// place then. Watchers have the same place for all hosts of their zone.
+	// activeSince is when this host became a registrar, lastHeartbeat when it last got
+	// a heartbeat, and rank its rank then. A watcher has the same rank for all hosts of
+	// its zone.
 	activeSince, lastHeartbeat time.Time
 	rank                       int
 }
 
-// heardHost is a host that was heard.
+// heardHost is a host that has sent a heartbeat.
 type heardHost struct {
 	Host
 
-	// firstHeard is when this life was first heard, heard when last, and turn the place
-	// that this host had then.
+	// firstHeard is when the first heartbeat of this incarnation came, lastHeard when
+	// the last one came, and rank this registrar's rank then.
 	firstHeard, lastHeard time.Time
 	rank                  int
-	// triedAt is when it was last to be entered.
+	// triedAt is when Due last returned it as a host to enter.
 	triedAt time.Time
 }
 
 const (
-	// HeartbeatInterval is the time between two presences of a host.
+	// HeartbeatInterval is the time between two heartbeats of a host.
 	HeartbeatInterval = time.Second
-	// JoinInterval is that of a host that is not listed yet.
+	// JoinInterval is the same for a host that is not listed yet.
 	JoinInterval = 300 * time.Millisecond
-	// joinBatchDelay is how long a new host waits for others to be entered with:
-	// hosts start within a few hundred milliseconds of each other.
+	// joinBatchDelay is how long a new host waits so that others are entered in the
+	// same write: hosts start within a few hundred milliseconds of each other.
 	joinBatchDelay = 150 * time.Millisecond
-	// joinRetryDelay is the time after which a host that was to be entered should be
-	// in the list: a write, a read of the store, and the way to here.
+	// joinRetryDelay is the time after which an entered host should be in this host's
+	// list: a write, a read of the store, and the distribution of the list.
 	joinRetryDelay = 2 * time.Second
 	// rankDelay is the head start of each registrar over the next one.
 	rankDelay = time.Second
-	// maxSilence is how long a host may not be heard before its entry is
-	// removed: a restart takes a second or two, a freeze some seconds.
+	// maxSilence is how long a host may send no heartbeat before its entry is removed:
+	// a restart takes a second or two, a freeze some seconds.
 	maxSilence = 6 * time.Second
-	// registrarTimeout is how long after the last presence this host still counts as a
+	// registrarTimeout is how long after the last heartbeat this host still counts as a
 	// registrar.
 	registrarTimeout = 3 * HeartbeatInterval
-	// minHeardShare is the share of its zone's hosts that a registrar must hear to
-	// remove any: one that hears fewer is probably cut off itself.
+	// minHeardShare is the share of its zone's hosts that a registrar must hear from to
+	// remove any: one that hears from fewer is probably isolated itself.
 	minHeardShare = 0.5
 )
 
@@ -70,26 +71,26 @@
 	return &Registry{zone: zone, hosts: make(map[place.Host]*heardHost)}
 }
 
-// HandleHeartbeat takes a presence.
-func (r *Registry) HandleHeartbeat(now time.Time, p Heartbeat) {
+// HandleHeartbeat records a heartbeat.
+func (r *Registry) HandleHeartbeat(now time.Time, hb Heartbeat) {
 	if !r.Active(now) {
 		r.activeSince = now
 		clear(r.hosts)
 	}
-	r.lastHeartbeat, r.rank = now, p.Rank
-	h := r.hosts[p.Host.Name]
-	if h == nil || h.Incarnation != p.Host.Incarnation {
+	r.lastHeartbeat, r.rank = now, hb.Rank
+	h := r.hosts[hb.Host.Name]
+	if h == nil || h.Incarnation != hb.Host.Incarnation {
 		h = &heardHost{firstHeard: now}
-		r.hosts[p.Host.Name] = h
+		r.hosts[hb.Host.Name] = h
 	}
-	h.Host, h.lastHeard, h.rank = p.Host, now, p.Rank
+	h.Host, h.lastHeard, h.rank = hb.Host, now, hb.Rank
 }
 
-// Active reports whether hosts tell their presence here.
+// Active reports whether this host gets heartbeats, and so is a registrar.
 func (r *Registry) Active(now time.Time) bool { return now.Sub(r.lastHeartbeat) <= registrarTimeout }
 
-// Due returns the hosts to enter now, and the entries to remove, by the newest
-// list.
+// Due returns the hosts to enter now, and the hosts whose entries are to be removed,
+// according to the newest list.
 func (r *Registry) Due(now time.Time, list *List) (enter, remove []Host) {
 	if !r.Active(now) {
 		return nil, nil
@@ -99,8 +100,8 @@
 		if now.Sub(h.lastHeard) > registrarTimeout || now.Sub(h.firstHeard) < wait || now.Sub(h.triedAt) < joinRetryDelay {
 			continue
 		}
-		// A listed life that is later belongs to a host whose clock was set
-		// back, or this one has ended: the host itself knows, and enters itself.
+		// If the listed incarnation is later, either the host's clock was set back or
+		// this incarnation has ended. Only the host itself knows, and enters itself.
 		if listed, ok := list.Host(h.Name); !ok || listed.Incarnation < h.Incarnation {
 			h.triedAt = now
 			enter = append(enter, h.Host)
@@ -110,10 +111,11 @@
 	return enter, r.silentHosts(now, list, maxSilence+time.Duration(r.rank)*rankDelay)
 }
 
-// silentHosts returns the listed hosts of the zone that were not heard for so long.
-func (r *Registry) silentHosts(now time.Time, list *List, most time.Duration) []Host {
-	if now.Sub(r.activeSince) < most {
-		return nil // it has not listened for long enough
+// silentHosts returns the listed hosts of the zone that have sent no heartbeat for the
+// given time.
+func (r *Registry) silentHosts(now time.Time, list *List, limit time.Duration) []Host {
+	if now.Sub(r.activeSince) < limit {
+		return nil // active for too short a time to tell
 	}
 	var out []Host
 	listed, heard := 0, 0
@@ -123,7 +125,7 @@
 		}
 		listed++
 		p := r.hosts[h.Name]
-		if p != nil && now.Sub(p.lastHeard) <= most {
+		if p != nil && now.Sub(p.lastHeard) <= limit {
 			heard++
 			continue
 		}
--- a/internal/member/registry_test.go
+++ b/internal/member/registry_test.go
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// registrySim is a registry, the list that follows from what it says, and the hosts
-// that tell it their presence.
+// registrySim simulates hosts that send heartbeats to a registry, and the list that
+// results from its decisions.
 type registrySim struct {
 	*Registry
 
@@ -30,11 +30,12 @@
 	return b
 }
 
-func (b *registrySim) start(name place.Host, life place.Incarnation) {
-	b.hosts[name] = Host{Name: name, Incarnation: life, Zone: "a"}
+func (b *registrySim) start(name place.Host, inc place.Incarnation) {
+	b.hosts[name] = Host{Name: name, Incarnation: inc, Zone: "a"}
 }
 
-// run lets time pass; what the registry wants is in the list a moment later.
+// run advances time. Changes that the registry asks for are in the list at the next
+// step.
 func (b *registrySim) run(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(step) {
@@ -67,7 +68,7 @@
 	return h.Incarnation
 }
 
-// TestRegistry plays hosts that come, go and start again.
+// TestRegistry covers hosts that start, stop and restart.
 func TestRegistry(t *testing.T) {
 	tests := map[string]func(t *testing.T, b *registrySim){
 		"hosts that start together are entered together": func(t *testing.T, b *registrySim) {
@@ -75,24 +76,24 @@
 			assert.Equal(t, len(b.list.Hosts), 60)
 			assert.Equal(t, b.writes, 1)
 		},
-		"a minute without changes costs nothing": func(t *testing.T, b *registrySim) {
+		"a minute without changes needs no write": func(t *testing.T, b *registrySim) {
 			b.run(time.Minute)
 			assert.Equal(t, b.writes, 1)
 		},
-		"a later life replaces the one before": func(t *testing.T, b *registrySim) {
+		"a later incarnation replaces the one before": func(t *testing.T, b *registrySim) {
 			b.run(time.Second)
 			b.start("h007", 2)
 			b.run(time.Second)
 			assert.Equal(t, b.incarnation("h007"), place.Incarnation(2))
 		},
-		"an earlier life does not": func(t *testing.T, b *registrySim) {
+		"an earlier incarnation does not": func(t *testing.T, b *registrySim) {
 			b.start("h007", 2)
 			b.run(time.Second)
 			b.start("h007", 1)
 			b.run(time.Second)
 			assert.Equal(t, b.incarnation("h007"), place.Incarnation(2))
 		},
-		"a silent host is removed, not at once": func(t *testing.T, b *registrySim) {
+		"a silent host is removed, but not at once": func(t *testing.T, b *registrySim) {
 			b.run(10 * time.Second)
 			delete(b.hosts, "h007")
 			b.run(maxSilence - time.Second)
@@ -100,7 +101,7 @@
 			b.run(2 * time.Second)
 			assert.Equal(t, len(b.list.Hosts), 59)
 		},
-		"one that hears few hosts removes none": func(t *testing.T, b *registrySim) {
+		"a registrar that hears from few hosts removes none": func(t *testing.T, b *registrySim) {
 			b.run(10 * time.Second)
 			for i := range 31 {
 				delete(b.hosts, place.Host(fmt.Sprintf("h%03d", i)))
@@ -108,19 +109,19 @@
 			b.run(time.Minute)
 			assert.Equal(t, len(b.list.Hosts), 60)
 		},
-		"one that has just become registrar removes none": func(t *testing.T, b *registrySim) {
+		"a new registrar removes none": func(t *testing.T, b *registrySim) {
 			b.list.Hosts = append(b.list.Hosts, Host{Name: "gone", Incarnation: 1, Zone: "a"})
 			b.run(maxSilence - time.Second)
 			assert.Equal(t, len(b.list.Hosts), 61)
 			b.run(2 * time.Second)
 			assert.Equal(t, len(b.list.Hosts), 60)
 		},
-		"hosts of other zones are not this registrar's to remove": func(t *testing.T, b *registrySim) {
+		"hosts of other zones are not removed": func(t *testing.T, b *registrySim) {
 			b.list.Hosts = append(b.list.Hosts, Host{Name: "far", Incarnation: 1, Zone: "b"})
 			b.run(time.Minute)
 			assert.Equal(t, len(b.list.Hosts), 61)
 		},
-		"the second registrar leaves the first one time": func(t *testing.T, b *registrySim) {
+		"the second registrar waits for the first one": func(t *testing.T, b *registrySim) {
 			b.rank = 1
 			b.run(rankDelay)
 			assert.Equal(t, len(b.list.Hosts), 0)
