--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -85,9 +85,9 @@
 	for _, h := range l.Hosts {
 		w.Hosts = append(w.Hosts, wireOf(h))
 	}
-	for _, lead := range l.Leaders {
+	for _, leader := range l.Leaders {
 		w.Leaders = append(w.Leaders, wireLeader{
-			Service: string(lead.Service), Host: string(lead.Host), Incarnation: uint64(lead.Incarnation), Revision: uint64(lead.Revision), Era: uint64(lead.Era),
+			Service: string(leader.Service), Host: string(leader.Host), Incarnation: uint64(leader.Incarnation), Revision: uint64(leader.Revision), Era: uint64(leader.Era),
 		})
 	}
 	body, err := cbor.Marshal(w)
@@ -107,10 +107,10 @@
 	for _, h := range w.Hosts {
 		l.Hosts = append(l.Hosts, h.host())
 	}
-	for _, lead := range w.Leaders {
+	for _, leader := range w.Leaders {
 		l.Leaders = append(l.Leaders, Leader{
-			Service: key.Service(lead.Service), Host: place.Host(lead.Host),
-			Incarnation: place.Incarnation(lead.Incarnation), Revision: platform.Revision(lead.Revision), Era: platform.Era(lead.Era),
+			Service: key.Service(leader.Service), Host: place.Host(leader.Host),
+			Incarnation: place.Incarnation(leader.Incarnation), Revision: platform.Revision(leader.Revision), Era: platform.Era(leader.Era),
 		})
 	}
 	return l, nil
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -150,12 +150,12 @@
 			}
 			l.Hosts = append(l.Hosts, h)
 		case strings.HasPrefix(string(e.Path), string(leaderPrefix)):
-			lead, err := DecodeLeader(e)
+			leader, err := DecodeLeader(e)
 			if err != nil {
 				errs = append(errs, err)
 				continue
 			}
-			l.Leaders = append(l.Leaders, lead)
+			l.Leaders = append(l.Leaders, leader)
 		}
 	}
 	slices.SortFunc(l.Hosts, func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
@@ -174,7 +174,7 @@
 
 // Leader returns the leader of a service.
 func (l *List) Leader(service key.Service) (Leader, bool) {
-	i := slices.IndexFunc(l.Leaders, func(lead Leader) bool { return lead.Service == service })
+	i := slices.IndexFunc(l.Leaders, func(leader Leader) bool { return leader.Service == service })
 	if i < 0 {
 		return Leader{}, false
 	}
@@ -192,7 +192,9 @@
 }
 
 // Ended reports whether the incarnation of a leader has ended.
-func (l *List) Ended(lead Leader) bool { return l.Replaced(lead.Host, lead.Incarnation, lead.Revision) }
+func (l *List) Ended(leader Leader) bool {
+	return l.Replaced(leader.Host, leader.Incarnation, leader.Revision)
+}
 
 // HostRows returns the hosts as rows, which document replication uses.
 func (l *List) HostRows() []place.HostRow {
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -324,20 +324,20 @@
 	leaving.State = place.Leaving
 	targets["t0"] = leaving
 	d.SetTargets(d.now, targets)
-	var hidden time.Time
+	var unroutableAt time.Time
 	for end := d.now.Add(3 * time.Second); d.now.Before(end); d.now = d.now.Add(20 * time.Millisecond) {
 		d.ExtendLease(d.now.Add(d.cfg.LeaseTTL))
 		for _, e := range d.Tick(d.now) {
 			switch e := e.(type) {
 			case Publish:
 				for _, s := range e.Table.Spans {
-					if s.Target == "" && hidden.IsZero() {
-						hidden = d.now
+					if s.Target == "" && unroutableAt.IsZero() {
+						unroutableAt = d.now
 					}
 				}
 			case SendRelease:
-				assert.Assert(t, !hidden.IsZero(), "released before a table announced it")
-				assert.Assert(t, d.now.Sub(hidden) >= d.cfg.ReleaseNotice, "released after %v", d.now.Sub(hidden))
+				assert.Assert(t, !unroutableAt.IsZero(), "released before a table announced it")
+				assert.Assert(t, d.now.Sub(unroutableAt) >= d.cfg.ReleaseNotice, "released after %v", d.now.Sub(unroutableAt))
 				return
 			}
 			d.do(e)
@@ -365,10 +365,10 @@
 			if test.targets == 1 {
 				d.silentTarget = "t0"
 			}
-			lapsed := func() bool {
+			hasExpired := func() bool {
 				return slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant expired." })
 			}
-			for !lapsed() {
+			for !hasExpired() {
 				d.run(20 * time.Millisecond)
 			}
 			d.run(failureCooldown / 2)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -241,7 +241,7 @@
 		return
 	}
 	l.inFlight = false
-	failed, doubtful, ended := false, false, false
+	failed, unknown, ended := false, false, false
 	for i, err := range results {
 		switch {
 		case err == nil:
@@ -255,10 +255,10 @@
 		case errors.Is(err, target.ErrNotSent), errors.Is(err, target.ErrRejected):
 			failed = true
 		case errors.Is(err, target.ErrDuplicateResponse):
-			failed, doubtful = true, true
+			failed, unknown = true, true
 			c.invalidateAcks(now, e)
 		default:
-			failed, doubtful = true, true
+			failed, unknown = true, true
 			c.grantUnanswered(now, e, e.Grants[i])
 		}
 	}
@@ -266,7 +266,7 @@
 	case ended:
 		c.targetEnded(now, e.Target)
 	case failed:
-		l.uncertain = doubtful
+		l.uncertain = unknown
 		c.noteFailure(now, l)
 	default:
 		l.failingSince = time.Time{}
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -72,12 +72,12 @@
 		w.after(duration, func() { h.dead, h.incarnation = false, h.incarnation+1; h.boot() })
 	case 2:
 		w.tracef("cut %s off from the store %v", h.name, duration)
-		h.cutStore = true
-		w.after(duration, func() { h.cutStore = false })
+		h.storeUnreachable = true
+		w.after(duration, func() { h.storeUnreachable = false })
 	case 3:
 		w.tracef("isolate %s %v", h.name, duration)
-		h.cutAll = true
-		w.after(duration, func() { h.cutAll = false })
+		h.isolated = true
+		w.after(duration, func() { h.isolated = false })
 	case 4:
 		w.tracef("store outage %v", duration)
 		w.store.down = true
@@ -101,8 +101,8 @@
 		w.store.losesResponses = true
 		w.after(duration, func() { w.store.losesResponses = false })
 	case 7:
-		w.tracef("%s's lease is revoked", w.store.lead)
-		w.store.leadSessionEnd = w.now
+		w.tracef("%s's lease is revoked", w.store.leader)
+		w.store.leaderSessionEnd = w.now
 	case 8:
 		w.tracef("crash %s %v", t.row.Target, duration)
 		w.crash(t)
@@ -114,8 +114,8 @@
 		})
 	case 9:
 		w.tracef("isolate target %s %v", t.row.Target, duration)
-		t.cut = true
-		w.after(duration, func() { t.cut = false })
+		t.unreachable = true
+		w.after(duration, func() { t.unreachable = false })
 		if w.chance(0.5) {
 			w.after(2600*time.Millisecond, func() { delete(w.store.listed, t.row.Target) })
 			w.after(duration, func() {
@@ -169,16 +169,16 @@
 		}
 	case 15:
 		w.tracef("cut %s off from %s %v", h.name, t.row.Target, duration)
-		h.cutFrom = t
-		w.after(duration, func() { h.cutFrom = nil })
+		h.unreachableTarget = t
+		w.after(duration, func() { h.unreachableTarget = nil })
 	}
 }
 
 func (w *sim) crash(t *simTarget) {
 	t.up = false
-	born := t.row.Incarnation
+	inc := t.row.Incarnation
 	w.after(2600*time.Millisecond, func() {
-		if w.store.listed[t.row.Target].Incarnation == born {
+		if w.store.listed[t.row.Target].Incarnation == inc {
 			delete(w.store.listed, t.row.Target)
 		}
 	})
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -71,26 +71,26 @@
 
 type simStore struct {
 	era platform.Era
-	// leadEra is the era in which the leader's entry was written.
-	leadEra         platform.Era
-	doc             Doc
-	revision        platform.Revision
-	lead            place.Host
-	leadIncarnation place.Incarnation
-	leadRev         platform.Revision
-	leadSessionEnd  time.Time // of the leader's session
-	down            bool
-	slow            time.Duration
-	losesResponses  bool
-	listed          map[place.Target]place.TargetRow
-	incarnations    map[place.Host]place.Incarnation
+	// leaderEra is the era in which the leader's entry was written.
+	leaderEra         platform.Era
+	doc               Doc
+	revision          platform.Revision
+	leader            place.Host
+	leaderIncarnation place.Incarnation
+	leaderRev         platform.Revision
+	leaderSessionEnd  time.Time // of the leader's session
+	down              bool
+	slow              time.Duration
+	losesResponses    bool
+	listed            map[place.Target]place.TargetRow
+	incarnations      map[place.Host]place.Incarnation
 }
 
 type simTarget struct {
 	w           *sim
 	row         place.TargetRow
 	up          bool
-	cut         bool
+	unreachable bool
 	appliesLate bool // applies orders late and does not respond
 	clockRate   float64
 	seen        map[key.Point]target.FencingToken
@@ -121,15 +121,15 @@
 		if c.until.After(w.now.Add(-age)) {
 			older := c.store
 			s.doc, s.revision = older.doc, older.revision
-			s.lead, s.leadIncarnation, s.leadRev, s.leadEra = older.lead, older.leadIncarnation, older.leadRev, older.leadEra
+			s.leader, s.leaderIncarnation, s.leaderRev, s.leaderEra = older.leader, older.leaderIncarnation, older.leaderRev, older.leaderEra
 			w.snapshots = w.snapshots[:i]
 			break
 		}
 	}
 	s.era++
-	s.leadSessionEnd = w.now
+	s.leaderSessionEnd = w.now
 	if w.chance(0.5) {
-		s.leadSessionEnd = w.now.Add(w.randomDuration(0, 2*time.Second))
+		s.leaderSessionEnd = w.now.Add(w.randomDuration(0, 2*time.Second))
 	}
 }
 
--- a/internal/owner/simhost_test.go
+++ b/internal/owner/simhost_test.go
@@ -13,32 +13,32 @@
 )
 
 type simHost struct {
-	w           *sim
-	name        place.Host
-	incarnation place.Incarnation
-	core        *Core
-	dead        bool
-	frozen      time.Time // until then
-	cutStore    bool
-	cutAll      bool // from the store, targets and hosts
-	leaseEnd    time.Time
-	campaignAt  time.Time
-	campaigning bool
+	w                *sim
+	name             place.Host
+	incarnation      place.Incarnation
+	core             *Core
+	dead             bool
+	frozen           time.Time // until then
+	storeUnreachable bool
+	isolated         bool // from the store, targets and hosts
+	leaseEnd         time.Time
+	campaignAt       time.Time
+	campaigning      bool
 	// stopping is true during a planned stop, resigning while the host resigns as
 	// leader.
 	stopping, resigning bool
 	// priorMayRenew is true if leaders before the predecessor may still send orders.
 	priorMayRenew bool
-	// cutFrom is a target that this host can't reach.
-	cutFrom *simTarget
-	leadRev platform.Revision
-	// era is the latest that this host knows, leadEra that of its leader entry,
+	// unreachableTarget is a target that this host can't reach.
+	unreachableTarget *simTarget
+	leaderRev         platform.Revision
+	// era is the latest that this host knows, leaderEra that of its leader entry,
 	// firstEra that in which its incarnation began.
-	era, leadEra, firstEra platform.Era
-	inFlight               int
-	predecessor            place.Host
-	predecessorIncarnation place.Incarnation
-	predecessorSettled     bool
+	era, leaderEra, firstEra platform.Era
+	inFlight                 int
+	predecessor              place.Host
+	predecessorIncarnation   place.Incarnation
+	predecessorSettled       bool
 	// conns are the connections for grants, each to one incarnation of a target.
 	conns map[place.Target]simConn
 	// tickedAt is when the last tick was.
@@ -106,7 +106,7 @@
 	}
 }
 
-func (h *simHost) reachesStore() bool { return !h.cutStore && !h.cutAll && !h.w.store.down }
+func (h *simHost) reachesStore() bool { return !h.storeUnreachable && !h.isolated && !h.w.store.down }
 
 // step renews the lease, reads the store and campaigns.
 func (h *simHost) step() {
@@ -129,7 +129,7 @@
 
 // resign ends leadership in a planned stop, as soon as the store accepts it.
 func (h *simHost) resign() {
-	w, inc, leadRev := h.w, h.incarnation, h.leadRev
+	w, inc, leaderRev := h.w, h.incarnation, h.leaderRev
 	if !h.stopping || h.resigning {
 		return
 	}
@@ -147,10 +147,10 @@
 	w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond)+w.store.slow, func() {
 		s := &w.store
 		unreachable := !h.reachesStore()
-		if !unreachable && s.revision == expect && s.leadRev == leadRev && w.now.Before(s.leadSessionEnd) {
+		if !unreachable && s.revision == expect && s.leaderRev == leaderRev && w.now.Before(s.leaderSessionEnd) {
 			w.tracef("%s resigns from term %d", h.name, doc.Term)
 			w.takeSnapshot()
-			s.doc, s.revision, s.lead, s.leadSessionEnd = doc, s.revision+1, "", w.now
+			s.doc, s.revision, s.leader, s.leaderSessionEnd = doc, s.revision+1, "", w.now
 		}
 		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
 			h.run(inc, func() {
@@ -184,12 +184,12 @@
 	if s.era > h.core.Term().Era() {
 		h.core.StoreRestored(w.now, h.core.Term())
 	}
-	held := s.lead != "" && w.now.Before(s.leadSessionEnd) && s.leadEra == s.era
-	mine := held && s.lead == h.name && s.leadIncarnation == h.incarnation
+	held := s.leader != "" && w.now.Before(s.leaderSessionEnd) && s.leaderEra == s.era
+	mine := held && s.leader == h.name && s.leaderIncarnation == h.incarnation
 	if mine {
 		sent := w.now
 		if w.chance(0.3) {
-			s.leadSessionEnd = w.now.Add(simConfig(h).LeaseTTL)
+			s.leaderSessionEnd = w.now.Add(simConfig(h).LeaseTTL)
 			h.leaseEnd = sent.Add(simConfig(h).LeaseTTL)
 		}
 		if !h.core.Leading() && !h.campaigning && !h.stopping {
@@ -197,7 +197,7 @@
 		}
 		return
 	}
-	later := s.leadEra > h.leadEra || s.leadEra == h.leadEra && s.leadRev > h.leadRev
+	later := s.leaderEra > h.leaderEra || s.leaderEra == h.leaderEra && s.leaderRev > h.leaderRev
 	if held && h.core.Leading() && later {
 		h.core.StepDown()
 	}
@@ -248,14 +248,14 @@
 	next.Leader, next.LeaderIncarnation, next.WriteID = h.name, h.incarnation, w.rng.Uint64()
 	w.after(w.randomDuration(2*time.Millisecond, 60*time.Millisecond)+w.store.slow, func() {
 		s := &w.store
-		held := s.lead != "" && w.now.Before(s.leadSessionEnd) && s.leadEra == s.era
-		mine := s.lead == h.name && s.leadIncarnation == h.incarnation
+		held := s.leader != "" && w.now.Before(s.leaderSessionEnd) && s.leaderEra == s.era
+		mine := s.leader == h.name && s.leaderIncarnation == h.incarnation
 		ok := h.reachesStore() && s.revision == base && (!held || mine)
 		if ok {
 			w.takeSnapshot()
 			s.doc, s.revision = next, s.revision+1
-			s.lead, s.leadIncarnation, s.leadRev, s.leadEra = h.name, h.incarnation, s.revision, era
-			s.leadSessionEnd = w.now.Add(simConfig(h).LeaseTTL)
+			s.leader, s.leaderIncarnation, s.leaderRev, s.leaderEra = h.name, h.incarnation, s.revision, era
+			s.leaderSessionEnd = w.now.Add(simConfig(h).LeaseTTL)
 		}
 		revision := s.revision
 		ok = ok && s.era == era
@@ -265,7 +265,7 @@
 				if !ok {
 					return
 				}
-				h.leadRev, h.leadEra = revision, era
+				h.leaderRev, h.leaderEra = revision, era
 				h.leaseEnd = sent.Add(simConfig(h).LeaseTTL)
 				w.tracef("%s becomes leader of term %d prior %d", h.name, next.Term, prior)
 				h.core.BeginTerm(w.now, next, revision, h.leaseEnd, prior)
@@ -283,7 +283,7 @@
 		return
 	}
 	for _, o := range h.w.hosts {
-		if o.name != h.predecessor || o.dead || o.cutAll || h.cutAll || h.w.now.Before(o.frozen) {
+		if o.name != h.predecessor || o.dead || o.isolated || h.isolated || h.w.now.Before(o.frozen) {
 			continue
 		}
 		if o.incarnation != h.predecessorIncarnation {
@@ -314,7 +314,7 @@
 		case SendRelease:
 			h.sendRelease(e)
 		case WriteDoc:
-			h.write(&simWrite{WriteDoc: e, w: h.w, era: h.leadEra}, h.incarnation, h.leadRev)
+			h.write(&simWrite{WriteDoc: e, w: h.w, era: h.leaderEra}, h.incarnation, h.leaderRev)
 		case RenewLease: // followStore renews it within moments
 		case Publish:
 		case Note:
@@ -339,21 +339,21 @@
 	w, inc := h.w, h.incarnation
 	bound := simConfig(h).OrderTimeout
 	t := w.targetAt(addr)
-	if h.cutAll || t == nil || !t.up || t.cut || h.cutFrom == t {
+	if h.isolated || t == nil || !t.up || t.unreachable || h.unreachableTarget == t {
 		wait := w.randomDuration(time.Millisecond, bound)
 		w.after(wait, func() { h.run(inc, func() { done(target.ErrNotSent) }) })
 		return
 	}
-	born := t.row.Incarnation
+	targetInc := t.row.Incarnation
 	w.after(w.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
-		if !t.up || t.row.Incarnation != born || t.cut || h.cutAll || h.cutFrom == t {
+		if !t.up || t.row.Incarnation != targetInc || t.unreachable || h.isolated || h.unreachableTarget == t {
 			w.after(bound, func() { h.run(inc, func() { done(target.ErrUnanswered) }) })
 			return
 		}
 		if t.appliesLate && w.chance(0.5) {
 			arrived := w.now
 			w.after(w.randomDuration(time.Second, 12*time.Second), func() {
-				if t.up && t.row.Incarnation == born {
+				if t.up && t.row.Incarnation == targetInc {
 					_ = apply(t, arrived)
 				}
 			})
@@ -427,9 +427,9 @@
 }
 
 // commit carries out the write if its conditions hold.
-func (e *simWrite) commit(leadRev platform.Revision) bool {
+func (e *simWrite) commit(leaderRev platform.Revision) bool {
 	w, s := e.w, &e.w.store
-	if s.revision != e.Expect || s.leadRev != leadRev || !w.now.Before(s.leadSessionEnd) {
+	if s.revision != e.Expect || s.leaderRev != leaderRev || !w.now.Before(s.leaderSessionEnd) {
 		return false
 	}
 	w.takeSnapshot()
@@ -439,7 +439,7 @@
 }
 
 // write sends the document to the store until it is known whether it is stored.
-func (h *simHost) write(e *simWrite, inc place.Incarnation, leadRev platform.Revision) {
+func (h *simHost) write(e *simWrite, inc place.Incarnation, leaderRev platform.Revision) {
 	w := h.w
 	w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond)+w.store.slow, func() {
 		s := &w.store
@@ -451,24 +451,24 @@
 						h.core.NotWritten(w.now, e.WriteDoc)
 						return
 					}
-					h.write(e, inc, leadRev)
+					h.write(e, inc, leaderRev)
 				})
 			})
 			return
 		}
 		e.sent = true
 		stored := s.doc.WriteID == e.Doc.WriteID
-		if !stored && e.commit(leadRev) {
+		if !stored && e.commit(leaderRev) {
 			stored = true
 		}
 		if s.losesResponses && w.chance(0.4) {
-			w.after(100*time.Millisecond, func() { h.run(inc, func() { h.write(e, inc, leadRev) }) })
+			w.after(100*time.Millisecond, func() { h.run(inc, func() { h.write(e, inc, leaderRev) }) })
 			return
 		}
 		revision, era := s.revision, s.era
 		if w.hasNewFaults() && w.chance(0.02) {
 			// A delayed duplicate of the write takes effect late, if it still may.
-			w.after(w.randomDuration(time.Second, 6*time.Second), func() { e.commit(leadRev) })
+			w.after(w.randomDuration(time.Second, 6*time.Second), func() { e.commit(leaderRev) })
 		}
 		w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond), func() {
 			h.run(inc, func() {
