--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -67,11 +67,11 @@
 	refusedWrites int
 	// conn is the connection of the last grants to each target.
 	conn map[place.Target]uint64
-	// storeDown stops renewals of the lease, writesHang responses to writes, and
-	// releasesHang responses to releases, as work still running would.
+	// storeDown stops renewals of the lease and makes writes fail, writesHang holds back
+	// responses to writes, and releasesHang responses to releases, as running work does.
 	storeDown, writesHang, releasesHang bool
 	heldBack                            []Effect
-	// grantsHang stops responses to grants.
+	// grantsHang holds back responses to grants.
 	grantsHang bool
 	// silentTarget does not respond to orders.
 	silentTarget place.Target
--- a/internal/partition/capacity.go
+++ b/internal/partition/capacity.go
@@ -58,7 +58,7 @@
 )
 
 // CapacityFilter applies hysteresis to the measured capacities of targets, so that
-// noise moves no ranges.
+// noise alone moves few ranges.
 type CapacityFilter struct{ known map[place.Target]float64 }
 
 // Apply returns the target with the capacity to use in plans, and whether that capacity
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -44,8 +44,8 @@
 
 // Config bounds a plan.
 type Config struct {
-	// MaxMoves bounds the moves that rebalance and merge in one plan. Spans without an
-	// owner get one regardless.
+	// MaxMoves bounds the moves of one plan, though spans without an owner always get
+	// one.
 	MaxMoves int
 	// MaxSpans is the number of ranges that a target may own before its cool ones are
 	// merged with their neighbours.
@@ -275,7 +275,8 @@
 	// keyCost is the cost of moving all keys: the cost of a move depends on its keys,
 	// its gain on its work.
 	keyCost = 1.5
-	// minFit is the score of a piece that is too small or too large to be worth a move.
+	// minFit is the fit, and the score, below which a piece is too small or too large to
+	// be worth a move.
 	minFit = 0.25
 )
 
