--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -15,67 +15,67 @@
 
 // driver answers a lone lead's effects at once, without faults.
 type driver struct {
-	cell     *Cell
-	now      time.Time
-	revision platform.Revision
-	holds    map[place.Target]*target.Holdings
-	orders   int
-	bytes    int
+	cell       *Cell
+	now        time.Time
+	revision   platform.Revision
+	holdings   map[place.Target]*target.Holdings
+	orders     int
+	orderBytes int
 }
 
 func newDriver(targets int, shards key.ShardCount) *driver {
-	d := &driver{now: worldEpoch, holds: make(map[place.Target]*target.Holdings)}
+	d := &driver{now: simStart, holdings: make(map[place.Target]*target.Holdings)}
 	d.cell = New(Config{
-		ID: ID{Service: worldService, Zone: worldZone}, Self: "h0", Incarnation: 1,
+		ID: ID{Service: simService, Zone: simZone}, Self: "h0", Incarnation: 1,
 		Timing: DefaultTiming(), Shards: shards, ChecksTerms: true, MovesPerMinute: 60,
 	})
-	fleet := FleetSeen{Hosts: []place.HostRow{{Host: "h0", Zone: worldZone}}}
+	fleet := FleetReceived{Hosts: []place.HostRow{{Host: "h0", Zone: simZone}}}
 	for i := range targets {
 		name := place.Target(fmt.Sprintf("t%02d", i))
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1000+i))
-		fleet.Targets = append(fleet.Targets, place.TargetRow{Target: name, Service: string(worldService), Zone: worldZone, Addr: addr})
-		d.holds[name] = target.NewHoldings(target.HoldingsConfig{Target: name, Service: worldService, Incarnation: 1, ChecksTerms: true})
+		fleet.Targets = append(fleet.Targets, place.TargetRow{Target: name, Service: string(simService), Zone: simZone, Addr: addr})
+		d.holdings[name] = target.NewHoldings(target.HoldingsConfig{Target: name, Service: simService, Incarnation: 1, ChecksTerms: true})
 	}
-	custody := CustodySeen{Revision: 1}
+	custody := CustodyReceived{Revision: 1}
 	for s := range key.Shard(shards) {
 		custody.Shards = append(custody.Shards, CustodyRow{Shard: s, Floor: 1})
 	}
-	d.give(fleet)
-	d.give(custody)
+	d.handle(fleet)
+	d.handle(custody)
 	return d
 }
 
-func (d *driver) give(ev Event) { d.perform(d.cell.Handle(d.now, ev)) }
+func (d *driver) handle(ev Event) { d.perform(d.cell.Handle(d.now, ev)) }
 
 func (d *driver) perform(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case ReadDoc:
-			d.give(DocSeen{FromStore: true})
+			d.handle(DocReceived{FromStore: true})
 		case AcquireLease:
-			d.give(LeaseDone{SentAt: d.now, Reached: true, Held: true})
+			d.handle(LeaseDone{SentAt: d.now, Reached: true, Held: true})
 		case WriteDoc:
 			d.revision++
-			d.give(WriteDone{WriteID: e.Doc.WriteID, Revision: d.revision})
+			d.handle(WriteDone{WriteID: e.Doc.WriteID, Revision: d.revision})
 		case SendOrder:
-			d.order(e)
+			d.applyOrder(e)
 		}
 	}
 }
 
-func (d *driver) order(e SendOrder) {
+func (d *driver) applyOrder(e SendOrder) {
 	d.orders++
 	if data, err := target.EncodeOrder(e.Order); err == nil {
-		d.bytes += len(data)
+		d.orderBytes += len(data)
 	}
-	answer := d.holds[e.Target].Apply(grant.Stamp(d.now.Sub(worldEpoch)), e.Order)
-	d.give(OrderDone{Target: e.Target, SentAt: d.now, Reached: true, Answer: answer})
+	answer := d.holdings[e.Target].Apply(grant.Stamp(d.now.Sub(simStart)), e.Order)
+	d.handle(OrderDone{Target: e.Target, SentAt: d.now, Reached: true, Response: answer})
 }
 
-// play runs the cell for d2 with a tick each 50 ms.
-func (d *driver) play(length time.Duration) {
+// run runs the cell for d2 with a tick each 50 ms.
+func (d *driver) run(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); {
-		d.now = d.now.Add(tickEvery)
+		d.now = d.now.Add(tickInterval)
 		d.perform(d.cell.Tick(d.now))
 	}
 }
@@ -94,17 +94,17 @@
 	for name, size := range sizes {
 		b.Run(name, func(b *testing.B) {
 			d := newDriver(size.targets, size.shards)
-			d.play(5 * time.Second)
+			d.run(5 * time.Second)
 			if s := d.cell.Status(d.now); !s.LeaseHeld || s.Rows != int(size.shards) {
 				b.Fatalf("no steady lead: %+v", s)
 			}
-			d.orders, d.bytes = 0, 0
+			d.orders, d.orderBytes = 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
-				d.play(time.Second)
+				d.run(time.Second)
 			}
 			b.ReportMetric(float64(d.orders)/float64(b.N), "orders/op")
-			b.ReportMetric(float64(d.bytes)/float64(b.N), "B_orders/op")
+			b.ReportMetric(float64(d.orderBytes)/float64(b.N), "B_orders/op")
 		})
 	}
 }
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -41,55 +41,55 @@
 
 // Cell is one host's part in one cell. It is not safe for concurrent use.
 type Cell struct {
-	cfg Config
-	now time.Time
-	out []Effect
+	cfg     Config
+	now     time.Time
+	effects []Effect
 
-	// born is the first present time seen: a restarted host stays silent for
+	// startedAt is the first present time seen: a restarted host stays silent for
 	// the length of a promise, since it may have made one in its last life.
-	born time.Time
-	role role
+	startedAt time.Time
+	role      role
 
-	doc      Doc
-	revision platform.Revision
-	hasDoc   bool
-	absent   bool // the store answered that there is no document
+	doc       Doc
+	revision  platform.Revision
+	hasDoc    bool
+	docAbsent bool // the store answered that there is no document
 	// readStore tells that this incarnation has read the document from the store.
-	readStore bool
-	readAsked time.Time
-	refused   grant.Term // highest term that another host named
-
-	term      grant.Term // the term this host leads at
-	leadSince time.Time
-	lease     lease
-	write     write
-	writes    uint64
-	campaign  campaign
-	promise   promise
-	mates     []mate
-	targets   []targetState
-	rows      []rowState
+	readStore   bool
+	readAskedAt time.Time
+	seenTerm    grant.Term // highest term that another host named
+
+	term        grant.Term // the term this host leads at
+	leaderSince time.Time
+	lease       lease
+	write       write
+	writes      uint64
+	campaign    campaign
+	promise     promise
+	peers       []peerState
+	targets     []targetState
+	rows        []rowState
 
 	heartbeatDue time.Time
-	maintainDue  time.Time
-
-	// unjudged tells that a list or the document changed since judgeLists.
-	unjudged    bool
-	fleet       FleetSeen
-	fleetSeen   bool
-	custody     CustodySeen
-	custodySeen bool
-	lost        []Lost
-	lostSince   map[place.Host]time.Time
-	drains      []place.Target
-	plan        []PlannedMove
-	planStarts  []time.Time
-	cuts        []PlannedMove // moves that follow a cut of a solo key
-	stopping    bool
-
-	published uint64
-	dirty     bool
-	knobs     knobs
+	reconcileDue time.Time
+
+	// listsChanged tells that a list or the document changed since judgeLists.
+	listsChanged  bool
+	fleet         FleetReceived
+	hasFleet      bool
+	custody       CustodyReceived
+	hasCustody    bool
+	losses        []LossDeclaration
+	hostLostSince map[place.Host]time.Time
+	drains        []place.Target
+	plan          []PlannedMove
+	moveStarts    []time.Time
+	splitMoves    []PlannedMove // moves that follow a cut of a solo key
+	stopping      bool
+
+	tableSequence uint64
+	tableChanged  bool
+	mutations     mutations
 }
 
 // lease is this host's view of the cell's lease in the platform's service.
@@ -100,22 +100,22 @@
 	// once a write that was proposed since start has been won.
 	start    time.Time
 	verified bool
-	asked    time.Time
+	askedAt  time.Time
 	pending  bool
-	// contact is when the newest call that reached the store was sent.
-	contact time.Time
-	// held is when the newest call that took or renewed the lease was sent.
-	held time.Time
-	// taken tells that another host held the lease by the newest answer.
-	taken bool
+	// contactAt is when the newest call that reached the store was sent.
+	contactAt time.Time
+	// renewedAt is when the newest call that took or renewed the lease was sent.
+	renewedAt time.Time
+	// heldByOther tells that another host held the lease by the newest answer.
+	heldByOther bool
 }
 
-// knobs switch off one rule each, for the runs that prove the rules needed.
-type knobs struct {
-	extendGrants, noInventory, manyUnaccounted, lonely                              bool
-	lapseFromAnchor, sharedPromises, noSilence, standbyUnread                       bool
-	forgetRemoved, noParentCheck                                                    bool
-	assumeLost, leaseFromAnswer, leaseUnverified, lostAtOnce, holdContact, holdOver bool
+// mutations switch off one rule each, for the runs that prove the rules needed.
+type mutations struct {
+	alwaysGrant, skipInventory, ignoreRenewers, renewUnbacked                                                 bool
+	expireFromAnchor, sharedPromises, skipStartupSilence, skipStoreRead                                       bool
+	ignoreRemoved, skipParentCheck                                                                            bool
+	assumeWriteFailed, leaseFromResponse, skipLeaseCheck, ignoreLostPromises, limitFromContact, leadPastLimit bool
 }
 
 // New returns the cell's core for one host. It does nothing before the first
@@ -126,28 +126,28 @@
 
 // Handle takes one event and returns what has to be done now.
 func (c *Cell) Handle(now time.Time, ev Event) []Effect {
-	c.start(now)
+	c.setNow(now)
 	if c.role != stopped {
-		c.take(ev)
+		c.dispatch(ev)
 		c.advance()
 	}
-	return c.drain()
+	return c.takeEffects()
 }
 
 // Tick judges all timers. The shell calls it every 50 ms, and at once after a
 // pause of the process.
 func (c *Cell) Tick(now time.Time) []Effect {
-	c.start(now)
+	c.setNow(now)
 	if c.role != stopped {
 		c.advance()
 	}
-	return c.drain()
+	return c.takeEffects()
 }
 
-// start sets the present time, which never goes back.
-func (c *Cell) start(now time.Time) {
-	if c.born.IsZero() {
-		c.born = now
+// setNow sets the present time, which never goes back.
+func (c *Cell) setNow(now time.Time) {
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 		c.now = now
 	}
 	if now.After(c.now) {
@@ -155,44 +155,44 @@
 	}
 }
 
-func (c *Cell) drain() []Effect {
-	out := c.out
-	c.out = nil
+func (c *Cell) takeEffects() []Effect {
+	out := c.effects
+	c.effects = nil
 	return out
 }
 
-func (c *Cell) emit(e Effect) { c.out = append(c.out, e) }
+func (c *Cell) emit(e Effect) { c.effects = append(c.effects, e) }
 
 func (c *Cell) logf(format string, args ...any) {
 	c.emit(Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// take records what the event says. Decisions follow in advance.
-func (c *Cell) take(ev Event) {
+// dispatch records what the event says. Decisions follow in advance.
+func (c *Cell) dispatch(ev Event) {
 	switch ev := ev.(type) {
-	case DocSeen:
-		c.takeDoc(ev)
+	case DocReceived:
+		c.handleDoc(ev)
 	case WriteDone:
-		c.takeWrite(ev)
+		c.handleWrite(ev)
 	case LeaseDone:
-		c.takeLease(ev)
+		c.handleLease(ev)
 	case OrderDone:
-		c.takeOrder(ev)
+		c.handleResponse(ev)
 	case PeerReceived:
-		c.takeMessage(ev)
-	case FleetSeen:
-		c.fleet, c.fleetSeen, c.unjudged = ev, true, true
-	case CustodySeen:
-		c.takeCustody(ev)
-	case PlanSeen:
-		c.takePlan(ev)
-	case LostSeen:
-		c.takeLost(ev.Lost)
-	case DrainSeen:
-		c.drains, c.unjudged = ev.Targets, true
-	case ConfigSeen:
-		c.takeConfig(ev.Config)
-	case StopSeen:
+		c.handleMessage(ev)
+	case FleetReceived:
+		c.fleet, c.hasFleet, c.listsChanged = ev, true, true
+	case CustodyReceived:
+		c.handleCustody(ev)
+	case PlanReceived:
+		c.handlePlan(ev)
+	case LossesDeclared:
+		c.handleLosses(ev.Losses)
+	case DrainsReceived:
+		c.drains, c.listsChanged = ev.Targets, true
+	case ConfigChanged:
+		c.handleConfig(ev.Config)
+	case StopRequested:
 		c.stopping = true
 	}
 }
@@ -200,8 +200,8 @@
 // advance runs each system once, in the order of their dependence.
 func (c *Cell) advance() {
 	c.checkRole()
-	c.resendWrite()
-	c.judgeLists()
+	c.retryWrite()
+	c.applyLists()
 	if c.stopping {
 		c.stop()
 	}
@@ -209,44 +209,44 @@
 	case follower:
 		c.follow()
 	case candidate:
-		c.run()
+		c.runCampaign()
 	case leader:
 		c.leadCell()
 	case deputy:
-		c.deputise()
+		c.actAsDeputy()
 	}
 	c.publish()
 }
 
-func (c *Cell) takeCustody(ev CustodySeen) {
-	if c.custodySeen && ev.Revision < c.custody.Revision {
+func (c *Cell) handleCustody(ev CustodyReceived) {
+	if c.hasCustody && ev.Revision < c.custody.Revision {
 		return
 	}
 	ev.Shards = slices.Clone(ev.Shards)
 	slices.SortFunc(ev.Shards, func(a, b CustodyRow) int { return int(a.Shard) - int(b.Shard) })
-	c.custody, c.custodySeen, c.unjudged = ev, true, true
+	c.custody, c.hasCustody, c.listsChanged = ev, true, true
 }
 
-func (c *Cell) takePlan(ev PlanSeen) {
+func (c *Cell) handlePlan(ev PlanReceived) {
 	c.plan = slices.Clone(ev.Moves[:min(len(ev.Moves), maxPlan)])
 }
 
-// takeConfig keeps what names this cell and this life.
-func (c *Cell) takeConfig(cfg Config) {
+// handleConfig keeps what names this cell and this life.
+func (c *Cell) handleConfig(cfg Config) {
 	cfg.ID, cfg.Self, cfg.SelfAddr, cfg.Incarnation = c.cfg.ID, c.cfg.Self, c.cfg.SelfAddr, c.cfg.Incarnation
 	cfg.Shards = c.cfg.Shards
 	c.cfg = cfg
 }
 
-// longer returns d as it must be waited by a clock that may run fast, for
+// addDrift returns d as it must be waited by a clock that may run fast, for
 // something that ends after d by a clock that may run slow.
-func (c *Cell) longer(d time.Duration) time.Duration {
+func (c *Cell) addDrift(d time.Duration) time.Duration {
 	m := time.Duration(c.cfg.Timing.DriftPerMil)
 	return d*(perMil+m)/(perMil-m) + time.Nanosecond
 }
 
-// shorter is the reverse of longer.
-func (c *Cell) shorter(d time.Duration) time.Duration {
+// subtractDrift is the reverse of longer.
+func (c *Cell) subtractDrift(d time.Duration) time.Duration {
 	m := time.Duration(c.cfg.Timing.DriftPerMil)
 	return d * (perMil - m) / (perMil + m)
 }
@@ -256,29 +256,29 @@
 
 // Bounds of lists that come from outside or grow with time.
 const (
-	maxPlan      = 256
-	maxMoves     = 64
-	maxRoster    = 4
-	maxRemoved   = 16
-	releaseBatch = 64
+	maxPlan        = 256
+	maxMoveHistory = 64
+	maxRoster      = 4
+	maxRemoved     = 16
+	maxReleases    = 64
 )
 
 // Pacing of work that no timer of Timing names.
 const (
-	readEvery     = 400 * time.Millisecond
-	writeRetry    = 400 * time.Millisecond
-	maintainEvery = 100 * time.Millisecond
-	callTimeout   = 15 * time.Second // after it an unanswered call counts as lost
-	rankDelay     = 150 * time.Millisecond
-	campaignEvery = 100 * time.Millisecond // between calls for a lease about to lapse
-	campaignEager = 2 * time.Second        // after it, calls come as a lead's do
-	memberSilence = 3 * time.Second        // of a roster host before it is dropped
-	memberForget  = 10 * time.Second       // of an unlisted target before its row is reused
+	readInterval         = 400 * time.Millisecond
+	writeRetryDelay      = 400 * time.Millisecond
+	reconcileInterval    = 100 * time.Millisecond
+	callTimeout          = 15 * time.Second // after it an unanswered call counts as lost
+	rankDelay            = 150 * time.Millisecond
+	fastCampaignInterval = 100 * time.Millisecond // between calls for a lease about to lapse
+	fastCampaignPeriod   = 2 * time.Second        // after it, calls come as a lead's do
+	maxSilence           = 3 * time.Second        // of a roster host before it is dropped
+	unlistedRetention    = 10 * time.Second       // of an unlisted target before its row is reused
 )
 
 // knownTerm returns the highest term this host has heard of.
 func (c *Cell) knownTerm() grant.Term {
-	return max(c.doc.Term, c.refused)
+	return max(c.doc.Term, c.seenTerm)
 }
 
 // leading reports whether this host leads the cell at the document's term.
@@ -287,20 +287,20 @@
 // leaseValid reports whether this host leads with a lease that runs for
 // certain and was unbroken since the document is known to be the newest.
 func (c *Cell) leaseValid() bool {
-	return c.leading() && c.now.Before(c.lease.until) && (c.lease.verified || c.knobs.leaseUnverified)
+	return c.leading() && c.now.Before(c.lease.until) && (c.lease.verified || c.mutations.skipLeaseCheck)
 }
 
-// row returns the row as it is in force, with a standby activated by this lead.
-func (c *Cell) row(i int) Row {
+// currentRow returns the row as it is in force, with a standby activated by this lead.
+func (c *Cell) currentRow(i int) Row {
 	r := c.doc.Rows[i]
-	if a := c.rows[i].active; a != nil {
+	if a := c.rows[i].activation; a != nil {
 		r.Owner, r.Epoch = a.To, a.Epoch
 	}
 	return r
 }
 
-// rowOf returns the index of a shard's row, or -1.
-func (d *Doc) rowOf(shard key.Shard) int {
+// rowIndex returns the index of a shard's row, or -1.
+func (d *Doc) rowIndex(shard key.Shard) int {
 	i, found := slices.BinarySearchFunc(d.Rows, shard, func(r Row, s key.Shard) int {
 		return int(r.Shard) - int(s)
 	})
@@ -317,8 +317,8 @@
 	out.Removed = slices.Clone(d.Removed)
 	out.Targets = slices.Clone(d.Targets)
 	out.Rows = slices.Clone(d.Rows)
-	out.Solos = slices.Clone(d.Solos)
-	out.Given = slices.Clone(d.Given)
+	out.SingleKeys = slices.Clone(d.SingleKeys)
+	out.Ceded = slices.Clone(d.Ceded)
 	out.Moves = slices.Clone(d.Moves)
 	return out
 }
--- a/internal/cell/codec.go
+++ b/internal/cell/codec.go
@@ -13,9 +13,9 @@
 // maxElements bounds each list of a decoded document or message.
 const maxElements = 1 << 17
 
-var decoding = decodeMode()
+var decMode = newDecMode()
 
-func decodeMode() cbor.DecMode {
+func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxElements, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
 		panic(err) // the options above are constants
@@ -32,7 +32,7 @@
 // DecodeDoc reads what EncodeDoc wrote. It returns an error for anything else.
 func DecodeDoc(data []byte) (Doc, error) {
 	var w wireDoc
-	if err := decoding.Unmarshal(data, &w); err != nil {
+	if err := decMode.Unmarshal(data, &w); err != nil {
 		return Doc{}, oops.Wrapf(err, "decode cell document")
 	}
 	d := docFromWire(w)
@@ -61,7 +61,7 @@
 const (
 	wireHeartbeat = iota + 1
 	wirePromise
-	wireRefuse
+	wireHigherTerm
 	wireHandover
 )
 
@@ -87,7 +87,7 @@
 // anything else.
 func DecodeMessage(data []byte) (Message, error) {
 	var w wireMessage
-	if err := decoding.Unmarshal(data, &w); err != nil {
+	if err := decMode.Unmarshal(data, &w); err != nil {
 		return nil, oops.Wrapf(err, "decode cell message")
 	}
 	return messageFromWire(w)
@@ -111,8 +111,8 @@
 			Flag: m.ReadStore, Incarnation: uint64(m.Incarnation),
 			Revision: uint64(m.Revision),
 		}
-	case Refuse:
-		return wireMessage{Kind: wireRefuse, Term: uint64(m.Term)}
+	case HigherTerm:
+		return wireMessage{Kind: wireHigherTerm, Term: uint64(m.Term)}
 	case Handover:
 		return wireMessage{Kind: wireHandover, Term: uint64(m.Term)}
 	}
@@ -129,8 +129,8 @@
 			Incarnation: place.Incarnation(w.Incarnation), ReadStore: w.Flag,
 			Revision: platform.Revision(w.Revision),
 		}, nil
-	case wireRefuse:
-		return Refuse{Term: grant.Term(w.Term)}, nil
+	case wireHigherTerm:
+		return HigherTerm{Term: grant.Term(w.Term)}, nil
 	case wireHandover:
 		return Handover{Term: grant.Term(w.Term)}, nil
 	}
--- a/internal/cell/doc.go
+++ b/internal/cell/doc.go
@@ -31,25 +31,25 @@
 
 // Doc is the cell's document in the platform's service.
 type Doc struct {
-	ID              ID
-	Term            grant.Term
-	Lead            place.Host
-	LeadAddr        netip.AddrPort
-	LeadIncarnation place.Incarnation
+	ID                ID
+	Term              grant.Term
+	Leader            place.Host
+	LeaderAddr        netip.AddrPort
+	LeaderIncarnation place.Incarnation
 	// WriteID is the id of the write that made this revision: a write whose
 	// answer was lost is resolved by reading back and comparing it.
-	WriteID string
-	Roster  []place.Host
-	Removed []RemovedHost
-	Targets []TargetDoc
-	Rows    []Row
-	Solos   []Solo
-	// NextSolo plus its parent's shard is the shard of the next solo key; no
+	WriteID    string
+	Roster     []place.Host
+	Removed    []RemovedHost
+	Targets    []TargetDoc
+	Rows       []Row
+	SingleKeys []SingleKey
+	// NextSingleKey plus its parent's shard is the shard of the next solo key; no
 	// number is reused in the cell, and none is used by two cells.
-	NextSolo key.Shard
-	// Given lists the shards that custody took away and that nobody in this
+	NextSingleKey key.Shard
+	// Ceded lists the shards that custody took away and that nobody in this
 	// cell holds any more.
-	Given []Given
+	Ceded []CededShard
 	// Custody is the revision of the custody document that Rows reflects.
 	Custody platform.Revision
 	// Moves holds the newest moves, oldest first, bounded.
@@ -82,18 +82,18 @@
 	Standby TargetIndex
 }
 
-// Solo cuts one hot key out of its hash-range shard.
-type Solo struct {
+// SingleKey cuts one hot key out of its hash-range shard.
+type SingleKey struct {
 	Hash  key.Hash
 	Shard key.Shard
 	// Parent is the hash-range shard, Cut its first epoch without the key.
-	Parent key.Shard
-	Cut    grant.Epoch
+	Parent     key.Shard
+	SplitEpoch grant.Epoch
 }
 
-// Given is one shard that this cell gave up. Another cell may grant it at
+// CededShard is one shard that this cell gave up. Another cell may grant it at
 // Floor or above.
-type Given struct {
+type CededShard struct {
 	Shard    key.Shard
 	Floor    grant.Epoch
 	Evidence grant.Evidence
@@ -110,23 +110,23 @@
 
 // Timing holds the durations of the ownership rules.
 type Timing struct {
-	Renew       time.Duration // between two renewals of a target
-	Grant       time.Duration // length of a grant, by the target's clock
-	Lease       time.Duration // the lead's lease in the platform's service
-	LeaseRenew  time.Duration // between two renewals of that lease
-	Promise     time.Duration // how long a roster host's promise runs
-	DriftPerMil int           // clock-rate margin, in thousandths
+	RenewInterval      time.Duration // between two renewals of a target
+	GrantDuration      time.Duration // length of a grant, by the target's clock
+	LeaseTTL           time.Duration // the lead's lease in the platform's service
+	LeaseRenewInterval time.Duration // between two renewals of that lease
+	PromiseDuration    time.Duration // how long a roster host's promise runs
+	DriftPerMil        int           // clock-rate margin, in thousandths
 }
 
 // DefaultTiming meets the promise that a key is served again 4 s after a loss.
 func DefaultTiming() Timing {
 	return Timing{
-		Renew:       400 * time.Millisecond,
-		Grant:       2500 * time.Millisecond,
-		Lease:       1200 * time.Millisecond,
-		LeaseRenew:  400 * time.Millisecond,
-		Promise:     time.Second,
-		DriftPerMil: 10,
+		RenewInterval:      400 * time.Millisecond,
+		GrantDuration:      2500 * time.Millisecond,
+		LeaseTTL:           1200 * time.Millisecond,
+		LeaseRenewInterval: 400 * time.Millisecond,
+		PromiseDuration:    time.Second,
+		DriftPerMil:        10,
 	}
 }
 
@@ -140,9 +140,9 @@
 	Shards      key.ShardCount
 	// ChecksTerms tells whether the targets refuse orders of a lower term.
 	ChecksTerms bool
-	// Hold bounds how long the cell renews without contact to the store;
+	// RenewLimit bounds how long the cell renews without contact to the store;
 	// zero stands for no bound.
-	Hold time.Duration
+	RenewLimit time.Duration
 	// MovesPerMinute bounds planned moves.
 	MovesPerMinute int
 	// ImbalancePercent is the busiest target's load over the mean that
--- a/internal/cell/election_test.go
+++ b/internal/cell/election_test.go
@@ -10,38 +10,38 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// TestTakeOverOfCellsWithoutRoster: a cell that was evicted before its first
+// TestElectionWithoutRoster: a cell that was evicted before its first
 // document, or whose whole roster is declared lost, gets a lead again.
-func TestTakeOverOfCellsWithoutRoster(t *testing.T) {
+func TestElectionWithoutRoster(t *testing.T) {
 	tests := map[string]struct {
 		hosts   int
-		prepare func(*world)
+		prepare func(*sim)
 	}{
-		"evicted before the first document": {3, func(w *world) {
-			w.doc, w.docAt, w.revision = Evict(Doc{ID: ID{Service: worldService, Zone: worldZone}}, w.custody.Revision, nil, grant.Declared{}), 1, 1
+		"evicted before the first document": {3, func(w *sim) {
+			w.doc, w.docRevision, w.revision = Evict(Doc{ID: ID{Service: simService, Zone: simZone}}, w.custody.Revision, nil, grant.Declared{}), 1, 1
 			for _, s := range w.custody.Shards {
 				w.changeCustody(s.Shard, 9, true)
 			}
 		}},
-		"whole roster declared lost": {6, func(w *world) {
-			w.until(4 * time.Second)
+		"whole roster declared lost": {6, func(w *sim) {
+			w.runUntil(4 * time.Second)
 			for _, h := range w.hosts {
 				for _, member := range w.doc.Roster {
 					if place.Host(h.name) == member {
 						w.crashHost(h, time.Hour)
-						w.lost = append(w.lost, Lost{Host: member, By: "operator", Reason: "fire"})
+						w.losses = append(w.losses, LossDeclaration{Host: member, By: "operator", Reason: "fire"})
 					}
 				}
 			}
-			w.tellAll()
+			w.sendListsToAll()
 		}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(options{seed: 1, hosts: tt.hosts, targets: 4, calm: true, length: time.Hour})
+			w := newSim(options{seed: 1, hosts: tt.hosts, targets: 4, noFaults: true, duration: time.Hour})
 			tt.prepare(w)
-			w.until(w.now + 10*time.Second)
-			w.checkHealed()
+			w.runUntil(w.now + 10*time.Second)
+			w.checkRecovered()
 			assert.Equal(t, w.failure, "")
 		})
 	}
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -14,10 +14,10 @@
 // Event is what happened outside, as the shell reports it to Cell.Handle.
 type Event interface{ event() }
 
-// DocSeen reports a committed document. Exists is false where the store
+// DocReceived reports a committed document. Exists is false where the store
 // answered that there is none. FromStore tells a read of the store from a
 // copy that a peer sent. Epoch floors of the rows never fall.
-type DocSeen struct {
+type DocReceived struct {
 	Exists    bool
 	FromStore bool
 	Doc       Doc
@@ -29,7 +29,7 @@
 
 // The outcomes of a write. After WriteUnknown the core reads back.
 const (
-	WriteWon WriteResult = iota
+	WriteCommitted WriteResult = iota
 	WriteConflict
 	WriteUnknown
 	WriteUnavailable
@@ -52,10 +52,10 @@
 
 // OrderDone reports the outcome of a SendOrder effect.
 type OrderDone struct {
-	Target  place.Target
-	SentAt  time.Time
-	Reached bool
-	Answer  grant.Response
+	Target   place.Target
+	SentAt   time.Time
+	Reached  bool
+	Response grant.Response
 }
 
 // PeerReceived reports a message of another roster host of this cell.
@@ -64,15 +64,15 @@
 	Message Message
 }
 
-// FleetSeen reports the platform's lagging list, for this cell's zone.
-type FleetSeen struct {
+// FleetReceived reports the platform's lagging list, for this cell's zone.
+type FleetReceived struct {
 	Hosts   []place.HostRow
 	Targets []place.TargetRow
 }
 
-// CustodySeen reports which shards this cell has custody of, with the lowest
+// CustodyReceived reports which shards this cell has custody of, with the lowest
 // epoch that each may be granted at, from the custody document.
-type CustodySeen struct {
+type CustodyReceived struct {
 	Revision platform.Revision
 	Shards   []CustodyRow
 }
@@ -83,52 +83,52 @@
 	Floor grant.Epoch
 }
 
-// PlanSeen hands the cell the moves that placement wants now.
-type PlanSeen struct{ Moves []PlannedMove }
+// PlanReceived hands the cell the moves that placement wants now.
+type PlanReceived struct{ Moves []PlannedMove }
 
 // PlannedMove asks for one move or, with Cut set, for cutting the hot key Solo
 // out of its shard first. With Join set it asks to put the solo key of that
 // shard back into its parent.
 type PlannedMove struct {
-	Shard key.Shard
-	To    place.Target
-	Solo  key.Hash
-	Cut   bool
-	Join  bool
+	Shard  key.Shard
+	To     place.Target
+	HotKey key.Hash
+	Split  bool
+	Merge  bool
 }
 
-// LostSeen reports the operators' declarations in force for this zone.
-type LostSeen struct{ Lost []Lost }
+// LossesDeclared reports the operators' declarations in force for this zone.
+type LossesDeclared struct{ Losses []LossDeclaration }
 
-// Lost is one declaration that a target or host is lost.
-type Lost struct {
+// LossDeclaration is one declaration that a target or host is lost.
+type LossDeclaration struct {
 	Target place.Target
 	Host   place.Host
 	By     string
 	Reason string
 }
 
-// DrainSeen reports the targets that operators drain.
-type DrainSeen struct{ Targets []place.Target }
+// DrainsReceived reports the targets that operators drain.
+type DrainsReceived struct{ Targets []place.Target }
 
-// ConfigSeen reports a changed configuration.
-type ConfigSeen struct{ Config Config }
+// ConfigChanged reports a changed configuration.
+type ConfigChanged struct{ Config Config }
 
-// StopSeen asks for a planned stop: hand over, then Stopped.
-type StopSeen struct{}
+// StopRequested asks for a planned stop: hand over, then Stopped.
+type StopRequested struct{}
 
-func (DocSeen) event()      {}
-func (WriteDone) event()    {}
-func (LeaseDone) event()    {}
-func (OrderDone) event()    {}
-func (PeerReceived) event() {}
-func (FleetSeen) event()    {}
-func (CustodySeen) event()  {}
-func (PlanSeen) event()     {}
-func (LostSeen) event()     {}
-func (DrainSeen) event()    {}
-func (ConfigSeen) event()   {}
-func (StopSeen) event()     {}
+func (DocReceived) event()     {}
+func (WriteDone) event()       {}
+func (LeaseDone) event()       {}
+func (OrderDone) event()       {}
+func (PeerReceived) event()    {}
+func (FleetReceived) event()   {}
+func (CustodyReceived) event() {}
+func (PlanReceived) event()    {}
+func (LossesDeclared) event()  {}
+func (DrainsReceived) event()  {}
+func (ConfigChanged) event()   {}
+func (StopRequested) event()   {}
 
 // Effect is what the shell has to do, as Handle and Tick return it.
 type Effect interface{ effect() }
@@ -214,13 +214,13 @@
 	Revision platform.Revision
 }
 
-// Refuse answers a heartbeat of a lower term: its sender stops at once.
-type Refuse struct{ Term grant.Term }
+// HigherTerm answers a heartbeat of a lower term: its sender stops at once.
+type HigherTerm struct{ Term grant.Term }
 
 // Handover asks a roster host to take the lead: a planned stop.
 type Handover struct{ Term grant.Term }
 
-func (Heartbeat) message() {}
-func (Promise) message()   {}
-func (Refuse) message()    {}
-func (Handover) message()  {}
+func (Heartbeat) message()  {}
+func (Promise) message()    {}
+func (HigherTerm) message() {}
+func (Handover) message()   {}
--- a/internal/cell/evict.go
+++ b/internal/cell/evict.go
@@ -10,9 +10,9 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// lostEpochStep is added to the epochs of an evicted cell: more than the
+// evictionEpochStep is added to the epochs of an evicted cell: more than the
 // standbys that it could have activated without the store having heard of it.
-const lostEpochStep grant.Epoch = 1 << 10
+const evictionEpochStep grant.Epoch = 1 << 10
 
 // Evict returns the document of a cell whose zone is lost, by evidence, with
 // all of its shards given up. The shards are those that the custody document
@@ -24,30 +24,30 @@
 func Evict(d Doc, custody platform.Revision, shards []CustodyRow, e grant.Evidence) Doc {
 	out := d.clone()
 	out.Term++
-	out.Lead = ""
+	out.Leader = ""
 	// A lead whose own write is under way must not take this one for it.
 	out.WriteID = fmt.Sprintf("evict/%s/%d", d.ID.Zone, custody)
 	out.Custody = custody
 	for _, s := range shards {
-		floor := max(s.Floor, d.highest(s.Shard)) + lostEpochStep
-		out.give(Given{Shard: s.Shard, Floor: floor, Evidence: e})
+		floor := max(s.Floor, d.highestEpoch(s.Shard)) + evictionEpochStep
+		out.cede(CededShard{Shard: s.Shard, Floor: floor, Evidence: e})
 	}
 	return out
 }
 
-// highest returns the highest epoch that the document knows of a shard and of
+// highestEpoch returns the highest epoch that the document knows of a shard and of
 // the solo keys cut out of it.
-func (d *Doc) highest(shard key.Shard) grant.Epoch {
+func (d *Doc) highestEpoch(shard key.Shard) grant.Epoch {
 	var epoch grant.Epoch
-	if i := d.rowOf(shard); i >= 0 {
+	if i := d.rowIndex(shard); i >= 0 {
 		epoch = d.Rows[i].Epoch
 	}
-	for _, s := range d.Solos {
-		if i := d.rowOf(s.Shard); s.Parent == shard && i >= 0 {
-			epoch = max(epoch, d.Rows[i].Epoch, s.Cut)
+	for _, s := range d.SingleKeys {
+		if i := d.rowIndex(s.Shard); s.Parent == shard && i >= 0 {
+			epoch = max(epoch, d.Rows[i].Epoch, s.SplitEpoch)
 		}
 	}
-	for _, g := range d.Given {
+	for _, g := range d.Ceded {
 		if g.Shard == shard {
 			epoch = max(epoch, g.Floor)
 		}
@@ -55,17 +55,17 @@
 	return epoch
 }
 
-// give removes a shard with its solo keys and lists it as given up.
-func (d *Doc) give(given Given) {
+// cede removes a shard with its solo keys and lists it as given up.
+func (d *Doc) cede(given CededShard) {
 	gone := map[key.Shard]bool{given.Shard: true}
-	d.Solos = slices.DeleteFunc(d.Solos, func(s Solo) bool {
+	d.SingleKeys = slices.DeleteFunc(d.SingleKeys, func(s SingleKey) bool {
 		if s.Parent == given.Shard {
 			gone[s.Shard] = true
 		}
 		return s.Parent == given.Shard
 	})
 	d.Rows = slices.DeleteFunc(d.Rows, func(r Row) bool { return gone[r.Shard] })
-	d.Given = slices.DeleteFunc(d.Given, func(g Given) bool { return g.Shard == given.Shard })
-	d.Given = append(d.Given, given)
-	slices.SortFunc(d.Given, func(a, b Given) int { return cmp.Compare(a.Shard, b.Shard) })
+	d.Ceded = slices.DeleteFunc(d.Ceded, func(g CededShard) bool { return g.Shard == given.Shard })
+	d.Ceded = append(d.Ceded, given)
+	slices.SortFunc(d.Ceded, func(a, b CededShard) int { return cmp.Compare(a.Shard, b.Shard) })
 }
--- a/internal/cell/evict_test.go
+++ b/internal/cell/evict_test.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	evictor    = place.Host("evict/x0")
-	evictLease = 4 * time.Second
-	evictRuns  = 30 * time.Second
+	evictor       = place.Host("evict/x0")
+	evictLeaseTTL = 4 * time.Second
+	evictPeriod   = 30 * time.Second
 )
 
-// evict lets another zone take a silent cell's lease where hold is bounded,
+// tryEvict lets another zone take a silent cell's lease where hold is bounded,
 // and its shards once it held the lease for longer than leads here may renew.
-func (w *world) evict() {
-	if w.hold == 0 || !w.up {
+func (w *sim) tryEvict() {
+	if w.renewLimit == 0 || !w.storeUp {
 		return
 	}
 	if w.chance(0.004) {
-		w.evictUntil = w.now + evictRuns
+		w.evictUntil = w.now + evictPeriod
 		w.tracef("another zone waits for the lease")
 	}
 	now := w.storeClock.at(w.now)
-	mine := w.holder == evictor && now.Before(w.holdUntil)
-	if w.now > w.evictUntil || !mine && now.Before(w.holdUntil) {
+	mine := w.leaseHolder == evictor && now.Before(w.leaseEnd)
+	if w.now > w.evictUntil || !mine && now.Before(w.leaseEnd) {
 		return
 	}
 	if !mine {
 		w.evictSince = now
 	}
-	w.holder, w.holdUntil = evictor, now.Add(evictLease)
+	w.leaseHolder, w.leaseEnd = evictor, now.Add(evictLeaseTTL)
 	timing := DefaultTiming()
-	bound := w.hold + timing.Grant
+	bound := w.renewLimit + timing.GrantDuration
 	bound += bound*time.Duration(timing.DriftPerMil)/perMil + time.Second
 	if now.Sub(w.evictSince) >= bound {
-		w.takeOver(w.evictSince)
+		w.evictCell(w.evictSince)
 	}
 }
 
-// takeOver evicts the cell: custody changes first, then its document.
-func (w *world) takeOver(since time.Time) {
+// evictCell evicts the cell: custody changes first, then its document.
+func (w *sim) evictCell(since time.Time) {
 	w.evictUntil = 0
 	gone := w.custody.Shards
 	for _, s := range gone {
 		w.changeCustody(s.Shard, 0, false)
 	}
-	if w.docAt == 0 || len(gone) == 0 {
+	if w.docRevision == 0 || len(gone) == 0 {
 		return
 	}
 	w.tracef("another zone evicts the cell")
 	w.stats.evicted++
 	next := Evict(w.doc, w.custody.Revision, gone, grant.Expired{Since: since})
-	w.watchDoc(&next)
+	w.recordDoc(&next)
 	w.revision++
-	w.doc, w.docAt = next, w.revision
+	w.doc, w.docRevision = next, w.revision
 }
--- a/internal/cell/invariant.go
+++ b/internal/cell/invariant.go
@@ -7,11 +7,11 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// checkStep reports whether the step from one document to the next keeps the
+// checkTransition reports whether the step from one document to the next keeps the
 // invariants. A violation ends leading: it is a fault of this program, and
 // the next lead starts from the store.
-func (c *Cell) checkStep(from, to *Doc) bool {
-	err := stepError(from, to)
+func (c *Cell) checkTransition(from, to *Doc) bool {
+	err := transitionError(from, to)
 	if err == nil {
 		return true
 	}
@@ -22,7 +22,7 @@
 
 // checkRole ends leading and deputising while a promise of this host runs.
 func (c *Cell) checkRole() {
-	if (c.role == leader || c.role == deputy) && c.promised() {
+	if (c.role == leader || c.role == deputy) && c.boundByPromise() {
 		c.logf("Invariant violated: %s while promised to %s.", c.role, c.promise.to)
 		c.stepDown("invariant violated")
 	}
@@ -37,8 +37,8 @@
 	return false
 }
 
-// stepError returns what is wrong with a step between two documents.
-func stepError(from, to *Doc) error {
+// transitionError returns what is wrong with a step between two documents.
+func transitionError(from, to *Doc) error {
 	if to.Term < from.Term {
 		return fmt.Errorf("term fell from %d to %d", from.Term, to.Term)
 	}
@@ -46,20 +46,20 @@
 		return err
 	}
 	for _, r := range from.Rows {
-		if err := rowStepError(r, from, to); err != nil {
+		if err := rowTransitionError(r, from, to); err != nil {
 			return err
 		}
 	}
-	if to.NextSolo < from.NextSolo {
-		return fmt.Errorf("solo number fell from %d to %d", from.NextSolo, to.NextSolo)
+	if to.NextSingleKey < from.NextSingleKey {
+		return fmt.Errorf("solo number fell from %d to %d", from.NextSingleKey, to.NextSingleKey)
 	}
 	return nil
 }
 
-func rowStepError(r Row, from, to *Doc) error {
-	i := to.rowOf(r.Shard)
+func rowTransitionError(r Row, from, to *Doc) error {
+	i := to.rowIndex(r.Shard)
 	if i < 0 {
-		return goneError(r, from, to)
+		return missingRowError(r, from, to)
 	}
 	next := to.Rows[i]
 	if next.Epoch < r.Epoch {
@@ -72,22 +72,22 @@
 	return nil
 }
 
-// goneError accepts a row that is listed as given up above its epoch, and a
+// missingRowError accepts a row that is listed as given up above its epoch, and a
 // solo key that went back to its parent.
-func goneError(r Row, from, to *Doc) error {
-	for _, g := range to.Given {
+func missingRowError(r Row, from, to *Doc) error {
+	for _, g := range to.Ceded {
 		if g.Shard == r.Shard && g.Floor > r.Epoch {
 			return nil
 		}
 	}
-	if isSolo(from, r.Shard) && !isSolo(to, r.Shard) {
+	if isSingleKey(from, r.Shard) && !isSingleKey(to, r.Shard) {
 		return nil
 	}
 	return fmt.Errorf("shard %d is in no row and not given up", r.Shard)
 }
 
-func isSolo(d *Doc, shard key.Shard) bool {
-	for _, s := range d.Solos {
+func isSingleKey(d *Doc, shard key.Shard) bool {
+	for _, s := range d.SingleKeys {
 		if s.Shard == shard {
 			return true
 		}
@@ -98,12 +98,12 @@
 // Floor returns an epoch above every one that this cell can have granted for
 // the shard, a standby's activation included. Zero where it has no row.
 func (d *Doc) Floor(shard key.Shard) grant.Epoch {
-	i := d.rowOf(shard)
+	i := d.rowIndex(shard)
 	if i < 0 {
 		return 0
 	}
-	return d.Rows[i].Epoch + standbyEpochs
+	return d.Rows[i].Epoch + maxStandbyEpochs
 }
 
-// standbyEpochs bounds the epochs that standbys can add without the store.
-const standbyEpochs = 1 << 10
+// maxStandbyEpochs bounds the epochs that standbys can add without the store.
+const maxStandbyEpochs = 1 << 10
--- a/internal/cell/membership.go
+++ b/internal/cell/membership.go
@@ -7,11 +7,11 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// changeRoster drops roster hosts that are silent or gone and lets others
+// updateRoster drops roster hosts that are silent or gone and lets others
 // join. Each change raises the term and asks for all promises anew, which
 // delays lapse; so it waits until no target that owns shards is silent.
-func (c *Cell) changeRoster() {
-	if !c.calm() {
+func (c *Cell) updateRoster() {
+	if !c.stable() {
 		return
 	}
 	roster, removed := c.nextRoster()
@@ -30,14 +30,14 @@
 	}
 }
 
-// calm reports whether all rows are settled and their owners answer.
-func (c *Cell) calm() bool {
+// stable reports whether all rows are settled and their owners answer.
+func (c *Cell) stable() bool {
 	for i := range c.rows {
 		s := &c.rows[i]
-		if s.doubt || s.releasing || s.active != nil {
+		if s.holderUnknown || s.releasing || s.activation != nil {
 			return false
 		}
-		if o := c.doc.Rows[i].Owner; o != NoTarget && !c.answering(&c.targets[o]) {
+		if o := c.doc.Rows[i].Owner; o != NoTarget && !c.responsive(&c.targets[o]) {
 			return false
 		}
 	}
@@ -53,56 +53,56 @@
 			removed = append(removed, h)
 		}
 	}
-	for i := range c.mates {
-		m := &c.mates[i]
-		if !m.member && len(roster) < maxRoster && c.good(m) && m.revision == c.revision && c.wanted(m.host) {
+	for i := range c.peers {
+		m := &c.peers[i]
+		if !m.onRoster && len(roster) < maxRoster && c.promisedBy(m) && m.revision == c.revision && c.belongsOnRoster(m.host) {
 			roster = append(roster, m.host)
 		}
 	}
 	return roster, removed
 }
 
-// wanted reports whether the host belongs on the roster.
-func (c *Cell) wanted(h place.Host) bool { return slices.Contains(c.wantedRoster(), h) }
+// belongsOnRoster reports whether the host belongs on the roster.
+func (c *Cell) belongsOnRoster(h place.Host) bool { return slices.Contains(c.desiredRoster(), h) }
 
 func (c *Cell) staysOnRoster(h place.Host) bool {
 	if h == c.cfg.Self {
 		return true
 	}
-	m := c.mate(h)
-	if m == nil || c.hostLost(h) {
+	m := c.peer(h)
+	if m == nil || c.hostDeclaredLost(h) {
 		return false
 	}
-	if c.now.Sub(latest(m.until, c.leadSince)) > memberSilence {
+	if c.now.Sub(latest(m.promiseEnd, c.leaderSince)) > maxSilence {
 		return false
 	}
 	i := slices.IndexFunc(c.fleet.Hosts, func(r place.HostRow) bool { return r.Host == h })
 	return i < 0 || c.fleet.Hosts[i].State != place.Leaving
 }
 
-// takeLost records the operators' declarations. What a lost host granted until
+// handleLosses records the operators' declarations. What a lost host granted until
 // then, or let others grant by its promise, still has to lapse.
-func (c *Cell) takeLost(lost []Lost) {
+func (c *Cell) handleLosses(lost []LossDeclaration) {
 	since := make(map[place.Host]time.Time)
 	for _, l := range lost {
 		if l.Host == "" {
 			continue
 		}
 		since[l.Host] = c.now
-		if at, known := c.lostSince[l.Host]; known {
+		if at, known := c.hostLostSince[l.Host]; known {
 			since[l.Host] = at
 		}
 	}
-	c.lost, c.lostSince, c.unjudged = slices.Clone(lost), since, true
+	c.losses, c.hostLostSince, c.listsChanged = slices.Clone(lost), since, true
 }
 
 // adoptRoster takes up a roster that this lead wrote: promises to the term
 // before count no more.
 func (c *Cell) adoptRoster() {
 	c.term = c.doc.Term
-	c.leadSince = c.now
-	for i := range c.mates {
-		c.mates[i].forget()
+	c.leaderSince = c.now
+	for i := range c.peers {
+		c.peers[i].clearPromise()
 	}
 	c.heartbeatDue = c.now
 	for i := range c.targets {
--- a/internal/cell/network_test.go
+++ b/internal/cell/network_test.go
@@ -13,42 +13,42 @@
 
 const storeName = "store"
 
-func (w *world) storeReached(h *hostNode) bool { return w.up && w.linked(h.name, storeName) }
+func (w *sim) storeReachable(h *simHost) bool { return w.storeUp && w.linked(h.name, storeName) }
 
-func (w *world) storeDelay() time.Duration {
-	if w.slow {
-		return time.Duration(1000+w.r.IntN(4000)) * time.Millisecond
+func (w *sim) storeDelay() time.Duration {
+	if w.storeSlow {
+		return time.Duration(1000+w.rng.IntN(4000)) * time.Millisecond
 	}
 	return w.delay()
 }
 
-// store makes one call: apply at the store, then done or failed at the host.
+// callStore makes one call: apply at the store, then done or failed at the host.
 // failed gets whether the call may have taken effect.
-func (w *world) store(h *hostNode, apply, done func(), failed func(unknown bool)) {
-	life := h.life
-	if !w.storeReached(h) {
+func (w *sim) callStore(h *simHost, apply, done func(), failed func(unknown bool)) {
+	life := h.incarnation
+	if !w.storeReachable(h) {
 		w.after(w.delay(), func() {
-			if failed != nil && h.life == life {
-				failed(w.r.IntN(4) == 0)
+			if failed != nil && h.incarnation == life {
+				failed(w.rng.IntN(4) == 0)
 			}
 		})
 		return
 	}
-	limit := callLimit
-	if w.slow {
+	limit := simCallTimeout
+	if w.storeSlow {
 		limit = 12 * time.Second
 	}
 	answered := false
 	w.after(w.storeDelay(), func() {
-		if !w.up {
+		if !w.storeUp {
 			return
 		}
 		apply()
-		if !w.calm && w.r.IntN(20) == 0 {
+		if !w.noFaults && w.rng.IntN(20) == 0 {
 			return // the answer is lost
 		}
 		w.after(w.storeDelay(), func() {
-			if answered || h.life != life || !w.linked(h.name, storeName) {
+			if answered || h.incarnation != life || !w.linked(h.name, storeName) {
 				return
 			}
 			answered = true
@@ -58,114 +58,114 @@
 		})
 	})
 	w.after(limit, func() {
-		if !answered && failed != nil && h.life == life {
+		if !answered && failed != nil && h.incarnation == life {
 			answered = true
 			failed(true)
 		}
 	})
 }
 
-func (w *world) readDoc(h *hostNode) {
-	var seen DocSeen
-	life := h.life
-	w.store(h, func() {
-		seen = DocSeen{Exists: w.docAt != 0, FromStore: true, Doc: w.doc.clone(), Revision: w.docAt}
+func (w *sim) readDoc(h *simHost) {
+	var seen DocReceived
+	life := h.incarnation
+	w.callStore(h, func() {
+		seen = DocReceived{Exists: w.docRevision != 0, FromStore: true, Doc: w.doc.clone(), Revision: w.docRevision}
 	}, func() { w.handle(h, life, seen) }, nil)
 }
 
-func (w *world) writeDoc(h *hostNode, e WriteDoc) {
-	life := h.life
+func (w *sim) writeDoc(h *simHost, e WriteDoc) {
+	life := h.incarnation
 	result := WriteDone{WriteID: e.Doc.WriteID}
-	w.store(h, func() { w.commit(h, e, &result) }, func() { w.handle(h, life, result) }, func(unknown bool) {
+	w.callStore(h, func() { w.commit(h, e, &result) }, func() { w.handle(h, life, result) }, func(unknown bool) {
 		result.Result = WriteUnavailable
 		if unknown {
-			w.stats.unknown++
+			w.stats.uncertain++
 			result.Result = WriteUnknown
 		}
 		w.handle(h, life, result)
 	})
 }
 
-func (w *world) commit(h *hostNode, e WriteDoc, result *WriteDone) {
-	if w.docAt != e.Expect {
+func (w *sim) commit(h *simHost, e WriteDoc, result *WriteDone) {
+	if w.docRevision != e.Expect {
 		result.Result = WriteConflict
 		return
 	}
-	if err := stepError(&w.doc, &e.Doc); err != nil && w.docAt != 0 {
-		w.fail("%s wrote a bad step: %v", h.name, err)
+	if err := transitionError(&w.doc, &e.Doc); err != nil && w.docRevision != 0 {
+		w.failf("%s wrote a bad step: %v", h.name, err)
 	}
-	w.watchDoc(&e.Doc)
+	w.recordDoc(&e.Doc)
 	data, err := EncodeDoc(e.Doc)
 	if err != nil {
-		w.fail("encode: %v", err)
+		w.failf("encode: %v", err)
 		return
 	}
 	decoded, err := DecodeDoc(data)
 	if err != nil {
-		w.fail("decode: %v", err)
+		w.failf("decode: %v", err)
 		return
 	}
 	w.revision++
-	w.doc, w.docAt = decoded, w.revision
-	result.Result, result.Revision = WriteWon, w.revision
-	w.tracef("%s commits rev %d term %d roster %v removed %v rows %v", h.name, w.docAt, w.doc.Term, w.doc.Roster, w.doc.Removed, w.doc.Rows)
+	w.doc, w.docRevision = decoded, w.revision
+	result.Result, result.Revision = WriteCommitted, w.revision
+	w.tracef("%s commits rev %d term %d roster %v removed %v rows %v", h.name, w.docRevision, w.doc.Term, w.doc.Roster, w.doc.Removed, w.doc.Rows)
 }
 
-// watchDoc notes what the run's own checks need of a committed document.
-func (w *world) watchDoc(next *Doc) {
+// recordDoc notes what the run's own checks need of a committed document.
+func (w *sim) recordDoc(next *Doc) {
 	if next.Term > w.doc.Term {
 		w.stats.terms++
 	}
 	if !slices.Equal(next.Roster, w.doc.Roster) {
-		w.stats.rosters++
+		w.stats.rosterChanges++
 	}
 	for _, r := range next.Rows {
-		if i := w.doc.rowOf(r.Shard); i >= 0 && w.doc.Rows[i].Owner != r.Owner {
+		if i := w.doc.rowIndex(r.Shard); i >= 0 && w.doc.Rows[i].Owner != r.Owner {
 			w.stats.moves++
 		}
 	}
-	for _, s := range next.Solos {
-		if _, known := w.solos[s.Hash]; !known || w.solos[s.Hash].Cut < s.Cut {
-			w.stats.cuts++
-			w.solos[s.Hash] = s
-			delete(w.rejoined, s.Hash)
+	for _, s := range next.SingleKeys {
+		if _, known := w.singleKeys[s.Hash]; !known || w.singleKeys[s.Hash].SplitEpoch < s.SplitEpoch {
+			w.stats.splits++
+			w.singleKeys[s.Hash] = s
+			delete(w.merged, s.Hash)
 		}
 	}
-	for _, s := range w.doc.Solos {
-		i, j := w.doc.rowOf(s.Parent), next.rowOf(s.Parent)
-		if !isSolo(next, s.Shard) && i >= 0 && j >= 0 {
-			w.stats.joins++
-			w.rejoined[s.Hash] = next.Rows[j].Epoch
-			w.after(0, w.checkAll)
+	for _, s := range w.doc.SingleKeys {
+		i, j := w.doc.rowIndex(s.Parent), next.rowIndex(s.Parent)
+		if !isSingleKey(next, s.Shard) && i >= 0 && j >= 0 {
+			w.stats.merges++
+			w.merged[s.Hash] = next.Rows[j].Epoch
+			w.after(0, w.checkTargets)
 		}
 	}
-	for _, g := range next.Given {
-		if _, away := w.outside[g.Shard]; away || slices.ContainsFunc(w.doc.Given, func(o Given) bool { return o.Shard == g.Shard }) {
+	for _, g := range next.Ceded {
+		if _, away := w.ceded[g.Shard]; away || slices.ContainsFunc(w.doc.Ceded, func(o CededShard) bool { return o.Shard == g.Shard }) {
 			continue
 		}
-		w.stats.given++
+		w.stats.ceded++
 		w.tracef("shard %d is given away at floor %d", g.Shard, g.Floor)
-		w.outside[g.Shard] = g.Floor
-		for hash, s := range w.solos {
+		w.ceded[g.Shard] = g.Floor
+		for hash, s := range w.singleKeys {
 			if s.Parent == g.Shard {
-				w.rejoined[hash] = g.Floor
+				w.merged[hash] = g.Floor
 			}
 		}
-		w.checkOutside(g.Shard)
+		w.checkCeded(g.Shard)
 	}
 }
 
-func (w *world) acquire(h *hostNode) {
-	life := h.life
+func (w *sim) acquireLease(h *simHost) {
+	life := h.incarnation
 	sent := h.at(w.now)
 	var held bool
-	w.store(h, func() {
+	w.callStore(h, func() {
 		now := w.storeClock.at(w.now)
 		me := place.Host(h.name)
-		if w.holder == me || !now.Before(w.holdUntil) {
-			w.holder, w.holdUntil = me, now.Add(DefaultTiming().Lease)
+		if w.leaseHolder == me || !now.Before(w.leaseEnd) {
+			w.leaseHolder, w.leaseEnd = me, now.Add(DefaultTiming().LeaseTTL)
 		}
-		held = w.holder == me
+		held = w.leaseHolder == me
 	}, func() {
 		w.handle(h, life, LeaseDone{SentAt: sent, Reached: true, Held: held})
 	}, func(bool) {
@@ -173,21 +173,21 @@
 	})
 }
 
-func (w *world) sendPeer(h *hostNode, e SendPeer) {
+func (w *sim) sendPeer(h *simHost, e SendPeer) {
 	data, err := EncodeMessage(e.Message)
 	if err != nil {
-		w.fail("encode: %v", err)
+		w.failf("encode: %v", err)
 		return
 	}
 	for _, to := range w.hosts {
 		if place.Host(to.name) != e.To || !w.linked(h.name, to.name) {
 			continue
 		}
-		life := to.life
+		life := to.incarnation
 		w.after(w.delay(), func() {
 			m, err := DecodeMessage(data)
 			if err != nil {
-				w.fail("decode: %v", err)
+				w.failf("decode: %v", err)
 				return
 			}
 			if w.linked(h.name, to.name) {
@@ -197,15 +197,15 @@
 	}
 }
 
-func (w *world) sendOrder(h *hostNode, e SendOrder) {
-	life := h.life
+func (w *sim) sendOrder(h *simHost, e SendOrder) {
+	life := h.incarnation
 	sent := h.at(w.now)
 	answered := false
 	finish := func(ev OrderDone) {
 		ev.Target, ev.SentAt = e.Target, sent
 		w.handle(h, life, ev)
 	}
-	w.after(callLimit, func() {
+	w.after(simCallTimeout, func() {
 		if !answered {
 			answered = true
 			finish(OrderDone{})
@@ -219,18 +219,18 @@
 		if !w.linked(h.name, t.name) {
 			return
 		}
-		w.arrive(t, e.Order, func(a grant.Response) {
+		w.deliverOrder(t, e.Order, func(a grant.Response) {
 			w.after(w.delay(), func() {
-				if w.linked(h.name, t.name) && (!answered || w.r.IntN(2) == 0) {
+				if w.linked(h.name, t.name) && (!answered || w.rng.IntN(2) == 0) {
 					answered = true
-					finish(OrderDone{Reached: true, Answer: a})
+					finish(OrderDone{Reached: true, Response: a})
 				}
 			})
 		})
 	})
 }
 
-func (w *world) targetAt(e SendOrder) *targetNode {
+func (w *sim) targetAt(e SendOrder) *simTarget {
 	for _, t := range w.targets {
 		if t.addr == e.Addr {
 			return t
@@ -239,98 +239,98 @@
 	return nil
 }
 
-// arrive gives an order to a target; a frozen one reads it after the thaw.
-func (w *world) arrive(t *targetNode, o grant.Order, answer func(grant.Response)) {
-	if t.dead {
+// deliverOrder gives an order to a target; a frozen one reads it after the thaw.
+func (w *sim) deliverOrder(t *simTarget, o grant.Order, answer func(grant.Response)) {
+	if t.down {
 		return
 	}
-	if w.now < t.paused {
-		t.waiting = append(t.waiting, func() { w.arrive(t, o, answer) })
+	if w.now < t.pausedUntil {
+		t.deferred = append(t.deferred, func() { w.deliverOrder(t, o, answer) })
 		return
 	}
-	now := t.reading(w.now)
-	if w.noAnchor {
+	now := t.clockStamp(w.now)
+	if w.anchorAtArrival {
 		o.Anchor = now
 	}
-	a := t.holds.Apply(now, o)
-	if w.termless {
+	a := t.holdings.Apply(now, o)
+	if w.hideTerms {
 		a.Term = 0
 	}
-	w.checkTarget(t, o)
+	w.checkDuplicates(t, o)
 	answer(a)
 }
 
-// checkTarget reports a shard or hot key that the target holds beside another.
+// checkDuplicates reports a shard or hot key that the target holds beside another.
 // Ownership begins with an order alone, so that this check sees every instant.
-func (w *world) checkTarget(t *targetNode, o grant.Order) {
-	for _, mine := range t.holds.List(t.reading(w.now)) {
-		if epoch, away := w.outside[mine.Shard]; away {
-			w.fail("%s holds shard %d at %d, given away at floor %d", t.name, mine.Shard, mine.Epoch, epoch)
+func (w *sim) checkDuplicates(t *simTarget, o grant.Order) {
+	for _, mine := range t.holdings.List(t.clockStamp(w.now)) {
+		if epoch, away := w.ceded[mine.Shard]; away {
+			w.failf("%s holds shard %d at %d, given away at floor %d", t.name, mine.Shard, mine.Epoch, epoch)
 		}
 		for _, other := range w.targets {
-			if other == t || other.dead {
+			if other == t || other.down {
 				continue
 			}
-			for _, theirs := range other.holds.List(other.reading(w.now)) {
+			for _, theirs := range other.holdings.List(other.clockStamp(w.now)) {
 				if theirs.Shard == mine.Shard {
-					w.fail("shard %d doubled: %s at %d until +%v, %s at %d; order of term %d", mine.Shard, t.name, mine.Epoch,
-						time.Duration(mine.End-t.reading(w.now)), other.name, theirs.Epoch, o.Term)
+					w.failf("shard %d doubled: %s at %d until +%v, %s at %d; order of term %d", mine.Shard, t.name, mine.Epoch,
+						time.Duration(mine.End-t.clockStamp(w.now)), other.name, theirs.Epoch, o.Term)
 				}
-				w.checkSolos(t, mine.ShardEpoch, other, theirs.ShardEpoch)
+				w.checkSingleKeys(t, mine.ShardEpoch, other, theirs.ShardEpoch)
 			}
 		}
 	}
 }
 
-func (w *world) checkSolos(t *targetNode, mine grant.ShardEpoch, other *targetNode, theirs grant.ShardEpoch) {
-	for hash := range w.solos {
-		if w.includes(mine, hash) && w.includes(theirs, hash) {
-			w.fail("hot key of shard %d doubled: %s by %v, %s by %v", w.solos[hash].Parent, t.name, mine, other.name, theirs)
+func (w *sim) checkSingleKeys(t *simTarget, mine grant.ShardEpoch, other *simTarget, theirs grant.ShardEpoch) {
+	for hash := range w.singleKeys {
+		if w.covers(mine, hash) && w.covers(theirs, hash) {
+			w.failf("hot key of shard %d doubled: %s by %v, %s by %v", w.singleKeys[hash].Parent, t.name, mine, other.name, theirs)
 		}
 	}
 }
 
-// includes reports whether a request for the hot key may be served under the
+// covers reports whether a request for the hot key may be served under the
 // holding: by its own row, or by its parent at an epoch before the cut.
-func (w *world) includes(h grant.ShardEpoch, hash key.Hash) bool {
-	s := w.solos[hash]
+func (w *sim) covers(h grant.ShardEpoch, hash key.Hash) bool {
+	s := w.singleKeys[hash]
 	if h.Shard == s.Shard {
 		return true
 	}
 	if h.Shard != s.Parent {
 		return false
 	}
-	again, rejoined := w.rejoined[hash]
-	return h.Epoch < s.Cut || rejoined && h.Epoch >= again
+	again, rejoined := w.merged[hash]
+	return h.Epoch < s.SplitEpoch || rejoined && h.Epoch >= again
 }
 
-func (w *world) checkAll() {
+func (w *sim) checkTargets() {
 	for _, t := range w.targets {
-		if !t.dead {
-			w.checkTarget(t, grant.Order{})
+		if !t.down {
+			w.checkDuplicates(t, grant.Order{})
 		}
 	}
 }
 
-// checkOutside reports a shard that a target still holds as another zone gets it.
-func (w *world) checkOutside(shard key.Shard) {
+// checkCeded reports a shard that a target still holds as another zone gets it.
+func (w *sim) checkCeded(shard key.Shard) {
 	for _, t := range w.targets {
-		if t.dead {
+		if t.down {
 			continue
 		}
-		for _, held := range t.holds.List(t.reading(w.now)) {
+		for _, held := range t.holdings.List(t.clockStamp(w.now)) {
 			if held.Shard == shard {
-				w.fail("%s holds shard %d at %d as it is given away", t.name, shard, held.Epoch)
+				w.failf("%s holds shard %d at %d as it is given away", t.name, shard, held.Epoch)
 			}
 		}
 	}
 }
 
-func (w *world) noteLog(h *hostNode, e Log) {
+func (w *sim) recordLog(h *simHost, e Log) {
 	w.tracef("%s: %s", h.name, e.Text)
 	switch {
 	case strings.HasPrefix(e.Text, "Invariant"):
-		w.fail("%s: %s", h.name, e.Text)
+		w.failf("%s: %s", h.name, e.Text)
 	case strings.HasPrefix(e.Text, "Activates"):
 		w.stats.activated++
 	case strings.HasPrefix(e.Text, "Renews as deputy"):
@@ -339,11 +339,11 @@
 }
 
 // custodyAt returns the custody without or with one shard, at the next revision.
-func (w *world) changeCustody(shard key.Shard, floor grant.Epoch, here bool) {
+func (w *sim) changeCustody(shard key.Shard, floor grant.Epoch, here bool) {
 	rows := slices.DeleteFunc(slices.Clone(w.custody.Shards), func(r CustodyRow) bool { return r.Shard == shard })
 	if here {
 		rows = append(rows, CustodyRow{Shard: shard, Floor: floor})
 	}
-	w.custody = CustodySeen{Revision: w.custody.Revision + platform.Revision(1), Shards: rows}
-	w.tellAll()
+	w.custody = CustodyReceived{Revision: w.custody.Revision + platform.Revision(1), Shards: rows}
+	w.sendListsToAll()
 }
--- a/internal/cell/order.go
+++ b/internal/cell/order.go
@@ -5,53 +5,53 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// orders sends each target its renewal, one message at a time.
-func (c *Cell) orders() {
+// sendOrders sends each target its renewal, one message at a time.
+func (c *Cell) sendOrders() {
 	for i := range c.targets {
 		t := &c.targets[i]
 		if t.target == "" || !t.addr.IsValid() || c.now.Before(t.due) {
 			continue
 		}
-		if t.flying && c.now.Sub(t.sent) < c.cfg.Timing.Renew {
+		if t.inFlight && c.now.Sub(t.sentAt) < c.cfg.Timing.RenewInterval {
 			continue
 		}
-		c.order(TargetIndex(i))
+		c.sendOrder(TargetIndex(i))
 	}
 }
 
-// order sends one target what it should hold. An order without an anchor, or
+// sendOrder sends one target what it should hold. An order without an anchor, or
 // without the right to renew, only asks.
-func (c *Cell) order(i TargetIndex) {
+func (c *Cell) sendOrder(i TargetIndex) {
 	t := &c.targets[i]
 	o := grant.Order{
 		Service:  c.cfg.ID.Service,
 		Zone:     c.cfg.ID.Zone,
 		Term:     c.doc.Term,
-		Duration: c.cfg.Timing.Grant,
+		Duration: c.cfg.Timing.GrantDuration,
 	}
 	if t.incarnation != 0 && c.mayRenew() {
 		o.Incarnation, o.Anchor = t.incarnation, t.clock
-		if c.renew(i, &o) {
-			t.anchored = latest(t.anchored, t.clockAt)
+		if c.fillOrder(i, &o) {
+			t.anchoredAt = latest(t.anchoredAt, t.clockAt)
 		}
 	}
 	o.Inventory = c.leading() && (t.inventoryTerm != c.term || len(o.Release) > 0)
 	// A reading serves for orders until the next one comes; the time sent
 	// must still tell two orders apart.
 	sent := c.now
-	if !sent.After(t.sent) {
-		sent = t.sent.Add(1)
+	if !sent.After(t.sentAt) {
+		sent = t.sentAt.Add(1)
 	}
-	t.sent, t.flying = sent, true
-	t.due = c.now.Add(c.cfg.Timing.Renew)
+	t.sentAt, t.inFlight = sent, true
+	t.due = c.now.Add(c.cfg.Timing.RenewInterval)
 	c.emit(SendOrder{Target: t.target, Addr: t.addr, Order: o})
 }
 
-// renew fills in what the order lengthens, grants and releases. It reports
+// fillOrder fills in what the order lengthens, grants and releases. It reports
 // whether the order can lengthen or make a grant.
-func (c *Cell) renew(i TargetIndex, o *grant.Order) bool {
+func (c *Cell) fillOrder(i TargetIndex, o *grant.Order) bool {
 	t := &c.targets[i]
-	want := c.expected(i)
+	want := c.expectedHoldings(i)
 	if c.leading() {
 		o.Release = c.releases(i, want)
 	}
@@ -60,19 +60,19 @@
 		return true
 	}
 	for _, h := range want {
-		o.Items = append(o.Items, grant.Item{Shard: h.Shard, Epoch: h.Epoch, Kind: c.kindFor(h.Shard)})
+		o.Items = append(o.Items, grant.Item{Shard: h.Shard, Epoch: h.Epoch, Kind: c.itemKind(h.Shard)})
 	}
 	return len(want) > 0
 }
 
-// kindFor returns whether an order of now may create ownership: only with a
+// itemKind returns whether an order of now may create ownership: only with a
 // valid lease, or for an activated standby with every host's promise.
-func (c *Cell) kindFor(shard key.Shard) grant.Kind {
-	if c.leaseValid() || c.knobs.extendGrants {
+func (c *Cell) itemKind(shard key.Shard) grant.Kind {
+	if c.leaseValid() || c.mutations.alwaysGrant {
 		return grant.Grant
 	}
-	i := c.doc.rowOf(shard)
-	if c.leading() && i >= 0 && c.rows[i].active != nil && c.allPromised() {
+	i := c.doc.rowIndex(shard)
+	if c.leading() && i >= 0 && c.rows[i].activation != nil && c.allPromised() {
 		return grant.Grant
 	}
 	return grant.Extend
@@ -83,12 +83,12 @@
 func (c *Cell) releases(t TargetIndex, want []grant.ShardEpoch) []grant.ShardEpoch {
 	var out []grant.ShardEpoch
 	for i := range c.doc.Rows {
-		r := c.row(i)
+		r := c.currentRow(i)
 		if r.Owner != t || !c.rows[i].releasing {
 			continue
 		}
 		out = append(out, grant.ShardEpoch{Shard: r.Shard, Epoch: r.Epoch})
-		if parent, ok := c.openParent(r); ok {
+		if parent, ok := c.heldParent(r); ok {
 			out = append(out, parent)
 		}
 	}
@@ -97,20 +97,20 @@
 		return out
 	}
 	for _, h := range state.held {
-		if c.leftOver(t, h) {
+		if c.staleHolding(t, h) {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// leftOver reports whether a held shard belongs to another owner by a row
+// staleHolding reports whether a held shard belongs to another owner by a row
 // that is beyond doubt.
-func (c *Cell) leftOver(t TargetIndex, h grant.ShardEpoch) bool {
-	i := c.doc.rowOf(h.Shard)
+func (c *Cell) staleHolding(t TargetIndex, h grant.ShardEpoch) bool {
+	i := c.doc.rowIndex(h.Shard)
 	if i < 0 {
 		return true
 	}
-	r, s := c.row(i), &c.rows[i]
-	return !s.doubt && !c.write.pending && r.Owner != t && r.Epoch > h.Epoch
+	r, s := c.currentRow(i), &c.rows[i]
+	return !s.holderUnknown && !c.write.pending && r.Owner != t && r.Epoch > h.Epoch
 }
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -8,57 +8,57 @@
 // startReleases asks owners to release shards: those that custody took away,
 // those of leaving targets, then planned moves within the minute's budget.
 func (c *Cell) startReleases() {
-	open := c.releaseFor()
+	open := c.releaseBudget()
 	for i := range c.rows {
 		r := c.doc.Rows[i]
-		if open <= 0 || r.Owner == NoTarget || !c.free(i) {
+		if open <= 0 || r.Owner == NoTarget || !c.idleRow(i) {
 			continue
 		}
 		switch {
-		case c.rows[i].away:
-			c.release(i, NoTarget)
-			c.rows[i].giving = true
+		case c.rows[i].custodyLost:
+			c.startRelease(i, NoTarget)
+			c.rows[i].ceding = true
 			open--
-		case c.leavingNow(r.Owner) && c.hasOther(r.Owner):
-			c.release(i, NoTarget)
+		case c.isLeaving(r.Owner) && c.hasAlternative(r.Owner):
+			c.startRelease(i, NoTarget)
 			open--
 		}
 	}
-	c.startPlan(open)
+	c.startPlannedMoves(open)
 }
 
-// releaseFor returns how many releases may begin now, and gives up those that
+// releaseBudget returns how many releases may begin now, and gives up those that
 // have lost their reason.
-func (c *Cell) releaseFor() int {
-	open := releaseBatch
+func (c *Cell) releaseBudget() int {
+	open := maxReleases
 	for i := range c.rows {
 		s := &c.rows[i]
 		if !s.releasing {
 			continue
 		}
 		open--
-		if s.giving && !s.away && !s.joining {
-			s.giving = false // the release goes on; the shard comes back here
+		if s.ceding && !s.custodyLost && !s.merging {
+			s.ceding = false // the release goes on; the shard comes back here
 		}
 	}
 	return open
 }
 
-// free reports whether nothing else is under way for the row.
-func (c *Cell) free(i int) bool {
+// idleRow reports whether nothing else is under way for the row.
+func (c *Cell) idleRow(i int) bool {
 	s := &c.rows[i]
-	return !s.doubt && !s.releasing && s.active == nil
+	return !s.holderUnknown && !s.releasing && s.activation == nil
 }
 
-func (c *Cell) release(i int, to TargetIndex) {
+func (c *Cell) startRelease(i int, to TargetIndex) {
 	s := &c.rows[i]
-	s.releasing, s.releaseAt, s.to, s.served = true, c.now, to, false
-	c.hasten(c.doc.Rows[i].Owner)
-	c.dirty = true
+	s.releasing, s.releaseStart, s.moveTo, s.routable = true, c.now, to, false
+	c.orderNow(c.doc.Rows[i].Owner)
+	c.tableChanged = true
 }
 
-// hasOther reports whether a shard could go to some other target.
-func (c *Cell) hasOther(owner TargetIndex) bool {
+// hasAlternative reports whether a shard could go to some other target.
+func (c *Cell) hasAlternative(owner TargetIndex) bool {
 	for i := range c.targets {
 		if TargetIndex(i) != owner && c.eligible(TargetIndex(i)) {
 			return true
@@ -67,56 +67,56 @@
 	return false
 }
 
-// startPlan begins planned moves, oldest first.
-func (c *Cell) startPlan(open int) {
-	c.plan = append(c.plan, c.cutsToMove()...)
-	if len(c.doc.Solos) > maxSolos-spareSolos {
-		c.startJoin(c.doc.Solos[0].Shard)
+// startPlannedMoves begins planned moves, oldest first.
+func (c *Cell) startPlannedMoves(open int) {
+	c.plan = append(c.plan, c.readySplitMoves()...)
+	if len(c.doc.SingleKeys) > maxSingleKeys-spareSingleKeys {
+		c.startMerge(c.doc.SingleKeys[0].Shard)
 	}
-	c.planStarts = slices.DeleteFunc(c.planStarts, func(at time.Time) bool {
+	c.moveStarts = slices.DeleteFunc(c.moveStarts, func(at time.Time) bool {
 		return c.now.Sub(at) >= time.Minute
 	})
 	c.plan = slices.DeleteFunc(c.plan, func(p PlannedMove) bool {
-		if p.Cut {
+		if p.Split {
 			return false // maintain writes it
 		}
-		if p.Join {
-			c.startJoin(p.Shard)
+		if p.Merge {
+			c.startMerge(p.Shard)
 			return true
 		}
-		if open <= 0 || len(c.planStarts) >= c.cfg.MovesPerMinute {
+		if open <= 0 || len(c.moveStarts) >= c.cfg.MovesPerMinute {
 			return true // placement asks again
 		}
 		if c.startMove(p) {
 			open--
-			c.planStarts = append(c.planStarts, c.now)
+			c.moveStarts = append(c.moveStarts, c.now)
 		}
 		return true
 	})
 }
 
-// cutsToMove returns the moves of solo keys whose cut the owner confirmed.
-func (c *Cell) cutsToMove() []PlannedMove {
+// readySplitMoves returns the moves of solo keys whose cut the owner confirmed.
+func (c *Cell) readySplitMoves() []PlannedMove {
 	var ready []PlannedMove
-	c.cuts = slices.DeleteFunc(c.cuts, func(p PlannedMove) bool {
-		i := c.doc.rowOf(p.Shard)
-		if i >= 0 && c.rows[i].served {
+	c.splitMoves = slices.DeleteFunc(c.splitMoves, func(p PlannedMove) bool {
+		i := c.doc.rowIndex(p.Shard)
+		if i >= 0 && c.rows[i].routable {
 			ready = append(ready, p)
 		}
-		return i < 0 || c.rows[i].served
+		return i < 0 || c.rows[i].routable
 	})
 	return ready
 }
 
 func (c *Cell) startMove(p PlannedMove) bool {
-	i, to := c.doc.rowOf(p.Shard), c.doc.targetOf(p.To)
+	i, to := c.doc.rowIndex(p.Shard), c.doc.targetIndex(p.To)
 	if i < 0 || to == NoTarget || !c.eligible(to) {
 		return false
 	}
 	r := c.doc.Rows[i]
-	if r.Owner == NoTarget || r.Owner == to || !c.rows[i].served || !c.free(i) || !c.answering(&c.targets[r.Owner]) {
+	if r.Owner == NoTarget || r.Owner == to || !c.rows[i].routable || !c.idleRow(i) || !c.responsive(&c.targets[r.Owner]) {
 		return false
 	}
-	c.release(i, to)
+	c.startRelease(i, to)
 	return true
 }
--- a/internal/cell/publish.go
+++ b/internal/cell/publish.go
@@ -11,11 +11,11 @@
 
 // publish hands the routing table out after each change, while leading.
 func (c *Cell) publish() {
-	if !c.leading() || !c.dirty {
+	if !c.leading() || !c.tableChanged {
 		return
 	}
-	c.dirty = false
-	c.published++
+	c.tableChanged = false
+	c.tableSequence++
 	c.emit(Publish{Table: c.table()})
 }
 
@@ -24,7 +24,7 @@
 func (c *Cell) table() table.Table {
 	t := table.Table{
 		Service: c.cfg.ID.Service, Zone: c.cfg.ID.Zone,
-		Version: table.Version{Term: c.doc.Term, Sequence: c.published},
+		Version: table.Version{Term: c.doc.Term, Sequence: c.tableSequence},
 		Leader:  c.cfg.Self, LeaderAddr: c.cfg.SelfAddr, Shards: c.cfg.Shards,
 		Targets: make([]table.Target, 0, len(c.doc.Targets)),
 		Rows:    make([]table.Row, 0, len(c.doc.Rows)),
@@ -33,14 +33,14 @@
 		t.Targets = append(t.Targets, table.Target{Name: m.Target, Addr: m.Addr, Leaving: m.Leaving, WarmupStart: m.Since})
 	}
 	for i := range c.doc.Rows {
-		r := c.row(i)
+		r := c.currentRow(i)
 		row := table.Row{Shard: r.Shard, Epoch: r.Epoch, Owner: table.NoOwner}
-		if c.rows[i].served && r.Owner != NoTarget {
+		if c.rows[i].routable && r.Owner != NoTarget {
 			row.Owner = table.TargetIndex(r.Owner)
 		}
 		t.Rows = append(t.Rows, row)
 	}
-	for _, s := range c.doc.Solos {
+	for _, s := range c.doc.SingleKeys {
 		t.SingleKeys = append(t.SingleKeys, table.SingleKey{Hash: s.Hash, Shard: s.Shard})
 	}
 	return t
@@ -51,43 +51,43 @@
 	ID        ID
 	Role      string
 	Term      grant.Term
-	Lead      place.Host
+	Leader    place.Host
 	Roster    []place.Host
 	Removed   []RemovedHost
 	LeaseHeld bool
 	// MayRenew tells whether this host may lengthen grants now.
 	MayRenew bool
-	// StoreSilent is the time since the newest call that reached the store;
+	// SinceStoreContact is the time since the newest call that reached the store;
 	// zero while none was made.
-	StoreSilent time.Duration
-	Promises    []PromiseStatus
-	Targets     []TargetStatus
-	Rows        int
-	Doubts      []DoubtStatus
-	Releasing   []key.Shard
-	Activated   []Activation
-	Moves       []Move
-	Given       []Given
-	Solos       int
+	SinceStoreContact time.Duration
+	Promises          []PromiseStatus
+	Targets           []TargetStatus
+	Rows              int
+	Blocked           []BlockedShard
+	Releasing         []key.Shard
+	Activations       []Activation
+	Moves             []Move
+	Ceded             []CededShard
+	SingleKeys        int
 }
 
 // PromiseStatus is the promise of one roster host, as the lead counts it.
 type PromiseStatus struct {
-	Host   place.Host
-	Left   time.Duration
-	Member bool
+	Host      place.Host
+	Remaining time.Duration
+	OnRoster  bool
 }
 
 // TargetStatus is one target, as this host sees it.
 type TargetStatus struct {
-	Target   place.Target
-	Rows     int
-	Answered time.Time
-	Leaving  bool
+	Target      place.Target
+	Rows        int
+	RespondedAt time.Time
+	Leaving     bool
 }
 
-// DoubtStatus is one shard that may not be moved yet, and why.
-type DoubtStatus struct {
+// BlockedShard is one shard that may not be moved yet, and why.
+type BlockedShard struct {
 	Shard  key.Shard
 	Owner  place.Target
 	Reason string
@@ -96,49 +96,49 @@
 // Status returns this host's view of the cell.
 func (c *Cell) Status(now time.Time) Status {
 	s := Status{
-		ID: c.cfg.ID, Role: c.role.String(), Term: c.doc.Term, Lead: c.doc.Lead,
+		ID: c.cfg.ID, Role: c.role.String(), Term: c.doc.Term, Leader: c.doc.Leader,
 		Roster: c.doc.Roster, Removed: c.doc.Removed,
 		LeaseHeld: c.leading() && now.Before(c.lease.until),
 		MayRenew:  (c.leading() || c.role == deputy) && c.mayRenew(),
-		Rows:      len(c.doc.Rows), Moves: c.doc.Moves, Given: c.doc.Given, Solos: len(c.doc.Solos),
+		Rows:      len(c.doc.Rows), Moves: c.doc.Moves, Ceded: c.doc.Ceded, SingleKeys: len(c.doc.SingleKeys),
 	}
-	if !c.lease.contact.IsZero() {
-		s.StoreSilent = now.Sub(c.lease.contact)
+	if !c.lease.contactAt.IsZero() {
+		s.SinceStoreContact = now.Sub(c.lease.contactAt)
 	}
-	for _, m := range c.mates {
-		s.Promises = append(s.Promises, PromiseStatus{Host: m.host, Left: max(m.until.Sub(now), 0), Member: m.member})
+	for _, m := range c.peers {
+		s.Promises = append(s.Promises, PromiseStatus{Host: m.host, Remaining: max(m.promiseEnd.Sub(now), 0), OnRoster: m.onRoster})
 	}
 	for i, t := range c.targets {
-		s.Targets = append(s.Targets, TargetStatus{Target: t.target, Answered: t.answered, Leaving: c.doc.Targets[i].Leaving})
+		s.Targets = append(s.Targets, TargetStatus{Target: t.target, RespondedAt: t.respondedAt, Leaving: c.doc.Targets[i].Leaving})
 	}
-	c.rowStatus(&s)
+	c.addRowStatus(&s)
 	return s
 }
 
-func (c *Cell) rowStatus(s *Status) {
+func (c *Cell) addRowStatus(s *Status) {
 	for i := range c.rows {
-		r, state := c.row(i), &c.rows[i]
+		r, state := c.currentRow(i), &c.rows[i]
 		if r.Owner != NoTarget {
 			s.Targets[r.Owner].Rows++
 		}
 		if state.releasing {
 			s.Releasing = append(s.Releasing, r.Shard)
 		}
-		if state.active != nil {
-			s.Activated = append(s.Activated, *state.active)
+		if state.activation != nil {
+			s.Activations = append(s.Activations, *state.activation)
 		}
-		if state.doubt && r.Owner != NoTarget {
-			s.Doubts = append(s.Doubts, DoubtStatus{Shard: r.Shard, Owner: c.targets[r.Owner].target, Reason: c.doubtReason(i)})
+		if state.holderUnknown && r.Owner != NoTarget {
+			s.Blocked = append(s.Blocked, BlockedShard{Shard: r.Shard, Owner: c.targets[r.Owner].target, Reason: c.blockedReason(i)})
 		}
 	}
 }
 
-func (c *Cell) doubtReason(i int) string {
+func (c *Cell) blockedReason(i int) string {
 	r := c.doc.Rows[i]
-	switch c.judge(i).kind {
-	case waitsOwner:
+	switch c.resolve(i).kind {
+	case awaitOwner:
 		return "owner " + string(c.targets[r.Owner].target) + " was not reached since the change of lead"
-	case waitsStandby:
+	case awaitStandby:
 		return "standby " + string(c.targets[r.Standby].target) + " was not reached since the change of lead"
 	}
 	return "to be recorded"
--- a/internal/cell/maintain.go
+++ b/internal/cell/reconcile.go
@@ -8,40 +8,40 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// maintain brings the document in line with targets, custody and plans: all
+// reconcile brings the document in line with targets, custody and plans: all
 // that is ready goes into one write. Only a lead with a valid lease writes,
 // so that lapse is judged by one host alone.
-func (c *Cell) maintain() {
-	if !c.leaseValid() || c.write.pending || c.now.Before(c.maintainDue) {
+func (c *Cell) reconcile() {
+	if !c.leaseValid() || c.write.pending || c.now.Before(c.reconcileDue) {
 		return
 	}
-	c.maintainDue = c.now.Add(maintainEvery)
+	c.reconcileDue = c.now.Add(reconcileInterval)
 	c.startReleases()
 	d := c.newDraft()
-	c.saveActivations(d)
+	c.recordActivations(d)
 	c.updateTargets(d)
-	c.resolveDoubts(d)
+	c.recordResolved(d)
 	c.moveRows(d)
 	c.raiseEpochs(d)
 	c.refreshStandbys(d)
 	c.clearRemoved(d)
 	// From here on the rows of the draft are out of line with c.rows.
-	c.cutSolos(d)
-	c.joinSolos(d)
-	c.takeIn(d)
-	c.giveUp(d)
+	c.splitKeys(d)
+	c.mergeKeys(d)
+	c.addCustodyRows(d)
+	c.cedeShards(d)
 	if d.changed {
 		c.propose(d.doc)
 		return
 	}
-	c.changeRoster()
+	c.updateRoster()
 }
 
-// firstLayout fills the first document from custody and the platform's list.
-func (c *Cell) firstLayout(doc *Doc) {
+// fillFirstDoc fills the first document from custody and the platform's list.
+func (c *Cell) fillFirstDoc(doc *Doc) {
 	d := &draft{doc: *doc}
-	d.doc.Roster = c.wantedRoster()
-	d.doc.NextSolo = key.Shard(c.cfg.Shards)
+	d.doc.Roster = c.desiredRoster()
+	d.doc.NextSingleKey = key.Shard(c.cfg.Shards)
 	d.doc.Custody = c.custody.Revision
 	c.updateTargets(d)
 	listed := func(t TargetIndex) bool {
@@ -52,12 +52,12 @@
 	for _, s := range c.custody.Shards {
 		d.doc.Rows = append(d.doc.Rows, Row{Shard: s.Shard, Epoch: max(s.Floor, 1), Owner: NoTarget, Standby: NoTarget})
 	}
-	d.count()
+	d.countRows()
 	for i := range d.doc.Rows {
 		r := &d.doc.Rows[i]
-		r.Owner = d.pick(r.Shard, listed)
-		d.moveCount(NoTarget, r.Owner)
-		r.Standby = d.standbyFor(r.Shard, r.Owner, listed)
+		r.Owner = d.pickOwner(r.Shard, listed)
+		d.adjustCounts(NoTarget, r.Owner)
+		r.Standby = d.pickStandby(r.Shard, r.Owner, listed)
 	}
 	*doc = d.doc
 }
@@ -68,7 +68,7 @@
 		if row.Zone != c.cfg.ID.Zone || row.Service != string(c.cfg.ID.Service) {
 			continue
 		}
-		i := d.doc.targetOf(row.Target)
+		i := d.doc.targetIndex(row.Target)
 		if i == NoTarget {
 			if row.State == place.Live && row.Addr.IsValid() {
 				d.addTarget(TargetDoc{Target: row.Target, Addr: row.Addr, Since: c.now})
@@ -76,7 +76,7 @@
 			continue
 		}
 		// The old address may still run the old life: move off it first.
-		if t := &d.doc.Targets[i]; t.Addr != row.Addr && row.Addr.IsValid() && !d.uses(i) {
+		if t := &d.doc.Targets[i]; t.Addr != row.Addr && row.Addr.IsValid() && !d.references(i) {
 			t.Addr = row.Addr
 			d.changed = true
 		}
@@ -93,37 +93,37 @@
 	if t.Target == "" {
 		return
 	}
-	if leaving := c.leavingNow(i); leaving != t.Leaving {
+	if leaving := c.isLeaving(i); leaving != t.Leaving {
 		t.Leaving = leaving
 		d.changed = true
 	}
 	row := c.fleetRow(t.Target)
 	listed := row != nil && row.State != place.Absent
 	state := &c.targets[i]
-	silent := c.now.Sub(latest(state.answered, c.leadSince)) > memberForget
-	if c.fleetSeen && !listed && silent && !d.uses(i) {
+	silent := c.now.Sub(latest(state.respondedAt, c.leaderSince)) > unlistedRetention
+	if c.hasFleet && !listed && silent && !d.references(i) {
 		*t = TargetDoc{}
 		d.changed = true
 	}
 }
 
-// uses reports whether any row names the target.
-func (d *draft) uses(i TargetIndex) bool {
+// references reports whether any row names the target.
+func (d *draft) references(i TargetIndex) bool {
 	return slices.ContainsFunc(d.doc.Rows, func(r Row) bool { return r.Owner == i || r.Standby == i })
 }
 
-// resolveDoubts writes what the inventories after a change of lead showed.
-func (c *Cell) resolveDoubts(d *draft) {
+// recordResolved writes what the inventories after a change of lead showed.
+func (c *Cell) recordResolved(d *draft) {
 	for i := range c.rows {
-		if !c.rows[i].doubt {
+		if !c.rows[i].holderUnknown {
 			continue
 		}
 		r := c.doc.Rows[i]
-		switch v := c.judge(i); v.kind {
+		switch v := c.resolve(i); v.kind {
 		case atStandby:
 			d.reassign(c, i, r.Standby, v.epoch, grant.Expired{Since: c.now})
 			d.doc.Rows[i].Standby = r.Owner
-		case ownerNewer:
+		case raiseEpoch:
 			d.reassign(c, i, r.Owner, v.epoch, grant.Released{Epoch: r.Epoch})
 		}
 	}
@@ -134,12 +134,12 @@
 	lapsed := make([]bool, len(c.targets))
 	for i := range c.targets {
 		t := &c.targets[i]
-		lapsed[i] = t.target != "" && !c.answering(t) && c.ended(t)
+		lapsed[i] = t.target != "" && !c.responsive(t) && c.grantsEnded(t)
 	}
 	for i := range c.rows {
 		s := &c.rows[i]
 		r := d.doc.Rows[i]
-		if s.doubt || s.active != nil || s.giving || r.Epoch != c.doc.Rows[i].Epoch {
+		if s.holderUnknown || s.activation != nil || s.ceding || r.Epoch != c.doc.Rows[i].Epoch {
 			continue
 		}
 		var e grant.Evidence
@@ -147,7 +147,7 @@
 		case r.Owner == NoTarget:
 			e = grant.Released{Epoch: r.Epoch}
 		case lapsed[r.Owner]:
-			e = c.lapseEvidence(r.Owner)
+			e = c.expiryEvidence(r.Owner)
 		case s.releasing:
 			e = c.releaseEvidence(i)
 		}
@@ -157,22 +157,22 @@
 	}
 }
 
-func (c *Cell) lapseEvidence(t TargetIndex) grant.Evidence {
-	if l, lost := c.targetLost(c.targets[t].target); lost {
+func (c *Cell) expiryEvidence(t TargetIndex) grant.Evidence {
+	if l, lost := c.targetLoss(c.targets[t].target); lost {
 		return grant.Declared{By: l.By, Reason: l.Reason}
 	}
-	return grant.Expired{Since: c.quietAt(&c.targets[t])}
+	return grant.Expired{Since: c.grantsEndAt(&c.targets[t])}
 }
 
 // moveRow picks the new owner of a row whose old owner is done.
 func (c *Cell) moveRow(d *draft, i int, e grant.Evidence) {
 	r := d.doc.Rows[i]
 	to := NoTarget
-	if s := &c.rows[i]; s.releasing && s.to != NoTarget && c.eligible(s.to) {
-		to = s.to
+	if s := &c.rows[i]; s.releasing && s.moveTo != NoTarget && c.eligible(s.moveTo) {
+		to = s.moveTo
 	}
 	if to == NoTarget {
-		to = d.pick(r.Shard, func(t TargetIndex) bool { return int(t) < len(c.targets) && c.eligible(t) })
+		to = d.pickOwner(r.Shard, func(t TargetIndex) bool { return int(t) < len(c.targets) && c.eligible(t) })
 	}
 	if to == NoTarget {
 		return
@@ -182,7 +182,7 @@
 
 // nextEpoch returns the lowest epoch above all that are known of the shard.
 func (c *Cell) nextEpoch(i int, to TargetIndex) grant.Epoch {
-	r := c.row(i)
+	r := c.currentRow(i)
 	top := r.Epoch
 	for _, t := range []TargetIndex{r.Owner, r.Standby, to} {
 		if t != NoTarget && int(t) < len(c.targets) {
@@ -197,10 +197,10 @@
 func (c *Cell) releaseEvidence(i int) grant.Evidence {
 	r, s := c.doc.Rows[i], &c.rows[i]
 	t := &c.targets[r.Owner]
-	if t.inventoryTerm != c.term || t.inventoryAt.Before(s.releaseAt) {
+	if t.inventoryTerm != c.term || t.inventoryAt.Before(s.releaseStart) {
 		return nil
 	}
-	if t.floor(r.Shard) <= r.Epoch || t.holds(r.Shard) != 0 || !c.parentEnded(r) {
+	if t.floor(r.Shard) <= r.Epoch || t.heldEpoch(r.Shard) != 0 || !c.parentEnded(r) {
 		return nil
 	}
 	if was := c.doc.Targets[r.Owner].Incarnation; was != 0 && was != t.incarnation {
@@ -212,25 +212,25 @@
 // parentEnded reports, for a solo key, whether its owner has also given up the
 // parent shard at the epochs that still included the key.
 func (c *Cell) parentEnded(r Row) bool {
-	_, open := c.openParent(r)
+	_, open := c.heldParent(r)
 	return !open
 }
 
-// openParent returns, for a solo key, the parent shard at the last epoch that
+// heldParent returns, for a solo key, the parent shard at the last epoch that
 // included the key, unless the owner has given that up. An owner that the key
 // was moved to may never have held the parent: only a release raises its floor.
-func (c *Cell) openParent(r Row) (grant.ShardEpoch, bool) {
-	i := slices.IndexFunc(c.doc.Solos, func(s Solo) bool { return s.Shard == r.Shard })
-	if i < 0 || c.knobs.noParentCheck {
+func (c *Cell) heldParent(r Row) (grant.ShardEpoch, bool) {
+	i := slices.IndexFunc(c.doc.SingleKeys, func(s SingleKey) bool { return s.Shard == r.Shard })
+	if i < 0 || c.mutations.skipParentCheck {
 		return grant.ShardEpoch{}, false
 	}
-	solo := c.doc.Solos[i]
+	solo := c.doc.SingleKeys[i]
 	t := &c.targets[r.Owner]
-	held := t.holds(solo.Parent)
-	if held >= solo.Cut || held == 0 && t.floor(solo.Parent) >= solo.Cut {
+	held := t.heldEpoch(solo.Parent)
+	if held >= solo.SplitEpoch || held == 0 && t.floor(solo.Parent) >= solo.SplitEpoch {
 		return grant.ShardEpoch{}, false
 	}
-	return grant.ShardEpoch{Shard: solo.Parent, Epoch: solo.Cut - 1}, true
+	return grant.ShardEpoch{Shard: solo.Parent, Epoch: solo.SplitEpoch - 1}, true
 }
 
 // raiseEpochs follows an owner that refuses the recorded epoch, because an
@@ -238,7 +238,7 @@
 func (c *Cell) raiseEpochs(d *draft) {
 	for i := range c.rows {
 		r, s := c.doc.Rows[i], &c.rows[i]
-		if r.Owner == NoTarget || s.doubt || s.releasing || s.active != nil || d.doc.Rows[i].Epoch != r.Epoch {
+		if r.Owner == NoTarget || s.holderUnknown || s.releasing || s.activation != nil || d.doc.Rows[i].Epoch != r.Epoch {
 			continue
 		}
 		t := &c.targets[r.Owner]
@@ -253,17 +253,17 @@
 	may := func(t TargetIndex) bool { return int(t) < len(c.targets) && c.eligible(t) }
 	fit := make([]bool, len(c.targets))
 	for i := range c.targets {
-		fit[i] = c.keepsStandby(&c.targets[i])
+		fit[i] = c.fitStandby(&c.targets[i])
 	}
 	for i := range c.rows {
 		r := &d.doc.Rows[i]
-		if c.rows[i].doubt || c.rows[i].active != nil {
+		if c.rows[i].holderUnknown || c.rows[i].activation != nil {
 			continue
 		}
 		if r.Standby != NoTarget && r.Standby != r.Owner && fit[r.Standby] {
 			continue
 		}
-		standby := d.standbyFor(r.Shard, r.Owner, may)
+		standby := d.pickStandby(r.Shard, r.Owner, may)
 		if standby != r.Standby && (standby != NoTarget || r.Standby == r.Owner || d.changed) {
 			r.Standby = standby
 			d.changed = true
@@ -271,10 +271,10 @@
 	}
 }
 
-// keepsStandby reports whether the target may stay a standby: a short silence
+// fitStandby reports whether the target may stay a standby: a short silence
 // is no reason to write.
-func (c *Cell) keepsStandby(t *targetState) bool {
-	silent := c.now.Sub(latest(t.answered, c.leadSince)) > memberSilence
+func (c *Cell) fitStandby(t *targetState) bool {
+	silent := c.now.Sub(latest(t.respondedAt, c.leaderSince)) > maxSilence
 	return t.target != "" && !t.leaving && !silent
 }
 
@@ -282,7 +282,7 @@
 // that promise to this term: those don't lead at an older one any more.
 func (c *Cell) clearRemoved(d *draft) {
 	d.doc.Removed = slices.DeleteFunc(d.doc.Removed, func(r RemovedHost) bool {
-		if m := c.mate(r.Host); m != nil && c.good(m) {
+		if m := c.peer(r.Host); m != nil && c.promisedBy(m) {
 			d.changed = true
 			return true
 		}
--- a/internal/cell/weigh.go
+++ b/internal/cell/rendezvous.go
@@ -8,8 +8,8 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// weigh is the weight of rendezvous hashing: the highest one wins.
-func weigh(parts ...string) uint64 {
+// rendezvousWeight is the weight of rendezvous hashing: the highest one wins.
+func rendezvousWeight(parts ...string) uint64 {
 	d := xxhash.New()
 	for _, p := range parts {
 		_, _ = d.WriteString(p)
@@ -18,12 +18,12 @@
 	return d.Sum64()
 }
 
-// weighShard is weigh for a shard at a target, without formatting numbers.
-func weighShard(shard key.Shard, target string) uint64 {
+// shardWeight is weigh for a shard at a target, without formatting numbers.
+func shardWeight(shard key.Shard, target string) uint64 {
 	h := xxhash.Sum64String(target) ^ uint64(shard)*0x9e3779b97f4a7c15
 	h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9
 	h = (h ^ (h >> 27)) * 0x94d049bb133111eb
 	return h ^ (h >> 31)
 }
 
-func compareDown(a, b uint64) int { return cmp.Compare(b, a) }
+func compareDescending(a, b uint64) int { return cmp.Compare(b, a) }
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -14,35 +14,35 @@
 type promise struct {
 	to    place.Host
 	until time.Time
-	// heard is when a lead's heartbeat last came; deputies don't count.
-	heard     time.Time
-	heardLead bool
+	// heardAt is when a lead's heartbeat last came; deputies don't count.
+	heardAt     time.Time
+	heardLeader bool
 }
 
-// mate is what a lead or deputy knows of another host of the zone.
-type mate struct {
-	host   place.Host
-	member bool // on the roster; others are asked before they join
-	// until is the promise's end, counted from when the heartbeat was sent.
-	until time.Time
-	// since is when the promise became unbroken.
-	since       time.Time
-	incarnation place.Incarnation
-	readStore   bool
-	revision    platform.Revision
-	// sent holds when the last heartbeats were sent, the newest at position
+// peerState is what a lead or deputy knows of another host of the zone.
+type peerState struct {
+	host     place.Host
+	onRoster bool // on the roster; others are asked before they join
+	// promiseEnd is the promise's end, counted from when the heartbeat was sent.
+	promiseEnd time.Time
+	// promisedSince is when the promise became unbroken.
+	promisedSince time.Time
+	incarnation   place.Incarnation
+	readStore     bool
+	revision      platform.Revision
+	// heartbeatTimes holds when the last heartbeats were sent, the newest at position
 	// next-1. A promise names one of them; its own text of the time has lost
 	// the monotonic reading.
-	sent [heartbeatsKept]time.Time
-	next int
+	heartbeatTimes [heartbeatsKept]time.Time
+	next           int
 }
 
 // heartbeatsKept bounds the heartbeats that a late promise may answer.
 const heartbeatsKept = 8
 
-// sentAt returns when the heartbeat was sent that the promise answers.
-func (m *mate) sentAt(named time.Time) (time.Time, bool) {
-	for _, at := range m.sent {
+// heartbeatTime returns when the heartbeat was sent that the promise answers.
+func (m *peerState) heartbeatTime(named time.Time) (time.Time, bool) {
+	for _, at := range m.heartbeatTimes {
 		if !at.IsZero() && at.UnixNano() == named.UnixNano() {
 			return at, true
 		}
@@ -50,66 +50,66 @@
 	return time.Time{}, false
 }
 
-// forget drops what was promised to an earlier term.
-func (m *mate) forget() {
-	m.until, m.since = time.Time{}, time.Time{}
+// clearPromise drops what was promised to an earlier term.
+func (m *peerState) clearPromise() {
+	m.promiseEnd, m.promisedSince = time.Time{}, time.Time{}
 }
 
-// alignMates lists the roster, the hosts that should join it, and those that
+// alignPeers lists the roster, the hosts that should join it, and those that
 // left it and have not heard so.
-func (c *Cell) alignMates() {
-	old := c.mates
-	c.mates = nil
+func (c *Cell) alignPeers() {
+	old := c.peers
+	c.peers = nil
 	for _, h := range c.doc.Roster {
-		c.addMate(old, h, true)
+		c.addPeer(old, h, true)
 	}
-	for _, h := range c.wantedRoster() {
+	for _, h := range c.desiredRoster() {
 		if !slices.Contains(c.doc.Roster, h) {
-			c.addMate(old, h, false)
+			c.addPeer(old, h, false)
 		}
 	}
 	for _, r := range c.doc.Removed {
-		if c.mate(r.Host) == nil {
-			c.addMate(old, r.Host, false)
+		if c.peer(r.Host) == nil {
+			c.addPeer(old, r.Host, false)
 		}
 	}
 }
 
-func (c *Cell) addMate(old []mate, host place.Host, member bool) {
+func (c *Cell) addPeer(old []peerState, host place.Host, member bool) {
 	if host == c.cfg.Self {
 		return
 	}
-	m := mate{host: host}
-	if i := slices.IndexFunc(old, func(m mate) bool { return m.host == host }); i >= 0 {
+	m := peerState{host: host}
+	if i := slices.IndexFunc(old, func(m peerState) bool { return m.host == host }); i >= 0 {
 		m = old[i]
 	}
-	m.member = member
-	c.mates = append(c.mates, m)
+	m.onRoster = member
+	c.peers = append(c.peers, m)
 }
 
-func (c *Cell) mate(host place.Host) *mate {
-	i := slices.IndexFunc(c.mates, func(m mate) bool { return m.host == host })
+func (c *Cell) peer(host place.Host) *peerState {
+	i := slices.IndexFunc(c.peers, func(m peerState) bool { return m.host == host })
 	if i < 0 {
 		return nil
 	}
-	return &c.mates[i]
+	return &c.peers[i]
 }
 
-// promised reports whether a promise of this host runs.
-func (c *Cell) promised() bool { return c.now.Before(c.promise.until) }
+// boundByPromise reports whether a promise of this host runs.
+func (c *Cell) boundByPromise() bool { return c.now.Before(c.promise.until) }
 
-// good reports whether the mate's promise to this host runs.
-func (c *Cell) good(m *mate) bool { return c.now.Before(m.until) }
+// promisedBy reports whether the mate's promise to this host runs.
+func (c *Cell) promisedBy(m *peerState) bool { return c.now.Before(m.promiseEnd) }
 
-// heartbeat asks each mate for its next promise.
-func (c *Cell) heartbeat() {
+// sendHeartbeats asks each mate for its next promise.
+func (c *Cell) sendHeartbeats() {
 	if c.now.Before(c.heartbeatDue) {
 		return
 	}
-	c.heartbeatDue = c.now.Add(c.cfg.Timing.Renew)
-	c.alignMates()
-	for i := range c.mates {
-		m := &c.mates[i]
+	c.heartbeatDue = c.now.Add(c.cfg.Timing.RenewInterval)
+	c.alignPeers()
+	for i := range c.peers {
+		m := &c.peers[i]
 		hb := Heartbeat{
 			Term: c.doc.Term, SentAt: c.now, Deputy: c.role == deputy,
 			Revision: c.revision,
@@ -118,31 +118,31 @@
 			doc := c.doc.clone()
 			hb.Doc = &doc
 		}
-		m.sent[m.next%heartbeatsKept] = c.now
+		m.heartbeatTimes[m.next%heartbeatsKept] = c.now
 		m.next++
 		c.emit(SendPeer{To: m.host, Message: hb})
 	}
 }
 
-func (c *Cell) takeMessage(ev PeerReceived) {
+func (c *Cell) handleMessage(ev PeerReceived) {
 	switch m := ev.Message.(type) {
 	case Heartbeat:
-		c.takeHeartbeat(ev.From, m)
+		c.handleHeartbeat(ev.From, m)
 	case Promise:
-		c.takePromise(ev.From, m)
-	case Refuse:
-		c.superseded(m.Term, string(ev.From))
+		c.handlePromise(ev.From, m)
+	case HigherTerm:
+		c.observeTerm(m.Term, string(ev.From))
 	case Handover:
-		c.takeHandover(ev.From, m)
+		c.handleHandover(ev.From, m)
 	}
 }
 
-func (c *Cell) takeHeartbeat(from place.Host, hb Heartbeat) {
+func (c *Cell) handleHeartbeat(from place.Host, hb Heartbeat) {
 	if hb.Doc != nil {
-		c.takeDoc(DocSeen{Exists: true, Doc: *hb.Doc, Revision: hb.Revision})
+		c.handleDoc(DocReceived{Exists: true, Doc: *hb.Doc, Revision: hb.Revision})
 	}
 	if hb.Term < c.knownTerm() {
-		c.emit(SendPeer{To: from, Message: Refuse{Term: c.knownTerm()}})
+		c.emit(SendPeer{To: from, Message: HigherTerm{Term: c.knownTerm()}})
 		return
 	}
 	if !c.mayPromise(from, hb) {
@@ -152,9 +152,9 @@
 		c.stepDown("another lead was heard")
 	}
 	if !hb.Deputy {
-		c.promise.heard, c.promise.heardLead = c.now, true
+		c.promise.heardAt, c.promise.heardLeader = c.now, true
 	}
-	c.promise.to, c.promise.until = from, c.now.Add(c.cfg.Timing.Promise)
+	c.promise.to, c.promise.until = from, c.now.Add(c.cfg.Timing.PromiseDuration)
 	c.emit(SendPeer{To: from, Message: Promise{
 		Term: hb.Term, SentAt: hb.SentAt, Incarnation: c.cfg.Incarnation,
 		ReadStore: c.readStore, Revision: c.revision,
@@ -163,7 +163,7 @@
 
 // mayPromise reports whether this host is free to promise to from.
 func (c *Cell) mayPromise(from place.Host, hb Heartbeat) bool {
-	if !c.knobs.noSilence && c.now.Before(c.born.Add(c.longer(c.cfg.Timing.Promise))) {
+	if !c.mutations.skipStartupSilence && c.now.Before(c.startedAt.Add(c.addDrift(c.cfg.Timing.PromiseDuration))) {
 		return false
 	}
 	if c.leading() && c.term >= hb.Term {
@@ -175,33 +175,33 @@
 	if c.role == deputy && hb.Deputy {
 		return false
 	}
-	other := c.promise.to != from && c.promised()
-	return !other || c.knobs.sharedPromises
+	other := c.promise.to != from && c.boundByPromise()
+	return !other || c.mutations.sharedPromises
 }
 
-func (c *Cell) takePromise(from place.Host, p Promise) {
-	m := c.mate(from)
+func (c *Cell) handlePromise(from place.Host, p Promise) {
+	m := c.peer(from)
 	active := c.leading() && p.Term == c.term || c.role == deputy && p.Term == c.doc.Term
 	if m == nil || !active {
 		return
 	}
-	sent, known := m.sentAt(p.SentAt)
+	sent, known := m.heartbeatTime(p.SentAt)
 	if !known {
 		return
 	}
-	if !c.good(m) || m.incarnation != p.Incarnation {
-		m.since = c.now
+	if !c.promisedBy(m) || m.incarnation != p.Incarnation {
+		m.promisedSince = c.now
 	}
-	m.until = latest(m.until, sent.Add(c.shorter(c.cfg.Timing.Promise)))
+	m.promiseEnd = latest(m.promiseEnd, sent.Add(c.subtractDrift(c.cfg.Timing.PromiseDuration)))
 	m.incarnation, m.readStore, m.revision = p.Incarnation, p.ReadStore, p.Revision
 }
 
-// takeHandover frees this host to take the lead at once.
-func (c *Cell) takeHandover(from place.Host, h Handover) {
+// handleHandover frees this host to take the lead at once.
+func (c *Cell) handleHandover(from place.Host, h Handover) {
 	if h.Term < c.knownTerm() || c.promise.to != from || c.role != follower {
 		return
 	}
-	c.promise = promise{heardLead: c.promise.heardLead}
+	c.promise = promise{heardLeader: c.promise.heardLeader}
 	if !c.mayLead() {
 		return
 	}
@@ -211,20 +211,20 @@
 // mayRenew reports whether this host has the right to renew grants: by a
 // valid lease, by the promise of a roster host, or alone on the roster.
 func (c *Cell) mayRenew() bool {
-	if c.overHold() {
+	if c.renewLimitPassed() {
 		return false
 	}
-	if c.leaseValid() || c.knobs.lonely {
+	if c.leaseValid() || c.mutations.renewUnbacked {
 		return true
 	}
 	members := 0
-	for i := range c.mates {
-		m := &c.mates[i]
-		if !m.member {
+	for i := range c.peers {
+		m := &c.peers[i]
+		if !m.onRoster {
 			continue
 		}
 		members++
-		if c.good(m) {
+		if c.promisedBy(m) {
 			return true
 		}
 	}
@@ -232,46 +232,46 @@
 	return c.leading() && members == 0 && !c.write.pending
 }
 
-// overHold reports whether this host has been without the lease for longer
+// renewLimitPassed reports whether this host has been without the lease for longer
 // than the service allows. Contact alone does not count: another zone that
 // waits for the hold to pass has taken the lease, and counts from there.
-func (c *Cell) overHold() bool {
-	from := c.lease.held
-	if c.knobs.holdContact {
-		from = c.lease.contact
+func (c *Cell) renewLimitPassed() bool {
+	from := c.lease.renewedAt
+	if c.mutations.limitFromContact {
+		from = c.lease.contactAt
 	}
-	return c.cfg.Hold > 0 && c.now.After(from.Add(c.shorter(c.cfg.Hold)))
+	return c.cfg.RenewLimit > 0 && c.now.After(from.Add(c.subtractDrift(c.cfg.RenewLimit)))
 }
 
 // allPromised reports whether every roster host promises to this one and has
 // read the store in this life: nobody else can know better.
 func (c *Cell) allPromised() bool {
-	for i := range c.mates {
-		m := &c.mates[i]
-		if !m.member {
+	for i := range c.peers {
+		m := &c.peers[i]
+		if !m.onRoster {
 			continue
 		}
-		if !c.good(m) || !m.readStore && !c.knobs.standbyUnread {
+		if !c.promisedBy(m) || !m.readStore && !c.mutations.skipStoreRead {
 			return false
 		}
 	}
 	return len(c.doc.Removed) == 0
 }
 
-// unaccounted counts the hosts that may still renew grants of the target.
-func (c *Cell) unaccounted(t *targetState) int {
+// possibleRenewers counts the hosts that may still renew grants of the target.
+func (c *Cell) possibleRenewers(t *targetState) int {
 	n := 0
-	for i := range c.mates {
-		m := &c.mates[i]
-		if m.member && !c.good(m) && !c.hostLost(m.host) {
+	for i := range c.peers {
+		m := &c.peers[i]
+		if m.onRoster && !c.promisedBy(m) && !c.hostDeclaredLost(m.host) {
 			n++
 		}
 	}
-	if c.knobs.forgetRemoved {
+	if c.mutations.ignoreRemoved {
 		return n
 	}
 	for _, r := range c.doc.Removed {
-		if !c.hostLost(r.Host) && !c.fenced(t, r.Term) {
+		if !c.hostDeclaredLost(r.Host) && !c.fenced(t, r.Term) {
 			n++
 		}
 	}
@@ -280,61 +280,61 @@
 
 // fenced reports whether the target refuses all terms below term.
 func (c *Cell) fenced(t *targetState, term grant.Term) bool {
-	return c.cfg.ChecksTerms && t.accepted >= term
+	return c.cfg.ChecksTerms && t.acceptedTerm >= term
 }
 
-// quietAt returns when the last grant that anybody could have made to the
+// grantsEndAt returns when the last grant that anybody could have made to the
 // target has ended, if nobody renews from now on.
-func (c *Cell) quietAt(t *targetState) time.Time {
-	from := t.anchored
-	if !c.knobs.lapseFromAnchor {
-		from = latest(from, c.leadSince)
-		for i := range c.mates {
-			if m := &c.mates[i]; m.member && c.good(m) {
-				from = latest(from, m.since)
+func (c *Cell) grantsEndAt(t *targetState) time.Time {
+	from := t.anchoredAt
+	if !c.mutations.expireFromAnchor {
+		from = latest(from, c.leaderSince)
+		for i := range c.peers {
+			if m := &c.peers[i]; m.onRoster && c.promisedBy(m) {
+				from = latest(from, m.promisedSince)
 			}
 		}
 		// A promise that the lost host made backs another one to its end.
-		for _, since := range c.lostSince {
-			if c.knobs.lostAtOnce {
+		for _, since := range c.hostLostSince {
+			if c.mutations.ignoreLostPromises {
 				break
 			}
-			from = latest(from, since.Add(c.longer(c.cfg.Timing.Promise)))
+			from = latest(from, since.Add(c.addDrift(c.cfg.Timing.PromiseDuration)))
 		}
 	}
-	return from.Add(c.longer(c.cfg.Timing.Grant))
+	return from.Add(c.addDrift(c.cfg.Timing.GrantDuration))
 }
 
-// lapsed reports whether all grants of the target have ended for certain:
+// grantsExpired reports whether all grants of the target have ended for certain:
 // with the lease here, one host without a promise has neither lease nor
 // backer, and has stopped.
-func (c *Cell) lapsed(t *targetState) bool {
-	if !c.leaseValid() || !c.now.After(c.quietAt(t)) {
+func (c *Cell) grantsExpired(t *targetState) bool {
+	if !c.leaseValid() || !c.now.After(c.grantsEndAt(t)) {
 		return false
 	}
-	return c.unaccounted(t) <= 1 || c.knobs.manyUnaccounted
+	return c.possibleRenewers(t) <= 1 || c.mutations.ignoreRenewers
 }
 
-func (c *Cell) hostLost(h place.Host) bool {
-	return slices.ContainsFunc(c.lost, func(l Lost) bool { return l.Host != "" && l.Host == h })
+func (c *Cell) hostDeclaredLost(h place.Host) bool {
+	return slices.ContainsFunc(c.losses, func(l LossDeclaration) bool { return l.Host != "" && l.Host == h })
 }
 
-// wantedRoster returns the hosts that should be able to lead, by rendezvous
+// desiredRoster returns the hosts that should be able to lead, by rendezvous
 // over the live hosts of the zone; hosts that lead or can lead now stay.
-func (c *Cell) wantedRoster() []place.Host {
+func (c *Cell) desiredRoster() []place.Host {
 	var hosts []place.Host
 	for _, h := range c.fleet.Hosts {
-		if h.Zone == c.cfg.ID.Zone && h.State == place.Live && !c.hostLost(h.Host) {
+		if h.Zone == c.cfg.ID.Zone && h.State == place.Live && !c.hostDeclaredLost(h.Host) {
 			hosts = append(hosts, h.Host)
 		}
 	}
 	rank := func(h place.Host) uint64 {
-		w := weigh(string(c.cfg.ID.Service), string(h)) >> 1
+		w := rendezvousWeight(string(c.cfg.ID.Service), string(h)) >> 1
 		if slices.Contains(c.doc.Roster, h) {
 			w |= 1 << 63
 		}
 		return w
 	}
-	slices.SortFunc(hosts, func(a, b place.Host) int { return compareDown(rank(a), rank(b)) })
+	slices.SortFunc(hosts, func(a, b place.Host) int { return compareDescending(rank(a), rank(b)) })
 	return hosts[:min(len(hosts), maxRoster)]
 }
--- a/internal/cell/run_test.go
+++ b/internal/cell/run_test.go
@@ -14,21 +14,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// optionsOf draws the shape of a run from its seed.
-func optionsOf(seed uint64) options {
+// randomOptions draws the shape of a run from its seed.
+func randomOptions(seed uint64) options {
 	r := rand.New(rand.NewPCG(seed, 3))
 	o := options{
-		seed: seed, hosts: 1 + r.IntN(6), targets: 3 + r.IntN(3), unfenced: r.IntN(5) == 0,
+		seed: seed, hosts: 1 + r.IntN(6), targets: 3 + r.IntN(3), noTermCheck: r.IntN(5) == 0,
 		faultRate: 0.2 + 1.5*r.Float64(), storeRate: 1.5 * r.Float64(), linkRate: r.Float64(),
 	}
-	o.termless = o.unfenced && r.IntN(2) == 0
+	o.hideTerms = o.noTermCheck && r.IntN(2) == 0
 	if r.IntN(6) == 0 {
-		o.hold = 5 * time.Second
+		o.renewLimit = 5 * time.Second
 	}
 	return o
 }
 
-func number(name string, otherwise int) int {
+func envInt(name string, otherwise int) int {
 	n, err := strconv.Atoi(os.Getenv(name))
 	if err != nil {
 		return otherwise
@@ -39,8 +39,8 @@
 // stats counts what happened in a run, to tell whether it reached anything.
 // Served and samples count shards in custody, ten times a second.
 type stats struct {
-	moves, terms, activated, deputies, cuts, given, unknown, declared, rosters, joins, evicted int
-	served, samples                                                                            int
+	moves, terms, activated, deputies, splits, ceded, uncertain, declared, rosterChanges, merges, evicted int
+	served, samples                                                                                       int
 }
 
 func (s *stats) add(o stats) {
@@ -48,25 +48,25 @@
 	s.terms += o.terms
 	s.activated += o.activated
 	s.deputies += o.deputies
-	s.cuts += o.cuts
-	s.given += o.given
-	s.unknown += o.unknown
+	s.splits += o.splits
+	s.ceded += o.ceded
+	s.uncertain += o.uncertain
 	s.declared += o.declared
-	s.rosters += o.rosters
-	s.joins += o.joins
+	s.rosterChanges += o.rosterChanges
+	s.merges += o.merges
 	s.evicted += o.evicted
 	s.served += o.served
 	s.samples += o.samples
 }
 
-// report is the outcome of many runs.
-type report struct {
+// runReport is the outcome of many runs.
+type runReport struct {
 	mu     sync.Mutex
 	failed []string
 	total  stats
 }
 
-func (r *report) add(seed uint64, failure string, s stats) {
+func (r *runReport) add(seed uint64, failure string, s stats) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if failure != "" {
@@ -75,18 +75,18 @@
 	r.total.add(s)
 }
 
-// runMany plays the seeds from first on, three at a time.
-func runMany(first, count int, change func(*options)) *report {
-	out := &report{}
+// runSeeds plays the seeds from first on, three at a time.
+func runSeeds(first, count int, change func(*options)) *runReport {
+	out := &runReport{}
 	var group errgroup.Group
 	group.SetLimit(3)
 	for seed := first; seed < first+count; seed++ {
 		group.Go(func() error {
-			o := optionsOf(uint64(seed))
+			o := randomOptions(uint64(seed))
 			if change != nil {
 				change(&o)
 			}
-			w := newWorld(o)
+			w := newSim(o)
 			out.add(uint64(seed), w.run(), w.stats)
 			return nil
 		})
@@ -102,26 +102,26 @@
 	if testing.Short() {
 		count = 60
 	}
-	first := number("CELL_SEED", 1)
-	count = number("CELL_RUNS", count)
+	first := envInt("CELL_SEED", 1)
+	count = envInt("CELL_RUNS", count)
 	if os.Getenv("CELL_TRACE") != "" {
-		w := newWorld(optionsOf(uint64(first)))
+		w := newSim(randomOptions(uint64(first)))
 		failure := w.run()
 		t.Logf("%+v\n%s\n%s", w.options, strings.Join(w.trace, "\n"), failure)
 		assert.Equal(t, failure, "")
 		return
 	}
 	start := time.Now()
-	r := runMany(first, count, nil)
+	r := runSeeds(first, count, nil)
 	t.Logf("seeds %d to %d in %v: %d failed, %+v", first, first+count-1, time.Since(start).Round(time.Second), len(r.failed), r.total)
 	for _, f := range r.failed[:min(len(r.failed), 10)] {
 		t.Error(f)
 	}
 }
 
-// TestKeptSeeds plays the runs that once found a fault, with the grants that
+// TestRegressionSeeds plays the runs that once found a fault, with the grants that
 // they found it with.
-func TestKeptSeeds(t *testing.T) {
+func TestRegressionSeeds(t *testing.T) {
 	const longer, now = 2800 * time.Millisecond, 2500 * time.Millisecond
 	tests := map[string]struct {
 		seed  uint64
@@ -138,9 +138,9 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			o := optionsOf(tt.seed)
-			o.grant = tt.grant
-			assert.Equal(t, newWorld(o).run(), "")
+			o := randomOptions(tt.seed)
+			o.grantDuration = tt.grant
+			assert.Equal(t, newSim(o).run(), "")
 		})
 	}
 }
@@ -148,15 +148,15 @@
 // TestRulesNeeded breaks one rule after the other and counts the runs that
 // notice. It takes minutes: CELL_BREAK names the number of runs per rule.
 func TestRulesNeeded(t *testing.T) {
-	count := number("CELL_BREAK", 0)
+	count := envInt("CELL_BREAK", 0)
 	if count == 0 {
 		t.Skip("CELL_BREAK is not set")
 	}
-	for _, rule := range brokenRules {
+	for _, rule := range ruleMutations {
 		if only := os.Getenv("CELL_RULE"); only != "" && only != rule.name {
 			continue
 		}
-		r := runMany(number("CELL_SEED", 1), count, rule.breakIt)
+		r := runSeeds(envInt("CELL_SEED", 1), count, rule.breakIt)
 		first := ""
 		if len(r.failed) > 0 {
 			first = r.failed[0]
@@ -165,26 +165,26 @@
 	}
 }
 
-// brokenRules lists each rule of ownership with the change that breaks it.
-var brokenRules = []struct {
+// ruleMutations lists each rule of ownership with the change that breaks it.
+var ruleMutations = []struct {
 	name    string
 	breakIt func(*options)
 }{
-	{"anchored grants", func(o *options) { o.noAnchor = true }},
-	{"extend is not grant", func(o *options) { o.knobs.extendGrants = true }},
-	{"inventory at take-over", func(o *options) { o.knobs.noInventory = true }},
-	{"at most one unaccounted", func(o *options) { o.knobs.manyUnaccounted = true }},
-	{"lonely lead stops", func(o *options) { o.knobs.lonely = true }},
-	{"lapse from start of promises", func(o *options) { o.knobs.lapseFromAnchor = true }},
-	{"exclusive promises", func(o *options) { o.knobs.sharedPromises = true }},
-	{"silence of a restarted host", func(o *options) { o.knobs.noSilence = true }},
-	{"read the store first", func(o *options) { o.knobs.standbyUnread = true }},
-	{"removed hosts count", func(o *options) { o.knobs.forgetRemoved = true }},
-	{"parent of a solo key ended", func(o *options) { o.knobs.noParentCheck = true }},
-	{"lost answer is not a failure", func(o *options) { o.knobs.assumeLost = true }},
-	{"lease counts from sending", func(o *options) { o.knobs.leaseFromAnswer = true }},
-	{"lost hosts leave promises behind", func(o *options) { o.knobs.lostAtOnce = true }},
-	{"hold counts from the lease", func(o *options) { o.knobs.holdContact, o.hold = true, 5*time.Second }},
-	{"hold ends leading", func(o *options) { o.knobs.holdOver, o.hold = true, 5*time.Second }},
-	{"lease got back is verified", func(o *options) { o.knobs.leaseUnverified = true }},
+	{"anchored grants", func(o *options) { o.anchorAtArrival = true }},
+	{"extend is not grant", func(o *options) { o.mutations.alwaysGrant = true }},
+	{"inventory at take-over", func(o *options) { o.mutations.skipInventory = true }},
+	{"at most one unaccounted", func(o *options) { o.mutations.ignoreRenewers = true }},
+	{"lonely lead stops", func(o *options) { o.mutations.renewUnbacked = true }},
+	{"lapse from start of promises", func(o *options) { o.mutations.expireFromAnchor = true }},
+	{"exclusive promises", func(o *options) { o.mutations.sharedPromises = true }},
+	{"silence of a restarted host", func(o *options) { o.mutations.skipStartupSilence = true }},
+	{"read the store first", func(o *options) { o.mutations.skipStoreRead = true }},
+	{"removed hosts count", func(o *options) { o.mutations.ignoreRemoved = true }},
+	{"parent of a solo key ended", func(o *options) { o.mutations.skipParentCheck = true }},
+	{"lost answer is not a failure", func(o *options) { o.mutations.assumeWriteFailed = true }},
+	{"lease counts from sending", func(o *options) { o.mutations.leaseFromResponse = true }},
+	{"lost hosts leave promises behind", func(o *options) { o.mutations.ignoreLostPromises = true }},
+	{"hold counts from the lease", func(o *options) { o.mutations.limitFromContact, o.renewLimit = true, 5*time.Second }},
+	{"hold ends leading", func(o *options) { o.mutations.leadPastLimit, o.renewLimit = true, 5*time.Second }},
+	{"lease got back is verified", func(o *options) { o.mutations.skipLeaseCheck = true }},
 }
--- a/internal/cell/scenario_test.go
+++ b/internal/cell/scenario_test.go
@@ -11,22 +11,22 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// gaps plays the world for d and returns the longest time that any shard was
+// longestGap plays the world for d and returns the longest time that any shard was
 // held by no target that answers.
-func (w *world) gaps(d time.Duration) time.Duration {
+func (w *sim) longestGap(d time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	last := make(map[key.Shard]time.Duration)
-	for s := range key.Shard(worldShards) {
+	for s := range key.Shard(simShards) {
 		last[s] = w.now
 	}
 	var longest time.Duration
 	for end := w.now + d; w.now < end && w.failure == ""; {
-		w.until(w.now + step)
+		w.runUntil(w.now + step)
 		for _, t := range w.targets {
-			if t.dead || w.now < t.paused {
+			if t.down || w.now < t.pausedUntil {
 				continue
 			}
-			for _, h := range t.holds.List(t.reading(w.now)) {
+			for _, h := range t.holdings.List(t.clockStamp(w.now)) {
 				last[h.Shard] = w.now
 			}
 		}
@@ -37,17 +37,17 @@
 	return longest
 }
 
-func (w *world) leadHost() *hostNode {
+func (w *sim) leaderHost() *simHost {
 	for _, h := range w.hosts {
-		if !h.dead && h.cell.leading() && w.now >= h.paused {
+		if !h.down && h.cell.leading() && w.now >= h.pausedUntil {
 			return h
 		}
 	}
 	return w.hosts[0]
 }
 
-// ownerNode returns the target that owns the first shard by the document.
-func (w *world) ownerNode() *targetNode {
+// firstOwner returns the target that owns the first shard by the document.
+func (w *sim) firstOwner() *simTarget {
 	name := w.doc.Targets[w.doc.Rows[0].Owner].Target
 	for _, t := range w.targets {
 		if place.Target(t.name) == name {
@@ -57,89 +57,89 @@
 	return nil
 }
 
-func (w *world) declareTarget(t *targetNode) {
-	w.lost = []Lost{{Target: place.Target(t.name), By: "operator", Reason: "mistake"}}
-	w.tellAll()
+func (w *sim) declareTargetLost(t *simTarget) {
+	w.losses = []LossDeclaration{{Target: place.Target(t.name), By: "operator", Reason: "mistake"}}
+	w.sendListsToAll()
 }
 
-// TestServedAgain loses parts of a quiet cell and bounds the time that any
+// TestFailoverGap loses parts of a quiet cell and bounds the time that any
 // shard is without an owner.
-func TestServedAgain(t *testing.T) {
+func TestFailoverGap(t *testing.T) {
 	const loss, long = 4 * time.Second, time.Hour
 	seeds := uint64(60)
 	if testing.Short() {
 		seeds = 3
 	}
 	tests := map[string]struct {
-		faults func(w *world)
+		faults func(w *sim)
 		bound  time.Duration
 		hosts  int
 	}{
-		"nothing lost":           {func(*world) {}, 0, 3},
-		"target killed":          {func(w *world) { w.crashTarget(w.ownerNode(), long) }, loss, 3},
-		"target frozen":          {func(w *world) { w.freeze(w.ownerNode(), long) }, loss, 3},
-		"target frozen and back": {func(w *world) { w.freeze(w.ownerNode(), 8*time.Second) }, loss, 3},
-		"target declared lost by mistake": {func(w *world) {
-			w.declareTarget(w.ownerNode())
+		"nothing lost":           {func(*sim) {}, 0, 3},
+		"target killed":          {func(w *sim) { w.crashTarget(w.firstOwner(), long) }, loss, 3},
+		"target frozen":          {func(w *sim) { w.freezeTarget(w.firstOwner(), long) }, loss, 3},
+		"target frozen and back": {func(w *sim) { w.freezeTarget(w.firstOwner(), 8*time.Second) }, loss, 3},
+		"target declared lost by mistake": {func(w *sim) {
+			w.declareTargetLost(w.firstOwner())
 		}, time.Second, 3},
-		"target declared lost by mistake, then frozen": {func(w *world) {
-			t := w.ownerNode()
-			w.declareTarget(t)
-			w.after(50*time.Millisecond, func() { w.freeze(t, 10*time.Second) })
+		"target declared lost by mistake, then frozen": {func(w *sim) {
+			t := w.firstOwner()
+			w.declareTargetLost(t)
+			w.after(50*time.Millisecond, func() { w.freezeTarget(t, 10*time.Second) })
 		}, loss, 3},
-		"target drained": {func(w *world) {
-			w.drains = []place.Target{place.Target(w.ownerNode().name)}
-			w.tellAll()
+		"target drained": {func(w *sim) {
+			w.drains = []place.Target{place.Target(w.firstOwner().name)}
+			w.sendListsToAll()
 		}, time.Second, 3},
-		"all hosts replaced one by one": {func(w *world) {
+		"all hosts replaced one by one": {func(w *sim) {
 			for i, h := range w.hosts {
-				w.after(time.Duration(i)*3*time.Second, func() { w.handle(h, h.life, StopSeen{}) })
+				w.after(time.Duration(i)*3*time.Second, func() { w.handle(h, h.incarnation, StopRequested{}) })
 			}
 		}, 0, 4},
-		"target restarted":   {func(w *world) { w.crashTarget(w.ownerNode(), 100*time.Millisecond) }, time.Second, 3},
-		"lead killed":        {func(w *world) { w.crashHost(w.leadHost(), long) }, 0, 3},
-		"lead paused":        {func(w *world) { w.pauseHost(w.leadHost(), 5*time.Second) }, 0, 3},
-		"lead of two killed": {func(w *world) { w.crashHost(w.leadHost(), long) }, 0, 2},
-		"lead stopped":       {func(w *world) { h := w.leadHost(); w.handle(h, h.life, StopSeen{}) }, 0, 3},
-		"store out":          {func(w *world) { w.up = false }, 0, 3},
-		"store slow":         {func(w *world) { w.slow = true }, 0, 3},
-		"store out, target killed": {func(w *world) {
-			w.up = false
-			w.after(5*time.Second, func() { w.crashTarget(w.ownerNode(), long) })
+		"target restarted":   {func(w *sim) { w.crashTarget(w.firstOwner(), 100*time.Millisecond) }, time.Second, 3},
+		"lead killed":        {func(w *sim) { w.crashHost(w.leaderHost(), long) }, 0, 3},
+		"lead paused":        {func(w *sim) { w.pauseHost(w.leaderHost(), 5*time.Second) }, 0, 3},
+		"lead of two killed": {func(w *sim) { w.crashHost(w.leaderHost(), long) }, 0, 2},
+		"lead stopped":       {func(w *sim) { h := w.leaderHost(); w.handle(h, h.incarnation, StopRequested{}) }, 0, 3},
+		"store out":          {func(w *sim) { w.storeUp = false }, 0, 3},
+		"store slow":         {func(w *sim) { w.storeSlow = true }, 0, 3},
+		"store out, target killed": {func(w *sim) {
+			w.storeUp = false
+			w.after(5*time.Second, func() { w.crashTarget(w.firstOwner(), long) })
 		}, loss, 3},
-		"store out, lead killed": {func(w *world) {
-			w.up = false
-			w.after(5*time.Second, func() { w.crashHost(w.leadHost(), long) })
+		"store out, lead killed": {func(w *sim) {
+			w.storeUp = false
+			w.after(5*time.Second, func() { w.crashHost(w.leaderHost(), long) })
 		}, 0, 3},
-		"store slow, lead killed": {func(w *world) {
-			w.slow = true
-			w.after(5*time.Second, func() { w.crashHost(w.leadHost(), long) })
+		"store slow, lead killed": {func(w *sim) {
+			w.storeSlow = true
+			w.after(5*time.Second, func() { w.crashHost(w.leaderHost(), long) })
 		}, 0, 3},
-		"store slow, target killed": {func(w *world) {
-			w.slow = true
-			w.after(5*time.Second, func() { w.crashTarget(w.ownerNode(), long) })
+		"store slow, target killed": {func(w *sim) {
+			w.storeSlow = true
+			w.after(5*time.Second, func() { w.crashTarget(w.firstOwner(), long) })
 		}, loss, 3},
-		"store out, target drained": {func(w *world) {
-			w.up = false
+		"store out, target drained": {func(w *sim) {
+			w.storeUp = false
 			w.after(5*time.Second, func() {
-				w.drains = []place.Target{place.Target(w.ownerNode().name)}
-				w.tellAll()
+				w.drains = []place.Target{place.Target(w.firstOwner().name)}
+				w.sendListsToAll()
 			})
 		}, time.Second, 3},
-		"lead and target killed": {func(w *world) {
-			w.crashTarget(w.ownerNode(), long)
-			w.crashHost(w.leadHost(), long)
+		"lead and target killed": {func(w *sim) {
+			w.crashTarget(w.firstOwner(), long)
+			w.crashHost(w.leaderHost(), long)
 		}, loss, 3},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			var worst time.Duration
 			for seed := uint64(1); seed <= seeds; seed++ {
-				w := newWorld(options{seed: seed, hosts: tt.hosts, targets: 4, calm: true, length: time.Hour})
-				w.until(4 * time.Second)
-				assert.Equal(t, w.gaps(2*time.Second) <= 50*time.Millisecond, true, "not served before the fault:\n%s", strings.Join(w.trace, "\n"))
+				w := newSim(options{seed: seed, hosts: tt.hosts, targets: 4, noFaults: true, duration: time.Hour})
+				w.runUntil(4 * time.Second)
+				assert.Equal(t, w.longestGap(2*time.Second) <= 50*time.Millisecond, true, "not served before the fault:\n%s", strings.Join(w.trace, "\n"))
 				tt.faults(w)
-				gap := w.gaps(20 * time.Second)
+				gap := w.longestGap(20 * time.Second)
 				worst = max(worst, gap)
 				if gap > max(tt.bound, 50*time.Millisecond) || w.failure != "" {
 					t.Fatalf("seed %d: gap %v, bound %v, %s\n%s", seed, gap, tt.bound, w.failure, strings.Join(w.trace, "\n"))
--- a/internal/cell/solo_test.go
+++ b/internal/cell/singlekey_test.go
@@ -9,17 +9,17 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// TestSoloShardsOfTwoCellsDiffer: cells of two zones counted from 1,024 both,
+// TestSingleKeyShardsUnique: cells of two zones counted from 1,024 both,
 // and the entries, which merge the tables of a service, sent keys of one zone
 // to targets of the other.
-func TestSoloShardsOfTwoCellsDiffer(t *testing.T) {
+func TestSingleKeyShardsUnique(t *testing.T) {
 	const shards key.ShardCount = 1024
 	used := make(map[key.Shard]bool)
 	for _, parents := range [][]key.Shard{{0, 3, 3, 5}, {1, 2, 2, 1023}} {
 		var next key.Shard
 		for _, parent := range parents {
 			var shard key.Shard
-			shard, next = soloShard(next, parent, shards)
+			shard, next = singleKeyShard(next, parent, shards)
 			assert.Assert(t, shard >= key.Shard(shards))
 			assert.Assert(t, !used[shard], "shard %d is used twice", shard)
 			used[shard] = true
@@ -27,26 +27,26 @@
 	}
 }
 
-// TestSoloKeyIsGivenUpWhereItMoved: a solo key was moved to a target that had
+// TestMovedSingleKeyCeded: a solo key was moved to a target that had
 // never held its parent shard; when custody of the shard went away, the key
 // and the parent waited for each other for ever.
-func TestSoloKeyIsGivenUpWhereItMoved(t *testing.T) {
-	w := newWorld(options{seed: 1, hosts: 3, targets: 4, calm: true, length: time.Hour})
-	w.until(4 * time.Second)
+func TestMovedSingleKeyCeded(t *testing.T) {
+	w := newSim(options{seed: 1, hosts: 3, targets: 4, noFaults: true, duration: time.Hour})
+	w.runUntil(4 * time.Second)
 	parent := w.doc.Rows[0].Shard
 	hash := key.Hash(uint64(parent) << 62) // the first key of one of four shards
 	to := w.doc.Targets[(w.doc.Rows[0].Owner+1)%4].Target
 	for _, h := range w.hosts {
-		w.handle(h, h.life, PlanSeen{Moves: []PlannedMove{{Shard: parent, To: to, Solo: hash, Cut: true}}})
+		w.handle(h, h.incarnation, PlanReceived{Moves: []PlannedMove{{Shard: parent, To: to, HotKey: hash, Split: true}}})
 	}
-	w.until(w.now + 5*time.Second)
-	assert.Equal(t, len(w.doc.Solos), 1)
-	solo := w.doc.Rows[w.doc.rowOf(w.doc.Solos[0].Shard)]
+	w.runUntil(w.now + 5*time.Second)
+	assert.Equal(t, len(w.doc.SingleKeys), 1)
+	solo := w.doc.Rows[w.doc.rowIndex(w.doc.SingleKeys[0].Shard)]
 	assert.Equal(t, w.doc.Targets[solo.Owner].Target, to)
 
 	w.changeCustody(parent, 0, false)
-	w.until(w.now + 10*time.Second)
+	w.runUntil(w.now + 10*time.Second)
 	assert.Equal(t, w.failure, "")
-	assert.Equal(t, len(w.doc.Solos), 0)
-	assert.Equal(t, w.doc.rowOf(parent), -1)
+	assert.Equal(t, len(w.doc.SingleKeys), 0)
+	assert.Equal(t, w.doc.rowIndex(parent), -1)
 }
--- a/internal/cell/size_test.go
+++ b/internal/cell/size_test.go
@@ -7,20 +7,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDocumentFits bounds the document of a large cell: the platform's service
+// TestDocSize bounds the document of a large cell: the platform's service
 // holds values up to a megabyte.
-func TestDocumentFits(t *testing.T) {
+func TestDocSize(t *testing.T) {
 	const limit = 1 << 20
 	d := newDriver(100, 4096)
-	d.play(3 * time.Second)
+	d.run(3 * time.Second)
 	doc := d.cell.doc.clone()
-	for i := range maxSolos {
-		doc.Solos = append(doc.Solos, Solo{Hash: 1 << 62, Shard: 1 << 30, Parent: 4095, Cut: 1 << 30})
-		doc.Rows = append(doc.Rows, Row{Shard: 1<<30 + doc.NextSolo, Epoch: 1 << 30, Owner: 99, Standby: 98})
-		doc.NextSolo += 4096
-		doc.Given = append(doc.Given, Given{Shard: 4095, Floor: 1 << 30})
-		if i < maxMoves {
-			doc.Moves = append(doc.Moves, Move{At: worldEpoch, Shard: 1 << 30, From: "a-long-target-name", To: "a-long-target-name"})
+	for i := range maxSingleKeys {
+		doc.SingleKeys = append(doc.SingleKeys, SingleKey{Hash: 1 << 62, Shard: 1 << 30, Parent: 4095, SplitEpoch: 1 << 30})
+		doc.Rows = append(doc.Rows, Row{Shard: 1<<30 + doc.NextSingleKey, Epoch: 1 << 30, Owner: 99, Standby: 98})
+		doc.NextSingleKey += 4096
+		doc.Ceded = append(doc.Ceded, CededShard{Shard: 4095, Floor: 1 << 30})
+		if i < maxMoveHistory {
+			doc.Moves = append(doc.Moves, Move{At: simStart, Shard: 1 << 30, From: "a-long-target-name", To: "a-long-target-name"})
 		}
 	}
 	data, err := EncodeDoc(doc)
@@ -28,7 +28,7 @@
 	t.Logf("%d rows, %d targets: %d bytes", len(doc.Rows), len(doc.Targets), len(data))
 	assert.Assert(t, len(data) < limit/4)
 	small := newDriver(20, 1024)
-	small.play(3 * time.Second)
+	small.run(3 * time.Second)
 	data, err = EncodeDoc(small.cell.doc)
 	assert.NilError(t, err)
 	t.Logf("1024 rows, 20 targets: %d bytes", len(data))
--- a/internal/cell/standby.go
+++ b/internal/cell/standby.go
@@ -4,27 +4,27 @@
 	"citrontray.example/citrontray/internal/grant"
 )
 
-// standbys activates the standby of shards whose owner is gone, or leaves,
+// activateStandbys activates the standby of shards whose owner is gone, or leaves,
 // while the store is out. Every roster host must promise, and must have read the store
 // in this life: nobody then knows a later term, or renews the old owner.
 //
 // A successor need not have heard of it: it asks owner and standby. Nor need
 // a deputy: it only extends, and the old owner holds nothing to extend.
-func (c *Cell) standbys() {
-	if !c.storeOut() || !c.cfg.ChecksTerms || !c.allPromised() || !c.mayRenew() || c.write.pending {
+func (c *Cell) activateStandbys() {
+	if !c.storeUnavailable() || !c.cfg.ChecksTerms || !c.allPromised() || !c.mayRenew() || c.write.pending {
 		return
 	}
 	for i := range c.rows {
 		s := &c.rows[i]
 		r := c.doc.Rows[i]
-		if s.doubt || s.giving || s.active != nil || r.Owner == NoTarget || r.Standby == NoTarget || r.Standby == r.Owner {
+		if s.holderUnknown || s.ceding || s.activation != nil || r.Owner == NoTarget || r.Standby == NoTarget || r.Standby == r.Owner {
 			continue
 		}
-		if c.leavingNow(r.Owner) && c.eligible(r.Standby) && !s.releasing {
-			c.release(i, NoTarget)
+		if c.isLeaving(r.Owner) && c.eligible(r.Standby) && !s.releasing {
+			c.startRelease(i, NoTarget)
 		}
 		if e := c.endEvidence(i); e != nil && c.eligible(r.Standby) {
-			c.activate(i, e)
+			c.activateStandby(i, e)
 		}
 	}
 }
@@ -33,8 +33,8 @@
 // lease: every host that could renew promises to this one.
 func (c *Cell) endEvidence(i int) grant.Evidence {
 	t := &c.targets[c.doc.Rows[i].Owner]
-	if !c.answering(t) && c.now.After(c.quietAt(t)) {
-		return grant.Expired{Since: c.quietAt(t)}
+	if !c.responsive(t) && c.now.After(c.grantsEndAt(t)) {
+		return grant.Expired{Since: c.grantsEndAt(t)}
 	}
 	if c.rows[i].releasing {
 		return c.releaseEvidence(i)
@@ -42,31 +42,31 @@
 	return nil
 }
 
-// activate makes the standby the owner, above every epoch it may have held
+// activateStandby makes the standby the owner, above every epoch it may have held
 // the shard at before.
-func (c *Cell) activate(i int, e grant.Evidence) {
+func (c *Cell) activateStandby(i int, e grant.Evidence) {
 	s := &c.rows[i]
 	r := c.doc.Rows[i]
 	epoch := max(r.Epoch, c.targets[r.Standby].floor(r.Shard)) + 1
-	s.active = &Activation{Evidence: e, Shard: r.Shard, To: r.Standby, Epoch: epoch}
-	s.served, s.releasing = false, false
-	c.hasten(r.Standby)
-	c.dirty = true
+	s.activation = &Activation{Evidence: e, Shard: r.Shard, To: r.Standby, Epoch: epoch}
+	s.routable, s.releasing = false, false
+	c.orderNow(r.Standby)
+	c.tableChanged = true
 	c.logf("Activates the standby of shard %d.", r.Shard)
 }
 
-// storeOut reports whether the lease has ended and the store is silent.
-func (c *Cell) storeOut() bool {
+// storeUnavailable reports whether the lease has ended and the store is silent.
+func (c *Cell) storeUnavailable() bool {
 	if c.leaseValid() {
 		return false
 	}
-	return c.now.Sub(c.lease.contact) > c.cfg.Timing.Lease
+	return c.now.Sub(c.lease.contactAt) > c.cfg.Timing.LeaseTTL
 }
 
-// saveActivations records activated standbys as owners.
-func (c *Cell) saveActivations(d *draft) {
+// recordActivations records activated standbys as owners.
+func (c *Cell) recordActivations(d *draft) {
 	for i := range c.rows {
-		a := c.rows[i].active
+		a := c.rows[i].activation
 		if a == nil {
 			continue
 		}
--- a/internal/cell/store.go
+++ b/internal/cell/store.go
@@ -17,15 +17,15 @@
 	pending bool
 	doc     Doc
 	expect  platform.Revision
-	// proposed is when the first attempt was sent, sent the newest.
-	proposed, sent time.Time
-	// flying tells that no outcome of the newest attempt has come back.
-	flying bool
-	// unknown tells that an earlier attempt may have taken effect.
-	unknown bool
-	// changed holds the shards whose owner or epoch the write changes: they
+	// proposedAt is when the first attempt was sent, sent the newest.
+	proposedAt, sentAt time.Time
+	// inFlight tells that no outcome of the newest attempt has come back.
+	inFlight bool
+	// uncertain tells that an earlier attempt may have taken effect.
+	uncertain bool
+	// changedShards holds the shards whose owner or epoch the write changes: they
 	// are neither granted nor extended meanwhile.
-	changed map[key.Shard]struct{}
+	changedShards map[key.Shard]struct{}
 }
 
 // propose sends the document as the next revision.
@@ -33,70 +33,70 @@
 	c.writes++
 	doc.ID = c.cfg.ID
 	doc.WriteID = fmt.Sprintf("%s/%d/%d", c.cfg.Self, c.cfg.Incarnation, c.writes)
-	if c.hasDoc && !c.checkStep(&c.doc, &doc) {
+	if c.hasDoc && !c.checkTransition(&c.doc, &doc) {
 		return
 	}
-	c.write = write{pending: true, doc: doc, expect: c.revision, proposed: c.now, changed: changedShards(&c.doc, &doc)}
+	c.write = write{pending: true, doc: doc, expect: c.revision, proposedAt: c.now, changedShards: changedShards(&c.doc, &doc)}
 	c.sendWrite()
 }
 
 func (c *Cell) sendWrite() {
-	c.write.sent = c.now
-	c.write.flying = true
+	c.write.sentAt = c.now
+	c.write.inFlight = true
 	c.emit(WriteDoc{Doc: c.write.doc.clone(), Expect: c.write.expect})
 }
 
-// resendWrite repeats a write whose outcome is not known.
-func (c *Cell) resendWrite() {
+// retryWrite repeats a write whose outcome is not known.
+func (c *Cell) retryWrite() {
 	w := &c.write
 	if !w.pending {
 		return
 	}
-	if w.flying {
-		if c.now.Sub(w.sent) < callTimeout {
+	if w.inFlight {
+		if c.now.Sub(w.sentAt) < callTimeout {
 			return
 		}
-		w.flying = false
-		w.unknown = true
+		w.inFlight = false
+		w.uncertain = true
 	}
-	if c.now.Sub(w.sent) >= writeRetry {
+	if c.now.Sub(w.sentAt) >= writeRetryDelay {
 		c.sendWrite()
-		c.read()
+		c.readDoc()
 	}
 }
 
-func (c *Cell) takeWrite(ev WriteDone) {
+func (c *Cell) handleWrite(ev WriteDone) {
 	w := &c.write
 	if !w.pending || ev.WriteID != w.doc.WriteID {
 		return
 	}
 	switch ev.Result {
-	case WriteWon:
-		c.won(ev.Revision)
+	case WriteCommitted:
+		c.writeCommitted(ev.Revision)
 	case WriteConflict:
-		w.flying = false
-		if !w.unknown {
-			c.lostWrite()
+		w.inFlight = false
+		if !w.uncertain {
+			c.dropWrite()
 		}
-		c.read()
+		c.readDoc()
 	case WriteUnknown:
-		w.flying = false
-		w.unknown = true
-		if c.knobs.assumeLost {
-			c.lostWrite()
+		w.inFlight = false
+		w.uncertain = true
+		if c.mutations.assumeWriteFailed {
+			c.dropWrite()
 		}
-		c.read()
+		c.readDoc()
 	case WriteUnavailable:
-		w.flying = false
-		if !w.unknown {
-			c.lostWrite()
+		w.inFlight = false
+		if !w.uncertain {
+			c.dropWrite()
 		}
 	}
 }
 
-// won adopts the pending write as committed.
-func (c *Cell) won(revision platform.Revision) {
-	doc, proposed := c.write.doc, c.write.proposed
+// writeCommitted adopts the pending write as committed.
+func (c *Cell) writeCommitted(revision platform.Revision) {
+	doc, proposed := c.write.doc, c.write.proposedAt
 	c.write = write{}
 	if !proposed.Before(c.lease.start) && c.now.Before(c.lease.until) {
 		c.lease.verified = true
@@ -107,37 +107,37 @@
 	c.adopt(doc, revision)
 	switch {
 	case c.role == candidate:
-		c.becomeLead()
+		c.becomeLeader()
 	case c.role == leader && doc.Term != c.term:
 		c.adoptRoster()
 	}
 }
 
-// lostWrite drops a write that certainly failed. A campaign reads again first.
-func (c *Cell) lostWrite() {
+// dropWrite drops a write that certainly failed. A campaign reads again first.
+func (c *Cell) dropWrite() {
 	c.write = write{}
-	c.campaign.fresh = false
+	c.campaign.docRead = false
 }
 
-// takeDoc adopts a newer document and resolves a pending write by it.
-func (c *Cell) takeDoc(ev DocSeen) {
+// handleDoc adopts a newer document and resolves a pending write by it.
+func (c *Cell) handleDoc(ev DocReceived) {
 	if ev.FromStore {
 		c.readStore = true
-		c.campaign.fresh = true
-		c.absent = !ev.Exists && !c.hasDoc
+		c.campaign.docRead = true
+		c.docAbsent = !ev.Exists && !c.hasDoc
 	}
 	if !ev.Exists {
 		return
 	}
 	if c.write.pending && ev.Doc.WriteID == c.write.doc.WriteID {
-		c.won(ev.Revision)
+		c.writeCommitted(ev.Revision)
 		return
 	}
 	if c.hasDoc && ev.Revision <= c.revision || !c.checkTerm(&ev.Doc) {
 		return
 	}
 	if c.write.pending && ev.Revision > c.write.expect {
-		c.lostWrite()
+		c.dropWrite()
 	}
 	higher := ev.Doc.Term > c.doc.Term || !c.hasDoc
 	if c.leading() && !higher {
@@ -149,49 +149,49 @@
 	c.adopt(ev.Doc.clone(), ev.Revision)
 }
 
-// read asks for the document, at most once in readEvery.
-func (c *Cell) read() {
-	if !c.readAsked.IsZero() && c.now.Sub(c.readAsked) < readEvery {
+// readDoc asks for the document, at most once in readEvery.
+func (c *Cell) readDoc() {
+	if !c.readAskedAt.IsZero() && c.now.Sub(c.readAskedAt) < readInterval {
 		return
 	}
-	c.readAsked = c.now
+	c.readAskedAt = c.now
 	c.emit(ReadDoc{})
 }
 
-// askLease takes or renews the lease, one call at a time.
-func (c *Cell) askLease(every time.Duration) {
+// requestLease takes or renews the lease, one call at a time.
+func (c *Cell) requestLease(every time.Duration) {
 	l := &c.lease
-	if l.pending && c.now.Sub(l.asked) < callTimeout {
+	if l.pending && c.now.Sub(l.askedAt) < callTimeout {
 		return
 	}
-	if !l.asked.IsZero() && c.now.Sub(l.asked) < every {
+	if !l.askedAt.IsZero() && c.now.Sub(l.askedAt) < every {
 		return
 	}
 	l.pending = true
-	l.asked = c.now
-	c.emit(AcquireLease{TTL: c.cfg.Timing.Lease})
+	l.askedAt = c.now
+	c.emit(AcquireLease{TTL: c.cfg.Timing.LeaseTTL})
 }
 
-// takeLease counts the lease from before the call was sent: after a pause in
+// handleLease counts the lease from before the call was sent: after a pause in
 // between, the lease may have ended already.
-func (c *Cell) takeLease(ev LeaseDone) {
+func (c *Cell) handleLease(ev LeaseDone) {
 	l := &c.lease
 	l.pending = false
 	if !ev.Reached {
 		return
 	}
-	l.taken = !ev.Held
-	l.contact = latest(l.contact, ev.SentAt)
+	l.heldByOther = !ev.Held
+	l.contactAt = latest(l.contactAt, ev.SentAt)
 	from := ev.SentAt
-	if c.knobs.leaseFromAnswer {
+	if c.mutations.leaseFromResponse {
 		from = c.now
 	}
 	if ev.Held {
-		l.held = latest(l.held, ev.SentAt)
+		l.renewedAt = latest(l.renewedAt, ev.SentAt)
 		if l.until.Before(ev.SentAt) {
 			l.start, l.verified = c.now, false
 		}
-		l.until = latest(l.until, from.Add(c.shorter(c.cfg.Timing.Lease)))
+		l.until = latest(l.until, from.Add(c.subtractDrift(c.cfg.Timing.LeaseTTL)))
 		return
 	}
 	l.until, l.verified = time.Time{}, false
@@ -200,11 +200,11 @@
 // verifyLease writes the document unchanged, but for activated standbys. It
 // also makes any write of another host that is still on its way fail.
 func (c *Cell) verifyLease() {
-	if c.lease.verified || !c.now.Before(c.lease.until) || c.write.pending || c.knobs.leaseUnverified {
+	if c.lease.verified || !c.now.Before(c.lease.until) || c.write.pending || c.mutations.skipLeaseCheck {
 		return
 	}
 	d := c.newDraft()
-	c.saveActivations(d)
+	c.recordActivations(d)
 	c.propose(d.doc)
 }
 
@@ -219,7 +219,7 @@
 func changedShards(from, to *Doc) map[key.Shard]struct{} {
 	changed := make(map[key.Shard]struct{})
 	for _, r := range from.Rows {
-		i := to.rowOf(r.Shard)
+		i := to.rowIndex(r.Shard)
 		if i < 0 || to.Rows[i].Owner != r.Owner || to.Rows[i].Epoch != r.Epoch {
 			changed[r.Shard] = struct{}{}
 		}
@@ -231,9 +231,9 @@
 // targets over by their names.
 func (c *Cell) adopt(doc Doc, revision platform.Revision) {
 	old := c.doc
-	c.doc, c.revision, c.hasDoc, c.absent = doc, revision, true, false
+	c.doc, c.revision, c.hasDoc, c.docAbsent = doc, revision, true, false
 	c.alignTargets(&old)
 	c.alignRows(&old)
-	c.alignMates()
-	c.dirty, c.unjudged = true, true
+	c.alignPeers()
+	c.tableChanged, c.listsChanged = true, true
 }
--- a/internal/cell/target.go
+++ b/internal/cell/target.go
@@ -21,21 +21,21 @@
 	// clock is the newest reading of the target's clock, which came at clockAt.
 	clock   grant.Stamp
 	clockAt time.Time
-	// anchored is when the newest reading came that an order relied on.
-	anchored time.Time
-	// accepted is the highest term of an order that this life accepted.
-	accepted grant.Term
-	answered time.Time // newest answer
-	asked    time.Time // when the order of the newest answer was sent
-	sent     time.Time
-	flying   bool
-	due      time.Time
-	digest   uint64
-	draining bool // by its own word
-	leaving  bool // by any list or word
-	lost     bool // declared lost
-	lostAt   time.Time
-	refuted  bool // it answered an order sent after lostAt
+	// anchoredAt is when the newest reading came that an order relied on.
+	anchoredAt time.Time
+	// acceptedTerm is the highest term of an order that this life accepted.
+	acceptedTerm     grant.Term
+	respondedAt      time.Time // newest answer
+	respondedOrderAt time.Time // when the order of the newest answer was sent
+	sentAt           time.Time
+	inFlight         bool
+	due              time.Time
+	digest           uint64
+	announcedLeaving bool // by its own word
+	leaving          bool // by any list or word
+	declaredLost     bool // declared lost
+	declaredLostAt   time.Time
+	lossRefuted      bool // it answered an order sent after lostAt
 
 	// The newest whole inventory, of an order sent at inventoryAt at
 	// inventoryTerm. Zero term: none since this host took the lead.
@@ -45,21 +45,21 @@
 	floors        []grant.ShardEpoch
 }
 
-// taken forgets what an answer to an earlier term proved.
-func (t *targetState) taken() {
+// resetTerm forgets what an answer to an earlier term proved.
+func (t *targetState) resetTerm() {
 	t.inventoryTerm = 0
-	t.flying = false
+	t.inFlight = false
 	t.due = time.Time{}
 }
 
-// holds returns the epoch of the shard in the newest inventory; zero for none.
-func (t *targetState) holds(shard key.Shard) grant.Epoch { return epochIn(t.held, shard) }
+// heldEpoch returns the epoch of the shard in the newest inventory; zero for none.
+func (t *targetState) heldEpoch(shard key.Shard) grant.Epoch { return epochOf(t.held, shard) }
 
 // floor returns the lowest epoch that the target still accepts for the shard,
 // as far as its newest inventory tells.
-func (t *targetState) floor(shard key.Shard) grant.Epoch { return epochIn(t.floors, shard) }
+func (t *targetState) floor(shard key.Shard) grant.Epoch { return epochOf(t.floors, shard) }
 
-func epochIn(list []grant.ShardEpoch, shard key.Shard) grant.Epoch {
+func epochOf(list []grant.ShardEpoch, shard key.Shard) grant.Epoch {
 	i, found := slices.BinarySearchFunc(list, shard, func(h grant.ShardEpoch, s key.Shard) int {
 		return cmp.Compare(h.Shard, s)
 	})
@@ -74,7 +74,7 @@
 	states := make([]targetState, len(c.doc.Targets))
 	for i, t := range c.doc.Targets {
 		states[i] = targetState{target: t.Target, addr: t.Addr}
-		j := old.targetOf(t.Target)
+		j := old.targetIndex(t.Target)
 		if t.Target != "" && j != NoTarget && int(j) < len(c.targets) {
 			states[i] = c.targets[j]
 			states[i].addr = t.Addr
@@ -83,8 +83,8 @@
 	c.targets = states
 }
 
-// targetOf returns the index of a member target, or NoTarget.
-func (d *Doc) targetOf(name place.Target) TargetIndex {
+// targetIndex returns the index of a member target, or NoTarget.
+func (d *Doc) targetIndex(name place.Target) TargetIndex {
 	i := slices.IndexFunc(d.Targets, func(t TargetDoc) bool { return t.Target == name })
 	if i < 0 {
 		return NoTarget
@@ -92,54 +92,54 @@
 	return TargetIndex(i)
 }
 
-func (c *Cell) targetLost(name place.Target) (Lost, bool) {
-	i := slices.IndexFunc(c.lost, func(l Lost) bool { return l.Target != "" && l.Target == name })
+func (c *Cell) targetLoss(name place.Target) (LossDeclaration, bool) {
+	i := slices.IndexFunc(c.losses, func(l LossDeclaration) bool { return l.Target != "" && l.Target == name })
 	if i < 0 {
-		return Lost{}, false
+		return LossDeclaration{}, false
 	}
-	return c.lost[i], true
+	return c.losses[i], true
 }
 
-// answering reports whether the target answered in the last renewals.
-func (c *Cell) answering(t *targetState) bool {
-	return !t.answered.IsZero() && c.now.Sub(t.answered) < 2*c.cfg.Timing.Renew+c.cfg.Timing.Renew/2
+// responsive reports whether the target answered in the last renewals.
+func (c *Cell) responsive(t *targetState) bool {
+	return !t.respondedAt.IsZero() && c.now.Sub(t.respondedAt) < 2*c.cfg.Timing.RenewInterval+c.cfg.Timing.RenewInterval/2
 }
 
 // eligible reports whether the target may get shards.
 func (c *Cell) eligible(i TargetIndex) bool {
 	t := &c.targets[i]
-	if t.target == "" || !c.answering(t) || t.inventoryTerm != c.term || c.leavingNow(i) {
+	if t.target == "" || !c.responsive(t) || t.inventoryTerm != c.term || c.isLeaving(i) {
 		return false
 	}
 	return true
 }
 
-// judgeLists works out what the lists say of each target and row, once after
+// applyLists works out what the lists say of each target and row, once after
 // each change.
-func (c *Cell) judgeLists() {
-	if !c.unjudged {
+func (c *Cell) applyLists() {
+	if !c.listsChanged {
 		return
 	}
-	c.unjudged = false
+	c.listsChanged = false
 	for i := range c.targets {
 		t := &c.targets[i]
-		was := t.lost
-		_, t.lost = c.targetLost(t.target)
-		if t.lost && !was {
-			t.lostAt, t.refuted = c.now, false
+		was := t.declaredLost
+		_, t.declaredLost = c.targetLoss(t.target)
+		if t.declaredLost && !was {
+			t.declaredLostAt, t.lossRefuted = c.now, false
 		}
 		row := c.fleetRow(t.target)
 		listed := row != nil && row.State == place.Leaving
-		t.leaving = t.lost || listed || t.draining || slices.Contains(c.drains, t.target)
+		t.leaving = t.declaredLost || listed || t.announcedLeaving || slices.Contains(c.drains, t.target)
 	}
 	for i := range c.rows {
-		c.rows[i].away = !c.keeps(c.doc.Rows[i].Shard)
+		c.rows[i].custodyLost = !c.keepsCustody(c.doc.Rows[i].Shard)
 	}
 }
 
-// leavingNow reports whether the platform's list, an operator or the target
+// isLeaving reports whether the platform's list, an operator or the target
 // itself says that it leaves.
-func (c *Cell) leavingNow(i TargetIndex) bool { return c.targets[i].leaving }
+func (c *Cell) isLeaving(i TargetIndex) bool { return c.targets[i].leaving }
 
 func (c *Cell) fleetRow(name place.Target) *place.TargetRow {
 	for i := range c.fleet.Targets {
@@ -151,53 +151,53 @@
 	return nil
 }
 
-// takeOrder records a target's answer. Answers to orders sent before the one
+// handleResponse records a target's answer. Answers to orders sent before the one
 // of the newest answer are too late to tell anything.
-func (c *Cell) takeOrder(ev OrderDone) {
-	i := c.doc.targetOf(ev.Target)
+func (c *Cell) handleResponse(ev OrderDone) {
+	i := c.doc.targetIndex(ev.Target)
 	if ev.Target == "" || i == NoTarget {
 		return
 	}
 	t := &c.targets[i]
-	if !ev.SentAt.Before(t.sent) {
-		t.flying = false
+	if !ev.SentAt.Before(t.sentAt) {
+		t.inFlight = false
 	}
-	if !ev.Reached || !ev.SentAt.After(t.asked) || ev.Answer.Target != ev.Target {
+	if !ev.Reached || !ev.SentAt.After(t.respondedOrderAt) || ev.Response.Target != ev.Target {
 		return
 	}
-	a := &ev.Answer
+	a := &ev.Response
 	if a.Incarnation != t.incarnation {
 		c.newIncarnation(t, a.Incarnation)
 	}
-	t.asked, t.answered = ev.SentAt, c.now
+	t.respondedOrderAt, t.respondedAt = ev.SentAt, c.now
 	t.clock, t.clockAt = a.Clock, c.now
-	c.unjudged = c.unjudged || t.draining != a.Draining
-	t.draining = a.Draining
+	c.listsChanged = c.listsChanged || t.announcedLeaving != a.Draining
+	t.announcedLeaving = a.Draining
 	t.digest = a.Digest
-	t.refuted = t.refuted || t.lost && ev.SentAt.After(t.lostAt)
-	t.accepted = max(t.accepted, a.Term)
-	c.superseded(a.Term, string(ev.Target))
+	t.lossRefuted = t.lossRefuted || t.declaredLost && ev.SentAt.After(t.declaredLostAt)
+	t.acceptedTerm = max(t.acceptedTerm, a.Term)
+	c.observeTerm(a.Term, string(ev.Target))
 	if c.role == leader && a.Accepted {
-		c.takeAccepted(i, ev)
+		c.handleAccepted(i, ev)
 	}
 }
 
-// takeAccepted records what an answer proves to the lead of the term.
-func (c *Cell) takeAccepted(i TargetIndex, ev OrderDone) {
+// handleAccepted records what an answer proves to the lead of the term.
+func (c *Cell) handleAccepted(i TargetIndex, ev OrderDone) {
 	t := &c.targets[i]
-	if ev.SentAt.Before(c.leadSince) || c.cfg.ChecksTerms && ev.Answer.Term != c.term {
+	if ev.SentAt.Before(c.leaderSince) || c.cfg.ChecksTerms && ev.Response.Term != c.term {
 		return
 	}
-	if ev.Answer.Full {
-		t.held, t.floors = sorted(ev.Answer.Held), sorted(ev.Answer.Floors)
+	if ev.Response.Full {
+		t.held, t.floors = sortedByShard(ev.Response.Held), sortedByShard(ev.Response.Floors)
 		t.inventoryAt = ev.SentAt
 		if t.inventoryTerm != c.term {
 			t.inventoryTerm = c.term
 			t.due = c.now
 		}
-		c.maintainDue = c.now
+		c.reconcileDue = c.now
 	}
-	c.confirm(i)
+	c.confirmHeld(i)
 }
 
 // newIncarnation forgets what an earlier life of the target had accepted.
@@ -206,14 +206,14 @@
 		c.logf("Target %s restarted.", t.target)
 	}
 	t.incarnation = life
-	t.accepted = 0
+	t.acceptedTerm = 0
 	t.inventoryTerm = 0
 	t.held, t.floors = nil, nil
 	t.due = c.now
 }
 
-// sorted returns a copy of a list from outside, sorted by shard.
-func sorted(list []grant.ShardEpoch) []grant.ShardEpoch {
+// sortedByShard returns a copy of a list from outside, sorted by shard.
+func sortedByShard(list []grant.ShardEpoch) []grant.ShardEpoch {
 	out := slices.Clone(list)
 	slices.SortFunc(out, func(a, b grant.ShardEpoch) int { return cmp.Compare(a.Shard, b.Shard) })
 	return out
--- a/internal/cell/wire.go
+++ b/internal/cell/wire.go
@@ -9,23 +9,23 @@
 )
 
 type wireDoc struct {
-	_           struct{} `cbor:",toarray"`
-	Service     string
-	Zone        string
-	Term        uint64
-	Lead        string
-	LeadAddr    string
-	Incarnation uint64
-	WriteID     string
-	Roster      []string
-	Removed     []wireRemoved
-	Targets     []wireTarget
-	Rows        []wireRow
-	Solos       []wireSolo
-	NextSolo    uint32
-	Given       []wireGiven
-	Custody     uint64
-	Moves       []wireMove
+	_                 struct{} `cbor:",toarray"`
+	Service           string
+	Zone              string
+	Term              uint64
+	Leader            string
+	LeaderAddr        string
+	LeaderIncarnation uint64
+	WriteID           string
+	Roster            []string
+	Removed           []wireRemoved
+	Targets           []wireTarget
+	Rows              []wireRow
+	SingleKeys        []wireSingleKey
+	NextSingleKey     uint32
+	Ceded             []wireCeded
+	Custody           uint64
+	Moves             []wireMove
 }
 
 type wireRemoved struct {
@@ -51,15 +51,15 @@
 	Standby uint16
 }
 
-type wireSolo struct {
-	_      struct{} `cbor:",toarray"`
-	Hash   uint64
-	Shard  uint32
-	Parent uint32
-	Cut    uint64
+type wireSingleKey struct {
+	_          struct{} `cbor:",toarray"`
+	Hash       uint64
+	Shard      uint32
+	Parent     uint32
+	SplitEpoch uint64
 }
 
-type wireGiven struct {
+type wireCeded struct {
 	_        struct{} `cbor:",toarray"`
 	Shard    uint32
 	Floor    uint64
@@ -80,7 +80,7 @@
 const (
 	wireNone = iota
 	wireReleased
-	wireLapsed
+	wireExpired
 	wireRestarted
 	wireDeclared
 )
@@ -97,15 +97,15 @@
 
 func docToWire(d Doc) wireDoc {
 	w := wireDoc{
-		Service:     string(d.ID.Service),
-		Zone:        string(d.ID.Zone),
-		Term:        uint64(d.Term),
-		Lead:        string(d.Lead),
-		LeadAddr:    wire.FormatAddr(d.LeadAddr),
-		Incarnation: uint64(d.LeadIncarnation),
-		WriteID:     d.WriteID,
-		NextSolo:    uint32(d.NextSolo),
-		Custody:     uint64(d.Custody),
+		Service:           string(d.ID.Service),
+		Zone:              string(d.ID.Zone),
+		Term:              uint64(d.Term),
+		Leader:            string(d.Leader),
+		LeaderAddr:        wire.FormatAddr(d.LeaderAddr),
+		LeaderIncarnation: uint64(d.LeaderIncarnation),
+		WriteID:           d.WriteID,
+		NextSingleKey:     uint32(d.NextSingleKey),
+		Custody:           uint64(d.Custody),
 	}
 	for _, h := range d.Roster {
 		w.Roster = append(w.Roster, string(h))
@@ -122,14 +122,14 @@
 			Owner: uint16(r.Owner), Standby: uint16(r.Standby),
 		})
 	}
-	for _, s := range d.Solos {
-		w.Solos = append(w.Solos, wireSolo{
+	for _, s := range d.SingleKeys {
+		w.SingleKeys = append(w.SingleKeys, wireSingleKey{
 			Hash: uint64(s.Hash), Shard: uint32(s.Shard),
-			Parent: uint32(s.Parent), Cut: uint64(s.Cut),
+			Parent: uint32(s.Parent), SplitEpoch: uint64(s.SplitEpoch),
 		})
 	}
-	for _, g := range d.Given {
-		w.Given = append(w.Given, wireGiven{
+	for _, g := range d.Ceded {
+		w.Ceded = append(w.Ceded, wireCeded{
 			Shard: uint32(g.Shard), Floor: uint64(g.Floor), Evidence: evidenceToWire(g.Evidence),
 		})
 	}
@@ -141,14 +141,14 @@
 
 func docFromWire(w wireDoc) Doc {
 	d := Doc{
-		ID:              ID{Service: key.Service(w.Service), Zone: place.Zone(w.Zone)},
-		Term:            grant.Term(w.Term),
-		Lead:            place.Host(w.Lead),
-		LeadAddr:        wire.ParseAddr(w.LeadAddr),
-		LeadIncarnation: place.Incarnation(w.Incarnation),
-		WriteID:         w.WriteID,
-		NextSolo:        key.Shard(w.NextSolo),
-		Custody:         platform.Revision(w.Custody),
+		ID:                ID{Service: key.Service(w.Service), Zone: place.Zone(w.Zone)},
+		Term:              grant.Term(w.Term),
+		Leader:            place.Host(w.Leader),
+		LeaderAddr:        wire.ParseAddr(w.LeaderAddr),
+		LeaderIncarnation: place.Incarnation(w.LeaderIncarnation),
+		WriteID:           w.WriteID,
+		NextSingleKey:     key.Shard(w.NextSingleKey),
+		Custody:           platform.Revision(w.Custody),
 	}
 	for _, h := range w.Roster {
 		d.Roster = append(d.Roster, place.Host(h))
@@ -165,14 +165,14 @@
 			Owner: TargetIndex(r.Owner), Standby: TargetIndex(r.Standby),
 		})
 	}
-	for _, s := range w.Solos {
-		d.Solos = append(d.Solos, Solo{
+	for _, s := range w.SingleKeys {
+		d.SingleKeys = append(d.SingleKeys, SingleKey{
 			Hash: key.Hash(s.Hash), Shard: key.Shard(s.Shard),
-			Parent: key.Shard(s.Parent), Cut: grant.Epoch(s.Cut),
+			Parent: key.Shard(s.Parent), SplitEpoch: grant.Epoch(s.SplitEpoch),
 		})
 	}
-	for _, g := range w.Given {
-		d.Given = append(d.Given, Given{
+	for _, g := range w.Ceded {
+		d.Ceded = append(d.Ceded, CededShard{
 			Shard: key.Shard(g.Shard), Floor: grant.Epoch(g.Floor), Evidence: evidenceFromWire(g.Evidence),
 		})
 	}
@@ -215,7 +215,7 @@
 	case grant.Released:
 		return wireEvidence{Kind: wireReleased, First: uint64(e.Epoch)}
 	case grant.Expired:
-		return wireEvidence{Kind: wireLapsed, First: uint64(wire.UnixNano(e.Since))}
+		return wireEvidence{Kind: wireExpired, First: uint64(wire.UnixNano(e.Since))}
 	case grant.Restarted:
 		return wireEvidence{Kind: wireRestarted, First: uint64(e.Old), Second: uint64(e.New)}
 	case grant.Declared:
@@ -228,7 +228,7 @@
 	switch w.Kind {
 	case wireReleased:
 		return grant.Released{Epoch: grant.Epoch(w.First)}
-	case wireLapsed:
+	case wireExpired:
 		return grant.Expired{Since: wire.Time(int64(w.First))}
 	case wireRestarted:
 		return grant.Restarted{Old: place.Incarnation(w.First), New: place.Incarnation(w.Second)}
--- a/internal/custody/custody.go
+++ b/internal/custody/custody.go
@@ -42,8 +42,8 @@
 	Floor grant.Epoch
 }
 
-// Weight is the share of a zone, in targets that may own shards there.
-type Weight struct {
+// ZoneTargets is the share of a zone, in targets that may own shards there.
+type ZoneTargets struct {
 	Zone    place.Zone
 	Targets int
 }
@@ -53,11 +53,11 @@
 	return PathPrefix + platform.Path(service)
 }
 
-// First returns the layout of a new service: each shard goes to the zone with
+// New returns the layout of a new service: each shard goes to the zone with
 // room left that has the highest rendezvous score, so that every host makes
 // the same document and the race to write it is harmless. It returns a
 // document without rows where no zone has a target.
-func First(service key.Service, shards key.ShardCount, weights []Weight) Doc {
+func New(service key.Service, shards key.ShardCount, weights []ZoneTargets) Doc {
 	doc := Doc{Service: service}
 	share := quotas(int(shards), weights)
 	if share == nil {
@@ -65,22 +65,22 @@
 	}
 	doc.Rows = make([]Row, shards)
 	for s := range doc.Rows {
-		doc.Rows[s].Zone = takeBest(service, key.Shard(s), share)
+		doc.Rows[s].Zone = assignBest(service, key.Shard(s), share)
 	}
 	return doc
 }
 
 // quota is how many more shards a zone takes.
 type quota struct {
-	zone place.Zone
-	left int
+	zone      place.Zone
+	remaining int
 }
 
 // quotas splits the shards by weight; remainders go to the first zones by
 // name. It returns nil where no zone has a target.
-func quotas(shards int, weights []Weight) []quota {
+func quotas(shards int, weights []ZoneTargets) []quota {
 	sorted := slices.Clone(weights)
-	slices.SortFunc(sorted, func(a, b Weight) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(sorted, func(a, b ZoneTargets) int { return cmp.Compare(a.Zone, b.Zone) })
 	total := 0
 	for _, w := range sorted {
 		total += w.Targets
@@ -93,24 +93,24 @@
 	for _, w := range sorted {
 		n := shards * w.Targets / total
 		given += n
-		out = append(out, quota{zone: w.Zone, left: n})
+		out = append(out, quota{zone: w.Zone, remaining: n})
 	}
 	for i := 0; given < shards; i = (i + 1) % len(out) {
 		if sorted[i].Targets > 0 {
-			out[i].left++
+			out[i].remaining++
 			given++
 		}
 	}
 	return out
 }
 
-// takeBest takes one place from the zone that scores highest for the shard
+// assignBest takes one place from the zone that scores highest for the shard
 // among those with room, or returns an empty zone where none has.
-func takeBest(service key.Service, shard key.Shard, quotas []quota) place.Zone {
+func assignBest(service key.Service, shard key.Shard, quotas []quota) place.Zone {
 	best := -1
 	var bestScore uint64
 	for i, q := range quotas {
-		if q.left == 0 {
+		if q.remaining == 0 {
 			continue
 		}
 		if s := score(service, shard, q.zone); best < 0 || s > bestScore {
@@ -120,7 +120,7 @@
 	if best < 0 {
 		return ""
 	}
-	quotas[best].left--
+	quotas[best].remaining--
 	return quotas[best].zone
 }
 
@@ -135,14 +135,14 @@
 	return d.Sum64()
 }
 
-// Of returns the shards that a zone's cell may own now: those in its custody
+// OwnableBy returns the shards that a zone's cell may own now: those in its custody
 // without a transfer under way.
-func (d Doc) Of(zone place.Zone) []cell.CustodyRow {
-	return d.pick(func(r Row) bool { return r.stays(zone) })
+func (d Doc) OwnableBy(zone place.Zone) []cell.CustodyRow {
+	return d.filter(func(r Row) bool { return r.settledIn(zone) })
 }
 
-// Count returns how many shards are, or are about to be, in each zone.
-func (d Doc) Count() map[place.Zone]int {
+// CountByZone returns how many shards are, or are about to be, in each zone.
+func (d Doc) CountByZone() map[place.Zone]int {
 	out := make(map[place.Zone]int)
 	for _, r := range d.Rows {
 		out[r.destination()]++
--- a/internal/custody/custody_test.go
+++ b/internal/custody/custody_test.go
@@ -13,13 +13,13 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-func weights(a, b, c int) []custody.Weight {
-	return []custody.Weight{{Zone: "a", Targets: a}, {Zone: "b", Targets: b}, {Zone: "c", Targets: c}}
+func weights(a, b, c int) []custody.ZoneTargets {
+	return []custody.ZoneTargets{{Zone: "a", Targets: a}, {Zone: "b", Targets: b}, {Zone: "c", Targets: c}}
 }
 
-func TestFirstSplitsByTargets(t *testing.T) {
+func TestNewSplitsByTargets(t *testing.T) {
 	for name, test := range map[string]struct {
-		weights []custody.Weight
+		weights []custody.ZoneTargets
 		want    map[place.Zone]int
 	}{
 		"even":             {weights(2, 2, 2), map[place.Zone]int{"a": 342, "b": 341, "c": 341}},
@@ -27,28 +27,28 @@
 		"no target at all": {weights(0, 0, 0), map[place.Zone]int{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			doc := custody.First("balance", 1024, test.weights)
-			assert.DeepEqual(t, doc.Count(), test.want)
+			doc := custody.New("balance", 1024, test.weights)
+			assert.DeepEqual(t, doc.CountByZone(), test.want)
 		})
 	}
 }
 
-func TestEvictHandsOverAboveTheLostEpochs(t *testing.T) {
-	doc := custody.First("balance", 64, weights(1, 1, 1))
-	last := cell.Doc{Term: 7, Lead: "host-1"}
-	all := doc.Of("a")
+func TestEvictRaisesFloors(t *testing.T) {
+	doc := custody.New("balance", 64, weights(1, 1, 1))
+	last := cell.Doc{Term: 7, Leader: "host-1"}
+	all := doc.OwnableBy("a")
 	for _, row := range all[1:] {
 		last.Rows = append(last.Rows, cell.Row{Shard: row.Shard, Epoch: 41})
 	}
 	doc, changed := custody.Evict(doc, "a", weights(0, 1, 1))
 	assert.Assert(t, changed)
-	assert.Equal(t, len(doc.Of("a")), 0)
-	last = cell.Evict(last, 9, doc.Leaving("a"), grant.Declared{By: "ops", Reason: "fire"})
+	assert.Equal(t, len(doc.OwnableBy("a")), 0)
+	last = cell.Evict(last, 9, doc.Outgoing("a"), grant.Declared{By: "ops", Reason: "fire"})
 	assert.Equal(t, last.Term, grant.Term(8))
 	assert.Equal(t, len(last.Rows), 0)
-	doc, changed = custody.Settle(doc, "a", last.Given)
+	doc, changed = custody.CompleteTransfers(doc, "a", last.Ceded)
 	assert.Assert(t, changed)
-	assert.Equal(t, doc.Count()["a"], 0)
+	assert.Equal(t, doc.CountByZone()["a"], 0)
 	for _, row := range all {
 		assert.Assert(t, doc.Rows[row.Shard].Floor > 41)
 	}
@@ -61,7 +61,7 @@
 // on the way, and the shares are reached once the weights stand still.
 func TestTransfers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		doc := custody.First("balance", 64, weights(1, 1, 1))
+		doc := custody.New("balance", 64, weights(1, 1, 1))
 		zones := []place.Zone{"a", "b", "c"}
 		w := weights(1, 1, 1)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -72,30 +72,30 @@
 				n := rapid.IntRange(0, 3)
 				w = weights(n.Draw(t, "a"), n.Draw(t, "b"), n.Draw(t, "c"))
 			case 1:
-				doc, _ = custody.Plan(doc, zone, w, rapid.IntRange(0, 8).Draw(t, "budget"))
+				doc, _ = custody.PlanTransfers(doc, zone, w, rapid.IntRange(0, 8).Draw(t, "budget"))
 			case 2:
-				doc, _ = custody.Settle(doc, zone, someGiven(t, doc))
+				doc, _ = custody.CompleteTransfers(doc, zone, randomCeded(t, doc))
 			case 3:
 				doc, _ = custody.Evict(doc, zone, w)
 			}
-			checkStep(t, before, doc)
+			checkTransition(t, before, doc)
 		}
-		settle(t, doc, w, zones)
+		completeAll(t, doc, w, zones)
 	})
 }
 
-// someGiven draws shards that a cell might have given up, with an epoch.
-func someGiven(t *rapid.T, doc custody.Doc) []cell.Given {
-	var out []cell.Given
+// randomCeded draws shards that a cell might have given up, with an epoch.
+func randomCeded(t *rapid.T, doc custody.Doc) []cell.CededShard {
+	var out []cell.CededShard
 	for s := range doc.Rows {
 		if rapid.IntRange(0, 3).Draw(t, "given") == 0 {
-			out = append(out, cell.Given{Shard: key.Shard(s), Floor: grant.Epoch(rapid.IntRange(0, 9).Draw(t, "floor"))})
+			out = append(out, cell.CededShard{Shard: key.Shard(s), Floor: grant.Epoch(rapid.IntRange(0, 9).Draw(t, "floor"))})
 		}
 	}
 	return out
 }
 
-func checkStep(t *rapid.T, before, after custody.Doc) {
+func checkTransition(t *rapid.T, before, after custody.Doc) {
 	for s, row := range after.Rows {
 		old := before.Rows[s]
 		assert.Assert(t, row.Zone != "")
@@ -110,16 +110,16 @@
 	}
 }
 
-// settle lets all transfers end and checks that the zones reach their shares.
-func settle(t *rapid.T, doc custody.Doc, w []custody.Weight, zones []place.Zone) {
-	all := make([]cell.Given, 0, len(doc.Rows))
+// completeAll lets all transfers end and checks that the zones reach their shares.
+func completeAll(t *rapid.T, doc custody.Doc, w []custody.ZoneTargets, zones []place.Zone) {
+	all := make([]cell.CededShard, 0, len(doc.Rows))
 	for s := range doc.Rows {
-		all = append(all, cell.Given{Shard: key.Shard(s)})
+		all = append(all, cell.CededShard{Shard: key.Shard(s)})
 	}
 	for range 40 {
 		for _, zone := range zones {
-			doc, _ = custody.Plan(doc, zone, w, 8)
-			doc, _ = custody.Settle(doc, zone, all)
+			doc, _ = custody.PlanTransfers(doc, zone, w, 8)
+			doc, _ = custody.CompleteTransfers(doc, zone, all)
 		}
 	}
 	total := 0
@@ -129,7 +129,7 @@
 	if total == 0 {
 		return
 	}
-	count := doc.Count()
+	count := doc.CountByZone()
 	for _, x := range w {
 		share := (len(doc.Rows)*x.Targets + total - 1) / total
 		assert.Assert(t, count[x.Zone] <= share+share/5, "zone %s has %d of a share of %d", x.Zone, count[x.Zone], share)
@@ -137,9 +137,9 @@
 }
 
 func TestCodec(t *testing.T) {
-	doc := custody.First("balance", 1024, weights(2, 2, 1))
+	doc := custody.New("balance", 1024, weights(2, 2, 1))
 	doc.WriteID = "w1"
-	doc, _ = custody.Plan(doc, "a", weights(0, 1, 1), 5)
+	doc, _ = custody.PlanTransfers(doc, "a", weights(0, 1, 1), 5)
 	body, err := custody.Encode(doc)
 	assert.NilError(t, err)
 	got, err := custody.Decode(body)
@@ -149,7 +149,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	body, err := custody.Encode(custody.First("balance", 8, weights(1, 1, 1)))
+	body, err := custody.Encode(custody.New("balance", 8, weights(1, 1, 1)))
 	assert.NilError(f, err)
 	f.Add(body)
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/custody/plan.go
+++ b/internal/custody/plan.go
@@ -10,16 +10,16 @@
 // transferred for balance. A zone without targets has no slack.
 const slackPercent = 20
 
-// Plan starts transfers out of the zone from, where it has more than its share,
+// PlanTransfers starts transfers out of the zone from, where it has more than its share,
 // to the zones that have less, at most budget shards of them. It reports
 // whether the document changed. Each zone's lead plans for its own zone, so a
 // zone that is cut off from the store gives nothing away.
-func Plan(d Doc, from place.Zone, weights []Weight, budget int) (Doc, bool) {
+func PlanTransfers(d Doc, from place.Zone, weights []ZoneTargets, budget int) (Doc, bool) {
 	share := quotas(len(d.Rows), weights)
 	if share == nil || budget <= 0 {
 		return d, false
 	}
-	room, over := compare(d, share)
+	room, over := roomAndExcess(d, share)
 	if over[from] == 0 {
 		return d, false
 	}
@@ -30,10 +30,10 @@
 		if moved == min(budget, over[from]) {
 			break
 		}
-		if !row.stays(from) {
+		if !row.settledIn(from) {
 			continue
 		}
-		to := takeBest(d.Service, key.Shard(s), room)
+		to := assignBest(d.Service, key.Shard(s), room)
 		if to == "" {
 			break
 		}
@@ -43,19 +43,19 @@
 	return out, moved > 0
 }
 
-// compare returns the zones with room and how many shards the others are over.
-func compare(d Doc, share []quota) ([]quota, map[place.Zone]int) {
-	count := d.Count()
+// roomAndExcess returns the zones with room and how many shards the others are over.
+func roomAndExcess(d Doc, share []quota) ([]quota, map[place.Zone]int) {
+	count := d.CountByZone()
 	over := make(map[place.Zone]int)
 	var room []quota
 	for _, q := range share {
 		have := count[q.zone]
 		delete(count, q.zone)
 		switch {
-		case have < q.left:
-			room = append(room, quota{zone: q.zone, left: q.left - have})
-		case have > q.left+q.left*slackPercent/100:
-			over[q.zone] = have - q.left
+		case have < q.remaining:
+			room = append(room, quota{zone: q.zone, remaining: q.remaining - have})
+		case have > q.remaining+q.remaining*slackPercent/100:
+			over[q.zone] = have - q.remaining
 		}
 	}
 	for zone, have := range count {
@@ -64,9 +64,9 @@
 	return room, over
 }
 
-// Settle ends the transfers of the shards that the cell of zone has given up.
+// CompleteTransfers ends the transfers of the shards that the cell of zone has given up.
 // It reports whether the document changed.
-func Settle(d Doc, zone place.Zone, given []cell.Given) (Doc, bool) {
+func CompleteTransfers(d Doc, zone place.Zone, given []cell.CededShard) (Doc, bool) {
 	out := d
 	changed := false
 	for _, g := range given {
@@ -88,35 +88,35 @@
 // Evict starts the transfer of all shards of a zone that is lost to the zones
 // of the weights, the lost one not among them. It reports whether the document
 // changed.
-func Evict(d Doc, zone place.Zone, weights []Weight) (Doc, bool) {
-	share := quotas(staying(d, zone), weights)
-	if staying(d, zone) == 0 || share == nil {
+func Evict(d Doc, zone place.Zone, weights []ZoneTargets) (Doc, bool) {
+	share := quotas(countSettled(d, zone), weights)
+	if countSettled(d, zone) == 0 || share == nil {
 		return d, false
 	}
 	out := d.Clone()
 	for s := range out.Rows {
-		if row := &out.Rows[s]; row.stays(zone) {
-			row.Next = takeBest(d.Service, key.Shard(s), share)
+		if row := &out.Rows[s]; row.settledIn(zone) {
+			row.Next = assignBest(d.Service, key.Shard(s), share)
 		}
 	}
 	return out, true
 }
 
-// staying counts the shards of a zone that are not under transfer.
-func staying(d Doc, zone place.Zone) int {
-	return len(d.Of(zone))
+// countSettled counts the shards of a zone that are not under transfer.
+func countSettled(d Doc, zone place.Zone) int {
+	return len(d.OwnableBy(zone))
 }
 
-// stays reports whether the shard is in the zone and not under transfer.
-func (r Row) stays(zone place.Zone) bool { return r.Zone == zone && r.Next == "" }
+// settledIn reports whether the shard is in the zone and not under transfer.
+func (r Row) settledIn(zone place.Zone) bool { return r.Zone == zone && r.Next == "" }
 
-// Leaving returns the shards that are under transfer out of a zone.
-func (d Doc) Leaving(zone place.Zone) []cell.CustodyRow {
-	return d.pick(func(r Row) bool { return r.Zone == zone && r.Next != "" })
+// Outgoing returns the shards that are under transfer out of a zone.
+func (d Doc) Outgoing(zone place.Zone) []cell.CustodyRow {
+	return d.filter(func(r Row) bool { return r.Zone == zone && r.Next != "" })
 }
 
-// pick returns the shards whose rows match.
-func (d Doc) pick(match func(Row) bool) []cell.CustodyRow {
+// filter returns the shards whose rows match.
+func (d Doc) filter(match func(Row) bool) []cell.CustodyRow {
 	var out []cell.CustodyRow
 	for s, r := range d.Rows {
 		if match(r) {
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -22,7 +22,7 @@
 	// reportTimeout bounds the sending of one; a lost report is not repeated.
 	reportTimeout = time.Second
 	// hotKeys is the number of keys of a service that are weighed at once.
-	hotKeys = 2 * placement.MaxHot
+	hotKeys = 2 * placement.MaxHotKeys
 )
 
 // load counts what passes here, by service and shard.
@@ -107,7 +107,7 @@
 	}
 	clear(s.solo)
 	slices.SortFunc(out, func(a, b placement.ShardLoad) int { return cmp.Compare(a.Shard, b.Shard) })
-	hot := s.hot.Top(placement.MaxHot)
+	hot := s.hot.Top(placement.MaxHotKeys)
 	s.hot.Reset()
 	return out, hot
 }
@@ -152,7 +152,7 @@
 	}
 	_, o := s.find(item.Hash)
 	if r := reportOf(cells, o); r != nil {
-		r.Hot = append(r.Hot, placement.HotKey{
+		r.HotKeys = append(r.HotKeys, placement.HotKey{
 			Hash:  item.Hash,
 			Busy:  time.Duration(item.Weight) * time.Microsecond,
 			Error: time.Duration(item.Error) * time.Microsecond,
--- a/internal/lead/call.go
+++ b/internal/lead/call.go
@@ -37,11 +37,11 @@
 	doc, revision, err := c.daemon.readDoc(ctx, c.id)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		c.send(ctx, cell.DocSeen{FromStore: true})
+		c.send(ctx, cell.DocReceived{FromStore: true})
 	case errors.Is(err, errUnreadable):
 		c.log.Error("Document not readable.", slog.Any("error", err))
 	case err == nil:
-		c.send(ctx, cell.DocSeen{Exists: true, FromStore: true, Doc: doc, Revision: revision})
+		c.send(ctx, cell.DocReceived{Exists: true, FromStore: true, Doc: doc, Revision: revision})
 	}
 }
 
@@ -92,7 +92,7 @@
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		return cell.WriteWon
+		return cell.WriteCommitted
 	case errors.As(err, &conflict):
 		return cell.WriteConflict
 	case errors.Is(err, platform.ErrUnavailable):
@@ -143,10 +143,10 @@
 	defer cancel()
 	answer, err := c.daemon.control.Order(call, c.effect.Addr, c.effect.Order)
 	c.send(ctx, cell.OrderDone{
-		Target:  c.effect.Target,
-		SentAt:  c.sentAt,
-		Reached: err == nil,
-		Answer:  answer,
+		Target:   c.effect.Target,
+		SentAt:   c.sentAt,
+		Reached:  err == nil,
+		Response: answer,
 	})
 }
 
--- a/internal/lead/daemon.go
+++ b/internal/lead/daemon.go
@@ -100,7 +100,7 @@
 	defer cancel()
 	runners := d.all()
 	for _, r := range runners {
-		r.send(ctx, cell.StopSeen{})
+		r.send(ctx, cell.StopRequested{})
 	}
 	for _, r := range runners {
 		select {
@@ -162,7 +162,7 @@
 		Timing:           d.cfg.Timing,
 		Shards:           v.shards(s),
 		ChecksTerms:      s.ChecksTerms,
-		Hold:             s.Hold,
+		RenewLimit:       s.Hold,
 		MovesPerMinute:   s.MovesPerMinute,
 		ImbalancePercent: s.ImbalancePercent,
 		WarmUp:           s.WarmUp,
--- a/internal/lead/evict.go
+++ b/internal/lead/evict.go
@@ -67,7 +67,7 @@
 // a grant, step 3. The wait covers a zone that was declared lost while it runs:
 // its lead reads the higher term and stops, and what it granted ends.
 func (k *keeper) giveUp(ctx context.Context, now time.Time, id cell.ID, doc custodyDoc, evidence grant.Evidence) (custody.Doc, bool) {
-	leaving := doc.Leaving(id.Zone)
+	leaving := doc.Outgoing(id.Zone)
 	if len(leaving) == 0 {
 		delete(k.evicted, id)
 		return custody.Doc{}, false
@@ -90,7 +90,7 @@
 	if now.Sub(since) < silenceBound(0, k.cfg.Timing) {
 		return custody.Doc{}, false
 	}
-	return custody.Settle(doc.Doc, id.Zone, last.Given)
+	return custody.CompleteTransfers(doc.Doc, id.Zone, last.Ceded)
 }
 
 // readCell reads the document of another zone's cell; it may not exist.
@@ -142,7 +142,7 @@
 // grants there have ended: its leads renew for at most the hold after they
 // last held the lease, and the last grant runs its length.
 func silenceBound(hold time.Duration, t cell.Timing) time.Duration {
-	bound := hold + t.Grant
+	bound := hold + t.GrantDuration
 	return bound + bound*time.Duration(t.DriftPerMil)/1000 + evictMargin
 }
 
--- a/internal/lead/evict_test.go
+++ b/internal/lead/evict_test.go
@@ -72,10 +72,10 @@
 		}},
 		custody: make(map[key.Service]custodyDoc),
 	}
-	first := custody.First("balance", 16, z.view.weights(z.service))
+	first := custody.New("balance", 16, z.view.weights(z.service))
 	z.write(t.Context(), first, 0)
-	a := cell.Doc{ID: cellA, Term: 3, Lead: "host-a"}
-	for _, row := range first.Of("a") {
+	a := cell.Doc{ID: cellA, Term: 3, Leader: "host-a"}
+	for _, row := range first.OwnableBy("a") {
 		a.Rows = append(a.Rows, cell.Row{Shard: row.Shard, Epoch: 5, Owner: cell.NoTarget, Standby: cell.NoTarget})
 	}
 	z.writeCell(t.Context(), a, 0)
@@ -101,23 +101,23 @@
 	z.view.settings.Losses = []settings.Loss{{Zone: "a", By: "ops", Reason: "fire"}}
 
 	doc := z.round(t, time.Second)
-	assert.Equal(t, len(doc.Of("a")), 0, "step 1: custody names the next zones")
-	assert.Equal(t, len(doc.Of("b")), 8)
+	assert.Equal(t, len(doc.OwnableBy("a")), 0, "step 1: custody names the next zones")
+	assert.Equal(t, len(doc.OwnableBy("b")), 8)
 
 	z.round(t, time.Second)
 	a, _, err := z.readCell(t.Context(), cellA)
 	assert.NilError(t, err)
 	assert.Equal(t, a.Term, grant.Term(4), "step 2: the lost cell's term rises")
 	assert.Equal(t, len(a.Rows), 0)
-	assert.Equal(t, len(a.Given), 8)
+	assert.Equal(t, len(a.Ceded), 8)
 
 	z.round(t, time.Second)
 	doc = z.round(t, time.Second)
-	assert.Equal(t, len(doc.Of("b")), 8, "grants of a live zone have not ended yet")
+	assert.Equal(t, len(doc.OwnableBy("b")), 8, "grants of a live zone have not ended yet")
 
 	doc = z.round(t, 4*time.Second)
-	assert.Equal(t, len(doc.Of("b")), 16, "step 3: custody is b's")
-	for _, row := range doc.Of("b") {
+	assert.Equal(t, len(doc.OwnableBy("b")), 16, "step 3: custody is b's")
+	for _, row := range doc.OwnableBy("b") {
 		assert.Assert(t, row.Floor == 0 || row.Floor > 5)
 	}
 }
@@ -132,27 +132,27 @@
 		z.round(t, time.Second)
 	}
 	doc := z.round(t, 5*time.Second)
-	assert.Equal(t, len(doc.Of("b")), 16)
+	assert.Equal(t, len(doc.OwnableBy("b")), 16)
 }
 
 func TestSilentZoneIsEvictedAfterItsHold(t *testing.T) {
 	z := newZones(t, 10*time.Second)
 	for range 13 {
 		doc := z.round(t, time.Second)
-		assert.Equal(t, len(doc.Of("a")), 8, "the hold and the grants run")
+		assert.Equal(t, len(doc.OwnableBy("a")), 8, "the hold and the grants run")
 	}
 	for range 20 {
 		doc := z.round(t, time.Second)
-		assert.Assert(t, len(doc.Of("b")) >= 8, "b gives nothing to a zone that does not answer")
+		assert.Assert(t, len(doc.OwnableBy("b")) >= 8, "b gives nothing to a zone that does not answer")
 	}
-	assert.Equal(t, len(z.round(t, time.Second).Of("b")), 16)
+	assert.Equal(t, len(z.round(t, time.Second).OwnableBy("b")), 16)
 
 	z.link.answering[hostA.LeadAddr] = true
 	for range 15 {
 		z.round(t, time.Second)
 	}
 	doc := z.round(t, time.Second)
-	assert.Equal(t, len(doc.Leaving("b")), 8, "the zone is back and gets its share")
+	assert.Equal(t, len(doc.Outgoing("b")), 8, "the zone is back and gets its share")
 }
 
 func TestZoneIsNotEvicted(t *testing.T) {
@@ -180,7 +180,7 @@
 			test.arrange(t, z)
 			for range 30 {
 				doc := z.round(t, time.Second)
-				assert.Equal(t, len(doc.Of("a")), 8)
+				assert.Equal(t, len(doc.OwnableBy("a")), 8)
 			}
 		})
 	}
@@ -197,5 +197,5 @@
 	z.round(t, time.Minute)
 	z.round(t, time.Second)
 	assert.Assert(t, z.silences[cellA].since.After(before))
-	assert.Equal(t, len(z.round(t, time.Second).Of("a")), 8)
+	assert.Equal(t, len(z.round(t, time.Second).OwnableBy("a")), 8)
 }
--- a/internal/lead/keeper.go
+++ b/internal/lead/keeper.go
@@ -41,7 +41,7 @@
 
 // steadyShare is since when the zones of a service have had these shares.
 type steadyShare struct {
-	weights []custody.Weight
+	weights []custody.ZoneTargets
 	since   time.Time
 }
 
@@ -85,7 +85,7 @@
 
 // create writes the first layout of a service, once its targets are known.
 func (k *keeper) create(ctx context.Context, v *view, s settings.Service) {
-	doc := custody.First(s.Name, v.shards(s), v.weights(s))
+	doc := custody.New(s.Name, v.shards(s), v.weights(s))
 	if len(doc.Rows) == 0 {
 		return
 	}
@@ -102,17 +102,17 @@
 	if !leading {
 		return custody.Doc{}, false
 	}
-	if next, changed := custody.Settle(doc.Doc, k.cfg.Zone, state.Given); changed {
+	if next, changed := custody.CompleteTransfers(doc.Doc, k.cfg.Zone, state.Ceded); changed {
 		return next, true
 	}
 	if next, changed := k.evict(ctx, now, v, s, doc); changed {
 		return next, true
 	}
 	weights := v.weights(s)
-	if !k.isSteady(now, s, weights) || len(doc.Leaving(k.cfg.Zone)) > 0 {
+	if !k.isSteady(now, s, weights) || len(doc.Outgoing(k.cfg.Zone)) > 0 {
 		return custody.Doc{}, false
 	}
-	next, changed := custody.Plan(doc.Doc, k.cfg.Zone, weights, transfersPerRound)
+	next, changed := custody.PlanTransfers(doc.Doc, k.cfg.Zone, weights, transfersPerRound)
 	if !changed || !k.takers(ctx, v, next) {
 		return custody.Doc{}, false
 	}
@@ -147,7 +147,7 @@
 }
 
 // isSteady reports whether the shares have stood long enough to act on.
-func (k *keeper) isSteady(now time.Time, s settings.Service, weights []custody.Weight) bool {
+func (k *keeper) isSteady(now time.Time, s settings.Service, weights []custody.ZoneTargets) bool {
 	have, ok := k.steady[s.Name]
 	if !ok || !slices.Equal(have.weights, weights) {
 		k.steady[s.Name] = steadyShare{weights: weights, since: now}
--- a/internal/lead/main.go
+++ b/internal/lead/main.go
@@ -71,26 +71,26 @@
 
 // declareTiming declares the durations of the ownership rules.
 func declareTiming(set *option.Set, t *cell.Timing) {
-	set.DurationVar(&t.Renew, "renew", t.Renew, "time between two renewals of a target")
-	set.DurationVar(&t.Grant, "grant", t.Grant, "length of a grant")
-	set.DurationVar(&t.Lease, "lease", t.Lease, "length of the lead's lease in the platform's service")
-	set.DurationVar(&t.LeaseRenew, "lease-renew", t.LeaseRenew, "time between two renewals of that lease")
-	set.DurationVar(&t.Promise, "promise", t.Promise, "length of a roster host's promise")
+	set.DurationVar(&t.RenewInterval, "renew", t.RenewInterval, "time between two renewals of a target")
+	set.DurationVar(&t.GrantDuration, "grant", t.GrantDuration, "length of a grant")
+	set.DurationVar(&t.LeaseTTL, "lease", t.LeaseTTL, "length of the lead's lease in the platform's service")
+	set.DurationVar(&t.LeaseRenewInterval, "lease-renew", t.LeaseRenewInterval, "time between two renewals of that lease")
+	set.DurationVar(&t.PromiseDuration, "promise", t.PromiseDuration, "length of a roster host's promise")
 	set.IntVar(&t.DriftPerMil, "drift", t.DriftPerMil, "clock-rate margin, in thousandths")
 }
 
 // checkTiming checks the durations against each other.
 func checkTiming(set *option.Set, t cell.Timing) {
-	if t.Grant < 3*t.Renew {
+	if t.GrantDuration < 3*t.RenewInterval {
 		set.Findings.Add("--grant", "is shorter than three renewals", "a lost message would end grants; raise it or lower --renew")
 	}
-	if t.Lease < 2*t.LeaseRenew {
+	if t.LeaseTTL < 2*t.LeaseRenewInterval {
 		set.Findings.Add("--lease", "is shorter than two of its renewals", "raise it or lower --lease-renew")
 	}
-	if t.Promise < 2*t.Renew {
+	if t.PromiseDuration < 2*t.RenewInterval {
 		set.Findings.Add("--promise", "is shorter than two heartbeats", "raise it or lower --renew")
 	}
-	if t.Grant < t.Lease+t.Promise {
+	if t.GrantDuration < t.LeaseTTL+t.PromiseDuration {
 		set.Findings.Add("--grant", "is shorter than the lease and a promise together", "a successor could not renew in time; raise it")
 	}
 	if t.DriftPerMil < 0 || t.DriftPerMil > maxDriftPerMil {
--- a/internal/lead/placer.go
+++ b/internal/lead/placer.go
@@ -38,7 +38,7 @@
 	}
 	p.due = now.Add(planInterval)
 	p.loads.Sweep(now)
-	layout := placement.LayoutOf(now, &p.table, cfg.WarmUp)
+	layout := placement.LayoutFromTable(now, &p.table, cfg.WarmUp)
 	return p.planner.Plan(now, placement.Config{
 		ImbalancePercent: cfg.ImbalancePercent,
 		MovesPerMinute:   cfg.MovesPerMinute,
--- a/internal/lead/reconciler_test.go
+++ b/internal/lead/reconciler_test.go
@@ -24,7 +24,7 @@
 		doc = z.round(t, time.Second)
 		assert.Equal(t, len(z.view.services("b")), 1, "the cell is still needed")
 	}
-	assert.Equal(t, len(doc.Leaving("b")), 8)
+	assert.Equal(t, len(doc.Outgoing("b")), 8)
 }
 
 // TestCellOfADeletedServiceStops: the cell hands over, gives up its goroutine
--- a/internal/lead/runner.go
+++ b/internal/lead/runner.go
@@ -109,16 +109,16 @@
 		return
 	}
 	if moves := r.placer.plan(now, r.cfg); len(moves) > 0 {
-		r.apply(ctx, r.core.Handle(now, cell.PlanSeen{Moves: moves}))
+		r.apply(ctx, r.core.Handle(now, cell.PlanReceived{Moves: moves}))
 	}
 }
 
 // handle gives one event to the core.
 func (r *runner) handle(ctx context.Context, ev cell.Event) {
 	switch e := ev.(type) {
-	case cell.FleetSeen:
+	case cell.FleetReceived:
 		r.learnPeers(e.Hosts)
-	case cell.ConfigSeen:
+	case cell.ConfigChanged:
 		r.cfg = e.Config
 	}
 	r.apply(ctx, r.core.Handle(time.Now(), ev))
@@ -223,7 +223,7 @@
 
 // run stops the cell in a planned way and then its goroutine.
 func (d dismissal) run(ctx context.Context) {
-	d.send(ctx, cell.StopSeen{})
+	d.send(ctx, cell.StopRequested{})
 	select {
 	case <-d.stopped:
 	case <-ctx.Done():
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -26,7 +26,7 @@
 		Settings: d.inForce(),
 	}
 	for _, s := range d.statuses() {
-		if reached := now.Add(-s.StoreSilent); s.StoreSilent > 0 && reached.After(report.LastStoreResponse) {
+		if reached := now.Add(-s.SinceStoreContact); s.SinceStoreContact > 0 && reached.After(report.LastStoreResponse) {
 			report.LastStoreResponse = reached
 		}
 		report.Cells = append(report.Cells, d.cellReport(now, s))
@@ -52,11 +52,11 @@
 func (d *Daemon) cellReport(now time.Time, s cell.Status) status.Cell {
 	out := status.Cell{
 		Service: string(s.ID.Service), Zone: string(s.ID.Zone),
-		Term: uint64(s.Term), Lead: string(s.Lead), Leading: s.MayRenew,
-		Shards: s.Rows, Owned: d.owned(s.ID), Moving: len(s.Releasing), SingleKeys: s.Solos,
+		Term: uint64(s.Term), Lead: string(s.Leader), Leading: s.MayRenew,
+		Shards: s.Rows, Owned: d.owned(s.ID), Moving: len(s.Releasing), SingleKeys: s.SingleKeys,
 		Moves: movesOf(s.Moves),
 	}
-	for _, doubt := range s.Doubts {
+	for _, doubt := range s.Blocked {
 		out.Blocked = append(out.Blocked, status.BlockedShard{
 			Shard: uint32(doubt.Shard), Target: string(doubt.Owner), Reason: doubt.Reason,
 		})
@@ -67,7 +67,7 @@
 		}
 		out.Members = append(out.Members, status.Member{
 			Target: string(t.Target), Shards: t.Rows, Leaving: t.Leaving,
-			Responded: now.Sub(t.Answered) < answeredWithin,
+			Responded: now.Sub(t.RespondedAt) < answeredWithin,
 		})
 	}
 	return out
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -35,7 +35,7 @@
 func (v *view) services(zone place.Zone) []settings.Service {
 	return slices.DeleteFunc(v.all(), func(s settings.Service) bool {
 		named := len(s.Zones) == 0 || slices.Contains(s.Zones, zone)
-		return !named && v.custody[s.Name].Count()[zone] == 0 && len(v.custody[s.Name].Leaving(zone)) == 0
+		return !named && v.custody[s.Name].CountByZone()[zone] == 0 && len(v.custody[s.Name].Outgoing(zone)) == 0
 	})
 }
 
@@ -139,24 +139,24 @@
 }
 
 // losses returns the declared losses of single targets and hosts.
-func (v *view) losses() []cell.Lost {
-	var out []cell.Lost
+func (v *view) losses() []cell.LossDeclaration {
+	var out []cell.LossDeclaration
 	for _, l := range v.settings.Losses {
 		if l.Target == "" && l.Host == "" {
 			continue
 		}
-		out = append(out, cell.Lost{Target: l.Target, Host: l.Host, By: l.By, Reason: l.Reason})
+		out = append(out, cell.LossDeclaration{Target: l.Target, Host: l.Host, By: l.By, Reason: l.Reason})
 	}
 	return out
 }
 
 // weights returns the share of each zone of a service: its live targets, none
 // where the zone is drained or lost.
-func (v *view) weights(s settings.Service) []custody.Weight {
+func (v *view) weights(s settings.Service) []custody.ZoneTargets {
 	zones := v.zones(s)
-	out := make([]custody.Weight, 0, len(zones))
+	out := make([]custody.ZoneTargets, 0, len(zones))
 	for _, zone := range zones {
-		w := custody.Weight{Zone: zone}
+		w := custody.ZoneTargets{Zone: zone}
 		if !v.zoneOut(zone) {
 			w.Targets = v.usable(s, zone)
 		}
@@ -166,8 +166,8 @@
 }
 
 // weightsWithout returns the shares as they are without one zone.
-func (v *view) weightsWithout(s settings.Service, zone place.Zone) []custody.Weight {
-	return slices.DeleteFunc(v.weights(s), func(w custody.Weight) bool { return w.Zone == zone })
+func (v *view) weightsWithout(s settings.Service, zone place.Zone) []custody.ZoneTargets {
+	return slices.DeleteFunc(v.weights(s), func(w custody.ZoneTargets) bool { return w.Zone == zone })
 }
 
 // usable counts the targets of a zone that may own shards.
@@ -200,13 +200,13 @@
 func (v *view) events(cfg cell.Config, s settings.Service) []cell.Event {
 	targets := v.targets(s, cfg.ID.Zone)
 	events := []cell.Event{
-		cell.ConfigSeen{Config: cfg},
-		cell.FleetSeen{Hosts: v.hosts(cfg.ID.Zone), Targets: targets},
-		cell.DrainSeen{Targets: v.drains(targets)},
-		cell.LostSeen{Lost: v.losses()},
+		cell.ConfigChanged{Config: cfg},
+		cell.FleetReceived{Hosts: v.hosts(cfg.ID.Zone), Targets: targets},
+		cell.DrainsReceived{Targets: v.drains(targets)},
+		cell.LossesDeclared{Losses: v.losses()},
 	}
 	if doc, ok := v.custody[s.Name]; ok {
-		events = append(events, cell.CustodySeen{Revision: doc.revision, Shards: doc.Of(cfg.ID.Zone)})
+		events = append(events, cell.CustodyReceived{Revision: doc.revision, Shards: doc.OwnableBy(cfg.ID.Zone)})
 	}
 	return events
 }
--- a/internal/placement/layout.go
+++ b/internal/placement/layout.go
@@ -8,9 +8,9 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// firstWeight is the share of the usual load that a target takes at the start
+// initialWeight is the share of the usual load that a target takes at the start
 // of its warm-up.
-const firstWeight = 0.1
+const initialWeight = 0.1
 
 // Layout is which target has which shards, as the planner sees it.
 type Layout struct {
@@ -30,17 +30,17 @@
 type Row struct {
 	Shard key.Shard
 	Owner int
-	// Solo tells that the row is a hot key of its own; Hash is that key.
-	Solo bool
-	Hash key.Hash
+	// SingleKey tells that the row is a hot key of its own; Hash is that key.
+	SingleKey bool
+	Hash      key.Hash
 }
 
-// LayoutOf returns the layout of a cell's routing table at the time now.
+// LayoutFromTable returns the layout of a cell's routing table at the time now.
 // Targets that started less than warmUp ago take part of the usual load.
-func LayoutOf(now time.Time, t *table.Table, warmUp time.Duration) Layout {
+func LayoutFromTable(now time.Time, t *table.Table, warmUp time.Duration) Layout {
 	var l Layout
 	for _, target := range t.Targets {
-		weight := WarmWeight(now, target.WarmupStart, warmUp)
+		weight := WarmupWeight(now, target.WarmupStart, warmUp)
 		if target.Leaving {
 			weight = 0
 		}
@@ -55,17 +55,17 @@
 			continue // nobody owns the shard now
 		}
 		hash, solo := solos[r.Shard]
-		l.Rows = append(l.Rows, Row{Shard: r.Shard, Owner: int(r.Owner), Solo: solo, Hash: hash})
+		l.Rows = append(l.Rows, Row{Shard: r.Shard, Owner: int(r.Owner), SingleKey: solo, Hash: hash})
 	}
 	return l
 }
 
-// WarmWeight returns the share of load of a target that started at since: it
+// WarmupWeight returns the share of load of a target that started at since: it
 // rises from a tenth to all of it over warmUp.
-func WarmWeight(now, since time.Time, warmUp time.Duration) float64 {
+func WarmupWeight(now, since time.Time, warmUp time.Duration) float64 {
 	age := now.Sub(since)
 	if warmUp <= 0 || since.IsZero() || age >= warmUp {
 		return 1
 	}
-	return firstWeight + (1-firstWeight)*float64(max(age, 0))/float64(warmUp)
+	return initialWeight + (1-initialWeight)*float64(max(age, 0))/float64(warmUp)
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -11,38 +11,38 @@
 	"citrontray.example/citrontray/internal/placement"
 )
 
-// outcome sums up one run.
-type outcome struct {
+// simResult sums up one run.
+type simResult struct {
 	mean, p95, worst float64 // of the busiest target's load over the mean
 	movesPerMinute   float64
 	wholePerMinute   float64 // of them, of whole shards
-	mostInMinute     int
+	maxPerMinute     int
 	lastMinute       int // moves in the last minute
 	solos            int
 	p99              time.Duration
-	newTarget        float64 // load of the last target over the mean, at the end
+	newTargetRatio   float64 // load of the last target over the mean, at the end
 }
 
-// play runs a world for some minutes; a planner of nil keeps the rendezvous
+// simulate runs a world for some minutes; a planner of nil keeps the rendezvous
 // layout.
-func play(sc scene, cfg placement.Config, p *placement.Planner) outcome {
-	w := newWorld(sc)
+func simulate(sc scenario, cfg placement.Config, p *placement.Planner) simResult {
+	w := newSim(sc)
 	loads := placement.NewLoads()
 	var imbalance []float64
 	var starts []time.Time
-	var out outcome
+	var out simResult
 	for second := range sc.minutes * 60 {
-		if !sc.steady && second > 0 && second%int(simShift.Seconds()) == 0 {
-			w.shift()
+		if !sc.steady && second > 0 && second%int(simHotSetPeriod.Seconds()) == 0 {
+			w.replaceHotSet()
 		}
 		w.join(second)
-		report, truth := w.step()
+		report, truth := w.runSecond()
 		imbalance = append(imbalance, slices.Max(truth)/(simLoad/simTargets))
 		if p == nil {
 			continue
 		}
 		loads.Add(w.now, report)
-		moves, whole := w.carryOut(p.Plan(w.now, cfg, w.layout, loads))
+		moves, whole := w.applyPlan(p.Plan(w.now, cfg, w.layout, loads))
 		out.wholePerMinute += float64(whole) / float64(sc.minutes)
 		for range moves {
 			starts = append(starts, w.now)
@@ -53,12 +53,12 @@
 				recent++
 			}
 		}
-		out.mostInMinute, out.lastMinute = max(out.mostInMinute, recent), recent
+		out.maxPerMinute, out.lastMinute = max(out.maxPerMinute, recent), recent
 	}
 	out.p99 = w.p99()
-	_, truth := w.step()
-	out.newTarget = truth[len(truth)-1] / (simLoad / float64(len(truth)))
-	out.solos = len(w.soloOf)
+	_, truth := w.runSecond()
+	out.newTargetRatio = truth[len(truth)-1] / (simLoad / float64(len(truth)))
+	out.solos = len(w.singleKeyShards)
 	out.movesPerMinute = float64(len(starts)) / float64(sc.minutes)
 	slices.Sort(imbalance)
 	for _, x := range imbalance {
@@ -68,9 +68,9 @@
 	return out
 }
 
-func (o outcome) String() string {
+func (o simResult) String() string {
 	return fmt.Sprintf("imbalance mean %.2f p95 %.2f worst %.2f, moves a minute %.1f (shards %.1f, most %d), solo keys %d, p99 %v",
-		o.mean, o.p95, o.worst, o.movesPerMinute, o.wholePerMinute, o.mostInMinute, o.solos, o.p99.Round(time.Millisecond/10))
+		o.mean, o.p95, o.worst, o.movesPerMinute, o.wholePerMinute, o.maxPerMinute, o.solos, o.p99.Round(time.Millisecond/10))
 }
 
 // TestAgainstRendezvous compares placement with the static rendezvous layout,
@@ -84,12 +84,12 @@
 			}
 			t.Run(fmt.Sprintf("hot share %.1f, %d moves a minute", hotShare, budget), func(t *testing.T) {
 				cfg := placement.Config{ImbalancePercent: 20, MovesPerMinute: budget, Shards: simShards}
-				sc := scene{seed: 1, minutes: minutes, hotShare: hotShare, service: 10 * time.Millisecond}
-				static := play(sc, cfg, nil)
-				planned := play(sc, cfg, placement.NewPlanner())
+				sc := scenario{seed: 1, minutes: minutes, hotShare: hotShare, serviceTime: 10 * time.Millisecond}
+				static := simulate(sc, cfg, nil)
+				planned := simulate(sc, cfg, placement.NewPlanner())
 				t.Logf("static:  %s", static)
 				t.Logf("planned: %s", planned)
-				assert.Assert(t, planned.mostInMinute <= budget)
+				assert.Assert(t, planned.maxPerMinute <= budget)
 				assert.Assert(t, planned.mean < static.mean)
 				assert.Assert(t, planned.p99 < static.p99)
 			})
@@ -110,21 +110,21 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			cfg := placement.Config{ImbalancePercent: 20, MovesPerMinute: 60, Shards: simShards}
-			sc := scene{seed: 1, minutes: 4, hotShare: 0.3, service: service, steady: true}
-			out := play(sc, cfg, placement.NewPlanner())
+			sc := scenario{seed: 1, minutes: 4, hotShare: 0.3, serviceTime: service, steady: true}
+			out := simulate(sc, cfg, placement.NewPlanner())
 			t.Logf("%s, last minute %d moves", out, out.lastMinute)
 			assert.Assert(t, out.lastMinute <= 1)
 		})
 	}
 }
 
-// TestNewTargetGetsItsPart adds a target to a service that is even without it.
-func TestNewTargetGetsItsPart(t *testing.T) {
+// TestNewTargetReceivesLoad adds a target to a service that is even without it.
+func TestNewTargetReceivesLoad(t *testing.T) {
 	cfg := placement.Config{ImbalancePercent: 40, MovesPerMinute: 30, Shards: simShards}
-	sc := scene{seed: 1, minutes: 4, hotShare: 0.3, service: 10 * time.Millisecond, steady: true, joins: 90}
-	out := play(sc, cfg, placement.NewPlanner())
-	t.Logf("%s, new target at %.2f of the mean, last minute %d moves", out, out.newTarget, out.lastMinute)
-	assert.Assert(t, out.newTarget > 0.6)
+	sc := scenario{seed: 1, minutes: 4, hotShare: 0.3, serviceTime: 10 * time.Millisecond, steady: true, joinSecond: 90}
+	out := simulate(sc, cfg, placement.NewPlanner())
+	t.Logf("%s, new target at %.2f of the mean, last minute %d moves", out, out.newTargetRatio, out.lastMinute)
+	assert.Assert(t, out.newTargetRatio > 0.6)
 	assert.Assert(t, out.lastMinute <= 2)
 }
 
@@ -136,8 +136,8 @@
 		minutes = 3
 	}
 	cfg := placement.Config{ImbalancePercent: 20, MovesPerMinute: 30, Shards: simShards}
-	sc := scene{seed: 1, minutes: minutes, hotShare: 0.6, service: 10 * time.Millisecond}
-	static, planned := play(sc, cfg, nil), play(sc, cfg, placement.NewPlanner())
+	sc := scenario{seed: 1, minutes: minutes, hotShare: 0.6, serviceTime: 10 * time.Millisecond}
+	static, planned := simulate(sc, cfg, nil), simulate(sc, cfg, placement.NewPlanner())
 	t.Logf("static:  %s", static)
 	t.Logf("planned: %s", planned)
 	assert.Assert(t, planned.mean < static.mean)
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// MaxHot bounds the hot keys of one report.
-	MaxHot = 128
+	// MaxHotKeys bounds the hot keys of one report.
+	MaxHotKeys = 128
 	// maxReportShards bounds the shards of one report.
 	maxReportShards = 1 << 16
 	// busyUnit is the unit of busy times on the wire.
@@ -41,8 +41,8 @@
 	Period  time.Duration
 	// Shards lists the shards with requests, sorted by Shard.
 	Shards []ShardLoad
-	// Hot lists the heaviest keys that are not solo keys, heaviest first.
-	Hot []HotKey
+	// HotKeys lists the heaviest keys that are not solo keys, heaviest first.
+	HotKeys []HotKey
 }
 
 // ShardLoad is the load of one shard in the period of a report. Busy is the
@@ -66,21 +66,21 @@
 	Zone     string
 	PeriodMS uint32
 	Shards   []byte
-	Hot      []wireHot
+	HotKeys  []wireHotKey
 }
 
-type wireHot struct {
+type wireHotKey struct {
 	_     struct{} `cbor:",toarray"`
 	Hash  uint64
 	Busy  uint64
 	Error uint64
 }
 
-var reportDecoder = mustDecoder()
+var reportDecMode = newDecMode()
 
-func mustDecoder() cbor.DecMode {
+func newDecMode() cbor.DecMode {
 	const maxNesting = 4
-	mode, err := cbor.DecOptions{MaxArrayElements: MaxHot, MaxNestedLevels: maxNesting}.DecMode()
+	mode, err := cbor.DecOptions{MaxArrayElements: MaxHotKeys, MaxNestedLevels: maxNesting}.DecMode()
 	if err != nil {
 		panic(err) // the options are constant
 	}
@@ -96,8 +96,8 @@
 		PeriodMS: uint32(min(r.Period, maxPeriod).Milliseconds()),
 		Shards:   packShards(r.Shards),
 	}
-	for _, h := range r.Hot[:min(len(r.Hot), MaxHot)] {
-		w.Hot = append(w.Hot, wireHot{Hash: uint64(h.Hash), Busy: units(h.Busy), Error: units(h.Error)})
+	for _, h := range r.HotKeys[:min(len(r.HotKeys), MaxHotKeys)] {
+		w.HotKeys = append(w.HotKeys, wireHotKey{Hash: uint64(h.Hash), Busy: toUnits(h.Busy), Error: toUnits(h.Error)})
 	}
 	data, err := cbor.Marshal(w)
 	if err != nil {
@@ -109,7 +109,7 @@
 // DecodeReport reads a load report.
 func DecodeReport(data []byte) (Report, error) {
 	var w wireReport
-	if err := reportDecoder.Unmarshal(data, &w); err != nil {
+	if err := reportDecMode.Unmarshal(data, &w); err != nil {
 		return Report{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	r := Report{
@@ -125,23 +125,23 @@
 		return Report{}, err
 	}
 	r.Shards = shards
-	for _, h := range w.Hot {
-		r.Hot = append(r.Hot, HotKey{Hash: key.Hash(h.Hash), Busy: busy(h.Busy), Error: busy(h.Error)})
+	for _, h := range w.HotKeys {
+		r.HotKeys = append(r.HotKeys, HotKey{Hash: key.Hash(h.Hash), Busy: fromUnits(h.Busy), Error: fromUnits(h.Error)})
 	}
 	return r, nil
 }
 
-// units rounds to the nearest unit; what took any time counts one at least.
-func units(d time.Duration) uint64 {
+// toUnits rounds to the nearest unit; what took any time counts one at least.
+func toUnits(d time.Duration) uint64 {
 	if d <= 0 {
 		return 0
 	}
 	return max(uint64((d+busyUnit/2)/busyUnit), 1)
 }
 
-// busy returns at most a period's worth of very many requests, so that sums of
+// fromUnits returns at most a period's worth of very many requests, so that sums of
 // reports can't overflow.
-func busy(units uint64) time.Duration {
+func fromUnits(units uint64) time.Duration {
 	const most = 1 << 30
 	return time.Duration(min(units, most)) * busyUnit
 }
@@ -154,7 +154,7 @@
 	for _, s := range shards[:min(len(shards), maxReportShards)] {
 		out = binary.AppendUvarint(out, uint64(s.Shard-next))
 		out = binary.AppendUvarint(out, uint64(s.Requests))
-		out = binary.AppendUvarint(out, units(s.Busy))
+		out = binary.AppendUvarint(out, toUnits(s.Busy))
 		next = s.Shard + 1
 	}
 	return out
@@ -179,7 +179,7 @@
 		if field[0] > maxShard || shard > maxShard || field[1] > maxRequests || len(out) >= maxReportShards {
 			return nil, fmt.Errorf("%w: shard %d", ErrMalformed, shard)
 		}
-		out = append(out, ShardLoad{Shard: key.Shard(shard), Requests: uint32(field[1]), Busy: busy(field[2])})
+		out = append(out, ShardLoad{Shard: key.Shard(shard), Requests: uint32(field[1]), Busy: fromUnits(field[2])})
 		next = shard + 1
 	}
 	return out, nil
--- a/internal/placement/report_test.go
+++ b/internal/placement/report_test.go
@@ -10,21 +10,21 @@
 	"citrontray.example/citrontray/internal/placement"
 )
 
-func sample(shards int) placement.Report {
+func newReport(shards int) placement.Report {
 	r := placement.Report{Service: "balance", Zone: "zone-a", Period: time.Second}
 	for i := range shards {
 		r.Shards = append(r.Shards, placement.ShardLoad{
 			Shard: key.Shard(2 * i), Requests: uint32(i + 1), Busy: time.Duration(i+1) * 1280 * time.Microsecond,
 		})
 	}
-	r.Hot = []placement.HotKey{{Hash: 1 << 63, Busy: 1280 * time.Microsecond, Error: 128 * time.Microsecond}}
+	r.HotKeys = []placement.HotKey{{Hash: 1 << 63, Busy: 1280 * time.Microsecond, Error: 128 * time.Microsecond}}
 	return r
 }
 
 func TestReportRoundTrip(t *testing.T) {
 	for name, shards := range map[string]int{"empty": 0, "one": 1, "all": 1024} {
 		t.Run(name, func(t *testing.T) {
-			want := sample(shards)
+			want := newReport(shards)
 			data, err := placement.EncodeReport(want)
 			assert.NilError(t, err)
 			got, err := placement.DecodeReport(data)
@@ -37,7 +37,7 @@
 
 func FuzzDecodeReport(f *testing.F) {
 	for _, shards := range []int{0, 1, 20} {
-		data, err := placement.EncodeReport(sample(shards))
+		data, err := placement.EncodeReport(newReport(shards))
 		assert.NilError(f, err)
 		f.Add(data)
 	}
--- a/internal/placement/topk/topk.go
+++ b/internal/placement/topk/topk.go
@@ -22,18 +22,18 @@
 // weight divided by the capacity is among them. Not safe for concurrent use.
 type Sketch struct {
 	// heap is a binary heap with the lightest item first.
-	heap  []Item
-	index map[key.Hash]int // into heap
-	cap   int
+	heap     []Item
+	index    map[key.Hash]int // into heap
+	capacity int
 }
 
 // New returns an empty sketch of at most capacity keys, at least one.
 func New(capacity int) *Sketch {
 	capacity = max(capacity, 1)
 	return &Sketch{
-		heap:  make([]Item, 0, capacity),
-		index: make(map[key.Hash]int, capacity),
-		cap:   capacity,
+		heap:     make([]Item, 0, capacity),
+		index:    make(map[key.Hash]int, capacity),
+		capacity: capacity,
 	}
 }
 
@@ -41,20 +41,20 @@
 func (s *Sketch) Add(h key.Hash, weight uint64) {
 	if i, ok := s.index[h]; ok {
 		s.heap[i].Weight += weight
-		s.down(i)
+		s.siftDown(i)
 		return
 	}
-	if len(s.heap) < s.cap {
+	if len(s.heap) < s.capacity {
 		s.heap = append(s.heap, Item{Hash: h, Weight: weight})
 		s.index[h] = len(s.heap) - 1
-		s.up(len(s.heap) - 1)
+		s.siftUp(len(s.heap) - 1)
 		return
 	}
 	lightest := s.heap[0]
 	delete(s.index, lightest.Hash)
 	s.heap[0] = Item{Hash: h, Weight: lightest.Weight + weight, Error: lightest.Weight}
 	s.index[h] = 0
-	s.down(0)
+	s.siftDown(0)
 }
 
 // Top returns the n heaviest keys, heaviest first.
@@ -72,7 +72,7 @@
 	clear(s.index)
 }
 
-func (s *Sketch) up(i int) {
+func (s *Sketch) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if s.heap[parent].Weight <= s.heap[i].Weight {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *Sketch) down(i int) {
+func (s *Sketch) siftDown(i int) {
 	for {
 		child := 2*i + 1
 		if child >= len(s.heap) {
