--- a/internal/entry/bound.go
+++ b/internal/entry/bound.go
@@ -7,37 +7,37 @@
 	"sync/atomic"
 )
 
-// gate bounds how many requests are in one state at once.
-type gate struct {
-	bound int64
-	now   atomic.Int64
+// semaphore bounds how many requests are in one state at once.
+type semaphore struct {
+	limit int64
+	inUse atomic.Int64
 }
 
-func (g *gate) enter() bool {
-	if g.now.Add(1) > g.bound {
-		g.now.Add(-1)
+func (g *semaphore) tryAcquire() bool {
+	if g.inUse.Add(1) > g.limit {
+		g.inUse.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (g *gate) leave() { g.now.Add(-1) }
+func (g *semaphore) release() { g.inUse.Add(-1) }
 
-// memory bounds the bytes of all request bodies held at once.
-type memory struct {
-	bound int64
+// bodyMemory bounds the bytes of all request bodies held at once.
+type bodyMemory struct {
+	limit int64
 	used  atomic.Int64
 }
 
-func (m *memory) reserve(n int64) bool {
-	if m.used.Add(n) > m.bound {
+func (m *bodyMemory) reserve(n int64) bool {
+	if m.used.Add(n) > m.limit {
 		m.used.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (m *memory) release(n int64) { m.used.Add(-n) }
+func (m *bodyMemory) release(n int64) { m.used.Add(-n) }
 
 // ids makes request ids that no other process or life of it makes.
 type ids struct {
@@ -45,11 +45,11 @@
 	last   atomic.Uint64
 }
 
-// idBytes is the length of the random part of request ids.
-const idBytes = 9
+// randomIDBytes is the length of the random part of request ids.
+const randomIDBytes = 9
 
 func newIDs() *ids {
-	var b [idBytes]byte
+	var b [randomIDBytes]byte
 	_, _ = rand.Read(b[:])
 	return &ids{prefix: hex.EncodeToString(b[:]) + "-"}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -27,7 +27,7 @@
 
 // Config is what an entry needs of its process.
 type Config struct {
-	Board          docsync.Replica
+	Replica        docsync.Replica
 	DecodeSettings func([]byte) (*settings.Settings, error)
 	DecodeTable    func([]byte) (table.Table, error)
 	// Host and Zone name this entry host.
@@ -35,102 +35,102 @@
 	Zone place.Zone
 	// Sharing is how entry hosts share the slots of a target.
 	Sharing Sharing
-	// Link carries load reports to leads and requests to homes; without it
+	// Transport carries load reports to leads and requests to homes; without it
 	// all is run here.
-	Link     peer.Transport
-	Log      *slog.Logger
-	Registry *metric.Registry
+	Transport peer.Transport
+	Log       *slog.Logger
+	Registry  *metric.Registry
 	// Dial opens connections to targets; nil stands for TCP.
 	Dial forward.Dial
 	// Hosts is the number of entry hosts that share each target's connections.
 	Hosts int
 	// Queue bounds the queue of each target.
 	Queue queue.Config
-	// Park bounds the waiting for an owner; Parked the requests that wait.
-	Park   time.Duration
-	Parked int
-	// Memory bounds the request bodies held at once, in bytes.
-	Memory int64
-	// Tick is the time between two rounds over all lanes.
-	Tick time.Duration
+	// ParkTimeout bounds the waiting for an owner; Parked the requests that wait.
+	ParkTimeout time.Duration
+	MaxParked   int
+	// BodyMemory bounds the request bodies held at once, in bytes.
+	BodyMemory int64
+	// TickInterval is the time between two rounds over all lanes.
+	TickInterval time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultHosts  = 12
-	DefaultPark   = 5 * time.Second
-	DefaultParked = 4096
-	DefaultMemory = 256 << 20
-	DefaultTick   = 20 * time.Millisecond
+	DefaultHosts        = 12
+	DefaultParkTimeout  = 5 * time.Second
+	DefaultMaxParked    = 4096
+	DefaultBodyMemory   = 256 << 20
+	DefaultTickInterval = 20 * time.Millisecond
 )
 
 // Entry is an http.Handler for callers. Run keeps it going.
 type Entry struct {
-	cfg     Config
-	log     *slog.Logger
-	metrics *metrics
-	meters  *meters
-	started time.Time
-	ids     *ids
-	joins   *joins
-	load    *load
-	parked  gate
-	memory  memory
-	view    atomic.Pointer[view]
-	homes   *homes
+	cfg          Config
+	log          *slog.Logger
+	metrics      *metrics
+	meters       *meters
+	started      time.Time
+	requestIDs   *ids
+	dedup        *dedupCache
+	loadCounters *loadCounters
+	parked       semaphore
+	bodyMemory   bodyMemory
+	view         atomic.Pointer[view]
+	homes        *homeMonitor
 
-	// refreshing guards what refresh alone changes.
-	refreshing      sync.Mutex
+	// refreshMu guards what refresh alone changes.
+	refreshMu       sync.Mutex
 	settingsVersion docsync.Version
 	settingsSince   time.Time
 	tableCache      map[docsync.Name]cachedTable
-	lanes           map[laneID]*lane
+	targetStates    map[targetStateID]*targetState
 
 	limitMu sync.Mutex
 	limits  map[callerLimitID]*callerLimit
 
-	budgetMu sync.Mutex
-	budget   budget
+	retryBudgetMu sync.Mutex
+	retryBudget   retryBudget
 
 	ctx      context.Context
 	cancel   context.CancelFunc
 	draining atomic.Bool
-	// handed counts the work of other entry hosts that runs here.
-	handed atomic.Int64
-	// refusing tells that no more of it is taken: the end of a planned stop.
-	refusing atomic.Bool
-	stopOnce sync.Once
-	stopping chan struct{}
+	// relayed counts the work of other entry hosts that runs here.
+	relayed atomic.Int64
+	// refuseRelayed tells that no more of it is taken: the end of a planned stop.
+	refuseRelayed atomic.Bool
+	stopOnce      sync.Once
+	stopping      chan struct{}
 }
 
 // New returns an entry that knows nothing yet.
 func New(cfg Config) *Entry {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Entry{
-		cfg:        cfg,
-		log:        cfg.Log,
-		metrics:    newMetrics(cfg.Registry),
-		meters:     newMeters(),
-		started:    time.Now(),
-		ids:        newIDs(),
-		joins:      newJoins(),
-		load:       newLoad(),
-		parked:     gate{bound: int64(cfg.Parked)},
-		memory:     memory{bound: cfg.Memory},
-		tableCache: make(map[docsync.Name]cachedTable),
-		lanes:      make(map[laneID]*lane),
-		limits:     make(map[callerLimitID]*callerLimit),
-		budget:     newBudget(),
-		ctx:        ctx,
-		cancel:     cancel,
-		stopping:   make(chan struct{}),
-		homes:      newHomes(),
+		cfg:          cfg,
+		log:          cfg.Log,
+		metrics:      newMetrics(cfg.Registry),
+		meters:       newMeters(),
+		started:      time.Now(),
+		requestIDs:   newIDs(),
+		dedup:        newDedupCache(),
+		loadCounters: newLoadCounters(),
+		parked:       semaphore{limit: int64(cfg.MaxParked)},
+		bodyMemory:   bodyMemory{limit: cfg.BodyMemory},
+		tableCache:   make(map[docsync.Name]cachedTable),
+		targetStates: make(map[targetStateID]*targetState),
+		limits:       make(map[callerLimitID]*callerLimit),
+		retryBudget:  newRetryBudget(),
+		ctx:          ctx,
+		cancel:       cancel,
+		stopping:     make(chan struct{}),
+		homes:        newHomeMonitor(),
 	}
-	if cfg.Link != nil {
-		cfg.Link.Handle(peer.KindForward, e.HandleWork)
+	if cfg.Transport != nil {
+		cfg.Transport.Handle(peer.KindRelay, e.HandleRelayed)
 	}
 	e.view.Store(&view{replaced: make(chan struct{})})
-	e.refresh(time.Now())
+	e.refreshView(time.Now())
 	return e
 }
 
@@ -139,7 +139,7 @@
 func (e *Entry) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return e.loop(ctx) })
-	if e.cfg.Link != nil {
+	if e.cfg.Transport != nil {
 		group.Go(func() error { return e.loopReports(ctx) })
 		group.Go(func() error { return e.loopPings(ctx) })
 	}
@@ -147,22 +147,22 @@
 }
 
 func (e *Entry) loop(ctx context.Context) error {
-	settingsChanged := e.cfg.Board.Subscribe(docsync.Settings)
-	fleetChanged := e.cfg.Board.Subscribe(docsync.Fleet)
-	tablesChanged := e.cfg.Board.Subscribe(docsync.TablePrefix)
-	e.refresh(time.Now())
-	ticker := time.NewTicker(e.cfg.Tick)
+	settingsChanged := e.cfg.Replica.Subscribe(docsync.Settings)
+	fleetChanged := e.cfg.Replica.Subscribe(docsync.Fleet)
+	tablesChanged := e.cfg.Replica.Subscribe(docsync.TablePrefix)
+	e.refreshView(time.Now())
+	ticker := time.NewTicker(e.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-settingsChanged:
-			e.refresh(time.Now())
+			e.refreshView(time.Now())
 		case <-tablesChanged:
-			e.refresh(time.Now())
+			e.refreshView(time.Now())
 		case <-fleetChanged:
-			e.refresh(time.Now())
+			e.refreshView(time.Now())
 		case now := <-ticker.C:
 			e.tick(now)
 		}
@@ -170,9 +170,9 @@
 }
 
 func (e *Entry) tick(now time.Time) {
-	e.refreshing.Lock()
-	defer e.refreshing.Unlock()
-	for _, l := range e.lanes {
+	e.refreshMu.Lock()
+	defer e.refreshMu.Unlock()
+	for _, l := range e.targetStates {
 		l.tick(now)
 	}
 }
@@ -186,39 +186,39 @@
 // each answer. Requests are still served.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
-// Clear ends the waiting requests with not-run. Those in flight end by
+// DropWaiting ends the waiting requests with not-run. Those in flight end by
 // themselves.
-func (e *Entry) Clear() {
+func (e *Entry) DropWaiting() {
 	e.Drain()
 	e.stopOnce.Do(func() { close(e.stopping) })
-	e.refreshing.Lock()
-	defer e.refreshing.Unlock()
-	for _, l := range e.lanes {
-		l.clear(outcome.Stopping)
+	e.refreshMu.Lock()
+	defer e.refreshMu.Unlock()
+	for _, l := range e.targetStates {
+		l.dropQueued(outcome.Stopping)
 	}
 }
 
 // Close closes the connections to targets.
 func (e *Entry) Close() {
 	e.cancel()
-	e.refreshing.Lock()
-	defer e.refreshing.Unlock()
-	for _, l := range e.lanes {
+	e.refreshMu.Lock()
+	defer e.refreshMu.Unlock()
+	for _, l := range e.targetStates {
 		l.close()
 	}
 }
 
-func (e *Entry) earn() {
-	e.budgetMu.Lock()
-	e.budget.earn()
-	e.budgetMu.Unlock()
+func (e *Entry) countForRetries() {
+	e.retryBudgetMu.Lock()
+	e.retryBudget.countRequest()
+	e.retryBudgetMu.Unlock()
 }
 
-// spend takes the right to send a request once more.
-func (e *Entry) spend() bool {
-	e.budgetMu.Lock()
-	ok := e.budget.spend()
-	e.budgetMu.Unlock()
+// withdrawRetry takes the right to send a request once more.
+func (e *Entry) withdrawRetry() bool {
+	e.retryBudgetMu.Lock()
+	ok := e.retryBudget.withdraw()
+	e.retryBudgetMu.Unlock()
 	if ok {
 		e.metrics.retries.Inc(1)
 	}
@@ -238,7 +238,7 @@
 		if l == nil {
 			l = &callerLimit{}
 		}
-		l.concurrent = row.Concurrent
+		l.maxConcurrent = row.Concurrent
 		l.rate = nil
 		if row.PerSecond > 0 {
 			l.rate = rate.NewLimiter(rate.Limit(row.PerSecond), max(row.Burst, 1))
@@ -247,8 +247,8 @@
 	}
 }
 
-// limit counts a request against its caller's limit in its class.
-func (e *Entry) limit(now time.Time, m route.Match) (leave func(), wait time.Duration, ok bool) {
+// acquireLimit counts a request against its caller's limit in its class.
+func (e *Entry) acquireLimit(now time.Time, m route.Match) (leave func(), wait time.Duration, ok bool) {
 	if len(m.Caller.Limits) == 0 {
 		return func() {}, 0, true
 	}
@@ -263,17 +263,17 @@
 	}
 	return func() {
 		e.limitMu.Lock()
-		l.running--
+		l.inFlight--
 		e.limitMu.Unlock()
 	}, 0, true
 }
 
 // Waiting returns the number of requests that wait in queues or for an owner.
 func (e *Entry) Waiting() int {
-	e.refreshing.Lock()
-	defer e.refreshing.Unlock()
-	n := int(e.parked.now.Load())
-	for _, l := range e.lanes {
+	e.refreshMu.Lock()
+	defer e.refreshMu.Unlock()
+	n := int(e.parked.inUse.Load())
+	for _, l := range e.targetStates {
 		l.mu.Lock()
 		n += l.queue.Len()
 		l.mu.Unlock()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -9,10 +9,10 @@
 	"citrontray.example/citrontray/internal/outcome"
 )
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteResponse(t *testing.T) {
 	f := newFixture(t, nil)
-	owner := newTarget(t, nil)
-	f.own(owner.addr())
+	owner := newFakeTarget(t, nil)
+	f.setOwner(owner.addr())
 	a := f.call("GET", "/balance/k1", "")
 	assert.Equal(t, a.status, http.StatusOK)
 	assert.Equal(t, a.outcome, outcome.Done)
@@ -20,5 +20,5 @@
 	a = f.call("POST", "/plan/k1", "terms")
 	assert.Equal(t, a.outcome, outcome.Done)
 	assert.Equal(t, a.body, "ran /plan/k1 terms")
-	assert.Equal(t, owner.total(), 2)
+	assert.Equal(t, owner.totalRuns(), 2)
 }
--- a/internal/entry/fair_bench_test.go
+++ b/internal/entry/fairness_bench_test.go
@@ -14,23 +14,23 @@
 	"citrontray.example/citrontray/internal/outcome"
 )
 
-// stream is the requests of one caller at a rate, whatever comes back.
-type stream struct {
+// openLoopCaller is the requests of one caller at a rate, whatever comes back.
+type openLoopCaller struct {
 	credential, method, path string
 	rate                     float64
 	latency                  *hdrhistogram.Histogram
-	ends                     map[outcome.Outcome]int
+	outcomes                 map[outcome.Outcome]int
 }
 
-func newStream(credential, method, path string, rate float64) *stream {
-	return &stream{
+func newOpenLoopCaller(credential, method, path string, rate float64) *openLoopCaller {
+	return &openLoopCaller{
 		credential: credential, method: method, path: path, rate: rate,
-		latency: hdrhistogram.New(1, 60_000_000, 3), ends: map[outcome.Outcome]int{},
+		latency: hdrhistogram.New(1, 60_000_000, 3), outcomes: map[outcome.Outcome]int{},
 	}
 }
 
 // run sends for d and waits for the answers.
-func (s *stream) run(c *cluster, d time.Duration) {
+func (s *openLoopCaller) run(c *cluster, d time.Duration) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	r := rand.New(rand.NewPCG(1, uint64(len(s.path))))
@@ -41,11 +41,11 @@
 		url := fmt.Sprintf("%s%s%d", c.servers[r.IntN(len(c.servers))].URL, s.path, r.IntN(100_000))
 		at := next
 		wg.Go(func() {
-			end := c.ask(s.method, url, s.credential)
+			end := c.request(s.method, url, s.credential)
 			took := time.Since(at)
 			mu.Lock()
 			defer mu.Unlock()
-			s.ends[end]++
+			s.outcomes[end]++
 			if end == outcome.Done {
 				_ = s.latency.RecordValue(took.Microseconds())
 			}
@@ -54,18 +54,18 @@
 	wg.Wait()
 }
 
-func (s *stream) p99() float64 { return float64(s.latency.ValueAtQuantile(99)) / 1000 }
+func (s *openLoopCaller) p99() float64 { return float64(s.latency.ValueAtQuantile(99)) / 1000 }
 
-// BenchmarkFair measures what a reminder run of one caller at twice the
+// BenchmarkFairness measures what a reminder run of one caller at twice the
 // capacity does to the look-ups of another at a quarter of it.
-func BenchmarkFair(b *testing.B) {
-	c := newCluster(b, 3, way{entry.ShareMixed, false, benchTimeout})
-	capacity := benchTargets * benchSlots / benchWork.Seconds()
+func BenchmarkFairness(b *testing.B) {
+	c := newCluster(b, 3, clusterConfig{entry.ShareMixed, false, benchTimeout})
+	capacity := benchTargets * benchSlots / benchServiceTime.Seconds()
 	for range b.N {
-		alone := newStream(clerk, http.MethodGet, "/balance/k", capacity/4)
+		alone := newOpenLoopCaller(clerkCredential, http.MethodGet, "/balance/k", capacity/4)
 		alone.run(c, *benchTime)
-		look := newStream(clerk, http.MethodGet, "/balance/k", capacity/4)
-		bulk := newStream(office, http.MethodPost, "/remind/k", 2*capacity)
+		look := newOpenLoopCaller(clerkCredential, http.MethodGet, "/balance/k", capacity/4)
+		bulk := newOpenLoopCaller(officeCredential, http.MethodPost, "/remind/k", 2*capacity)
 		var wg sync.WaitGroup
 		wg.Go(func() { bulk.run(c, *benchTime) })
 		look.run(c, *benchTime)
@@ -73,8 +73,8 @@
 		b.ReportMetric(alone.p99(), "alone_p99_ms")
 		b.ReportMetric(look.p99(), "beside_p99_ms")
 		b.ReportMetric(look.p99()/alone.p99(), "ratio")
-		b.ReportMetric(float64(look.ends[outcome.NotRun]), "looks_notrun")
-		b.ReportMetric(float64(bulk.ends[outcome.Done])/benchTime.Seconds(), "bulk_done_s")
-		b.ReportMetric(float64(bulk.ends[outcome.NotRun])/benchTime.Seconds(), "bulk_notrun_s")
+		b.ReportMetric(float64(look.outcomes[outcome.NotRun]), "looks_notrun")
+		b.ReportMetric(float64(bulk.outcomes[outcome.Done])/benchTime.Seconds(), "bulk_done_s")
+		b.ReportMetric(float64(bulk.outcomes[outcome.NotRun])/benchTime.Seconds(), "bulk_notrun_s")
 	}
 }
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -31,25 +31,25 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// board is a spread.Board that keeps decoded documents by their body.
-type board struct {
-	mu        sync.Mutex
-	docs      map[docsync.Name]docsync.Document
-	watchers  []chan struct{}
-	settings  *settings.Settings
-	tables    map[string]*table.Table
-	sequences int
+// fakeReplica is a spread.Board that keeps decoded documents by their body.
+type fakeReplica struct {
+	mu          sync.Mutex
+	docs        map[docsync.Name]docsync.Document
+	subscribers []chan struct{}
+	settings    *settings.Settings
+	tables      map[string]*table.Table
+	lastVersion int
 }
 
-func newBoard() *board {
-	return &board{docs: map[docsync.Name]docsync.Document{}, tables: map[string]*table.Table{}}
+func newFakeReplica() *fakeReplica {
+	return &fakeReplica{docs: map[docsync.Name]docsync.Document{}, tables: map[string]*table.Table{}}
 }
 
-func (b *board) Publish(doc docsync.Document) bool {
+func (b *fakeReplica) Publish(doc docsync.Document) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.docs[doc.Name] = doc
-	for _, c := range b.watchers {
+	for _, c := range b.subscribers {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -58,22 +58,22 @@
 	return true
 }
 
-func (b *board) Get(name docsync.Name) (docsync.Document, bool) {
+func (b *fakeReplica) Get(name docsync.Name) (docsync.Document, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	d, ok := b.docs[name]
 	return d, ok
 }
 
-func (b *board) Subscribe(docsync.Name) <-chan struct{} {
+func (b *fakeReplica) Subscribe(docsync.Name) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := make(chan struct{}, 1)
-	b.watchers = append(b.watchers, c)
+	b.subscribers = append(b.subscribers, c)
 	return c
 }
 
-func (b *board) List(prefix docsync.Name) []docsync.Document {
+func (b *fakeReplica) List(prefix docsync.Name) []docsync.Document {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []docsync.Document
@@ -86,33 +86,33 @@
 	return out
 }
 
-func (b *board) putSettings(s *settings.Settings) {
+func (b *fakeReplica) putSettings(s *settings.Settings) {
 	b.mu.Lock()
 	b.settings = s
-	b.sequences++
-	v := docsync.Version{Major: uint64(b.sequences)}
+	b.lastVersion++
+	v := docsync.Version{Major: uint64(b.lastVersion)}
 	b.mu.Unlock()
 	b.Publish(docsync.Document{Name: docsync.Settings, Version: v})
 }
 
-func (b *board) putTable(t *table.Table) {
+func (b *fakeReplica) putTable(t *table.Table) {
 	b.mu.Lock()
-	b.sequences++
-	id := fmt.Sprint(b.sequences)
+	b.lastVersion++
+	id := fmt.Sprint(b.lastVersion)
 	b.tables[id] = t
-	v := docsync.Version{Major: uint64(b.sequences)}
+	v := docsync.Version{Major: uint64(b.lastVersion)}
 	b.mu.Unlock()
 	name := docsync.TablePrefix + docsync.Name(string(t.Service)+"/"+string(t.Zone))
 	b.Publish(docsync.Document{Name: name, Version: v, Body: []byte(id)})
 }
 
-func (b *board) decodeSettings([]byte) (*settings.Settings, error) {
+func (b *fakeReplica) decodeSettings([]byte) (*settings.Settings, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.settings, nil
 }
 
-func (b *board) decodeTable(body []byte) (table.Table, error) {
+func (b *fakeReplica) decodeTable(body []byte) (table.Table, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return *b.tables[string(body)], nil
@@ -120,33 +120,33 @@
 
 // The services of the fixture and their callers' credentials.
 const (
-	balance  key.Service = "balance"
-	plan     key.Service = "plan"
-	clerk                = "clerk-credential"
-	office               = "office-credential"
-	bodySize             = 1000
+	balance          key.Service = "balance"
+	plan             key.Service = "plan"
+	clerkCredential              = "clerk-credential"
+	officeCredential             = "office-credential"
+	maxBodyBytes                 = 1000
 )
 
-func someSettings() *settings.Settings {
+func testSettings() *settings.Settings {
 	callers := []settings.Caller{"clerk", "office"}
 	return &settings.Settings{
 		Services: []settings.Service{
-			{Name: balance, Shards: 4, Slots: 3, Connections: 60, BodyBytes: bodySize},
-			{Name: plan, Shards: 4, Slots: 3, Connections: 60, BodyBytes: bodySize},
+			{Name: balance, Shards: 4, Slots: 3, Connections: 60, BodyBytes: maxBodyBytes},
+			{Name: plan, Shards: 4, Slots: 3, Connections: 60, BodyBytes: maxBodyBytes},
 		},
 		Routes: []settings.Route{
 			{Name: "look", Service: balance, Callers: callers, Methods: []string{"GET"}, Path: "/balance/{key}", KeySource: settings.KeyInPath, Class: settings.Interactive, Idempotent: true, Timeout: 20 * time.Second},
 			{Name: "plan", Service: plan, Callers: callers, Methods: []string{"POST"}, Path: "/plan/{key}", KeySource: settings.KeyInPath, Class: settings.Registering, Timeout: 20 * time.Second},
 		},
 		Callers: []settings.CallerRow{
-			{Name: "clerk", Tenant: "agency", CredentialHash: sha256.Sum256([]byte(clerk))},
-			{Name: "office", Tenant: "agency", CredentialHash: sha256.Sum256([]byte(office))},
+			{Name: "clerk", Tenant: "agency", CredentialHash: sha256.Sum256([]byte(clerkCredential))},
+			{Name: "office", Tenant: "agency", CredentialHash: sha256.Sum256([]byte(officeCredential))},
 		},
 	}
 }
 
-// someTable gives all shards of a service to one target.
-func someTable(name key.Service, addr netip.AddrPort) *table.Table {
+// testTable gives all shards of a service to one target.
+func testTable(name key.Service, addr netip.AddrPort) *table.Table {
 	t := &table.Table{
 		Service: name, Zone: "zone-a", Shards: 4,
 		Targets: []table.Target{{Name: place.Target("target-" + addr.String()), Addr: addr}},
@@ -160,24 +160,24 @@
 // fixture is an entry behind a server, with a board under the test's control.
 type fixture struct {
 	*testing.T
-	board  *board
-	entry  *entry.Entry
-	server *httptest.Server
+	replica *fakeReplica
+	entry   *entry.Entry
+	server  *httptest.Server
 }
 
 func newFixture(t *testing.T, change func(*entry.Config)) *fixture {
 	t.Helper()
-	b := newBoard()
-	b.putSettings(someSettings())
+	b := newFakeReplica()
+	b.putSettings(testSettings())
 	cfg := entry.Config{
-		Board: b, DecodeSettings: b.decodeSettings, DecodeTable: b.decodeTable,
+		Replica: b, DecodeSettings: b.decodeSettings, DecodeTable: b.decodeTable,
 		Log: logging.Nop(), Registry: metric.New("test"), Hosts: 1, Queue: queue.DefaultConfig(),
-		Park: time.Second, Parked: 100, Memory: 1 << 20, Tick: time.Millisecond,
+		ParkTimeout: time.Second, MaxParked: 100, BodyMemory: 1 << 20, TickInterval: time.Millisecond,
 	}
 	if change != nil {
 		change(&cfg)
 	}
-	f := &fixture{T: t, board: b, entry: entry.New(cfg)}
+	f := &fixture{T: t, replica: b, entry: entry.New(cfg)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -194,14 +194,14 @@
 	return f
 }
 
-// own makes a target the owner of all shards of both services.
-func (f *fixture) own(addr netip.AddrPort) {
-	f.board.putTable(someTable(balance, addr))
-	f.board.putTable(someTable(plan, addr))
+// setOwner makes a target the owner of all shards of both services.
+func (f *fixture) setOwner(addr netip.AddrPort) {
+	f.replica.putTable(testTable(balance, addr))
+	f.replica.putTable(testTable(plan, addr))
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is what a caller got.
+type response struct {
 	status  int
 	outcome outcome.Outcome
 	reason  outcome.Reason
@@ -210,16 +210,16 @@
 }
 
 // call sends one request of a caller.
-func (f *fixture) call(method, path, body string, header ...string) answer {
+func (f *fixture) call(method, path, body string, header ...string) response {
 	f.Helper()
 	req, err := http.NewRequest(method, f.server.URL+path, strings.NewReader(body))
 	assert.NilError(f, err)
 	return f.send(req, header...)
 }
 
-func (f *fixture) send(req *http.Request, header ...string) answer {
+func (f *fixture) send(req *http.Request, header ...string) response {
 	f.Helper()
-	req.Header.Set("Authorization", "Bearer "+clerk)
+	req.Header.Set("Authorization", "Bearer "+clerkCredential)
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
@@ -228,7 +228,7 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	assert.NilError(f, err)
-	return answer{
+	return response{
 		status: resp.StatusCode, header: resp.Header, body: string(text),
 		outcome: outcome.Outcome(resp.Header.Get(outcome.Header)),
 		reason:  outcome.Reason(resp.Header.Get(outcome.HeaderReason)),
@@ -238,22 +238,22 @@
 // fakeTarget is a target of which a test decides what each request meets.
 type fakeTarget struct {
 	listener net.Listener
-	behave   func(c net.Conn, r *http.Request, id string) bool
+	respond  func(c net.Conn, r *http.Request, id string) bool
 
 	mu   sync.Mutex
 	runs map[string]int // by path and body
 	ids  map[string]int
 }
 
-// newTarget starts a target; behave answers one request and reports whether
+// newFakeTarget starts a target; behave answers one request and reports whether
 // the connection stays open. nil stands for a whole answer.
-func newTarget(t *testing.T, behave func(net.Conn, *http.Request, string) bool) *fakeTarget {
+func newFakeTarget(t *testing.T, behave func(net.Conn, *http.Request, string) bool) *fakeTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	f := &fakeTarget{listener: l, behave: behave, runs: map[string]int{}, ids: map[string]int{}}
+	f := &fakeTarget{listener: l, respond: behave, runs: map[string]int{}, ids: map[string]int{}}
 	t.Cleanup(func() { _ = l.Close() })
-	go f.loop()
+	go f.acceptLoop()
 	return f
 }
 
@@ -261,17 +261,17 @@
 	return f.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (f *fakeTarget) loop() {
+func (f *fakeTarget) acceptLoop() {
 	for {
 		c, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
-		go f.run(c)
+		go f.serveConn(c)
 	}
 }
 
-func (f *fakeTarget) run(c net.Conn) {
+func (f *fakeTarget) serveConn(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -285,11 +285,11 @@
 		}
 		id := r.Header.Get(target.HeaderRequest)
 		f.count(r.Method+" "+r.URL.Path+" "+string(body), id)
-		if f.behave == nil {
-			reply(c, id, "ran "+r.URL.Path+" "+string(body))
+		if f.respond == nil {
+			writeResponse(c, id, "ran "+r.URL.Path+" "+string(body))
 			continue
 		}
-		if !f.behave(c, r, id) {
+		if !f.respond(c, r, id) {
 			return
 		}
 	}
@@ -302,7 +302,7 @@
 	f.ids[id]++
 }
 
-func (f *fakeTarget) total() int {
+func (f *fakeTarget) totalRuns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -312,13 +312,13 @@
 	return n
 }
 
-// reply writes a whole answer.
-func reply(c net.Conn, id, body string) {
+// writeResponse writes a whole answer.
+func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", target.HeaderRequest, id, len(body), body)
 }
 
-// refuse writes a refusal that guarantees that nothing ran.
-func refuse(c net.Conn, id string, why target.Refusal) {
+// writeRefusal writes a refusal that guarantees that nothing ran.
+func writeRefusal(c net.Conn, id string, why target.Refusal) {
 	fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\n%s: %s\r\nContent-Length: 0\r\n\r\n",
 		target.HeaderRequest, id, target.HeaderNotRun, why)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/handler.go
@@ -17,10 +17,10 @@
 const (
 	// defaultTimeout holds for routes that name none.
 	defaultTimeout = 10 * time.Second
-	// defaultBody bounds bodies of services that name no bound, in bytes.
-	defaultBody = 1 << 20
-	// maxIdempotencyKey is the longest idempotency key, in bytes.
-	maxIdempotencyKey = 128
+	// defaultMaxBodyBytes bounds bodies of services that name no bound, in bytes.
+	defaultMaxBodyBytes = 1 << 20
+	// maxIdempotencyKeyBytes is the longest idempotency key, in bytes.
+	maxIdempotencyKeyBytes = 128
 )
 
 // ServeHTTP answers one request of a caller.
@@ -31,27 +31,27 @@
 	}
 	v := e.view.Load()
 	if v.routes == nil {
-		outcome.Write(w, notRun(outcome.Starting, retryAfter))
+		outcome.Write(w, notRun(outcome.Starting, defaultRetryAfter))
 		return
 	}
 	m, reason := v.routes.Find(r)
 	if reason != "" {
 		result := outcome.NotRunFailure{Reason: reason}
-		e.metrics.rejected(reason)
+		e.metrics.countRejected(reason)
 		outcome.Write(w, result)
 		return
 	}
 	result := e.admit(w, r, m, start)
 	took := time.Since(start)
-	e.metrics.ended(m, result, took)
+	e.metrics.countRequest(m, result, took)
 	refused := outcome.Of(result) == outcome.NotRun
-	e.meters.ended(start.Add(took), meterID{m.Caller.Name, m.Route.Class}, took, refused)
+	e.meters.record(start.Add(took), meterID{m.Caller.Name, m.Route.Class}, took, refused)
 	outcome.Write(w, result)
 }
 
 // admit checks the caller's limit, reads the body and runs the request.
 func (e *Entry) admit(rw http.ResponseWriter, r *http.Request, m route.Match, now time.Time) outcome.Result {
-	leave, wait, ok := e.limit(now, m)
+	leave, wait, ok := e.acquireLimit(now, m)
 	if !ok {
 		return notRun(outcome.Limited, wait)
 	}
@@ -60,15 +60,15 @@
 	if !ok {
 		return outcome.NotRunFailure{Reason: outcome.BadHeader}
 	}
-	w, failure := e.newWork(rw, r, m, now)
+	w, failure := e.newJob(rw, r, m, now)
 	if failure != nil {
 		return failure
 	}
-	defer e.memory.release(int64(len(w.request.Body)))
-	if w.join = join; join != "" {
-		w.digest = digestOf(w)
+	defer e.bodyMemory.release(int64(len(w.request.Body)))
+	if w.idempotencyKey = join; join != "" {
+		w.fingerprint = fingerprintOf(w)
 	}
-	return e.dispatch(r.Context(), w)
+	return e.handle(r.Context(), w)
 }
 
 func idempotencyKey(h http.Header) (string, bool) {
@@ -76,11 +76,11 @@
 	if len(values) == 0 {
 		return "", true
 	}
-	return values[0], len(values) == 1 && values[0] != "" && len(values[0]) <= maxIdempotencyKey
+	return values[0], len(values) == 1 && values[0] != "" && len(values[0]) <= maxIdempotencyKeyBytes
 }
 
-// newWork reads the request whole.
-func (e *Entry) newWork(rw http.ResponseWriter, r *http.Request, m route.Match, now time.Time) (*work, outcome.Result) {
+// newJob reads the request whole.
+func (e *Entry) newJob(rw http.ResponseWriter, r *http.Request, m route.Match, now time.Time) (*job, outcome.Result) {
 	timeout := m.Route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -92,19 +92,19 @@
 	}
 	bound := m.Service.BodyBytes
 	if bound <= 0 {
-		bound = defaultBody
+		bound = defaultMaxBodyBytes
 	}
-	w := &work{
+	w := &job{
 		caller:     m.Caller.Name,
 		class:      m.Route.Class,
 		route:      m.Route.Name,
 		idempotent: m.Route.Idempotent,
 		hash:       key.HashOf(m.Key),
 		deadline:   now.Add(timeout),
-		wake:       make(chan event, 1),
+		wake:       make(chan slotEvent, 1),
 	}
 	w.request = forward.Request{
-		ID:       e.ids.next(),
+		ID:       e.requestIDs.next(),
 		Method:   r.Method,
 		URI:      r.URL.RequestURI(),
 		Header:   forward.SanitizeHeader(r.Header),
@@ -130,18 +130,18 @@
 	if size < 0 {
 		size = bound
 	}
-	if !e.memory.reserve(size) {
-		return nil, notRun(outcome.Overload, retryAfter)
+	if !e.bodyMemory.reserve(size) {
+		return nil, notRun(outcome.Overload, defaultRetryAfter)
 	}
 	control := http.NewResponseController(rw)
 	_ = control.SetReadDeadline(deadline)
 	body, err := io.ReadAll(io.LimitReader(r.Body, bound+1))
 	_ = control.SetReadDeadline(time.Time{})
-	e.memory.release(size - min(int64(len(body)), bound))
+	e.bodyMemory.release(size - min(int64(len(body)), bound))
 	if err == nil && int64(len(body)) <= bound {
 		return body, nil
 	}
-	e.memory.release(min(int64(len(body)), bound))
+	e.bodyMemory.release(min(int64(len(body)), bound))
 	if err == nil {
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
 	}
--- a/internal/entry/homes.go
+++ b/internal/entry/homemonitor.go
@@ -18,42 +18,42 @@
 )
 
 const (
-	// maxHomes bounds the entry hosts that stand in for a target's home in
+	// homesPerTarget bounds the entry hosts that stand in for a target's home in
 	// turn.
-	maxHomes = 3
+	homesPerTarget = 3
 	// pingInterval is the time between two pings of a host that work was
 	// handed to, pingTimeout how long its answer may take.
 	pingInterval = 100 * time.Millisecond
 	pingTimeout  = 200 * time.Millisecond
-	// maxMissed is the pings in a row that a host may leave unanswered: a busy
+	// maxMissedPings is the pings in a row that a host may leave unanswered: a busy
 	// host misses one, and suspecting it breaks off the look-ups handed to it.
-	maxMissed = 3
-	// pingIdle is how long after the last hand-over a host is pinged.
-	pingIdle = 2 * time.Second
-	// maxPings bounds the pings of one round; with more hosts in use each is
+	maxMissedPings = 3
+	// pingIdleTimeout is how long after the last hand-over a host is pinged.
+	pingIdleTimeout = 2 * time.Second
+	// maxPingsPerRound bounds the pings of one round; with more hosts in use each is
 	// pinged less often.
-	maxPings = 16
+	maxPingsPerRound = 16
 )
 
-// homes keeps what is known of the entry hosts that this one hands work to.
-type homes struct {
-	mu   sync.Mutex
-	rows map[place.Host]*homeState
-	turn int
+// homeMonitor keeps what is known of the entry hosts that this one hands work to.
+type homeMonitor struct {
+	mu       sync.Mutex
+	hosts    map[place.Host]*homeState
+	nextPing int
 }
 
 // homeState is one host. gone ends the look-ups that wait for it.
 type homeState struct {
-	addr      netip.AddrPort
-	used      time.Time
-	suspected bool
-	pinging   bool
-	missed    int // pings in a row without an answer
-	gone      context.Context
-	leave     context.CancelFunc
+	addr            netip.AddrPort
+	usedAt          time.Time
+	suspected       bool
+	pinging         bool
+	missedPings     int // pings in a row without an answer
+	reachable       context.Context
+	markUnreachable context.CancelFunc
 }
 
-func newHomes() *homes { return &homes{rows: make(map[place.Host]*homeState)} }
+func newHomeMonitor() *homeMonitor { return &homeMonitor{hosts: make(map[place.Host]*homeState)} }
 
 // rankHomes orders the entry hosts by rendezvous for a target; those of the
 // target's zone come first, so that a request crosses zones once.
@@ -69,12 +69,12 @@
 		}
 		return cmp.Compare(weight(b), weight(a))
 	})
-	return out[:min(len(out), maxHomes)]
+	return out[:min(len(out), homesPerTarget)]
 }
 
-// keyHomes is the number of parts of a service's key space that each have a
+// keyHomeBuckets is the number of parts of a service's key space that each have a
 // home of their own.
-const keyHomes = 256
+const keyHomeBuckets = 256
 
 // homeOfKey returns the entry host that runs all work with an idempotency key
 // for a key of a service. It does not depend on the owner of the key, so that
@@ -85,12 +85,12 @@
 		return place.HostRow{}, false
 	}
 	part := xxhash.Sum64String(string(service)) + uint64(h)>>56
-	return v.hosts[v.keyHomes[part%keyHomes]], true
+	return v.hosts[v.keyHomes[part%keyHomeBuckets]], true
 }
 
 // rankKeyHomes gives each part of the key space a home by rendezvous.
 func rankKeyHomes(hosts []place.HostRow) []int {
-	out := make([]int, keyHomes)
+	out := make([]int, keyHomeBuckets)
 	for part := range out {
 		var most uint64
 		for i, h := range hosts {
@@ -102,9 +102,9 @@
 	return out
 }
 
-// fleetHosts reads the entry hosts that the platform lists, sorted by name.
-func (e *Entry) fleetHosts() []place.HostRow {
-	doc, ok := e.cfg.Board.Get(docsync.Fleet)
+// entryHosts reads the entry hosts that the platform lists, sorted by name.
+func (e *Entry) entryHosts() []place.HostRow {
+	doc, ok := e.cfg.Replica.Get(docsync.Fleet)
 	if !ok {
 		return nil
 	}
@@ -120,99 +120,99 @@
 	return hosts
 }
 
-// use records a hand-over and returns the context that ends once the host is
+// recordUse records a hand-over and returns the context that ends once the host is
 // suspected.
-func (h *homes) use(now time.Time, row place.HostRow) context.Context {
+func (h *homeMonitor) recordUse(now time.Time, row place.HostRow) context.Context {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.rows[row.Host]
+	s := h.hosts[row.Host]
 	if s == nil || s.addr != row.EntryAddr {
 		s = &homeState{addr: row.EntryAddr}
-		s.gone, s.leave = context.WithCancel(context.Background())
-		h.rows[row.Host] = s
+		s.reachable, s.markUnreachable = context.WithCancel(context.Background())
+		h.hosts[row.Host] = s
 	}
-	s.used = now
-	return s.gone
+	s.usedAt = now
+	return s.reachable
 }
 
 // suspected reports whether a host did not answer its last ping.
-func (h *homes) suspected(host place.Host) bool {
+func (h *homeMonitor) suspected(host place.Host) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.rows[host]
+	s := h.hosts[host]
 	return s != nil && s.suspected
 }
 
 // suspect passes over a host until it answers a ping.
-func (h *homes) suspect(host place.Host) {
+func (h *homeMonitor) suspect(host place.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.rows[host]
+	s := h.hosts[host]
 	if s == nil || s.suspected {
 		return
 	}
 	s.suspected = true
-	s.leave()
+	s.markUnreachable()
 }
 
-// miss counts a ping without an answer; it reports whether they are too many.
-func (h *homes) miss(host place.Host) bool {
+// pingMissed counts a ping without an answer; it reports whether they are too many.
+func (h *homeMonitor) pingMissed(host place.Host) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.rows[host]
+	s := h.hosts[host]
 	if s == nil {
 		return false
 	}
-	s.missed++
-	return s.missed >= maxMissed
+	s.missedPings++
+	return s.missedPings >= maxMissedPings
 }
 
-// trust takes a host back that answered a ping.
-func (h *homes) trust(host place.Host) {
+// pingAnswered takes a host back that answered a ping.
+func (h *homeMonitor) pingAnswered(host place.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.rows[host]
+	s := h.hosts[host]
 	if s == nil {
 		return
 	}
-	s.missed = 0
+	s.missedPings = 0
 	if !s.suspected {
 		return
 	}
 	s.suspected = false
-	s.gone, s.leave = context.WithCancel(context.Background())
+	s.reachable, s.markUnreachable = context.WithCancel(context.Background())
 }
 
-// due returns the hosts to ping now, in turn, and marks them as being pinged.
-func (h *homes) due(now time.Time) []ping {
+// duePings returns the hosts to ping now, in turn, and marks them as being pinged.
+func (h *homeMonitor) duePings(now time.Time) []ping {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	hosts := make([]place.Host, 0, len(h.rows))
-	for host, s := range h.rows {
+	hosts := make([]place.Host, 0, len(h.hosts))
+	for host, s := range h.hosts {
 		switch {
-		case now.Sub(s.used) > pingIdle && !s.suspected:
-			s.leave()
-			delete(h.rows, host)
+		case now.Sub(s.usedAt) > pingIdleTimeout && !s.suspected:
+			s.markUnreachable()
+			delete(h.hosts, host)
 		case !s.pinging:
 			hosts = append(hosts, host)
 		}
 	}
 	slices.Sort(hosts)
-	n := min(len(hosts), maxPings)
+	n := min(len(hosts), maxPingsPerRound)
 	out := make([]ping, 0, n)
 	for i := range n {
-		host := hosts[(h.turn+i)%len(hosts)]
-		h.rows[host].pinging = true
-		out = append(out, ping{host, h.rows[host].addr})
+		host := hosts[(h.nextPing+i)%len(hosts)]
+		h.hosts[host].pinging = true
+		out = append(out, ping{host, h.hosts[host].addr})
 	}
-	h.turn += n
+	h.nextPing += n
 	return out
 }
 
-func (h *homes) pinged(host place.Host) {
+func (h *homeMonitor) pingEnded(host place.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s := h.rows[host]; s != nil {
+	if s := h.hosts[host]; s != nil {
 		s.pinging = false
 	}
 }
@@ -223,15 +223,15 @@
 	addr netip.AddrPort
 }
 
-// run asks once.
-func (p ping) run(ctx context.Context, e *Entry) {
+// send asks once.
+func (p ping) send(ctx context.Context, e *Entry) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	_, err := e.cfg.Link.Call(ctx, p.addr, peer.KindForward, nil)
-	e.homes.pinged(p.host)
+	_, err := e.cfg.Transport.Call(ctx, p.addr, peer.KindRelay, nil)
+	e.homes.pingEnded(p.host)
 	if err == nil {
-		e.homes.trust(p.host)
-	} else if e.homes.miss(p.host) {
+		e.homes.pingAnswered(p.host)
+	} else if e.homes.pingMissed(p.host) {
 		e.homes.suspect(p.host)
 	}
 }
@@ -246,8 +246,8 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			for _, p := range e.homes.due(now) {
-				go p.run(ctx, e)
+			for _, p := range e.homes.duePings(now) {
+				go p.send(ctx, e)
 			}
 		}
 	}
--- a/internal/entry/listen.go
+++ b/internal/entry/httpserver.go
@@ -12,20 +12,20 @@
 
 // Bounds of the callers' connections.
 const (
-	headTimeout = 5 * time.Second
-	idleTimeout = 2 * time.Minute
-	// maxHead bounds a request's line and headers; net/http adds 4 KiB.
-	maxHead = 16 << 10
-	// stopPoll is how often a stop looks for open connections.
-	stopPoll = 5 * time.Millisecond
+	headerTimeout = 5 * time.Second
+	idleTimeout   = 2 * time.Minute
+	// maxHeaderBytes bounds a request's line and headers; net/http adds 4 KiB.
+	maxHeaderBytes = 16 << 10
+	// stopPollInterval is how often a stop looks for open connections.
+	stopPollInterval = 5 * time.Millisecond
 )
 
 // Server serves callers on one listener.
 type Server struct {
-	http     http.Server
-	listener net.Listener
-	open     atomic.Int64
-	stopping atomic.Bool
+	http      http.Server
+	listener  net.Listener
+	openConns atomic.Int64
+	stopping  atomic.Bool
 }
 
 // NewServer returns the server for callers; Run serves.
@@ -33,21 +33,21 @@
 	s := &Server{listener: listener}
 	s.http = http.Server{
 		Handler:           handler,
-		ConnState:         s.count,
-		ReadHeaderTimeout: headTimeout,
+		ConnState:         s.countConn,
+		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 	}
 	return s
 }
 
-func (s *Server) count(_ net.Conn, state http.ConnState) {
+func (s *Server) countConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		s.open.Add(1)
+		s.openConns.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		s.open.Add(-1)
+		s.openConns.Add(-1)
 	}
 }
 
@@ -74,9 +74,9 @@
 func (s *Server) waitClosed(ctx context.Context, patience time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	ticker := time.NewTicker(stopPoll)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
-	for s.open.Load() > 0 {
+	for s.openConns.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/entry/work.go
+++ b/internal/entry/job.go
@@ -18,18 +18,18 @@
 const refusalBusy = target.RefusalBusy
 
 const (
-	// parkStep is how long a request that a target refused as not its owner
+	// minParkWait is how long a request that a target refused as not its owner
 	// waits for a newer table before the target is asked again: the target
 	// may get its grant after the table is out.
 	// The wait doubles each time, up to parkDoublings times.
-	parkStep      = 40 * time.Millisecond
-	parkDoublings = 4
-	// retryAfter is the hint where nothing better is known.
-	retryAfter = time.Second
+	minParkWait      = 40 * time.Millisecond
+	maxParkDoublings = 4
+	// defaultRetryAfter is the hint where nothing better is known.
+	defaultRetryAfter = time.Second
 )
 
-// work is one request on its way to the owner of its key.
-type work struct {
+// job is one request on its way to the owner of its key.
+type job struct {
 	caller     settings.Caller
 	class      settings.Class
 	route      string
@@ -37,30 +37,30 @@
 	request    forward.Request
 	hash       key.Hash
 	deadline   time.Time
-	// join is the idempotency key, or empty; digest tells requests apart
+	// idempotencyKey is the idempotency key, or empty; digest tells requests apart
 	// that misuse the same one.
-	join   string
-	digest digest
+	idempotencyKey string
+	fingerprint    fingerprint
 	// parkUntil bounds the waiting for an owner.
-	parkUntil time.Time
-	wake      chan event
-	ticket    queue.Ticket
+	parkUntil   time.Time
+	wake        chan slotEvent
+	queueHandle queue.Handle
 	// direct tells that the request goes to its home where the target has no
 	// free slot; waited that it waited for one.
 	direct, waited bool
-	// moved tells that the owner changed while the request ran.
-	moved atomic.Bool
-	// handed tells that another entry host handed the request over.
-	handed bool
-	// returned tells that the request held a slot before and did not run.
-	returned bool
-	// uncertain is the reason of an uncertain try, after which the request
+	// ownerMoved tells that the owner changed while the request ran.
+	ownerMoved atomic.Bool
+	// relayed tells that another entry host handed the request over.
+	relayed bool
+	// requeue tells that the request held a slot before and did not run.
+	requeue bool
+	// uncertainReason is the reason of an uncertain try, after which the request
 	// was sent again; it can no longer end as not-run.
-	uncertain outcome.Reason
+	uncertainReason outcome.Reason
 	// refusedBy is the owner that said it does not own the shard; parks
 	// counts the waits for a newer table.
 	refusedBy owner
-	parks     int
+	parkCount int
 }
 
 // step is what to do after one try.
@@ -69,70 +69,70 @@
 // finish ends the request; again tries it at once; park waits for a newer
 // table first.
 type (
-	finish struct{ result outcome.Result }
-	again  struct{}
-	park   struct{ reason outcome.Reason }
+	finish   struct{ result outcome.Result }
+	retryNow struct{}
+	park     struct{ reason outcome.Reason }
 )
 
-func (finish) step() {}
-func (again) step()  {}
-func (park) step()   {}
+func (finish) step()   {}
+func (retryNow) step() {}
+func (park) step()     {}
 
 // serve takes one request to its end. ctx ends when nobody waits for the
 // answer any more.
-func (e *Entry) serve(ctx context.Context, w *work) outcome.Result {
-	e.earn()
+func (e *Entry) serve(ctx context.Context, w *job) outcome.Result {
+	e.countForRetries()
 	for {
 		v := e.view.Load()
-		switch s := e.try(ctx, v, w).(type) {
+		switch s := e.tryOwner(ctx, v, w).(type) {
 		case finish:
-			return w.final(s.result)
+			return w.finalResult(s.result)
 		case park:
 			if failure := e.park(ctx, v, w, s.reason); failure != nil {
-				return w.final(failure)
+				return w.finalResult(failure)
 			}
-		case again:
+		case retryNow:
 		}
 	}
 }
 
-// final keeps not-run true: a look-up that was cut once and then found no
+// finalResult keeps not-run true: a look-up that was cut once and then found no
 // owner may have run the first time.
-func (w *work) final(r outcome.Result) outcome.Result {
-	if _, ok := r.(outcome.NotRunFailure); ok && w.uncertain != "" {
-		return outcome.UnknownFailure{Reason: w.uncertain}
+func (w *job) finalResult(r outcome.Result) outcome.Result {
+	if _, ok := r.(outcome.NotRunFailure); ok && w.uncertainReason != "" {
+		return outcome.UnknownFailure{Reason: w.uncertainReason}
 	}
 	return r
 }
 
-// try sends the request to the owner that the view names.
-func (e *Entry) try(ctx context.Context, v *view, w *work) step {
+// tryOwner sends the request to the owner that the view names.
+func (e *Entry) tryOwner(ctx context.Context, v *view, w *job) step {
 	s := v.services[w.request.Service]
 	if s == nil {
 		return park{outcome.NoOwner}
 	}
 	shard, o := s.find(w.hash)
-	if o.lane == nil || o == w.refusedBy && !e.spend() {
+	if o.target == nil || o == w.refusedBy && !e.withdrawRetry() {
 		return park{outcome.NoOwner}
 	}
-	switch sig := e.await(ctx, o.lane, w).(type) {
-	case moved:
-		return again{}
+	switch sig := e.awaitSlot(ctx, o.target, w).(type) {
+	case ownerMoved:
+		return retryNow{}
 	case contended:
 		return finish{nil}
 	case dropped:
 		return finish{sig.failure}
 	}
 	w.request.Shard, w.request.Epoch = shard, o.epoch
-	if now, stale := time.Now(), e.stale(w, o); stale {
-		o.lane.release(now, w, 0, forward.NotSent{Err: context.Canceled})
-		return again{}
+	if now, stale := time.Now(), e.ownerChanged(w, o); stale {
+		o.target.release(now, w, 0, forward.NotSent{Err: context.Canceled})
+		return retryNow{}
 	}
 	return e.send(ctx, s, o, w)
 }
 
-// stale reports whether the owner changed while the request waited.
-func (e *Entry) stale(w *work, o owner) bool {
+// ownerChanged reports whether the owner changed while the request waited.
+func (e *Entry) ownerChanged(w *job, o owner) bool {
 	s := e.view.Load().services[w.request.Service]
 	if s == nil {
 		return true
@@ -141,14 +141,14 @@
 	return newest != o || shard != w.request.Shard
 }
 
-// await waits for a slot of the lane. On every way out but granted the
+// awaitSlot waits for a slot of the lane. On every way out but granted the
 // request is out of the queue and did not run.
-func (e *Entry) await(ctx context.Context, l *lane, w *work) event {
+func (e *Entry) awaitSlot(ctx context.Context, l *targetState, w *job) slotEvent {
 	now := time.Now()
 	if !w.deadline.After(now) {
-		return dropped{notRun(outcome.Deadline, retryAfter)}
+		return dropped{notRun(outcome.Deadline, defaultRetryAfter)}
 	}
-	if sig := l.enter(now, w); sig != nil {
+	if sig := l.acquire(now, w); sig != nil {
 		return sig
 	}
 	w.waited = true
@@ -157,33 +157,33 @@
 		return sig
 	case <-ctx.Done():
 	}
-	if !l.leave(w) {
-		if _, ok := (<-w.wake).(granted); ok {
+	if !l.dequeue(w) {
+		if _, ok := (<-w.wake).(assigned); ok {
 			l.release(time.Now(), w, 0, forward.NotSent{Err: context.Canceled})
 		}
 	}
-	return dropped{notRun(outcome.CallerGone, retryAfter)}
+	return dropped{notRun(outcome.CallerGone, defaultRetryAfter)}
 }
 
 // send makes one try with the slot held, and gives the slot back.
-func (e *Entry) send(ctx context.Context, s *service, o owner, w *work) step {
-	l := o.lane
+func (e *Entry) send(ctx context.Context, s *service, o owner, w *job) step {
+	l := o.target
 	start := time.Now()
 	if !w.deadline.After(start) {
 		l.release(start, w, 0, forward.NotSent{Err: context.Canceled})
-		return finish{notRun(outcome.Deadline, retryAfter)}
+		return finish{notRun(outcome.Deadline, defaultRetryAfter)}
 	}
-	result := l.do(w.sendContext(ctx), w, start)
+	result := l.attempt(w.sendContext(ctx), w, start)
 	end := time.Now()
 	took := end.Sub(start)
 	l.release(end, w, took, result)
 	s.load.add(w.request.Shard, w.hash, took)
-	e.metrics.tried(result)
-	return e.judge(ctx, o, w, result)
+	e.metrics.countAttempt(result)
+	return e.afterAttempt(ctx, o, w, result)
 }
 
-// do makes one try; a look-up is broken off where its owner changes.
-func (l *lane) do(ctx context.Context, w *work, now time.Time) forward.Result {
+// attempt makes one try; a look-up is broken off where its owner changes.
+func (l *targetState) attempt(ctx context.Context, w *job, now time.Time) forward.Result {
 	if !w.idempotent {
 		return l.pool.Do(ctx, &w.request, now)
 	}
@@ -196,83 +196,83 @@
 
 // sendContext lets a caller that hung up cancel a look-up that runs. Other
 // work runs to its end: breaking it off would leave its outcome unknown.
-func (w *work) sendContext(ctx context.Context) context.Context {
+func (w *job) sendContext(ctx context.Context) context.Context {
 	if w.idempotent {
 		return ctx
 	}
 	return context.WithoutCancel(ctx)
 }
 
-// judge decides what follows one try.
-func (e *Entry) judge(ctx context.Context, o owner, w *work, result forward.Result) step {
+// afterAttempt decides what follows one try.
+func (e *Entry) afterAttempt(ctx context.Context, o owner, w *job, result forward.Result) step {
 	switch r := result.(type) {
 	case forward.Completed:
 		return finish{r.Response}
 	case forward.Refused:
-		return e.judgeRefused(o, w, r.Refusal)
+		return e.afterRefused(o, w, r.Refusal)
 	case forward.NotSent:
-		return e.judgeNotSent(ctx, w, r.Err)
+		return e.afterNotSent(ctx, w, r.Err)
 	case forward.Uncertain:
-		if w.moved.Swap(false) {
+		if w.ownerMoved.Swap(false) {
 			r.Reason = outcome.AnswerCut
 		}
-		if e.mayResend(ctx, w, r.Reason) {
-			w.uncertain, w.returned = r.Reason, true
-			return again{}
+		if e.mayRetry(ctx, w, r.Reason) {
+			w.uncertainReason, w.requeue = r.Reason, true
+			return retryNow{}
 		}
 		return finish{outcome.UnknownFailure{Reason: r.Reason}}
 	}
 	return finish{outcome.UnknownFailure{Reason: outcome.AnswerBad}}
 }
 
-// judgeRefused follows a target's word that nothing ran.
-func (e *Entry) judgeRefused(o owner, w *work, refusal target.Refusal) step {
-	w.returned = true
+// afterRefused follows a target's word that nothing ran.
+func (e *Entry) afterRefused(o owner, w *job, refusal target.Refusal) step {
+	w.requeue = true
 	switch refusal {
 	case target.RefusalBusy:
 		if w.direct {
-			o.lane.contend(time.Now())
+			o.target.markContended(time.Now())
 			return finish{nil}
 		}
-		return again{}
+		return retryNow{}
 	case target.RefusalDeadline:
-		return finish{notRun(outcome.Deadline, retryAfter)}
+		return finish{notRun(outcome.Deadline, defaultRetryAfter)}
 	case target.RefusalOwner, target.RefusalDraining:
 		w.refusedBy = o
 		return park{outcome.NoOwner}
 	}
-	return finish{notRun(outcome.Refused, retryAfter)}
+	return finish{notRun(outcome.Refused, defaultRetryAfter)}
 }
 
-// judgeNotSent follows a try of which no byte left.
-func (e *Entry) judgeNotSent(ctx context.Context, w *work, err error) step {
-	w.returned = true
+// afterNotSent follows a try of which no byte left.
+func (e *Entry) afterNotSent(ctx context.Context, w *job, err error) step {
+	w.requeue = true
 	if ctx.Err() != nil {
-		return finish{notRun(outcome.CallerGone, retryAfter)}
+		return finish{notRun(outcome.CallerGone, defaultRetryAfter)}
 	}
-	if errors.Is(err, forward.ErrClosed) || errors.Is(err, forward.ErrFull) || e.spend() {
+	if errors.Is(err, forward.ErrClosed) || errors.Is(err, forward.ErrFull) || e.withdrawRetry() {
 		return park{outcome.Unreachable}
 	}
-	return finish{notRun(outcome.Unreachable, retryAfter)}
+	return finish{notRun(outcome.Unreachable, defaultRetryAfter)}
 }
 
 // park waits for a newer view, or parkStep if the view names an owner. It
 // returns the failure where the request is given up instead.
-func (e *Entry) park(ctx context.Context, v *view, w *work, reason outcome.Reason) outcome.Result {
+func (e *Entry) park(ctx context.Context, v *view, w *job, reason outcome.Reason) outcome.Result {
 	now := time.Now()
 	if w.parkUntil.IsZero() {
-		w.parkUntil = now.Add(e.cfg.Park)
+		w.parkUntil = now.Add(e.cfg.ParkTimeout)
 	}
 	end := w.parkUntil
 	if w.deadline.Before(end) {
 		end = w.deadline
 	}
-	if !end.After(now) || !e.parked.enter() {
-		return notRun(reason, retryAfter)
+	if !end.After(now) || !e.parked.tryAcquire() {
+		return notRun(reason, defaultRetryAfter)
 	}
-	defer e.parked.leave()
-	pause := parkStep << min(w.parks, parkDoublings)
-	w.parks++
+	defer e.parked.release()
+	pause := minParkWait << min(w.parkCount, maxParkDoublings)
+	w.parkCount++
 	wait := min(end.Sub(now), pause/2+rand.N(pause))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -280,12 +280,12 @@
 	case <-v.replaced:
 	case <-timer.C:
 		if !end.After(time.Now()) {
-			return notRun(reason, retryAfter)
+			return notRun(reason, defaultRetryAfter)
 		}
 	case <-ctx.Done():
-		return notRun(outcome.CallerGone, retryAfter)
+		return notRun(outcome.CallerGone, defaultRetryAfter)
 	case <-e.stopping:
-		return notRun(outcome.Stopping, retryAfter)
+		return notRun(outcome.Stopping, defaultRetryAfter)
 	}
 	return nil
 }
--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -11,20 +11,20 @@
 // Retry budget: resends are bounded to a tenth of the requests, so that many
 // failures at once do not multiply the load.
 const (
-	budgetShare = 0.1
-	budgetBurst = 20
+	retryBudgetRatio = 0.1
+	retryBudgetBurst = 20
 )
 
-// budget bounds resends. It is not safe for concurrent use.
-type budget struct{ tokens float64 }
+// retryBudget bounds resends. It is not safe for concurrent use.
+type retryBudget struct{ tokens float64 }
 
-func newBudget() budget { return budget{tokens: budgetBurst} }
+func newRetryBudget() retryBudget { return retryBudget{tokens: retryBudgetBurst} }
 
-// earn counts one request.
-func (b *budget) earn() { b.tokens = min(b.tokens+budgetShare, budgetBurst) }
+// countRequest counts one request.
+func (b *retryBudget) countRequest() { b.tokens = min(b.tokens+retryBudgetRatio, retryBudgetBurst) }
 
-// spend takes the right to one resend, if there is one.
-func (b *budget) spend() bool {
+// withdraw takes the right to one resend, if there is one.
+func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -35,27 +35,29 @@
 // Adaptive concurrency: a whole answer raises the limit a little, a refusal
 // for want of a slot lowers it.
 const (
-	limitRaise = 0.1
-	limitLower = 0.7
+	additiveIncrease       = 0.1
+	multiplicativeDecrease = 0.7
 )
 
-// limiter is the number of requests that this entry host sends to one target
+// concurrencyLimit is the number of requests that this entry host sends to one target
 // at once. It is not safe for concurrent use.
-type limiter struct {
+type concurrencyLimit struct {
 	slots int
 	limit float64
 }
 
-func newLimiter(slots int) limiter {
-	return limiter{slots: slots, limit: float64(slots)}
+func newConcurrencyLimit(slots int) concurrencyLimit {
+	return concurrencyLimit{slots: slots, limit: float64(slots)}
 }
 
-func (l *limiter) raise() { l.limit = min(l.limit+limitRaise/l.limit, float64(l.slots)) }
-func (l *limiter) lower() { l.limit = max(l.limit*limitLower, 1) }
+func (l *concurrencyLimit) increase() {
+	l.limit = min(l.limit+additiveIncrease/l.limit, float64(l.slots))
+}
+func (l *concurrencyLimit) decrease() { l.limit = max(l.limit*multiplicativeDecrease, 1) }
 
-// allowed returns the concurrency at a time, which ramps up from 1 while the
+// current returns the concurrency at a time, which ramps up from 1 while the
 // target is cold.
-func (l *limiter) allowed(now, since time.Time, warmUp time.Duration) int {
+func (l *concurrencyLimit) current(now, since time.Time, warmUp time.Duration) int {
 	n := int(l.limit + 0.5)
 	age := now.Sub(since)
 	if since.IsZero() || warmUp <= 0 || age >= warmUp {
@@ -70,7 +72,7 @@
 const (
 	meanWeight      = 0.1
 	deviationWeight = 0.1
-	mostDeviations  = 2
+	upperDeviations = 2
 )
 
 // serviceTime estimates how long a target takes for one request.
@@ -82,17 +84,17 @@
 	s.deviation += time.Duration(deviationWeight * float64(off.Abs()-s.deviation))
 }
 
-// most returns the time within which most requests are served.
-func (s *serviceTime) most() time.Duration { return s.mean + mostDeviations*s.deviation }
+// upper returns the time within which most requests are served.
+func (s *serviceTime) upper() time.Duration { return s.mean + upperDeviations*s.deviation }
 
-// backlogPace estimates the time between two requests served while more wait.
-type backlogPace struct {
+// backlogInterval estimates the time between two requests served while more wait.
+type backlogInterval struct {
 	last time.Time // zero where nothing waited
 	mean time.Duration
 }
 
 // add counts a request served at now; waiting tells whether more wait.
-func (p *backlogPace) add(now time.Time, waiting bool) {
+func (p *backlogInterval) add(now time.Time, waiting bool) {
 	if !p.last.IsZero() {
 		p.mean += time.Duration(meanWeight * float64(now.Sub(p.last)-p.mean))
 	}
@@ -104,14 +106,14 @@
 	p.mean = 0
 }
 
-// between returns the estimate, zero where nothing waits.
-func (p *backlogPace) between() time.Duration { return p.mean }
+// estimate returns the estimate, zero where nothing waits.
+func (p *backlogInterval) estimate() time.Duration { return p.mean }
 
 // callerLimit is one settings.Limit at this entry host.
 type callerLimit struct {
-	rate       *rate.Limiter
-	concurrent int
-	running    int
+	rate          *rate.Limiter
+	maxConcurrent int
+	inFlight      int
 }
 
 type callerLimitID struct {
@@ -121,7 +123,7 @@
 
 // allow takes the right to one request; wait tells when to come back.
 func (l *callerLimit) allow(now time.Time) (ok bool, wait time.Duration) {
-	if l.concurrent > 0 && l.running >= l.concurrent {
+	if l.maxConcurrent > 0 && l.inFlight >= l.maxConcurrent {
 		return false, time.Second
 	}
 	if l.rate != nil {
@@ -131,6 +133,6 @@
 			return false, d
 		}
 	}
-	l.running++
+	l.inFlight++
 	return true, 0
 }
--- a/internal/entry/limit_test.go
+++ b/internal/entry/limit_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAllowed(t *testing.T) {
+func TestConcurrencyLimit(t *testing.T) {
 	since := time.Unix(1000, 0)
 	tests := map[string]struct {
 		limit  float64
@@ -26,22 +26,22 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			l := limiter{slots: 3, limit: test.limit}
-			assert.Equal(t, l.allowed(since.Add(test.age), since, test.warmUp), test.want)
+			l := concurrencyLimit{slots: 3, limit: test.limit}
+			assert.Equal(t, l.current(since.Add(test.age), since, test.warmUp), test.want)
 		})
 	}
 }
 
-func TestBudget(t *testing.T) {
-	b := newBudget()
-	for range budgetBurst {
-		assert.Assert(t, b.spend())
+func TestRetryBudgetRatio(t *testing.T) {
+	b := newRetryBudget()
+	for range retryBudgetBurst {
+		assert.Assert(t, b.withdraw())
 	}
-	assert.Assert(t, !b.spend())
+	assert.Assert(t, !b.withdraw())
 	spent := 0
 	for range 1000 {
-		b.earn()
-		if b.spend() {
+		b.countRequest()
+		if b.withdraw() {
 			spent++
 		}
 	}
@@ -50,7 +50,7 @@
 
 func TestCallerLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := callerLimit{rate: rate.NewLimiter(2, 2), concurrent: 3}
+	l := callerLimit{rate: rate.NewLimiter(2, 2), maxConcurrent: 3}
 	for range 2 {
 		ok, _ := l.allow(now)
 		assert.Assert(t, ok)
@@ -65,10 +65,10 @@
 }
 
 func TestServiceTime(t *testing.T) {
-	s := serviceTime{mean: firstEstimate}
+	s := serviceTime{mean: initialServiceTime}
 	for range 100 {
 		s.add(20 * time.Millisecond)
 	}
 	assert.Assert(t, s.mean > 19*time.Millisecond && s.mean <= 20*time.Millisecond, s.mean)
-	assert.Assert(t, s.most() < 25*time.Millisecond, s.most())
+	assert.Assert(t, s.upper() < 25*time.Millisecond, s.upper())
 }
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -21,12 +21,12 @@
 	reportInterval = time.Second
 	// reportTimeout bounds the sending of one; a lost report is not repeated.
 	reportTimeout = time.Second
-	// hotKeys is the number of keys of a service that are weighed at once.
-	hotKeys = 2 * placement.MaxHotKeys
+	// trackedHotKeys is the number of keys of a service that are weighed at once.
+	trackedHotKeys = 2 * placement.MaxHotKeys
 )
 
-// load counts what passes here, by service and shard.
-type load struct {
+// loadCounters counts what passes here, by service and shard.
+type loadCounters struct {
 	mu       sync.Mutex
 	services map[key.Service]*serviceLoad
 }
@@ -34,12 +34,12 @@
 // serviceLoad counts the requests and the busy time of each shard since the
 // last report, and weighs the keys by their busy time.
 type serviceLoad struct {
-	count key.ShardCount
-	dense []shardLoad // hash-range shards, by index
+	count       key.ShardCount
+	rangeShards []shardLoad // hash-range shards, by index
 
-	mu   sync.Mutex
-	solo map[key.Shard]*shardLoad
-	hot  *topk.Sketch
+	mu              sync.Mutex
+	singleKeyShards map[key.Shard]*shardLoad
+	hotKeys         *topk.Sketch
 }
 
 type shardLoad struct {
@@ -47,22 +47,22 @@
 	busy     atomic.Int64
 }
 
-func newLoad() *load {
-	return &load{services: make(map[key.Service]*serviceLoad)}
+func newLoadCounters() *loadCounters {
+	return &loadCounters{services: make(map[key.Service]*serviceLoad)}
 }
 
 // service returns the counters of a service, made on first sight and anew
 // where the shard count changed.
-func (l *load) service(name key.Service, count key.ShardCount) *serviceLoad {
+func (l *loadCounters) service(name key.Service, count key.ShardCount) *serviceLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.services[name]
 	if s == nil || s.count != count {
 		s = &serviceLoad{
-			count: count,
-			dense: make([]shardLoad, count),
-			solo:  make(map[key.Shard]*shardLoad),
-			hot:   topk.New(hotKeys),
+			count:           count,
+			rangeShards:     make([]shardLoad, count),
+			singleKeyShards: make(map[key.Shard]*shardLoad),
+			hotKeys:         topk.New(trackedHotKeys),
 		}
 		l.services[name] = s
 	}
@@ -70,24 +70,24 @@
 }
 
 func (s *serviceLoad) add(shard key.Shard, h key.Hash, busy time.Duration) {
-	row := s.row(shard)
+	row := s.shard(shard)
 	row.requests.Add(1)
 	row.busy.Add(int64(busy))
 	s.mu.Lock()
-	s.hot.Add(h, uint64(busy.Microseconds())+1)
+	s.hotKeys.Add(h, uint64(busy.Microseconds())+1)
 	s.mu.Unlock()
 }
 
-func (s *serviceLoad) row(shard key.Shard) *shardLoad {
-	if int(shard) < len(s.dense) {
-		return &s.dense[shard]
+func (s *serviceLoad) shard(shard key.Shard) *shardLoad {
+	if int(shard) < len(s.rangeShards) {
+		return &s.rangeShards[shard]
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	row := s.solo[shard]
+	row := s.singleKeyShards[shard]
 	if row == nil {
 		row = &shardLoad{}
-		s.solo[shard] = row
+		s.singleKeyShards[shard] = row
 	}
 	return row
 }
@@ -95,44 +95,44 @@
 // take returns the counts since the last take, sorted by shard.
 func (s *serviceLoad) take() ([]placement.ShardLoad, []topk.Item) {
 	var out []placement.ShardLoad
-	for i := range s.dense {
-		if n := s.dense[i].requests.Swap(0); n > 0 {
-			out = append(out, placement.ShardLoad{Shard: key.Shard(i), Requests: n, Busy: time.Duration(s.dense[i].busy.Swap(0))})
+	for i := range s.rangeShards {
+		if n := s.rangeShards[i].requests.Swap(0); n > 0 {
+			out = append(out, placement.ShardLoad{Shard: key.Shard(i), Requests: n, Busy: time.Duration(s.rangeShards[i].busy.Swap(0))})
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for shard, row := range s.solo {
+	for shard, row := range s.singleKeyShards {
 		out = append(out, placement.ShardLoad{Shard: shard, Requests: row.requests.Load(), Busy: time.Duration(row.busy.Load())})
 	}
-	clear(s.solo)
+	clear(s.singleKeyShards)
 	slices.SortFunc(out, func(a, b placement.ShardLoad) int { return cmp.Compare(a.Shard, b.Shard) })
-	hot := s.hot.Top(placement.MaxHotKeys)
-	s.hot.Reset()
+	hot := s.hotKeys.Top(placement.MaxHotKeys)
+	s.hotKeys.Reset()
 	return out, hot
 }
 
 // cellReport is a load report on its way to the lead of one cell.
 type cellReport struct {
 	placement.Report
-	lead netip.AddrPort
+	leaderAddr netip.AddrPort
 }
 
-// reports builds one report for each cell with load, from the counts since
+// buildReports builds one report for each cell with load, from the counts since
 // the last call.
-func (e *Entry) reports(period time.Duration) []cellReport {
+func (e *Entry) buildReports(period time.Duration) []cellReport {
 	v := e.view.Load()
 	var out []cellReport
 	for name, s := range v.services {
 		shards, hot := s.load.take()
 		cells := make(map[place.Zone]*placement.Report)
 		for _, row := range shards {
-			if r := reportOf(cells, s.ownerOf(row.Shard)); r != nil {
+			if r := reportOf(cells, s.shardOwner(row.Shard)); r != nil {
 				r.Shards = append(r.Shards, row)
 			}
 		}
 		for _, item := range hot {
-			s.addHot(cells, item)
+			s.addHotKey(cells, item)
 		}
 		for _, t := range v.tables {
 			if r := cells[t.Zone]; r != nil && t.Service == name {
@@ -144,10 +144,10 @@
 	return out
 }
 
-// addHot adds a key to the report of its cell; solo keys have shards of their
+// addHotKey adds a key to the report of its cell; solo keys have shards of their
 // own already.
-func (s *service) addHot(cells map[place.Zone]*placement.Report, item topk.Item) {
-	if _, solo := s.solos[item.Hash]; solo {
+func (s *service) addHotKey(cells map[place.Zone]*placement.Report, item topk.Item) {
+	if _, solo := s.singleKeys[item.Hash]; solo {
 		return
 	}
 	_, o := s.find(item.Hash)
@@ -160,22 +160,22 @@
 	}
 }
 
-// ownerOf returns the owner of a shard.
-func (s *service) ownerOf(shard key.Shard) owner {
-	if int(shard) < len(s.dense) {
-		return s.dense[shard]
+// shardOwner returns the owner of a shard.
+func (s *service) shardOwner(shard key.Shard) owner {
+	if int(shard) < len(s.rangeOwners) {
+		return s.rangeOwners[shard]
 	}
-	return s.rows[shard]
+	return s.singleKeyOwners[shard]
 }
 
 func reportOf(cells map[place.Zone]*placement.Report, o owner) *placement.Report {
-	if o.lane == nil {
+	if o.target == nil {
 		return nil
 	}
-	r := cells[o.lane.zone]
+	r := cells[o.target.zone]
 	if r == nil {
 		r = &placement.Report{}
-		cells[o.lane.zone] = r
+		cells[o.target.zone] = r
 	}
 	return r
 }
@@ -190,23 +190,23 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			for _, r := range e.reports(now.Sub(last)) {
-				go r.run(ctx, e)
+			for _, r := range e.buildReports(now.Sub(last)) {
+				go r.send(ctx, e)
 			}
 			last = now
 		}
 	}
 }
 
-// run sends one report. A lost one is made up for by the next.
-func (r cellReport) run(ctx context.Context, e *Entry) {
+// send sends one report. A lost one is made up for by the next.
+func (r cellReport) send(ctx context.Context, e *Entry) {
 	body, err := placement.EncodeReport(r.Report)
-	if err != nil || !r.lead.IsValid() {
+	if err != nil || !r.leaderAddr.IsValid() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := e.cfg.Link.Call(ctx, r.lead, peer.KindLoad, body); err != nil {
+	if _, err := e.cfg.Transport.Call(ctx, r.leaderAddr, peer.KindLoad, body); err != nil {
 		e.log.Debug("Load report is lost.", "service", string(r.Service), "zone", string(r.Zone), "error", err)
 	}
 }
--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -25,21 +25,21 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// idlePatience is how long a stop waits for idle connections of callers.
-const idlePatience = 2 * time.Second
+// idleStopTimeout is how long a stop waits for idle connections of callers.
+const idleStopTimeout = 2 * time.Second
 
 // Options is what the flags and environment variables of the program say.
 type Options struct {
 	program.Options
 
-	Lead       netip.AddrPort
-	HTTP       netip.AddrPort
-	Hosts      int
-	QueueBound int
-	Park       time.Duration
-	Parked     int
-	Memory     int64
-	Notice     time.Duration
+	LeadAddr    netip.AddrPort
+	HTTPAddr    netip.AddrPort
+	Hosts       int
+	MaxQueueLen int
+	ParkTimeout time.Duration
+	MaxParked   int
+	BodyMemory  int64
+	StopNotice  time.Duration
 }
 
 // Main runs the program and returns its exit code.
@@ -55,17 +55,17 @@
 	set.StringVar(&leadAddr, "lead", "", "peer address of this host's own lead process, IP:PORT")
 	set.StringVar(&httpAddr, "http-address", "", "address that callers reach this process at, IP:PORT")
 	set.IntVar(&o.Hosts, "hosts", DefaultHosts, "number of entry hosts that share each target's connections")
-	set.IntVar(&o.QueueBound, "queue", queue.DefaultConfig().Bound, "longest queue of one target, in requests")
-	set.DurationVar(&o.Park, "park", DefaultPark, "longest wait of a request whose key has no owner")
-	set.IntVar(&o.Parked, "parked", DefaultParked, "most requests that wait for an owner at once")
-	set.Int64Var(&o.Memory, "body-memory", DefaultMemory, "most bytes of request bodies held at once")
-	set.DurationVar(&o.Notice, "stop-notice", time.Second, "time between failing /ready and closing, for the balancer to notice")
+	set.IntVar(&o.MaxQueueLen, "queue", queue.DefaultConfig().MaxLen, "longest queue of one target, in requests")
+	set.DurationVar(&o.ParkTimeout, "park", DefaultParkTimeout, "longest wait of a request whose key has no owner")
+	set.IntVar(&o.MaxParked, "parked", DefaultMaxParked, "most requests that wait for an owner at once")
+	set.Int64Var(&o.BodyMemory, "body-memory", DefaultBodyMemory, "most bytes of request bodies held at once")
+	set.DurationVar(&o.StopNotice, "stop-notice", time.Second, "time between failing /ready and closing, for the balancer to notice")
 	if err := set.Read(args); err != nil || o.Version {
 		return o.Options, err
 	}
 	flags.Check()
-	o.Lead = set.Address("lead", leadAddr)
-	o.HTTP = set.Address("http-address", httpAddr)
+	o.LeadAddr = set.Address("lead", leadAddr)
+	o.HTTPAddr = set.Address("http-address", httpAddr)
 	o.check(set)
 	return o.Options, set.Findings.Err()
 }
@@ -75,10 +75,10 @@
 	if o.Hosts < 1 {
 		set.Findings.Add("--hosts", "is below 1", "give the number of entry hosts")
 	}
-	if o.QueueBound < 1 {
+	if o.MaxQueueLen < 1 {
 		set.Findings.Add("--queue", "is below 1", "give a number of requests")
 	}
-	if o.Notice >= o.StopTimeout {
+	if o.StopNotice >= o.StopTimeout {
 		set.Findings.Add("--stop-notice", "is not below --stop-timeout", "no time is left for requests in flight")
 	}
 }
@@ -91,7 +91,7 @@
 	metrics  *metric.Registry
 	entry    *Entry
 	node     *docsync.Node
-	pages    *admin.Server
+	admin    *admin.Server
 	listener net.Listener
 	server   *Server
 }
@@ -108,13 +108,13 @@
 	}
 	board := docsync.New()
 	d.node = docsync.NewNode(board, d.link, docsync.Config{
-		Self: material.Self(), Addr: o.Peer, LocalLead: o.Lead, Seeds: o.Peers, Log: log,
+		Self: material.Self(), Addr: o.Peer, LocalLead: o.LeadAddr, Seeds: o.Peers, Log: log,
 	})
 	d.entry = New(d.config(board))
-	if d.pages, err = admin.Listen(o.Admin, d.metrics.Handler(), d.entry.StatusHandler()); err != nil {
+	if d.admin, err = admin.Listen(o.Admin, d.metrics.Handler(), d.entry.StatusHandler()); err != nil {
 		return nil, fmt.Errorf("--admin-address: %w", err)
 	}
-	if d.listener, err = net.Listen("tcp", o.HTTP.String()); err != nil {
+	if d.listener, err = net.Listen("tcp", o.HTTPAddr.String()); err != nil {
 		return nil, fmt.Errorf("--http-address: %w", err)
 	}
 	d.server = NewServer(d.entry, d.listener)
@@ -123,23 +123,23 @@
 
 func (d *daemon) config(board docsync.Replica) Config {
 	bounds := queue.DefaultConfig()
-	bounds.Bound = d.opts.QueueBound
+	bounds.MaxLen = d.opts.MaxQueueLen
 	return Config{
-		Board:          board,
+		Replica:        board,
 		Host:           d.opts.Host,
 		Zone:           d.opts.Zone,
 		Sharing:        ShareAdaptive,
-		Link:           d.link,
+		Transport:      d.link,
 		DecodeSettings: settings.Decode,
 		DecodeTable:    table.Decode,
 		Log:            d.log,
 		Registry:       d.metrics,
 		Hosts:          d.opts.Hosts,
 		Queue:          bounds,
-		Park:           d.opts.Park,
-		Parked:         d.opts.Parked,
-		Memory:         d.opts.Memory,
-		Tick:           DefaultTick,
+		ParkTimeout:    d.opts.ParkTimeout,
+		MaxParked:      d.opts.MaxParked,
+		BodyMemory:     d.opts.BodyMemory,
+		TickInterval:   DefaultTickInterval,
 	}
 }
 
@@ -151,9 +151,9 @@
 	group.Go(func() error { return d.link.Run(outer) })
 	group.Go(func() error { return d.node.Run(outer) })
 	group.Go(func() error { return d.entry.Run(outer) })
-	group.Go(func() error { return d.pages.Run(outer) })
+	group.Go(func() error { return d.admin.Run(outer) })
 	group.Go(func() error { return status.NewExporter(d.entry, d.metrics).Run(outer) })
-	group.Go(func() error { return d.runReady(outer) })
+	group.Go(func() error { return d.updateReady(outer) })
 	group.Go(d.runServer)
 	group.Go(func() error {
 		defer cancel()
@@ -175,8 +175,8 @@
 	return d.server.Run()
 }
 
-// runReady keeps /ready in step.
-func (d *daemon) runReady(ctx context.Context) error {
+// updateReady keeps /ready in step.
+func (d *daemon) updateReady(ctx context.Context) error {
 	const period = 50 * time.Millisecond
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -185,7 +185,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			d.pages.SetReady(d.entry.Ready())
+			d.admin.SetReady(d.entry.Ready())
 		}
 	}
 }
@@ -200,20 +200,20 @@
 		return d.server.Close()
 	}
 	d.log.Info("Entry stops.")
-	d.pages.SetReady(false)
+	d.admin.SetReady(false)
 	d.entry.Drain()
-	sleep(failed, d.opts.Notice)
-	bound, cancel := context.WithTimeout(failed, d.opts.StopTimeout-d.opts.Notice)
+	sleep(failed, d.opts.StopNotice)
+	bound, cancel := context.WithTimeout(failed, d.opts.StopTimeout-d.opts.StopNotice)
 	defer cancel()
-	half := (d.opts.StopTimeout - d.opts.Notice) / 2
-	clear := time.AfterFunc(half, d.entry.Clear)
+	half := (d.opts.StopTimeout - d.opts.StopNotice) / 2
+	clear := time.AfterFunc(half, d.entry.DropWaiting)
 	defer clear.Stop()
 	var both errgroup.Group
 	both.Go(func() error {
-		d.entry.stopHanded(bound)
+		d.entry.drainRelayed(bound)
 		return nil
 	})
-	both.Go(func() error { return d.server.Stop(bound, min(half, idlePatience)) })
+	both.Go(func() error { return d.server.Stop(bound, min(half, idleStopTimeout)) })
 	if err := both.Wait(); err != nil {
 		d.log.Warn("Requests were cut at the end of the stop.", slog.Any("error", err))
 		return d.server.Close()
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -32,15 +32,15 @@
 	return expectation{outcome.Unknown, reason, runs}
 }
 
-func unrun(reason outcome.Reason) expectation {
+func notRun(reason outcome.Reason) expectation {
 	return expectation{outcome.NotRun, reason, 0}
 }
 
-// behaviour answers one request; it reports whether the connection stays open.
-type behaviour func(net.Conn, *http.Request, string) bool
+// responder answers one request; it reports whether the connection stays open.
+type responder func(net.Conn, *http.Request, string) bool
 
-// once behaves badly on the first request alone.
-func once(bad behaviour) behaviour {
+// onFirstRequest behaves badly on the first request alone.
+func onFirstRequest(bad responder) responder {
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	return func(c net.Conn, r *http.Request, id string) bool {
@@ -48,14 +48,14 @@
 		case <-first:
 			return bad(c, r, id)
 		default:
-			reply(c, id, "whole")
+			writeResponse(c, id, "whole")
 			return true
 		}
 	}
 }
 
-// raw answers with a text in which ID stands for the request's id.
-func raw(text string, open bool) behaviour {
+// rawResponse answers with a text in which ID stands for the request's id.
+func rawResponse(text string, open bool) responder {
 	return func(c net.Conn, _ *http.Request, id string) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", id))
 		return open
@@ -65,16 +65,16 @@
 // Deadlines in milliseconds: of requests that must not meet theirs, and of
 // those that must.
 const (
-	longDeadline  = "20000"
-	shortDeadline = "300"
+	longDeadlineMS  = "20000"
+	shortDeadlineMS = "300"
 )
 
-const head = "HTTP/1.1 200 OK\r\nCitrontray-Request: "
+const responseHead = "HTTP/1.1 200 OK\r\nCitrontray-Request: "
 
-// TestFailurePoints goes through the answers that a target can give.
-func TestFailurePoints(t *testing.T) {
+// TestTargetResponses goes through the answers that a target can give.
+func TestTargetResponses(t *testing.T) {
 	tests := map[string]struct {
-		behave         behaviour
+		behave         responder
 		once           bool // only the first request meets it
 		look, register expectation
 	}{
@@ -87,51 +87,51 @@
 			unknown(outcome.AnswerCut, 2), unknown(outcome.AnswerCut, 1),
 		},
 		"answer cut in its head": {
-			raw(head+"ID\r\nContent-Le", false), true, done(2), unknown(outcome.AnswerCut, 1),
+			rawResponse(responseHead+"ID\r\nContent-Le", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
 		"answer cut in its body": {
-			raw(head+"ID\r\nContent-Length: 10\r\n\r\n12345", false), true, done(2), unknown(outcome.AnswerCut, 1),
+			rawResponse(responseHead+"ID\r\nContent-Length: 10\r\n\r\n12345", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
 		"chunked answer cut": {
-			raw(head+"ID\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n", false), true, done(2), unknown(outcome.AnswerCut, 1),
+			rawResponse(responseHead+"ID\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
 		"answer of another request": {
-			raw(head+"another\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
+			rawResponse(responseHead+"another\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
 		},
 		"answer without an id": {
-			raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
+			rawResponse("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
 		},
 		"answer with two ids": {
-			raw(head+"ID\r\nCitrontray-Request: another\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
+			rawResponse(responseHead+"ID\r\nCitrontray-Request: another\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
 		},
 		"answer too big by its length": {
-			raw(head+"ID\r\nContent-Length: 2000\r\n\r\n", true), true, done(2), unknown(outcome.AnswerTooBig, 1),
+			rawResponse(responseHead+"ID\r\nContent-Length: 2000\r\n\r\n", true), true, done(2), unknown(outcome.AnswerTooBig, 1),
 		},
 		"answer too big by its chunks": {
-			raw(head+"ID\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n"+strings.Repeat("x", 2000)+"\r\n0\r\n\r\n", true), true,
+			rawResponse(responseHead+"ID\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n"+strings.Repeat("x", 2000)+"\r\n0\r\n\r\n", true), true,
 			done(2), unknown(outcome.AnswerTooBig, 1),
 		},
 		"answer whose head is too big": {
-			raw(head+"ID\r\nX: "+strings.Repeat("x", 80<<10)+"\r\nContent-Length: 0\r\n\r\n", false), true,
+			rawResponse(responseHead+"ID\r\nX: "+strings.Repeat("x", 80<<10)+"\r\nContent-Length: 0\r\n\r\n", false), true,
 			done(2), unknown(outcome.AnswerCut, 1),
 		},
 		"answer without a length": {
-			raw(head+"ID\r\n\r\nbody", false), true, done(2), unknown(outcome.AnswerBad, 1),
+			rawResponse(responseHead+"ID\r\n\r\nbody", false), true, done(2), unknown(outcome.AnswerBad, 1),
 		},
 		"answer that is not HTTP": {
-			raw("hello\r\n\r\n", false), true, done(2), unknown(outcome.AnswerCut, 1),
+			rawResponse("hello\r\n\r\n", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
 		"answer that switches protocols": {
-			raw("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), true, done(2), unknown(outcome.AnswerCut, 1),
+			rawResponse("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
 		"interim answer first": {
-			raw("HTTP/1.1 103 Early Hints\r\n\r\n"+head+"ID\r\nContent-Length: 2\r\n\r\nok", true), false, done(1), done(1),
+			rawResponse("HTTP/1.1 103 Early Hints\r\n\r\n"+responseHead+"ID\r\nContent-Length: 2\r\n\r\nok", true), false, done(1), done(1),
 		},
 		"error status with the id": {
-			raw("HTTP/1.1 500 Internal Server Error\r\nCitrontray-Request: ID\r\nContent-Length: 0\r\n\r\n", true), false, done(1), done(1),
+			rawResponse("HTTP/1.1 500 Internal Server Error\r\nCitrontray-Request: ID\r\nContent-Length: 0\r\n\r\n", true), false, done(1), done(1),
 		},
 		"chunked answer": {
-			raw(head+"ID\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true), false, done(1), done(1),
+			rawResponse(responseHead+"ID\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true), false, done(1), done(1),
 		},
 		"no answer within the deadline": {
 			func(c net.Conn, _ *http.Request, _ string) bool {
@@ -143,29 +143,29 @@
 	}
 	for name, test := range tests {
 		t.Run(name+"/look", func(t *testing.T) {
-			failurePoint(t, test.behave, test.once, "GET", "/balance/k", test.look)
+			testTargetResponse(t, test.behave, test.once, "GET", "/balance/k", test.look)
 		})
 		t.Run(name+"/register", func(t *testing.T) {
-			failurePoint(t, test.behave, test.once, "POST", "/plan/k", test.register)
+			testTargetResponse(t, test.behave, test.once, "POST", "/plan/k", test.register)
 		})
 	}
 }
 
-func failurePoint(t *testing.T, behave behaviour, only bool, method, path string, want expectation) {
+func testTargetResponse(t *testing.T, behave responder, only bool, method, path string, want expectation) {
 	if only {
-		behave = once(behave)
+		behave = onFirstRequest(behave)
 	}
 	f := newFixture(t, nil)
-	owner := newTarget(t, behave)
-	f.own(owner.addr())
-	deadline := longDeadline
+	owner := newFakeTarget(t, behave)
+	f.setOwner(owner.addr())
+	deadline := longDeadlineMS
 	if want.reason == outcome.AnswerLate {
-		deadline = shortDeadline
+		deadline = shortDeadlineMS
 	}
 	a := f.call(method, path, "", target.HeaderDeadline, deadline)
 	assert.Equal(t, a.outcome, want.outcome, a.body)
 	assert.Equal(t, a.reason, want.reason)
-	assert.Equal(t, owner.total(), want.runs)
+	assert.Equal(t, owner.totalRuns(), want.runs)
 	if want.outcome == outcome.Unknown {
 		assert.Assert(t, !strings.Contains(a.body, owner.addr().String()), "the address leaks")
 	}
@@ -178,33 +178,33 @@
 		first   bool // only the first request is refused
 		want    expectation
 	}{
-		"owner, until the table moves": {target.RefusalOwner, false, unrun(outcome.NoOwner)},
+		"owner, until the table moves": {target.RefusalOwner, false, notRun(outcome.NoOwner)},
 		"owner, once":                  {target.RefusalOwner, true, done(1)},
 		"busy, once":                   {target.RefusalBusy, true, done(1)},
-		"busy, always":                 {target.RefusalBusy, false, unrun(outcome.Deadline)},
-		"deadline":                     {target.RefusalDeadline, false, unrun(outcome.Deadline)},
-		"draining":                     {target.RefusalDraining, false, unrun(outcome.NoOwner)},
-		"a reason not in the list":     {"other", false, unrun(outcome.Refused)},
+		"busy, always":                 {target.RefusalBusy, false, notRun(outcome.Deadline)},
+		"deadline":                     {target.RefusalDeadline, false, notRun(outcome.Deadline)},
+		"draining":                     {target.RefusalDraining, false, notRun(outcome.NoOwner)},
+		"a reason not in the list":     {"other", false, notRun(outcome.Refused)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			refused := 0
 			answered := 0
 			f := newFixture(t, nil)
-			owner := newTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
+			owner := newFakeTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
 				if test.first && refused > 0 {
 					answered++
-					reply(c, id, "whole")
+					writeResponse(c, id, "whole")
 					return true
 				}
 				refused++
-				refuse(c, id, test.refusal)
+				writeRefusal(c, id, test.refusal)
 				return true
 			})
-			f.own(owner.addr())
-			deadline := longDeadline
+			f.setOwner(owner.addr())
+			deadline := longDeadlineMS
 			if test.want.outcome == outcome.NotRun {
-				deadline = shortDeadline
+				deadline = shortDeadlineMS
 			}
 			a := f.call("POST", "/plan/k", "", target.HeaderDeadline, deadline)
 			assert.Equal(t, a.outcome, test.want.outcome)
@@ -214,15 +214,15 @@
 	}
 }
 
-// TestDoubledAnswer shows that the second copy of an answer reaches nobody.
-func TestDoubledAnswer(t *testing.T) {
+// TestDuplicateResponse shows that the second copy of an answer reaches nobody.
+func TestDuplicateResponse(t *testing.T) {
 	f := newFixture(t, nil)
-	owner := newTarget(t, func(c net.Conn, r *http.Request, id string) bool {
-		whole := fmt.Sprintf("%s%s\r\nContent-Length: %d\r\n\r\n%s", head, id, len(r.URL.Path), r.URL.Path)
+	owner := newFakeTarget(t, func(c net.Conn, r *http.Request, id string) bool {
+		whole := fmt.Sprintf("%s%s\r\nContent-Length: %d\r\n\r\n%s", responseHead, id, len(r.URL.Path), r.URL.Path)
 		_, _ = io.WriteString(c, whole+whole)
 		return true
 	})
-	f.own(owner.addr())
+	f.setOwner(owner.addr())
 	for i := range 20 {
 		path := fmt.Sprintf("/plan/k%d", i)
 		a := f.call("POST", path, "")
@@ -237,7 +237,7 @@
 	assert.NilError(t, err)
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
 	assert.NilError(t, l.Close())
-	f.own(addr)
+	f.setOwner(addr)
 	a := f.call("POST", "/plan/k", "", target.HeaderDeadline, "300")
 	assert.Equal(t, a.outcome, outcome.NotRun)
 	assert.Assert(t, a.reason == outcome.Unreachable || a.reason == outcome.Deadline, a.reason)
@@ -251,35 +251,35 @@
 	assert.Equal(t, a.reason, outcome.NoOwner)
 }
 
-// TestOwnerComesWhileParked shows that a request outlives an unowned moment.
-func TestOwnerComesWhileParked(t *testing.T) {
+// TestOwnerAppearsWhileParked shows that a request outlives an unowned moment.
+func TestOwnerAppearsWhileParked(t *testing.T) {
 	f := newFixture(t, nil)
-	owner := newTarget(t, nil)
-	got := make(chan answer, 1)
+	owner := newFakeTarget(t, nil)
+	got := make(chan response, 1)
 	go func() { got <- f.call("POST", "/plan/k", "") }()
 	waitFor(t, func() bool { return f.entry.Waiting() == 1 })
-	f.own(owner.addr())
+	f.setOwner(owner.addr())
 	assert.Equal(t, (<-got).outcome, outcome.Done)
-	assert.Equal(t, owner.total(), 1)
+	assert.Equal(t, owner.totalRuns(), 1)
 }
 
-// blocking is a target that answers once it is let go.
-func blocking(t *testing.T) (*fakeTarget, chan struct{}) {
+// newBlockingTarget is a target that answers once it is let go.
+func newBlockingTarget(t *testing.T) (*fakeTarget, chan struct{}) {
 	free := make(chan struct{})
-	return newTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
+	return newFakeTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
 		<-free
-		reply(c, id, "whole")
+		writeResponse(c, id, "whole")
 		return true
 	}), free
 }
 
-// fill takes all slots of the plan service's target.
-func (f *fixture) fill(owner *fakeTarget) chan answer {
-	out := make(chan answer, 3)
+// fillSlots takes all slots of the plan service's target.
+func (f *fixture) fillSlots(owner *fakeTarget) chan response {
+	out := make(chan response, 3)
 	for i := range 3 {
 		go func() { out <- f.call("POST", fmt.Sprintf("/plan/fill%d", i), "") }()
 	}
-	waitFor(f.T, func() bool { return owner.total() == 3 })
+	waitFor(f.T, func() bool { return owner.totalRuns() == 3 })
 	return out
 }
 
@@ -296,9 +296,9 @@
 
 func TestDeadlinePassesInQueue(t *testing.T) {
 	f := newFixture(t, nil)
-	owner, free := blocking(t)
-	f.own(owner.addr())
-	filled := f.fill(owner)
+	owner, free := newBlockingTarget(t)
+	f.setOwner(owner.addr())
+	filled := f.fillSlots(owner)
 	a := f.call("POST", "/plan/late", "", target.HeaderDeadline, "100")
 	assert.Equal(t, a.outcome, outcome.NotRun)
 	assert.Equal(t, a.reason, outcome.Deadline)
@@ -306,18 +306,18 @@
 	for range 3 {
 		assert.Equal(t, (<-filled).outcome, outcome.Done)
 	}
-	assert.Equal(t, owner.total(), 3)
+	assert.Equal(t, owner.totalRuns(), 3)
 }
 
-func TestCallerLeavesQueue(t *testing.T) {
+func TestCallerDisconnectsWhileQueued(t *testing.T) {
 	f := newFixture(t, nil)
-	owner, free := blocking(t)
-	f.own(owner.addr())
-	filled := f.fill(owner)
+	owner, free := newBlockingTarget(t)
+	f.setOwner(owner.addr())
+	filled := f.fillSlots(owner)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, f.server.URL+"/plan/gone", http.NoBody)
 	assert.NilError(t, err)
-	req.Header.Set("Authorization", "Bearer "+clerk)
+	req.Header.Set("Authorization", "Bearer "+clerkCredential)
 	failed := make(chan error, 1)
 	go func() {
 		resp, err := http.DefaultTransport.RoundTrip(req)
@@ -334,15 +334,15 @@
 	for range 3 {
 		<-filled
 	}
-	assert.Equal(t, owner.total(), 3)
+	assert.Equal(t, owner.totalRuns(), 3)
 }
 
 func TestQueueFull(t *testing.T) {
-	f := newFixture(t, func(c *entryConfig) { c.Queue = queue.Config{Bound: 1} })
-	owner, free := blocking(t)
-	f.own(owner.addr())
-	filled := f.fill(owner)
-	waits := make(chan answer, 1)
+	f := newFixture(t, func(c *entryConfig) { c.Queue = queue.Config{MaxLen: 1} })
+	owner, free := newBlockingTarget(t)
+	f.setOwner(owner.addr())
+	filled := f.fillSlots(owner)
+	waits := make(chan response, 1)
 	go func() { waits <- f.call("POST", "/plan/waits", "") }()
 	waitFor(t, func() bool { return f.entry.Waiting() == 1 })
 	a := f.call("POST", "/plan/over", "")
@@ -357,17 +357,17 @@
 	assert.Equal(t, (<-waits).outcome, outcome.Done)
 }
 
-// TestStopClearsQueue shows that a stop answers what waits with not-run and
+// TestStopDropsQueue shows that a stop answers what waits with not-run and
 // lets what runs end.
-func TestStopClearsQueue(t *testing.T) {
+func TestStopDropsQueue(t *testing.T) {
 	f := newFixture(t, nil)
-	owner, free := blocking(t)
-	f.own(owner.addr())
-	filled := f.fill(owner)
-	waits := make(chan answer, 1)
+	owner, free := newBlockingTarget(t)
+	f.setOwner(owner.addr())
+	filled := f.fillSlots(owner)
+	waits := make(chan response, 1)
 	go func() { waits <- f.call("POST", "/plan/waits", "") }()
 	waitFor(t, func() bool { return f.entry.Waiting() == 1 })
-	f.entry.Clear()
+	f.entry.DropWaiting()
 	a := <-waits
 	assert.Equal(t, a.outcome, outcome.NotRun)
 	assert.Equal(t, a.reason, outcome.Stopping)
@@ -381,26 +381,26 @@
 // TestOwnerMovesWhileQueued shows that waiting work follows its shard.
 func TestOwnerMovesWhileQueued(t *testing.T) {
 	f := newFixture(t, nil)
-	old, free := blocking(t)
-	f.own(old.addr())
-	filled := f.fill(old)
-	waits := make(chan answer, 1)
+	old, free := newBlockingTarget(t)
+	f.setOwner(old.addr())
+	filled := f.fillSlots(old)
+	waits := make(chan response, 1)
 	go func() { waits <- f.call("POST", "/plan/waits", "") }()
 	waitFor(t, func() bool { return f.entry.Waiting() == 1 })
-	owner := newTarget(t, nil)
-	f.own(owner.addr())
+	owner := newFakeTarget(t, nil)
+	f.setOwner(owner.addr())
 	assert.Equal(t, (<-waits).outcome, outcome.Done)
-	assert.Equal(t, owner.total(), 1)
+	assert.Equal(t, owner.totalRuns(), 1)
 	close(free)
 	for range 3 {
 		assert.Equal(t, (<-filled).outcome, outcome.Done)
 	}
-	assert.Equal(t, old.total(), 3)
+	assert.Equal(t, old.totalRuns(), 3)
 }
 
-// TestBodyBounds shows that bodies are bounded for a request, by its length
+// TestBodyLimits shows that bodies are bounded for a request, by its length
 // or by its chunks, and for the entry host.
-func TestBodyBounds(t *testing.T) {
+func TestBodyLimits(t *testing.T) {
 	tests := map[string]struct {
 		size   int
 		memory int64
@@ -408,20 +408,20 @@
 		want   expectation
 		status int
 	}{
-		"at the bound":          {bodySize, 1 << 20, false, done(1), http.StatusOK},
-		"over it":               {bodySize + 1, 1 << 20, false, unrun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
-		"at the bound, chunked": {bodySize, 1 << 20, true, done(1), http.StatusOK},
-		"over it, chunked":      {bodySize + 1, 1 << 20, true, unrun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
-		"no memory left":        {bodySize, bodySize - 1, false, unrun(outcome.Overload), http.StatusServiceUnavailable},
+		"at the bound":          {maxBodyBytes, 1 << 20, false, done(1), http.StatusOK},
+		"over it":               {maxBodyBytes + 1, 1 << 20, false, notRun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
+		"at the bound, chunked": {maxBodyBytes, 1 << 20, true, done(1), http.StatusOK},
+		"over it, chunked":      {maxBodyBytes + 1, 1 << 20, true, notRun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
+		"no memory left":        {maxBodyBytes, maxBodyBytes - 1, false, notRun(outcome.Overload), http.StatusServiceUnavailable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, func(c *entryConfig) { c.Memory = test.memory })
-			owner := newTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
-				reply(c, id, "whole")
+			f := newFixture(t, func(c *entryConfig) { c.BodyMemory = test.memory })
+			owner := newFakeTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
+				writeResponse(c, id, "whole")
 				return true
 			})
-			f.own(owner.addr())
+			f.setOwner(owner.addr())
 			var body io.Reader = strings.NewReader(strings.Repeat("x", test.size))
 			if test.chunks {
 				body = io.MultiReader(body)
@@ -432,32 +432,32 @@
 			assert.Equal(t, a.status, test.status)
 			assert.Equal(t, a.outcome, test.want.outcome)
 			assert.Equal(t, a.reason, test.want.reason)
-			assert.Equal(t, owner.total(), test.want.runs)
+			assert.Equal(t, owner.totalRuns(), test.want.runs)
 		})
 	}
 }
 
-// TestKeptConnectionClosed shows that a registration does not meet a kept
+// TestIdleConnectionClosed shows that a registration does not meet a kept
 // connection that the target closed: it would end as unknown.
-func TestKeptConnectionClosed(t *testing.T) {
+func TestIdleConnectionClosed(t *testing.T) {
 	f := newFixture(t, nil)
 	closed := make(chan struct{}, 100)
-	owner := newTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
-		reply(c, id, "whole")
+	owner := newFakeTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
+		writeResponse(c, id, "whole")
 		_ = c.Close()
 		closed <- struct{}{}
 		return false
 	})
-	f.own(owner.addr())
+	f.setOwner(owner.addr())
 	for i := range 10 {
 		assert.Equal(t, f.call("POST", fmt.Sprintf("/plan/k%d", i), "").outcome, outcome.Done)
 		<-closed
 	}
-	assert.Equal(t, owner.total(), 10)
+	assert.Equal(t, owner.totalRuns(), 10)
 }
 
-// TestCutWhileSending resets the connection before the request was read.
-func TestCutWhileSending(t *testing.T) {
+// TestResetWhileSending resets the connection before the request was read.
+func TestResetWhileSending(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
@@ -475,16 +475,16 @@
 		}
 	}()
 	f := newFixture(t, nil)
-	f.own(l.Addr().(*net.TCPAddr).AddrPort())
-	a := f.call("POST", "/plan/k", strings.Repeat("x", bodySize), target.HeaderDeadline, longDeadline)
+	f.setOwner(l.Addr().(*net.TCPAddr).AddrPort())
+	a := f.call("POST", "/plan/k", strings.Repeat("x", maxBodyBytes), target.HeaderDeadline, longDeadlineMS)
 	assert.Equal(t, a.outcome, outcome.Unknown)
-	a = f.call("GET", "/balance/k", "", target.HeaderDeadline, longDeadline)
+	a = f.call("GET", "/balance/k", "", target.HeaderDeadline, longDeadlineMS)
 	assert.Equal(t, a.outcome, outcome.Unknown)
 }
 
-// TestCallerLeavesRunning shows that a look-up is cancelled at its target when
+// TestCallerDisconnectsInFlight shows that a look-up is cancelled at its target when
 // its caller hangs up, and that a registration runs to its end.
-func TestCallerLeavesRunning(t *testing.T) {
+func TestCallerDisconnectsInFlight(t *testing.T) {
 	tests := map[string]struct {
 		method, path string
 		cancelled    bool
@@ -495,7 +495,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			started, free, sawEnd := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
-			owner := newTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
+			owner := newFakeTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
 				close(started)
 				if test.cancelled {
 					_, err := c.Read(make([]byte, 1))
@@ -503,16 +503,16 @@
 					return false
 				}
 				<-free
-				reply(c, id, "whole")
+				writeResponse(c, id, "whole")
 				sawEnd <- false
 				return false
 			})
 			f := newFixture(t, nil)
-			f.own(owner.addr())
+			f.setOwner(owner.addr())
 			ctx, cancel := context.WithCancel(context.Background())
 			req, err := http.NewRequestWithContext(ctx, test.method, f.server.URL+test.path, http.NoBody)
 			assert.NilError(t, err)
-			req.Header.Set("Authorization", "Bearer "+clerk)
+			req.Header.Set("Authorization", "Bearer "+clerkCredential)
 			go func() {
 				<-started
 				cancel()
@@ -528,33 +528,33 @@
 	}
 }
 
-// TestOwnerMovesWhileFrozen shows that a look-up at a frozen target goes to
+// TestOwnerMovesFromFrozenTarget shows that a look-up at a frozen target goes to
 // the new owner once there is one, and that a registration is not run again.
-func TestOwnerMovesWhileFrozen(t *testing.T) {
+func TestOwnerMovesFromFrozenTarget(t *testing.T) {
 	tests := map[string]struct {
 		method, path string
 		outcome      outcome.Outcome
 		again        int
 		deadline     string
 	}{
-		"look-up":      {"GET", "/balance/k", outcome.Done, 1, longDeadline},
+		"look-up":      {"GET", "/balance/k", outcome.Done, 1, longDeadlineMS},
 		"registration": {"POST", "/plan/k", outcome.Unknown, 0, "1500"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, nil)
-			frozen := newTarget(t, func(c net.Conn, _ *http.Request, _ string) bool {
+			frozen := newFakeTarget(t, func(c net.Conn, _ *http.Request, _ string) bool {
 				_, _ = c.Read(make([]byte, 1)) // until the other side hangs up
 				return false
 			})
-			f.own(frozen.addr())
-			got := make(chan answer, 1)
+			f.setOwner(frozen.addr())
+			got := make(chan response, 1)
 			go func() { got <- f.call(test.method, test.path, "", target.HeaderDeadline, test.deadline) }()
-			waitFor(t, func() bool { return frozen.total() == 1 })
-			owner := newTarget(t, nil)
-			f.own(owner.addr())
+			waitFor(t, func() bool { return frozen.totalRuns() == 1 })
+			owner := newFakeTarget(t, nil)
+			f.setOwner(owner.addr())
 			assert.Equal(t, (<-got).outcome, test.outcome)
-			assert.Equal(t, owner.total(), test.again)
+			assert.Equal(t, owner.totalRuns(), test.again)
 		})
 	}
 }
--- a/internal/entry/path_bench_test.go
+++ b/internal/entry/path_bench_test.go
@@ -20,8 +20,8 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// echo is a target that answers at once at little cost.
-func echo(b *testing.B) net.Listener {
+// newEchoTarget is a target that answers at once at little cost.
+func newEchoTarget(b *testing.B) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,7 +48,7 @@
 	req, err := http.NewRequest(http.MethodGet, "/balance/k", nil)
 	assert.NilError(b, err)
 	req.RequestURI = "/balance/k"
-	credential := []string{"Bearer " + clerk}
+	credential := []string{"Bearer " + clerkCredential}
 	b.ReportAllocs()
 	for b.Loop() {
 		req.Header["Authorization"] = credential // not forwarded, taken out
@@ -67,15 +67,15 @@
 }
 
 func newBenchFixture(b *testing.B) benchFixture {
-	l := echo(b)
-	s := someSettings()
+	l := newEchoTarget(b)
+	s := testSettings()
 	s.Services[0].Slots = 1000
 	s.Services[0].Connections = 1000
 	s.Callers = append(s.Callers, settings.CallerRow{Name: "x", CredentialHash: sha256.Sum256([]byte("x"))})
-	t := &fixture{board: newBoard()}
-	t.board.putSettings(s)
-	t.board.putTable(someTable(balance, l.Addr().(*net.TCPAddr).AddrPort()))
-	e, url := startBenchEntry(b, t.board)
+	t := &fixture{replica: newFakeReplica()}
+	t.replica.putSettings(s)
+	t.replica.putTable(testTable(balance, l.Addr().(*net.TCPAddr).AddrPort()))
+	e, url := startBenchEntry(b, t.replica)
 	return benchFixture{entry: e, url: url, target: l.Addr().String()}
 }
 
@@ -90,7 +90,7 @@
 	assert.NilError(b, err)
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
-	text := []byte("GET " + req.URL.Path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + clerk + "\r\n\r\n")
+	text := []byte("GET " + req.URL.Path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + clerkCredential + "\r\n\r\n")
 	b.ReportAllocs()
 	cpu := cpuTime()
 	for b.Loop() {
--- a/internal/entry/slots_bench_test.go
+++ b/internal/entry/sharing_bench_test.go
@@ -36,47 +36,49 @@
 )
 
 var (
-	benchTime  = flag.Duration("slots.time", 4*time.Second, "length of one point")
-	benchHosts = flag.Int("slots.hosts", 9, "entry hosts")
-	benchWork  = flag.Duration("slots.work", 5*time.Millisecond, "service time")
+	benchTime        = flag.Duration("slots.time", 4*time.Second, "length of one point")
+	benchHosts       = flag.Int("slots.hosts", 9, "entry hosts")
+	benchServiceTime = flag.Duration("slots.work", 5*time.Millisecond, "service time")
 )
 
 const (
-	benchTargets = 4
-	benchSlots   = 3
-	benchShards  = 64
-	benchTimeout = 500 * time.Millisecond
-	shareEvery   = 50 * time.Millisecond
+	benchTargets      = 4
+	benchSlots        = 3
+	benchShards       = 64
+	benchTimeout      = 500 * time.Millisecond
+	rebalanceInterval = 50 * time.Millisecond
 )
 
-// way is one way of sharing the slots of a target between entry hosts.
-type way struct {
-	sharing entry.Sharing
-	shares  bool
-	timeout time.Duration
+// clusterConfig is one way of sharing the slots of a target between entry hosts.
+type clusterConfig struct {
+	sharing    entry.Sharing
+	rebalances bool
+	timeout    time.Duration
 }
 
-// patient is for tests, whose requests must not meet their deadline.
-func patient(sharing entry.Sharing) way { return way{sharing: sharing, timeout: 20 * time.Second} }
+// withLongTimeout is for tests, whose requests must not meet their deadline.
+func withLongTimeout(sharing entry.Sharing) clusterConfig {
+	return clusterConfig{sharing: sharing, timeout: 20 * time.Second}
+}
 
 // BenchmarkSlots measures the three ways at four loads, in one run.
 func BenchmarkSlots(b *testing.B) {
 	ways := []struct {
 		name string
-		way
+		clusterConfig
 	}{
-		{"adaptive", way{entry.ShareAdaptive, false, benchTimeout}},
-		{"shares", way{entry.ShareAdaptive, true, benchTimeout}},
-		{"home", way{entry.ShareHome, false, benchTimeout}},
-		{"mixed", way{entry.ShareMixed, false, benchTimeout}},
+		{"adaptive", clusterConfig{entry.ShareAdaptive, false, benchTimeout}},
+		{"shares", clusterConfig{entry.ShareAdaptive, true, benchTimeout}},
+		{"home", clusterConfig{entry.ShareHome, false, benchTimeout}},
+		{"mixed", clusterConfig{entry.ShareMixed, false, benchTimeout}},
 	}
 	for _, load := range []int{50, 80, 95, 100, 150} {
 		for _, w := range ways {
 			b.Run(fmt.Sprintf("%s/%d", w.name, load), func(b *testing.B) {
-				c := newCluster(b, *benchHosts, w.way)
-				capacity := benchTargets * benchSlots / benchWork.Seconds()
+				c := newCluster(b, *benchHosts, w.clusterConfig)
+				capacity := benchTargets * benchSlots / benchServiceTime.Seconds()
 				for range b.N {
-					c.offer(b, capacity*float64(load)/100)
+					c.offerLoad(b, capacity*float64(load)/100)
 				}
 			})
 		}
@@ -85,42 +87,42 @@
 
 // cluster is some entry hosts with real sockets between them, and targets.
 type cluster struct {
-	farm    *fake.TargetSet
+	targets *fake.TargetSet
 	entries []*entry.Entry
 	servers []*httptest.Server
-	links   []*peer.Peer
+	peers   []*peer.Peer
 	client  *http.Client
 }
 
-func newCluster(b testing.TB, hosts int, w way) *cluster {
+func newCluster(b testing.TB, hosts int, w clusterConfig) *cluster {
 	c := &cluster{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}}
-	c.farm = fake.NewTargetSet([]fake.TargetGroup{{Count: benchTargets, TargetConfig: fake.TargetConfig{
-		Service: balance, Slots: benchSlots, Connections: 130, MeanWork: *benchWork, ConnectDelay: time.Millisecond,
+	c.targets = fake.NewTargetSet([]fake.TargetGroup{{Count: benchTargets, TargetConfig: fake.TargetConfig{
+		Service: balance, Slots: benchSlots, Connections: 130, MeanWork: *benchServiceTime, ConnectDelay: time.Millisecond,
 	}}}, []place.Zone{"zone-a"})
-	assert.NilError(b, c.farm.Start())
-	b.Cleanup(func() { c.farm.Stop(context.Background()) })
+	assert.NilError(b, c.targets.Start())
+	b.Cleanup(func() { c.targets.Stop(context.Background()) })
 	dir := b.TempDir()
 	now := time.Now()
 	assert.NilError(b, certs.CreateAuthority(now, dir))
 	links := make([]*peer.Peer, hosts)
 	fleet := platform.Fleet{}
 	for i := range hosts {
-		links[i] = newLink(b, dir, hostName(i))
+		links[i] = newPeer(b, dir, hostName(i))
 		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
 	}
-	c.links = links
+	c.peers = links
 	list, err := docsync.EncodeFleet(fleet)
 	assert.NilError(b, err)
-	rows := c.grant(b)
+	rows := c.grantShards(b)
 	for i := range hosts {
 		c.startEntry(b, hostName(i), links[i], w, list, rows)
 	}
-	if w.shares {
+	if w.rebalances {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			c.loopShares(ctx)
+			c.loopRebalance(ctx)
 		}()
 		b.Cleanup(func() { cancel(); <-done })
 	}
@@ -129,7 +131,7 @@
 
 func hostName(i int) place.Host { return place.Host(fmt.Sprintf("host-%d", i)) }
 
-func newLink(b testing.TB, dir string, host place.Host) *peer.Peer {
+func newPeer(b testing.TB, dir string, host place.Host) *peer.Peer {
 	now := time.Now()
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	assert.NilError(b, certs.IssueHost(now, dir, host, "zone-a", []peer.Role{peer.RoleEntry}, []netip.Addr{loopback}))
@@ -147,8 +149,8 @@
 	return link
 }
 
-// grant gives the shards to the targets in turn.
-func (c *cluster) grant(b testing.TB) []table.Row {
+// grantShards gives the shards to the targets in turn.
+func (c *cluster) grantShards(b testing.TB) []table.Row {
 	control := target.NewControl(time.Second)
 	defer control.Close()
 	rows := make([]table.Row, 0, benchShards)
@@ -158,7 +160,7 @@
 		rows = append(rows, table.Row{Shard: shard, Epoch: 1, Owner: table.TargetIndex(owner)})
 		items[owner] = append(items[owner], grant.Item{Shard: shard, Epoch: 1, Kind: grant.Grant})
 	}
-	for i, t := range c.farm.Targets() {
+	for i, t := range c.targets.Targets() {
 		o := grant.Order{Service: balance, Zone: "zone-a", Term: 1, Duration: time.Hour}
 		a, err := control.Order(context.Background(), t.Addr(), o)
 		assert.NilError(b, err)
@@ -169,10 +171,10 @@
 	return rows
 }
 
-func (c *cluster) startEntry(b testing.TB, host place.Host, link peer.Transport, w way, list []byte, rows []table.Row) {
-	bd := newBoard()
-	s := someSettings()
-	s.Services = []settings.Service{{Name: balance, Shards: benchShards, Slots: benchSlots, Connections: 130, BodyBytes: bodySize}}
+func (c *cluster) startEntry(b testing.TB, host place.Host, link peer.Transport, w clusterConfig, list []byte, rows []table.Row) {
+	bd := newFakeReplica()
+	s := testSettings()
+	s.Services = []settings.Service{{Name: balance, Shards: benchShards, Slots: benchSlots, Connections: 130, BodyBytes: maxBodyBytes}}
 	s.Routes[0].Timeout = w.timeout
 	s.Routes = append(s.Routes, settings.Route{
 		Name: "remind", Service: balance, Callers: []settings.Caller{"office"}, Methods: []string{http.MethodPost},
@@ -181,14 +183,14 @@
 	bd.putSettings(s)
 	bd.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
 	t := &table.Table{Service: balance, Zone: "zone-a", Shards: benchShards, Rows: rows}
-	for _, one := range c.farm.Targets() {
+	for _, one := range c.targets.Targets() {
 		t.Targets = append(t.Targets, table.Target{Name: one.Name(), Addr: one.Addr()})
 	}
 	bd.putTable(t)
 	e := entry.New(entry.Config{
-		Board: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
-		Registry: metric.New("test"), Host: host, Link: link, Sharing: w.sharing, Hosts: *benchHosts,
-		Queue: queue.DefaultConfig(), Park: time.Second, Parked: 1000, Memory: 16 << 20, Tick: entry.DefaultTick,
+		Replica: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
+		Registry: metric.New("test"), Host: host, Transport: link, Sharing: w.sharing, Hosts: *benchHosts,
+		Queue: queue.DefaultConfig(), ParkTimeout: time.Second, MaxParked: 1000, BodyMemory: 16 << 20, TickInterval: entry.DefaultTickInterval,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -206,9 +208,9 @@
 	})
 }
 
-// loopShares deals the slots of each target out to the entry hosts with the
+// loopRebalance deals the slots of each target out to the entry hosts with the
 // most demand, as a lead would.
-func (c *cluster) loopShares(ctx context.Context) {
+func (c *cluster) loopRebalance(ctx context.Context) {
 	turn := 0
 	for ctx.Err() == nil {
 		demand := make([]map[place.Target]int, len(c.entries))
@@ -216,7 +218,7 @@
 			demand[i] = e.Demand()
 		}
 		turn++
-		for _, t := range c.farm.Targets() {
+		for _, t := range c.targets.Targets() {
 			share := make([]int, len(c.entries))
 			for range benchSlots {
 				best := -1
@@ -229,20 +231,20 @@
 				share[best]++
 			}
 			for i, e := range c.entries {
-				e.ShareSlots(t.Name(), share[i])
+				e.SetSlots(t.Name(), share[i])
 			}
 		}
-		time.Sleep(shareEvery)
+		time.Sleep(rebalanceInterval)
 	}
 }
 
-// offer sends requests at a rate, whatever comes back, and reports.
-func (c *cluster) offer(b *testing.B, rate float64) {
+// offerLoad sends requests at a rate, whatever comes back, and reports.
+func (c *cluster) offerLoad(b *testing.B, rate float64) {
 	latency := hdrhistogram.New(1, 10_000_000, 3)
 	ends := map[outcome.Outcome]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	before, cpu := c.farm.Ledger.Counts(), cpuTime()
+	before, cpu := c.targets.Ledger.Counts(), cpuTime()
 	r := rand.New(rand.NewPCG(1, 2))
 	start := time.Now()
 	next := start
@@ -254,7 +256,7 @@
 		sent++
 		wg.Go(func() {
 			at := next
-			end := c.ask(http.MethodGet, url, clerk)
+			end := c.request(http.MethodGet, url, clerkCredential)
 			took := time.Since(at)
 			mu.Lock()
 			defer mu.Unlock()
@@ -265,7 +267,7 @@
 		})
 	}
 	wg.Wait()
-	after := c.farm.Ledger.Counts()
+	after := c.targets.Ledger.Counts()
 	b.ReportMetric(float64(latency.ValueAtQuantile(50))/1000, "p50_ms")
 	b.ReportMetric(float64(latency.ValueAtQuantile(99))/1000, "p99_ms")
 	b.ReportMetric(float64(ends[outcome.Done])/benchTime.Seconds(), "done_s")
@@ -275,8 +277,8 @@
 	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/float64(sent), "cpu_us/req")
 }
 
-// ask sends one request and returns its outcome.
-func (c *cluster) ask(method, url, credential string) outcome.Outcome {
+// request sends one request and returns its outcome.
+func (c *cluster) request(method, url, credential string) outcome.Outcome {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
 		return "error"
@@ -302,11 +304,11 @@
 }
 
 // startBenchEntry starts one entry host without links.
-func startBenchEntry(b testing.TB, bd *board) (*entry.Entry, string) {
+func startBenchEntry(b testing.TB, bd *fakeReplica) (*entry.Entry, string) {
 	e := entry.New(entry.Config{
-		Board: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
+		Replica: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
 		Registry: metric.New("test"), Hosts: 1, Queue: queue.DefaultConfig(),
-		Park: time.Second, Parked: 1000, Memory: 16 << 20, Tick: entry.DefaultTick,
+		ParkTimeout: time.Second, MaxParked: 1000, BodyMemory: 16 << 20, TickInterval: entry.DefaultTickInterval,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -51,37 +51,37 @@
 // shards move, with a count of the runs of each operation at the targets.
 type soak struct {
 	*testing.T
-	rand    *rand.Rand // of the disturber alone
-	board   *board
-	farm    *fake.TargetSet
-	control *target.HTTPControl
-	rows    map[key.Service][]table.Row
-	life    map[place.Target]place.Incarnation
-	servers []*httptest.Server
-	client  *http.Client
-
-	sent    atomic.Int64
-	ends    []soakEnd
-	wrong   atomic.Int64
-	rejoins atomic.Int64
+	rand         *rand.Rand // of the disturber alone
+	board        *fakeReplica
+	targets      *fake.TargetSet
+	control      *target.HTTPControl
+	rows         map[key.Service][]table.Row
+	incarnations map[place.Target]place.Incarnation
+	servers      []*httptest.Server
+	client       *http.Client
+
+	sent           atomic.Int64
+	results        []callResult
+	wrongResponses atomic.Int64
+	deduplicated   atomic.Int64
 }
 
-// soakEnd is what the caller of one operation learned.
-type soakEnd uint8
+// callResult is what the caller of one operation learned.
+type callResult uint8
 
 const (
-	endGone soakEnd = iota // the caller hung up
-	endDone
-	endNotRun
-	endUnknown
-	endNone // an answer without an outcome
+	resultGone callResult = iota // the caller hung up
+	resultDone
+	resultNotRun
+	resultUnknown
+	resultNone // an answer without an outcome
 )
 
 func TestSoak(t *testing.T) {
 	s := newSoak(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var disturber, callers sync.WaitGroup
-	disturber.Go(func() { s.loopDisturb(ctx) })
+	disturber.Go(func() { s.loopFaults(ctx) })
 	for i := range *soakCallers {
 		callers.Go(func() { s.loopCall(rand.New(rand.NewPCG(*soakSeed, uint64(i)))) })
 	}
@@ -93,10 +93,10 @@
 
 func newSoak(t *testing.T) *soak {
 	s := &soak{
-		T: t, rand: rand.New(rand.NewPCG(*soakSeed, 1<<32)), board: newBoard(),
+		T: t, rand: rand.New(rand.NewPCG(*soakSeed, 1<<32)), board: newFakeReplica(),
 		control: target.NewControl(time.Second),
-		rows:    map[key.Service][]table.Row{}, life: map[place.Target]place.Incarnation{},
-		ends: make([]soakEnd, *soakRequests),
+		rows:    map[key.Service][]table.Row{}, incarnations: map[place.Target]place.Incarnation{},
+		results: make([]callResult, *soakRequests),
 		client: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: *soakCallers, DisableCompression: true,
 		}},
@@ -108,10 +108,10 @@
 			Service: name, Slots: 3, Connections: 110, MeanWork: 500 * time.Microsecond, ChecksTerms: true,
 		}})
 	}
-	s.farm = fake.NewTargetSet(groups, []place.Zone{"zone-a"})
-	assert.NilError(t, s.farm.Start())
-	t.Cleanup(func() { s.farm.Stop(context.Background()) })
-	cfg := someSettings()
+	s.targets = fake.NewTargetSet(groups, []place.Zone{"zone-a"})
+	assert.NilError(t, s.targets.Start())
+	t.Cleanup(func() { s.targets.Stop(context.Background()) })
+	cfg := testSettings()
 	for i := range cfg.Services {
 		cfg.Services[i].Shards = soakShards
 	}
@@ -135,30 +135,30 @@
 	links := make([]*peer.Peer, soakEntries)
 	fleet := platform.Fleet{}
 	for i := range links {
-		links[i] = newLink(s, dir, hostName(i))
+		links[i] = newPeer(s, dir, hostName(i))
 		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
 	}
 	list, err := docsync.EncodeFleet(fleet)
 	assert.NilError(s, err)
 	s.board.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
 	for i := range links {
-		s.startEntry(hostName(i), &lossyLink{Transport: links[i], rand: rand.New(rand.NewPCG(*soakSeed, uint64(1<<33+i)))})
+		s.startEntry(hostName(i), &lossyTransport{Transport: links[i], rand: rand.New(rand.NewPCG(*soakSeed, uint64(1<<33+i)))})
 	}
 }
 
-// lossyLink loses one in 200 messages before, and one in 200 answers after
+// lossyTransport loses one in 200 messages before, and one in 200 answers after
 // the other side got them.
-type lossyLink struct {
+type lossyTransport struct {
 	peer.Transport
 	mu   sync.Mutex
 	rand *rand.Rand
 }
 
-const lossyOdds = 200
+const lossOdds = 200
 
-func (l *lossyLink) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
+func (l *lossyTransport) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
 	l.mu.Lock()
-	dice := l.rand.IntN(lossyOdds)
+	dice := l.rand.IntN(lossOdds)
 	l.mu.Unlock()
 	if dice == 0 {
 		return nil, peer.ErrUnreachable
@@ -172,9 +172,9 @@
 
 func (s *soak) startEntry(host place.Host, link peer.Transport) {
 	e := entry.New(entry.Config{
-		Board: s.board, DecodeSettings: s.board.decodeSettings, DecodeTable: s.board.decodeTable,
-		Log: logging.Nop(), Registry: metric.New("test"), Host: host, Link: link, Sharing: entry.ShareAdaptive, Hosts: soakEntries, Queue: queue.DefaultConfig(),
-		Park: time.Second, Parked: 1000, Memory: 16 << 20, Tick: 5 * time.Millisecond,
+		Replica: s.board, DecodeSettings: s.board.decodeSettings, DecodeTable: s.board.decodeTable,
+		Log: logging.Nop(), Registry: metric.New("test"), Host: host, Transport: link, Sharing: entry.ShareAdaptive, Hosts: soakEntries, Queue: queue.DefaultConfig(),
+		ParkTimeout: time.Second, MaxParked: 1000, BodyMemory: 16 << 20, TickInterval: 5 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -194,7 +194,7 @@
 
 // targetOf returns a target by its index in a service's tables.
 func (s *soak) targetOf(name key.Service, i table.TargetIndex) *fake.Target {
-	t, _ := s.farm.Target(place.Target(fmt.Sprintf("%s-%d", name, i+1)))
+	t, _ := s.targets.Target(place.Target(fmt.Sprintf("%s-%d", name, i+1)))
 	return t
 }
 
@@ -218,7 +218,7 @@
 		if err != nil {
 			continue
 		}
-		fresh := s.life[t.Name()] != probe.Incarnation
+		fresh := s.incarnations[t.Name()] != probe.Incarnation
 		var items []grant.Item
 		for r := range s.rows[name] {
 			row := &s.rows[name][r]
@@ -231,7 +231,7 @@
 			items = append(items, grant.Item{Shard: row.Shard, Epoch: row.Epoch, Kind: grant.Grant})
 		}
 		if _, err := s.order(name, t.Addr(), grant.Order{Items: items}); err == nil {
-			s.life[t.Name()] = probe.Incarnation
+			s.incarnations[t.Name()] = probe.Incarnation
 		}
 	}
 }
@@ -246,8 +246,8 @@
 	s.board.putTable(t)
 }
 
-// loopDisturb moves shards and makes targets fail.
-func (s *soak) loopDisturb(ctx context.Context) {
+// loopFaults moves shards and makes targets fail.
+func (s *soak) loopFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		name := []key.Service{balance, plan}[s.rand.IntN(2)]
 		switch s.rand.IntN(10) {
@@ -258,47 +258,47 @@
 		case 2, 3, 4:
 			s.setFaults(name)
 		default:
-			s.move(name)
+			s.moveShard(name)
 		}
 		s.grantAll(name)
 		s.publish(name)
 		time.Sleep(20 * time.Millisecond)
 	}
-	for _, t := range s.farm.Targets() {
+	for _, t := range s.targets.Targets() {
 		t.Thaw()
 	}
 }
 
-func (s *soak) any(name key.Service) *fake.Target {
+func (s *soak) randomTarget(name key.Service) *fake.Target {
 	return s.targetOf(name, table.TargetIndex(s.rand.IntN(soakTargets)))
 }
 
 func (s *soak) restart(name key.Service) {
-	t := s.any(name)
+	t := s.randomTarget(name)
 	t.Kill()
 	time.Sleep(time.Duration(s.rand.IntN(50)) * time.Millisecond)
 	assert.NilError(s, t.Start())
 }
 
 func (s *soak) freeze(name key.Service) {
-	t := s.any(name)
+	t := s.randomTarget(name)
 	t.Freeze()
 	time.Sleep(time.Duration(s.rand.IntN(300)) * time.Millisecond)
 	t.Thaw()
 }
 
 func (s *soak) setFaults(name key.Service) {
-	s.any(name).SetFaults(fake.TargetFaults{
-		Reset: s.chance(), Truncated: s.chance(), SwapResponse: s.chance(), Oversized: s.chance() / 10,
-		Shed: s.chance(), DelayResponse: s.chance() / 100,
+	s.randomTarget(name).SetFaults(fake.TargetFaults{
+		Reset: s.randomFaultRate(), Truncated: s.randomFaultRate(), SwapResponse: s.randomFaultRate(), Oversized: s.randomFaultRate() / 10,
+		Shed: s.randomFaultRate(), DelayResponse: s.randomFaultRate() / 100,
 	})
 }
 
-// chance is none half of the time, and up to 5%.
-func (s *soak) chance() float64 { return max(s.rand.Float64()*0.1-0.05, 0) }
+// randomFaultRate is none half of the time, and up to 5%.
+func (s *soak) randomFaultRate() float64 { return max(s.rand.Float64()*0.1-0.05, 0) }
 
-// move releases a shard at its owner and grants it to another.
-func (s *soak) move(name key.Service) {
+// moveShard releases a shard at its owner and grants it to another.
+func (s *soak) moveShard(name key.Service) {
 	row := &s.rows[name][s.rand.IntN(soakShards)]
 	old := s.targetOf(name, row.Owner)
 	for range 100 {
@@ -325,16 +325,16 @@
 func (s *soak) loopCall(r *rand.Rand) {
 	for {
 		n := int(s.sent.Add(1)) - 1
-		if n >= len(s.ends) {
+		if n >= len(s.results) {
 			return
 		}
-		s.ends[n] = s.operate(r, n)
+		s.results[n] = s.runOperation(r, n)
 	}
 }
 
-// operate sends one operation. Some come twice at once with an idempotency
+// runOperation sends one operation. Some come twice at once with an idempotency
 // key, some with little time, some callers hang up.
-func (s *soak) operate(r *rand.Rand, n int) soakEnd {
+func (s *soak) runOperation(r *rand.Rand, n int) callResult {
 	server := s.servers[r.IntN(len(s.servers))]
 	ctx := context.Background()
 	if r.IntN(50) == 0 {
@@ -347,103 +347,103 @@
 		header.Set(target.HeaderDeadline, fmt.Sprint(1+r.IntN(20)))
 	}
 	if n%2 == 1 && r.IntN(10) == 0 {
-		header.Set(target.HeaderIdempotency, operation(n))
-		again := make(chan soakEnd, 1)
+		header.Set(target.HeaderIdempotency, operationID(n))
+		again := make(chan callResult, 1)
 		other := s.servers[r.IntN(len(s.servers))]
 		go func() { again <- s.call(ctx, other.URL, n, header) }()
 		end := s.call(ctx, server.URL, n, header)
-		return s.merge(end, <-again)
+		return s.mergeResults(end, <-again)
 	}
 	return s.call(ctx, server.URL, n, header)
 }
 
-// merge combines what two callers of the same operation learned: one of them
+// mergeResults combines what two callers of the same operation learned: one of them
 // may come after the other's not-run and run it then.
-func (s *soak) merge(a, b soakEnd) soakEnd {
-	if a == endDone && b == endDone {
-		s.rejoins.Add(1)
+func (s *soak) mergeResults(a, b callResult) callResult {
+	if a == resultDone && b == resultDone {
+		s.deduplicated.Add(1)
 	}
-	if a == endNotRun {
+	if a == resultNotRun {
 		return b
 	}
-	if b == endNotRun {
+	if b == resultNotRun {
 		return a
 	}
-	if a == endDone || b == endDone {
-		return endDone
+	if a == resultDone || b == resultDone {
+		return resultDone
 	}
-	return endUnknown
+	return resultUnknown
 }
 
-func operation(n int) string { return fmt.Sprintf("op-%d", n) }
+func operationID(n int) string { return fmt.Sprintf("op-%d", n) }
 
 // call sends one copy: even operations are look-ups, odd ones registrations.
-func (s *soak) call(ctx context.Context, base string, n int, header http.Header) soakEnd {
-	method, uri, payload := http.MethodGet, fmt.Sprintf("/balance/k%d?operation=%s", n%997, operation(n)), ""
+func (s *soak) call(ctx context.Context, base string, n int, header http.Header) callResult {
+	method, uri, payload := http.MethodGet, fmt.Sprintf("/balance/k%d?operation=%s", n%997, operationID(n)), ""
 	if n%2 == 1 {
-		method, uri, payload = http.MethodPost, fmt.Sprintf("/plan/k%d?operation=%s", n%997, operation(n)), operation(n)
+		method, uri, payload = http.MethodPost, fmt.Sprintf("/plan/k%d?operation=%s", n%997, operationID(n)), operationID(n)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, base+uri, strings.NewReader(payload))
 	if err != nil {
 		s.Error(err)
-		return endNone
+		return resultNone
 	}
 	req.Header = header.Clone()
-	req.Header.Set("Authorization", "Bearer "+clerk)
+	req.Header.Set("Authorization", "Bearer "+clerkCredential)
 	resp, err := s.client.Do(req)
 	if err != nil {
-		return endGone
+		return resultGone
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return endGone
+		return resultGone
 	}
 	switch outcome.Outcome(resp.Header.Get(outcome.Header)) {
 	case outcome.Done:
 		if !fake.CheckResponse(body, uri, []byte(payload)) {
-			s.wrong.Add(1)
+			s.wrongResponses.Add(1)
 			s.Logf("wrong answer to %s: status %d, %d bytes", uri, resp.StatusCode, len(body))
 		}
-		return endDone
+		return resultDone
 	case outcome.NotRun:
-		return endNotRun
+		return resultNotRun
 	case outcome.Unknown:
-		return endUnknown
+		return resultUnknown
 	}
-	return endNone
+	return resultNone
 }
 
 // check compares what the callers learned with the runs at the targets.
 func (s *soak) check() {
-	operations := make([]string, len(s.ends))
+	operations := make([]string, len(s.results))
 	for n := range operations {
-		operations[n] = operation(n)
+		operations[n] = operationID(n)
 	}
 	counts := map[string]int{}
-	for n, runs := range s.farm.Ledger.RunsOf(operations) {
-		end := s.ends[n]
+	for n, runs := range s.targets.Ledger.RunsOf(operations) {
+		end := s.results[n]
 		counts[fmt.Sprintf("%s %s", []string{"look-ups", "registrations"}[n%2], [...]string{"gone", "done", "not-run", "unknown", "none"}[end])]++
 		switch {
 		case n%2 == 1 && runs > 1:
 			counts["BROKEN doubled run"]++
-		case end == endNotRun && runs > 0:
+		case end == resultNotRun && runs > 0:
 			counts["BROKEN false not-run"]++
-		case end == endDone && runs == 0:
+		case end == resultDone && runs == 0:
 			counts["BROKEN done without a run"]++
-		case end == endNone:
+		case end == resultNone:
 			counts["BROKEN answer without an outcome"]++
 		case runs > 2:
 			counts["BROKEN look-up ran thrice"]++
 		}
 	}
-	l := s.farm.Ledger.Counts()
-	s.Logf("requests %d, runs %d, moves %d, refused busy %d, misrouted %d, joined %d", len(s.ends), l.Runs, l.Moves, l.Sheds, l.Misrouted, s.rejoins.Load())
+	l := s.targets.Ledger.Counts()
+	s.Logf("requests %d, runs %d, moves %d, refused busy %d, misrouted %d, joined %d", len(s.results), l.Runs, l.Moves, l.Sheds, l.Misrouted, s.deduplicated.Load())
 	for name, n := range counts {
 		s.Logf("%s: %d", name, n)
 		assert.Check(s, !strings.HasPrefix(name, "BROKEN"), name)
 	}
-	assert.Equal(s, s.wrong.Load(), int64(0), "wrong answers")
+	assert.Equal(s, s.wrongResponses.Load(), int64(0), "wrong answers")
 	assert.Equal(s, l.DuplicateRuns, uint64(0))
 	assert.Equal(s, l.DuplicateOwners, uint64(0))
 	assert.Equal(s, l.RefusedConns, uint64(0), "connections over the limit")
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -21,8 +21,8 @@
 		Host: string(e.cfg.Host), Zone: string(e.cfg.Zone), Role: string(peer.RoleEntry),
 		Version: version.String(), Started: e.started, Ready: e.Ready(),
 		Settings: e.inForce(),
-		Targets:  e.targets(now),
-		Callers:  e.meters.callers(now),
+		Targets:  e.targetRows(now),
+		Callers:  e.meters.callerRows(now),
 	}
 	if q.HasKey() {
 		out.Key = e.explain(q)
@@ -32,8 +32,8 @@
 
 // inForce tells which settings this entry acts on.
 func (e *Entry) inForce() status.Settings {
-	e.refreshing.Lock()
-	defer e.refreshing.Unlock()
+	e.refreshMu.Lock()
+	defer e.refreshMu.Unlock()
 	out := status.Settings{Revision: e.settingsVersion.Major, Since: e.settingsSince}
 	if s := e.view.Load().settings; s != nil {
 		out.Number = s.Number
@@ -41,12 +41,12 @@
 	return out
 }
 
-// targets returns the work that this entry sent to each target.
-func (e *Entry) targets(now time.Time) []status.Target {
-	e.refreshing.Lock()
-	defer e.refreshing.Unlock()
-	out := make([]status.Target, 0, len(e.lanes))
-	for _, l := range e.lanes {
+// targetRows returns the work that this entry sent to each target.
+func (e *Entry) targetRows(now time.Time) []status.Target {
+	e.refreshMu.Lock()
+	defer e.refreshMu.Unlock()
+	out := make([]status.Target, 0, len(e.targetStates))
+	for _, l := range e.targetStates {
 		out = append(out, l.status(now))
 	}
 	slices.SortFunc(out, func(a, b status.Target) int {
@@ -56,13 +56,13 @@
 }
 
 // status returns the work of one lane.
-func (l *lane) status(now time.Time) status.Target {
-	f := l.meter.figures(now)
+func (l *targetState) status(now time.Time) status.Target {
+	f := l.meter.stats(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return status.Target{
 		Service: string(l.service), Target: string(l.target),
-		PerSecond: f.perSecond, Waiting: l.queue.Len(), Running: l.running, P99: f.p99,
+		PerSecond: f.perSecond, Waiting: l.queue.Len(), Running: l.inFlight, P99: f.p99,
 	}
 }
 
@@ -77,10 +77,10 @@
 		Service: string(q.Service), Key: q.Key, Shard: uint32(shard),
 		SingleKey: shard >= key.Shard(s.shards), Epoch: uint64(o.epoch),
 	}
-	if o.lane == nil {
+	if o.target == nil {
 		out.Reason = "no table names an owner"
 		return out
 	}
-	out.Zone, out.Owner = string(o.lane.zone), string(o.lane.target)
+	out.Zone, out.Owner = string(o.target.zone), string(o.target.target)
 	return out
 }
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -29,15 +29,15 @@
 	const callers = 20
 	started, free := make(chan struct{}), make(chan struct{})
 	f := newFixture(t, nil)
-	owner := newTarget(t, func(c net.Conn, r *http.Request, id string) bool {
+	owner := newFakeTarget(t, func(c net.Conn, r *http.Request, id string) bool {
 		if r.URL.Path == "/plan/slow" {
 			close(started)
 			<-free
 		}
-		reply(c, id, "whole")
+		writeResponse(c, id, "whole")
 		return true
 	})
-	f.own(owner.addr())
+	f.setOwner(owner.addr())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := entry.NewServer(f.entry, l)
@@ -48,7 +48,7 @@
 	post := func(client *http.Client, key string) bool {
 		req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/plan/%s", l.Addr(), key), http.NoBody)
 		assert.Check(t, err)
-		req.Header.Set("Authorization", "Bearer "+clerk)
+		req.Header.Set("Authorization", "Bearer "+clerkCredential)
 		resp, err := client.Do(req)
 		if err != nil {
 			t.Log(err)
@@ -87,18 +87,18 @@
 	wg.Wait()
 	assert.NilError(t, <-stopped)
 	assert.Equal(t, cut.Load(), int64(0))
-	assert.Equal(t, int64(owner.total()), done.Load())
+	assert.Equal(t, int64(owner.totalRuns()), done.Load())
 }
 
 // TestRetryBudget takes a third of the targets away at once: the tries stay
 // within the requests, a tenth more, and the first burst.
 func TestRetryBudget(t *testing.T) {
 	const requests, burst = 600, 20
-	owner := newTarget(t, nil)
+	owner := newFakeTarget(t, nil)
 	gone := netip.MustParseAddrPort("127.0.0.1:1")
 	var failed atomic.Int64
 	f := newFixture(t, func(c *entryConfig) {
-		c.Park = 50 * time.Millisecond
+		c.ParkTimeout = 50 * time.Millisecond
 		c.Dial = func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 			if addr == gone {
 				failed.Add(1)
@@ -107,10 +107,10 @@
 			return forward.DialTCP(ctx, addr)
 		}
 	})
-	s := someTable(plan, owner.addr())
+	s := testTable(plan, owner.addr())
 	s.Targets = append(s.Targets, table.Target{Name: "gone", Addr: gone})
 	s.Rows[0].Owner = 1
-	f.board.putTable(s)
+	f.replica.putTable(s)
 	var wg sync.WaitGroup
 	var ended [3]atomic.Int64
 	for i := range requests {
@@ -126,7 +126,7 @@
 	wg.Wait()
 	assert.Equal(t, ended[2].Load(), int64(0), "unknown")
 	assert.Assert(t, ended[0].Load() > 0)
-	assert.Equal(t, int64(owner.total()), ended[0].Load())
+	assert.Equal(t, int64(owner.totalRuns()), ended[0].Load())
 	assert.Assert(t, failed.Load() <= ended[1].Load()+requests/10+burst+1, "tries %d, not run %d", failed.Load(), ended[1].Load())
 	t.Logf("requests %d, done %d, failed tries %d", requests, ended[0].Load(), failed.Load())
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -30,38 +30,38 @@
 
 // service is the merged routing table of one service over all zones.
 type service struct {
-	shards key.ShardCount
-	rows   map[key.Shard]owner // solo shards included
-	dense  []owner             // hash-range shards, by index
-	solos  map[key.Hash]key.Shard
-	origin []*table.Table // whose row stands in dense, by index
-	load   *serviceLoad
+	shards          key.ShardCount
+	singleKeyOwners map[key.Shard]owner // solo shards included
+	rangeOwners     []owner             // hash-range shards, by index
+	singleKeys      map[key.Hash]key.Shard
+	rangeTables     []*table.Table // whose row stands in dense, by index
+	load            *serviceLoad
 }
 
 // owner is the target of one shard; lane is nil where none owns it now.
 type owner struct {
-	lane  *lane
-	epoch grant.Epoch
+	target *targetState
+	epoch  grant.Epoch
 }
 
 // find returns the shard of a key and its owner.
 func (s *service) find(h key.Hash) (key.Shard, owner) {
-	if len(s.solos) > 0 {
-		if shard, ok := s.solos[h]; ok {
-			return shard, s.rows[shard]
+	if len(s.singleKeys) > 0 {
+		if shard, ok := s.singleKeys[h]; ok {
+			return shard, s.singleKeyOwners[shard]
 		}
 	}
 	shard := h.Shard(s.shards)
-	if int(shard) >= len(s.dense) {
+	if int(shard) >= len(s.rangeOwners) {
 		return shard, owner{}
 	}
-	return shard, s.dense[shard]
+	return shard, s.rangeOwners[shard]
 }
 
-// refresh builds a view from the board and puts it in force.
-func (e *Entry) refresh(now time.Time) {
-	e.refreshing.Lock()
-	defer e.refreshing.Unlock()
+// refreshView builds a view from the board and puts it in force.
+func (e *Entry) refreshView(now time.Time) {
+	e.refreshMu.Lock()
+	defer e.refreshMu.Unlock()
 	old := e.view.Load()
 	v := &view{
 		settings: old.settings,
@@ -73,7 +73,7 @@
 		return
 	}
 	v.tables = e.readTables()
-	v.hosts, v.keyHomes = e.fleetHosts(), old.keyHomes
+	v.hosts, v.keyHomes = e.entryHosts(), old.keyHomes
 	if !slices.Equal(v.hosts, old.hosts) {
 		v.keyHomes = rankKeyHomes(v.hosts)
 	}
@@ -82,18 +82,18 @@
 	}
 	for _, t := range v.tables {
 		if s := v.services[t.Service]; s != nil {
-			s.addSolos(t)
+			s.addSingleKeys(t)
 		}
 	}
 	e.view.Store(v)
 	close(old.replaced)
-	e.sweepLanes(v)
+	e.updateTargets(v)
 }
 
 // readSettings takes the newest settings; it reports false while there are
 // none yet.
 func (e *Entry) readSettings(v *view) bool {
-	doc, ok := e.cfg.Board.Get(docsync.Settings)
+	doc, ok := e.cfg.Replica.Get(docsync.Settings)
 	if !ok {
 		return v.settings != nil
 	}
@@ -117,7 +117,7 @@
 // readTables decodes the newest table of each cell, sorted by document name.
 func (e *Entry) readTables() []*table.Table {
 	var out []*table.Table
-	for _, doc := range e.cfg.Board.List(docsync.TablePrefix) {
+	for _, doc := range e.cfg.Replica.List(docsync.TablePrefix) {
 		known, ok := e.tableCache[doc.Name]
 		if !ok || known.version != doc.Version {
 			t, err := e.cfg.DecodeTable(doc.Body)
@@ -153,9 +153,9 @@
 		s = e.newService(t)
 		v.services[t.Service] = s
 	}
-	lanes := make([]*lane, len(t.Targets))
+	lanes := make([]*targetState, len(t.Targets))
 	for i := range t.Targets {
-		lanes[i] = e.laneOf(t, &t.Targets[i], cfg, now)
+		lanes[i] = e.targetStateOf(t, &t.Targets[i], cfg, now)
 		homes := rankHomes(v.hosts, t.Zone, t.Targets[i].Name)
 		lanes[i].homes.Store(&homes)
 	}
@@ -166,90 +166,90 @@
 
 func (e *Entry) newService(t *table.Table) *service {
 	return &service{
-		shards: t.Shards,
-		rows:   make(map[key.Shard]owner),
-		dense:  make([]owner, t.Shards),
-		solos:  make(map[key.Hash]key.Shard),
-		origin: make([]*table.Table, t.Shards),
-		load:   e.load.service(t.Service, t.Shards),
+		shards:          t.Shards,
+		singleKeyOwners: make(map[key.Shard]owner),
+		rangeOwners:     make([]owner, t.Shards),
+		singleKeys:      make(map[key.Hash]key.Shard),
+		rangeTables:     make([]*table.Table, t.Shards),
+		load:            e.loadCounters.service(t.Service, t.Shards),
 	}
 }
 
 // add takes one row of a table, unless a row of a higher epoch is known.
-func (s *service) add(row table.Row, lanes []*lane, t *table.Table) {
+func (s *service) add(row table.Row, lanes []*targetState, t *table.Table) {
 	o := owner{epoch: row.Epoch}
 	if int(row.Owner) < len(lanes) {
-		o.lane = lanes[row.Owner]
+		o.target = lanes[row.Owner]
 	}
-	if int(row.Shard) < len(s.dense) {
-		if row.Epoch >= s.dense[row.Shard].epoch {
-			s.dense[row.Shard] = o
-			s.origin[row.Shard] = t
+	if int(row.Shard) < len(s.rangeOwners) {
+		if row.Epoch >= s.rangeOwners[row.Shard].epoch {
+			s.rangeOwners[row.Shard] = o
+			s.rangeTables[row.Shard] = t
 		}
 		return
 	}
-	if known, ok := s.rows[row.Shard]; !ok || row.Epoch >= known.epoch {
-		s.rows[row.Shard] = o
+	if known, ok := s.singleKeyOwners[row.Shard]; !ok || row.Epoch >= known.epoch {
+		s.singleKeyOwners[row.Shard] = o
 	}
 }
 
-// addSolos takes the solo keys of a table whose parent shards the table has.
+// addSingleKeys takes the solo keys of a table whose parent shards the table has.
 // A zone that was cut off while its shards were taken away still publishes its
 // solo keys; the keys went with their shards.
-func (s *service) addSolos(t *table.Table) {
+func (s *service) addSingleKeys(t *table.Table) {
 	for _, solo := range t.SingleKeys {
 		parent := solo.Hash.Shard(s.shards)
-		if int(parent) < len(s.origin) && s.origin[parent] == t {
-			s.solos[solo.Hash] = solo.Shard
+		if int(parent) < len(s.rangeTables) && s.rangeTables[parent] == t {
+			s.singleKeys[solo.Hash] = solo.Shard
 		}
 	}
 }
 
-// laneID tells the lanes of one target's lives at different addresses apart.
-type laneID struct {
+// targetStateID tells the lanes of one target's lives at different addresses apart.
+type targetStateID struct {
 	service key.Service
 	target  place.Target
 	addr    string
 }
 
-// laneOf returns the lane of a target, made on first sight.
-func (e *Entry) laneOf(t *table.Table, row *table.Target, cfg *settings.Service, now time.Time) *lane {
-	id := laneID{t.Service, row.Name, row.Addr.String()}
-	l := e.lanes[id]
+// targetStateOf returns the lane of a target, made on first sight.
+func (e *Entry) targetStateOf(t *table.Table, row *table.Target, cfg *settings.Service, now time.Time) *targetState {
+	id := targetStateID{t.Service, row.Name, row.Addr.String()}
+	l := e.targetStates[id]
 	if l == nil {
-		l = newLane(e, t.Zone, row, cfg)
-		e.lanes[id] = l
-		go l.run(e.ctx, now)
+		l = newTargetState(e, t.Zone, row, cfg)
+		e.targetStates[id] = l
+		go l.warmUpPool(e.ctx, now)
 	}
 	l.configure(row, cfg)
 	return l
 }
 
-// sweepLanes wakes waiting work whose owner changed and closes the lanes of
+// updateTargets wakes waiting work whose owner changed and closes the lanes of
 // targets that no table names any more.
-func (e *Entry) sweepLanes(v *view) {
-	used := make(map[*lane]bool, len(e.lanes))
+func (e *Entry) updateTargets(v *view) {
+	used := make(map[*targetState]bool, len(e.targetStates))
 	for _, s := range v.services {
-		for i := range s.dense {
-			used[s.dense[i].lane] = true
+		for i := range s.rangeOwners {
+			used[s.rangeOwners[i].target] = true
 		}
-		for _, o := range s.rows {
-			used[o.lane] = true
+		for _, o := range s.singleKeyOwners {
+			used[o.target] = true
 		}
 	}
-	for id, l := range e.lanes {
+	for id, l := range e.targetStates {
 		l.wakeMoved(v)
-		if used[l] || l.named(v) {
+		if used[l] || l.listedIn(v) {
 			continue
 		}
 		l.close()
-		delete(e.lanes, id)
+		delete(e.targetStates, id)
 		e.log.Info("Target left.", "target", string(id.target))
 	}
 }
 
-// named reports whether a table of the view still lists the lane's target.
-func (l *lane) named(v *view) bool {
+// listedIn reports whether a table of the view still lists the lane's target.
+func (l *targetState) listedIn(v *view) bool {
 	for _, t := range v.tables {
 		if t.Service != l.service {
 			continue
--- a/internal/entry/view_test.go
+++ b/internal/entry/view_test.go
@@ -9,9 +9,9 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// TestSoloKeyGoesWithItsShard: zone a was cut off and its shards were taken
+// TestSingleKeyFollowsItsShard: zone a was cut off and its shards were taken
 // away, but its last table, with a solo key, is still on the board.
-func TestSoloKeyGoesWithItsShard(t *testing.T) {
+func TestSingleKeyFollowsItsShard(t *testing.T) {
 	const shards key.ShardCount = 4
 	hash := key.HashOf("00855")
 	parent := hash.Shard(shards)
@@ -34,15 +34,15 @@
 		"taken away, reversed": {[]*table.Table{taker, lost}, parent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := &Entry{load: newLoad()}
+			e := &Entry{loadCounters: newLoadCounters()}
 			s := e.newService(test.tables[0])
 			for _, tab := range test.tables {
 				for _, row := range tab.Rows {
-					s.add(row, []*lane{{}}, tab)
+					s.add(row, []*targetState{{}}, tab)
 				}
 			}
 			for _, tab := range test.tables {
-				s.addSolos(tab)
+				s.addSingleKeys(tab)
 			}
 			shard, _ := s.find(hash)
 			assert.Equal(t, shard, test.shard)
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -23,22 +23,22 @@
 
 // Messages between entry hosts.
 type (
-	wireWork struct {
-		_          struct{} `cbor:",toarray"`
-		Caller     string
-		Class      string
-		Route      string
-		Idempotent bool
-		Join       string
-		Digest     []byte
-		Service    string
-		Hash       uint64
-		LeftUS     uint64
-		MaxBody    int64
-		Method     string
-		URI        string
-		Header     http.Header
-		Body       []byte
+	wireJob struct {
+		_              struct{} `cbor:",toarray"`
+		Caller         string
+		Class          string
+		Route          string
+		Idempotent     bool
+		IdempotencyKey string
+		Fingerprint    []byte
+		Service        string
+		Hash           uint64
+		TimeoutUS      uint64
+		MaxBody        int64
+		Method         string
+		URI            string
+		Header         http.Header
+		Body           []byte
 	}
 	wireResult struct {
 		_       struct{} `cbor:",toarray"`
@@ -53,36 +53,36 @@
 	}
 )
 
-// maxLeft bounds the time that a request brings along.
-const maxLeft = 10 * time.Minute
+// maxRelayTimeout bounds the time that a request brings along.
+const maxRelayTimeout = 10 * time.Minute
 
-// maxStatus is the highest status of an answer.
-const maxStatus = 599
+// maxStatusCode is the highest status of an answer.
+const maxStatusCode = 599
 
-func encodeWork(now time.Time, w *work) ([]byte, error) {
+func encodeJob(now time.Time, w *job) ([]byte, error) {
 	r := &w.request
-	return cbor.Marshal(&wireWork{
+	return cbor.Marshal(&wireJob{
 		Caller: string(w.caller), Class: string(w.class), Route: w.route,
-		Idempotent: w.idempotent, Join: w.join, Digest: w.digest[:],
+		Idempotent: w.idempotent, IdempotencyKey: w.idempotencyKey, Fingerprint: w.fingerprint[:],
 		Service: string(r.Service), Hash: uint64(w.hash),
-		LeftUS: uint64(max(w.deadline.Sub(now), 0).Microseconds()), MaxBody: r.MaxBody,
+		TimeoutUS: uint64(max(w.deadline.Sub(now), 0).Microseconds()), MaxBody: r.MaxBody,
 		Method: r.Method, URI: r.URI, Header: r.Header, Body: r.Body,
 	})
 }
 
-func decodeWork(now time.Time, body []byte) (*work, error) {
-	var m wireWork
+func decodeJob(now time.Time, body []byte) (*job, error) {
+	var m wireJob
 	if err := cbor.Unmarshal(body, &m); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	if len(m.Digest) != len(digest{}) || m.MaxBody < 0 || m.LeftUS > uint64(maxLeft.Microseconds()) {
+	if len(m.Fingerprint) != len(fingerprint{}) || m.MaxBody < 0 || m.TimeoutUS > uint64(maxRelayTimeout.Microseconds()) {
 		return nil, errMalformed
 	}
-	w := &work{
+	w := &job{
 		caller: settings.Caller(m.Caller), class: settings.Class(m.Class), route: m.Route,
-		idempotent: m.Idempotent, join: m.Join, digest: digest(m.Digest),
-		hash: key.Hash(m.Hash), wake: make(chan event, 1),
-		deadline: now.Add(time.Duration(m.LeftUS) * time.Microsecond),
+		idempotent: m.Idempotent, idempotencyKey: m.IdempotencyKey, fingerprint: fingerprint(m.Fingerprint),
+		hash: key.Hash(m.Hash), wake: make(chan slotEvent, 1),
+		deadline: now.Add(time.Duration(m.TimeoutUS) * time.Microsecond),
 	}
 	w.request = forward.Request{
 		Method: m.Method, URI: m.URI, Header: forward.SanitizeHeader(m.Header), Body: m.Body,
@@ -109,7 +109,7 @@
 	}
 	switch outcome.Outcome(m.Outcome) {
 	case outcome.Done:
-		if m.Status < http.StatusOK || m.Status > maxStatus {
+		if m.Status < http.StatusOK || m.Status > maxStatusCode {
 			return nil, false, errMalformed
 		}
 		result = outcome.Response{Status: m.Status, Header: forward.SanitizeHeader(m.Header), Body: m.Body}
--- a/internal/entry/wire_test.go
+++ b/internal/entry/wire_test.go
@@ -11,28 +11,28 @@
 	"citrontray.example/citrontray/internal/outcome"
 )
 
-func TestWorkWire(t *testing.T) {
+func TestJobRoundTrip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := &work{
-		caller: "clerk", class: "bulk", route: "plan", idempotent: true, hash: 7, join: "key",
-		digest: digest{1, 2}, deadline: now.Add(time.Second),
+	w := &job{
+		caller: "clerk", class: "bulk", route: "plan", idempotent: true, hash: 7, idempotencyKey: "key",
+		fingerprint: fingerprint{1, 2}, deadline: now.Add(time.Second),
 	}
 	w.request = forward.Request{
 		Method: "POST", URI: "/plan/k", Header: http.Header{"Accept": {"x"}}, Body: []byte("body"),
 		Service: "plan", MaxBody: 5, Deadline: w.deadline,
 	}
-	body, err := encodeWork(now, w)
+	body, err := encodeJob(now, w)
 	assert.NilError(t, err)
-	got, err := decodeWork(now, body)
+	got, err := decodeJob(now, body)
 	assert.NilError(t, err)
 	got.wake = nil
 	assert.DeepEqual(t, got.request, w.request)
-	assert.Equal(t, got.digest, w.digest)
-	assert.Equal(t, got.join, w.join)
+	assert.Equal(t, got.fingerprint, w.fingerprint)
+	assert.Equal(t, got.idempotencyKey, w.idempotencyKey)
 	assert.Assert(t, got.deadline.Equal(w.deadline))
 }
 
-func TestResultWire(t *testing.T) {
+func TestResultRoundTrip(t *testing.T) {
 	tests := map[string]outcome.Result{
 		"answer":  outcome.Response{Status: 201, Header: http.Header{"Accept": {"x"}}, Body: []byte("body")},
 		"not run": outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: 2 * time.Second},
@@ -51,12 +51,12 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	body, _ := encodeWork(time.Unix(1000, 0), &work{deadline: time.Unix(1001, 0)})
+	body, _ := encodeJob(time.Unix(1000, 0), &job{deadline: time.Unix(1001, 0)})
 	f.Add(body)
 	body, _ = encodeResult(outcome.Response{Status: 200, Body: []byte("x")}, false)
 	f.Add(body)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if w, err := decodeWork(time.Unix(1000, 0), body); err == nil && w.deadline.After(time.Unix(1000, 0).Add(maxLeft)) {
+		if w, err := decodeJob(time.Unix(1000, 0), body); err == nil && w.deadline.After(time.Unix(1000, 0).Add(maxRelayTimeout)) {
 			t.Fatal("deadline past its bound")
 		}
 		if r, _, err := decodeResult(body); err == nil && r == nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -32,11 +32,11 @@
 
 // The kinds of messages.
 const (
-	KindCell    Kind = iota + 1 // between a cell's leader and its roster hosts
-	KindSync                    // documents of package docsync
-	KindLoad                    // load reports from entry processes to leaders
-	KindStatus                  // status of a process
-	KindForward                 // a request forwarded to another entry host
+	KindCell   Kind = iota + 1 // between a cell's leader and its roster hosts
+	KindSync                   // documents of package docsync
+	KindLoad                   // load reports from entry processes to leaders
+	KindStatus                 // status of a process
+	KindRelay                  // a request forwarded to another entry host
 )
 
 // Handler handles one message and returns the response.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -102,7 +102,7 @@
 	}{
 		"no process at address":   {to: closedAddr, kind: peer.KindSync, want: peer.ErrUnreachable},
 		"role may not send":       {to: server.Addr(), kind: peer.KindCell, want: peer.ErrRefused},
-		"role does not serve":     {to: server.Addr(), kind: peer.KindForward, want: peer.ErrRefused},
+		"role does not serve":     {to: server.Addr(), kind: peer.KindRelay, want: peer.ErrRefused},
 		"no response in time":     {to: server.Addr(), kind: peer.KindLoad, want: peer.ErrNoResponse, timeout: time.Second},
 		"message too large":       {to: server.Addr(), kind: peer.KindSync, body: make([]byte, peer.MaxMessage+1), want: peer.ErrTooLarge},
 		"unknown kind of message": {to: server.Addr(), kind: 99, want: peer.ErrRefused},
--- a/internal/peer/policy.go
+++ b/internal/peer/policy.go
@@ -8,7 +8,7 @@
 		return role == RoleLead
 	case KindSync:
 		return role == RoleLead || role == RoleEntry || role == RoleOperator
-	case KindLoad, KindForward:
+	case KindLoad, KindRelay:
 		return role == RoleEntry
 	case KindStatus:
 		return true
@@ -23,7 +23,7 @@
 	switch kind {
 	case KindCell, KindSync, KindLoad:
 		return role == RoleLead
-	case KindForward:
+	case KindRelay:
 		return role == RoleEntry
 	case KindStatus:
 		return role == RoleLead || role == RoleEntry
--- a/internal/queue/serve.go
+++ b/internal/queue/dequeue.go
@@ -9,18 +9,18 @@
 
 // Pop removes and returns the item whose turn it is, of any class but except.
 // Items past their deadline are skipped: Expire returns those.
-func (q *Queue[T]) Pop(now time.Time, except settings.Class) (Entry[T], bool) {
+func (q *Queue[T]) Pop(now time.Time, except settings.Class) (Item[T], bool) {
 	c := q.nextClass(now, except)
 	if c == nil {
-		var zero Entry[T]
+		var zero Item[T]
 		return zero, false
 	}
-	at, i := q.nextRow(c, now)
-	q.clock = c.pass
+	at, i := q.nextNode(c, now)
+	q.virtualTime = c.pass
 	c.pass += 1 / c.weight
-	c.turn = (at + 1) % len(c.flows)
-	e := q.rows[i].Entry
-	q.take(i)
+	c.nextFlow = (at + 1) % len(c.flows)
+	e := q.nodes[i].Item
+	q.removeNode(i)
 	return e, true
 }
 
@@ -35,67 +35,67 @@
 		if best != nil && best.pass <= c.pass {
 			continue
 		}
-		if _, i := q.nextRow(c, now); i != none {
+		if _, i := q.nextNode(c, now); i != noNode {
 			best = c
 		}
 	}
 	return best
 }
 
-// nextRow returns the oldest item within its deadline of the flow whose turn
+// nextNode returns the oldest item within its deadline of the flow whose turn
 // it is, and that flow's place in the ring.
-func (q *Queue[T]) nextRow(c *class, now time.Time) (at int, i int32) {
+func (q *Queue[T]) nextNode(c *class, now time.Time) (at int, i int32) {
 	for n := range c.flows {
-		at := (c.turn + n) % len(c.flows)
-		for i := c.flows[at].first; i != none; i = q.rows[i].next {
-			if q.rows[i].Deadline.After(now) {
+		at := (c.nextFlow + n) % len(c.flows)
+		for i := c.flows[at].first; i != noNode; i = q.nodes[i].next {
+			if q.nodes[i].Deadline.After(now) {
 				return at, i
 			}
 		}
 	}
-	return 0, none
+	return 0, noNode
 }
 
-// dropFlow takes an empty flow out of its class's ring.
-func (q *Queue[T]) dropFlow(f *flow) {
+// removeFlow takes an empty flow out of its class's ring.
+func (q *Queue[T]) removeFlow(f *flow) {
 	c := f.class
 	at := slices.Index(c.flows, f)
 	c.flows = slices.Delete(c.flows, at, at+1)
-	if c.turn > at {
-		c.turn--
+	if c.nextFlow > at {
+		c.nextFlow--
 	}
-	if c.turn >= len(c.flows) {
-		c.turn = 0
+	if c.nextFlow >= len(c.flows) {
+		c.nextFlow = 0
 	}
 	delete(q.flows, flowID{f.caller, c.name})
 }
 
 // Remove takes an item out; it reports false where it had left already.
-func (q *Queue[T]) Remove(t Ticket) bool {
-	if int(t.row) >= len(q.rows) {
+func (q *Queue[T]) Remove(t Handle) bool {
+	if int(t.node) >= len(q.nodes) {
 		return false
 	}
-	if r := &q.rows[t.row]; !r.used || r.generation != t.generation {
+	if r := &q.nodes[t.node]; !r.inUse || r.generation != t.generation {
 		return false
 	}
-	q.take(t.row)
+	q.removeNode(t.node)
 	return true
 }
 
 // Expire removes and returns the items whose deadline has passed.
 func (q *Queue[T]) Expire(now time.Time) []T {
-	return q.RemoveWhere(func(e Entry[T]) bool { return !e.Deadline.After(now) })
+	return q.RemoveWhere(func(e Item[T]) bool { return !e.Deadline.After(now) })
 }
 
 // RemoveWhere removes and returns the items for which drop holds.
-func (q *Queue[T]) RemoveWhere(drop func(Entry[T]) bool) []T {
+func (q *Queue[T]) RemoveWhere(drop func(Item[T]) bool) []T {
 	if q.size == 0 {
 		return nil
 	}
 	var out []T
-	for i := range q.rows {
-		if q.rows[i].used && drop(q.rows[i].Entry) {
-			out = append(out, q.take(int32(i)))
+	for i := range q.nodes {
+		if q.nodes[i].inUse && drop(q.nodes[i].Item) {
+			out = append(out, q.removeNode(int32(i)))
 		}
 	}
 	return out
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -10,34 +10,34 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Ticket names one waiting item; it is stale once the item left the queue.
-type Ticket struct {
-	row        int32
+// Handle names one waiting item; it is stale once the item left the queue.
+type Handle struct {
+	node       int32
 	generation uint32
 }
 
-// Entry is what is pushed.
-type Entry[T any] struct {
+// Item is what is pushed.
+type Item[T any] struct {
 	Caller   settings.Caller
 	Class    settings.Class
 	Deadline time.Time
 	Value    T
 }
 
-// Verdict is the outcome of a push.
-type Verdict uint8
+// PushResult is the outcome of a push.
+type PushResult uint8
 
 // The verdicts. Full and Late items were not taken.
 const (
-	Queued Verdict = iota
-	Full           // the queue is full and the caller has its share of it
-	Late           // the item would not be served before its deadline
+	Queued PushResult = iota
+	Full              // the queue is full and the caller has its share of it
+	Late              // the item would not be served before its deadline
 )
 
 // Config bounds a queue.
 type Config struct {
-	// Bound is the largest number of waiting items.
-	Bound int
+	// MaxLen is the largest number of waiting items.
+	MaxLen int
 	// Weights gives the share of each class; a missing one has weight 1.
 	Weights map[settings.Class]float64
 }
@@ -45,7 +45,7 @@
 // DefaultConfig serves interactive work before registrations before bulk.
 func DefaultConfig() Config {
 	return Config{
-		Bound: 256,
+		MaxLen: 256,
 		Weights: map[settings.Class]float64{
 			settings.Interactive: 16,
 			settings.Registering: 8,
@@ -54,15 +54,15 @@
 	}
 }
 
-// none ends the linked lists of rows.
-const none int32 = -1
+// noNode ends the linked lists of rows.
+const noNode int32 = -1
 
-type row[T any] struct {
-	Entry[T]
+type node[T any] struct {
+	Item[T]
 	flow       *flow
 	prev, next int32
 	generation uint32
-	used       bool
+	inUse      bool
 }
 
 // flow is the waiting work of one caller in one class, oldest first.
@@ -75,22 +75,22 @@
 
 // class is a ring of flows with waiting work; pass is its virtual time.
 type class struct {
-	name   settings.Class
-	weight float64
-	pass   float64
-	flows  []*flow
-	turn   int
+	name     settings.Class
+	weight   float64
+	pass     float64
+	flows    []*flow
+	nextFlow int
 }
 
 // Queue is not safe for concurrent use.
 type Queue[T any] struct {
-	cfg     Config
-	rows    []row[T]
-	free    []int32
-	flows   map[flowID]*flow
-	classes []*class
-	clock   float64 // virtual time of the last class served
-	size    int
+	cfg         Config
+	nodes       []node[T]
+	free        []int32
+	flows       map[flowID]*flow
+	classes     []*class
+	virtualTime float64 // virtual time of the last class served
+	size        int
 }
 
 type flowID struct {
@@ -110,22 +110,22 @@
 // full. each is the mean time between two items served. A full queue makes
 // room by pushing out the newest item of the caller with the most waiting
 // work, if that is more than the new item's caller has; out is that item.
-func (q *Queue[T]) Push(now time.Time, e Entry[T], each time.Duration) (t Ticket, v Verdict, out T, pushed bool) {
-	if now.Add(q.wait(e, each)).After(e.Deadline) {
-		return Ticket{}, Late, out, false
+func (q *Queue[T]) Push(now time.Time, e Item[T], each time.Duration) (t Handle, v PushResult, out T, pushed bool) {
+	if now.Add(q.estimateWait(e, each)).After(e.Deadline) {
+		return Handle{}, Late, out, false
 	}
-	if q.size >= q.cfg.Bound {
-		longest := q.longest()
-		if longest == nil || longest.count <= q.waiting(e)+1 {
-			return Ticket{}, Full, out, false
+	if q.size >= q.cfg.MaxLen {
+		longest := q.longestFlow()
+		if longest == nil || longest.count <= q.flowLen(e)+1 {
+			return Handle{}, Full, out, false
 		}
-		out, pushed = q.take(longest.last), true
+		out, pushed = q.removeNode(longest.last), true
 	}
 	return q.add(e), Queued, out, pushed
 }
 
 // Wait estimates how long an item of a caller and class would wait.
-func (q *Queue[T]) wait(e Entry[T], each time.Duration) time.Duration {
+func (q *Queue[T]) estimateWait(e Item[T], each time.Duration) time.Duration {
 	ahead := q.size
 	if share := q.aheadByShare(e); share < ahead {
 		ahead = share
@@ -135,7 +135,7 @@
 
 // aheadByShare counts the items served before a new one of the caller if
 // every flow gets its weighted share.
-func (q *Queue[T]) aheadByShare(e Entry[T]) int {
+func (q *Queue[T]) aheadByShare(e Item[T]) int {
 	var total, weight float64
 	flows := 1
 	for _, c := range q.classes {
@@ -144,7 +144,7 @@
 		}
 		if c.name == e.Class {
 			flows = len(c.flows)
-			if q.waiting(e) == 0 {
+			if q.flowLen(e) == 0 {
 				flows++
 			}
 			continue
@@ -153,10 +153,10 @@
 	}
 	weight = q.weight(e.Class)
 	total += weight
-	return int(float64((q.waiting(e)+1)*flows) * total / weight)
+	return int(float64((q.flowLen(e)+1)*flows) * total / weight)
 }
 
-func (q *Queue[T]) waiting(e Entry[T]) int {
+func (q *Queue[T]) flowLen(e Item[T]) int {
 	if f := q.flows[flowID{e.Caller, e.Class}]; f != nil {
 		return f.count
 	}
@@ -170,65 +170,65 @@
 	return 1
 }
 
-// Return puts an item back at the head of its flow: it was popped but did not
+// Requeue puts an item back at the head of its flow: it was popped but did not
 // run. The bound does not apply to it.
-func (q *Queue[T]) Return(e Entry[T]) Ticket {
+func (q *Queue[T]) Requeue(e Item[T]) Handle {
 	f := q.flowOf(e)
-	i := q.newRow(e, f)
-	q.rows[i].next = f.first
-	if f.first != none {
-		q.rows[f.first].prev = i
+	i := q.newNode(e, f)
+	q.nodes[i].next = f.first
+	if f.first != noNode {
+		q.nodes[f.first].prev = i
 	} else {
 		f.last = i
 	}
 	f.first = i
-	return q.ticket(i)
+	return q.handle(i)
 }
 
-func (q *Queue[T]) add(e Entry[T]) Ticket {
+func (q *Queue[T]) add(e Item[T]) Handle {
 	f := q.flowOf(e)
-	i := q.newRow(e, f)
-	q.rows[i].prev = f.last
-	if f.last != none {
-		q.rows[f.last].next = i
+	i := q.newNode(e, f)
+	q.nodes[i].prev = f.last
+	if f.last != noNode {
+		q.nodes[f.last].next = i
 	} else {
 		f.first = i
 	}
 	f.last = i
-	return q.ticket(i)
+	return q.handle(i)
 }
 
-func (q *Queue[T]) ticket(i int32) Ticket {
-	return Ticket{row: i, generation: q.rows[i].generation}
+func (q *Queue[T]) handle(i int32) Handle {
+	return Handle{node: i, generation: q.nodes[i].generation}
 }
 
-func (q *Queue[T]) newRow(e Entry[T], f *flow) int32 {
+func (q *Queue[T]) newNode(e Item[T], f *flow) int32 {
 	var i int32
 	if n := len(q.free); n > 0 {
 		i = q.free[n-1]
 		q.free = q.free[:n-1]
 	} else {
-		i = int32(len(q.rows))
-		q.rows = append(q.rows, row[T]{})
+		i = int32(len(q.nodes))
+		q.nodes = append(q.nodes, node[T]{})
 	}
-	generation := q.rows[i].generation + 1
-	q.rows[i] = row[T]{Entry: e, flow: f, prev: none, next: none, generation: generation, used: true}
+	generation := q.nodes[i].generation + 1
+	q.nodes[i] = node[T]{Item: e, flow: f, prev: noNode, next: noNode, generation: generation, inUse: true}
 	f.count++
 	q.size++
 	return i
 }
 
 // flowOf returns the flow of an entry's caller, in the ring of its class.
-func (q *Queue[T]) flowOf(e Entry[T]) *flow {
+func (q *Queue[T]) flowOf(e Item[T]) *flow {
 	id := flowID{e.Caller, e.Class}
 	if f := q.flows[id]; f != nil {
 		return f
 	}
 	c := q.classOf(e.Class)
-	if len(c.flows) == 0 && c.pass < q.clock {
-		c.pass = q.clock // an idle class saves up no share
+	if len(c.flows) == 0 && c.pass < q.virtualTime {
+		c.pass = q.virtualTime // an idle class saves up no share
 	}
-	f := &flow{caller: e.Caller, class: c, first: none, last: none}
+	f := &flow{caller: e.Caller, class: c, first: noNode, last: noNode}
 	q.flows[id] = f
 	c.flows = append(c.flows, f)
 	return f
@@ -240,14 +240,14 @@
 			return c
 		}
 	}
-	c := &class{name: name, weight: q.weight(name), pass: q.clock}
+	c := &class{name: name, weight: q.weight(name), pass: q.virtualTime}
 	q.classes = append(q.classes, c)
 	return c
 }
 
-// longest returns the flow with the most waiting items. A class counts by its
+// longestFlow returns the flow with the most waiting items. A class counts by its
 // weight: bulk work is pushed out before registrations.
-func (q *Queue[T]) longest() *flow {
+func (q *Queue[T]) longestFlow() *flow {
 	var best *flow
 	var most float64
 	for _, c := range q.classes {
@@ -260,27 +260,27 @@
 	return best
 }
 
-// take removes a row from its flow and returns its value.
-func (q *Queue[T]) take(i int32) T {
-	r := &q.rows[i]
+// removeNode removes a row from its flow and returns its value.
+func (q *Queue[T]) removeNode(i int32) T {
+	r := &q.nodes[i]
 	f := r.flow
-	if r.prev != none {
-		q.rows[r.prev].next = r.next
+	if r.prev != noNode {
+		q.nodes[r.prev].next = r.next
 	} else {
 		f.first = r.next
 	}
-	if r.next != none {
-		q.rows[r.next].prev = r.prev
+	if r.next != noNode {
+		q.nodes[r.next].prev = r.prev
 	} else {
 		f.last = r.prev
 	}
 	value := r.Value
-	q.rows[i] = row[T]{generation: r.generation}
+	q.nodes[i] = node[T]{generation: r.generation}
 	q.free = append(q.free, i)
 	q.size--
 	f.count--
 	if f.count == 0 {
-		q.dropFlow(f)
+		q.removeFlow(f)
 	}
 	return value
 }
