--- a/internal/lead/call.go
+++ b/internal/lead/call.go
@@ -24,14 +24,14 @@
 	return "lease/" + string(id.Service) + "/" + string(id.Zone)
 }
 
-// holder names this life of this host as the holder of a lease. A late call of
+// leaseHolder names this life of this host as the holder of a lease. A late call of
 // an earlier life, such as one that gives the lease up, then does nothing.
-func (d *Daemon) holder() string {
+func (d *Daemon) leaseHolder() string {
 	return string(d.cfg.Host) + "/" + strconv.FormatUint(uint64(d.cfg.Incarnation), 36)
 }
 
 // readCall reads the cell's document from the store.
-type readCall struct{ *runner }
+type readCall struct{ *controller }
 
 func (c readCall) run(ctx context.Context) {
 	doc, revision, err := c.daemon.readDoc(ctx, c.id)
@@ -67,7 +67,7 @@
 
 // writeCall writes the cell's document by compare-and-swap.
 type writeCall struct {
-	*runner
+	*controller
 	effect cell.WriteDoc
 }
 
@@ -101,18 +101,18 @@
 	return cell.WriteUnknown
 }
 
-// leaseCall takes or renews the cell's lease. The lease is counted from before
+// acquireLeaseCall takes or renews the cell's lease. The lease is counted from before
 // the call: sentAt is when the core decided on it.
-type leaseCall struct {
-	*runner
+type acquireLeaseCall struct {
+	*controller
 	effect cell.AcquireLease
 	sentAt time.Time
 }
 
-func (c leaseCall) run(ctx context.Context) {
+func (c acquireLeaseCall) run(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	lease, err := c.daemon.store.Acquire(call, leaseName(c.id), c.daemon.holder(), c.effect.TTL)
+	lease, err := c.daemon.store.Acquire(call, leaseName(c.id), c.daemon.leaseHolder(), c.effect.TTL)
 	c.send(ctx, cell.LeaseDone{
 		SentAt:  c.sentAt,
 		Reached: err == nil,
@@ -120,20 +120,20 @@
 	})
 }
 
-// releaseCall gives the cell's lease up.
-type releaseCall struct{ *runner }
+// releaseLeaseCall gives the cell's lease up.
+type releaseLeaseCall struct{ *controller }
 
-func (c releaseCall) run(ctx context.Context) {
+func (c releaseLeaseCall) run(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if err := c.daemon.store.Release(call, leaseName(c.id), c.daemon.holder()); err != nil {
+	if err := c.daemon.store.Release(call, leaseName(c.id), c.daemon.leaseHolder()); err != nil {
 		c.log.Info("Lease not given up, it will lapse.", slog.Any("error", err))
 	}
 }
 
 // orderCall sends one order to a target.
 type orderCall struct {
-	*runner
+	*controller
 	effect cell.SendOrder
 	sentAt time.Time
 }
@@ -141,7 +141,7 @@
 func (c orderCall) run(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	answer, err := c.daemon.control.Order(call, c.effect.Addr, c.effect.Order)
+	answer, err := c.daemon.targetControl.Order(call, c.effect.Addr, c.effect.Order)
 	c.send(ctx, cell.OrderDone{
 		Target:   c.effect.Target,
 		SentAt:   c.sentAt,
@@ -153,7 +153,7 @@
 // peerCall sends one message to a roster host. Its answer, if any, is a
 // message of its own.
 type peerCall struct {
-	*runner
+	*controller
 	to   netip.AddrPort
 	body []byte
 }
@@ -163,5 +163,5 @@
 	defer cancel()
 	// A message that is lost here is as one lost on the way: the rules
 	// expect it, and the next heartbeat follows.
-	_, _ = c.daemon.link.Call(call, c.to, peer.KindCell, c.body)
+	_, _ = c.daemon.transport.Call(call, c.to, peer.KindCell, c.body)
 }
--- a/internal/lead/runner.go
+++ b/internal/lead/controller.go
@@ -16,8 +16,8 @@
 const (
 	// tickInterval is how often a cell's systems run.
 	tickInterval = 50 * time.Millisecond
-	// showInterval is how often others see a cell's state anew.
-	showInterval = 250 * time.Millisecond
+	// statusInterval is how often others see a cell's state anew.
+	statusInterval = 250 * time.Millisecond
 	// eventBuffer is how many events wait for a cell before senders wait too.
 	eventBuffer = 256
 	// orderTimeout bounds one order; a later renewal follows anyway.
@@ -28,28 +28,28 @@
 	peerTimeout = 800 * time.Millisecond
 )
 
-// runner drives one cell: it hands events to the core in order and carries out
+// controller drives one cell: it hands events to the core in order and carries out
 // the effects. It decides nothing itself.
-type runner struct {
-	daemon  *Daemon
-	id      cell.ID
-	core    *cell.Cell
-	log     *slog.Logger
-	cfg     cell.Config
-	events  chan cell.Event
-	reports chan placement.Report
-	placer  *placer
-	stopped chan struct{}
-	gone    chan struct{} // closed once the goroutine is to end
-	calls   sync.WaitGroup
-	peers   map[place.Host]place.HostRow
-	state   snapshot
-	shown   time.Time
-}
-
-// newRunner returns a runner for the cell of cfg. It has to be run.
-func newRunner(d *Daemon, cfg cell.Config) *runner {
-	return &runner{
+type controller struct {
+	daemon          *Daemon
+	id              cell.ID
+	core            *cell.Cell
+	log             *slog.Logger
+	cfg             cell.Config
+	events          chan cell.Event
+	reports         chan placement.Report
+	placer          *placer
+	stopped         chan struct{}
+	quit            chan struct{} // closed once the goroutine is to end
+	calls           sync.WaitGroup
+	peers           map[place.Host]place.HostRow
+	status          sharedStatus
+	statusUpdatedAt time.Time
+}
+
+// newController returns a runner for the cell of cfg. It has to be run.
+func newController(d *Daemon, cfg cell.Config) *controller {
+	return &controller{
 		daemon:  d,
 		id:      cfg.ID,
 		core:    cell.New(cfg),
@@ -59,13 +59,13 @@
 		reports: make(chan placement.Report, reportBuffer),
 		placer:  newPlacer(),
 		stopped: make(chan struct{}),
-		gone:    make(chan struct{}),
+		quit:    make(chan struct{}),
 		peers:   make(map[place.Host]place.HostRow),
 	}
 }
 
 // send hands an event to the cell, waiting while its buffer is full.
-func (r *runner) send(ctx context.Context, ev cell.Event) {
+func (r *controller) send(ctx context.Context, ev cell.Event) {
 	select {
 	case r.events <- ev:
 	case <-ctx.Done():
@@ -73,14 +73,14 @@
 }
 
 // run is the cell's one goroutine: all decisions are made here, in order.
-func (r *runner) run(ctx context.Context) {
+func (r *controller) run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.gone:
+		case <-r.quit:
 			return
 		case ev := <-r.events:
 			r.handle(ctx, ev)
@@ -89,23 +89,23 @@
 		case <-tick.C:
 			now := time.Now()
 			r.apply(ctx, r.core.Tick(now))
-			r.show(now)
-			r.place(ctx, now)
+			r.updateStatus(now)
+			r.planMoves(ctx, now)
 		}
 	}
 }
 
-// show lets other goroutines see the cell's state, at intervals.
-func (r *runner) show(now time.Time) {
-	if now.Sub(r.shown) >= showInterval {
-		r.shown = now
-		r.state.store(r.core.Status(now))
+// updateStatus lets other goroutines see the cell's state, at intervals.
+func (r *controller) updateStatus(now time.Time) {
+	if now.Sub(r.statusUpdatedAt) >= statusInterval {
+		r.statusUpdatedAt = now
+		r.status.store(r.core.Status(now))
 	}
 }
 
-// place hands the core the moves that placement wants, while this host leads.
-func (r *runner) place(ctx context.Context, now time.Time) {
-	if !r.state.load().LeaseHeld {
+// planMoves hands the core the moves that placement wants, while this host leads.
+func (r *controller) planMoves(ctx context.Context, now time.Time) {
+	if !r.status.load().LeaseHeld {
 		return
 	}
 	if moves := r.placer.plan(now, r.cfg); len(moves) > 0 {
@@ -114,7 +114,7 @@
 }
 
 // handle gives one event to the core.
-func (r *runner) handle(ctx context.Context, ev cell.Event) {
+func (r *controller) handle(ctx context.Context, ev cell.Event) {
 	switch e := ev.(type) {
 	case cell.FleetReceived:
 		r.learnPeers(e.Hosts)
@@ -126,7 +126,7 @@
 
 // learnPeers notes where the hosts of the zone are reached. A host that left
 // the list keeps its last address: the list lags and may be wrong.
-func (r *runner) learnPeers(hosts []place.HostRow) {
+func (r *controller) learnPeers(hosts []place.HostRow) {
 	for _, h := range hosts {
 		r.peers[h.Host] = h
 	}
@@ -134,19 +134,19 @@
 
 // apply carries out the effects of one step, in order. Calls go out in
 // goroutines of their own; what they bring back comes in as an event.
-func (r *runner) apply(ctx context.Context, effects []cell.Effect) {
+func (r *controller) apply(ctx context.Context, effects []cell.Effect) {
 	for _, eff := range effects {
 		switch e := eff.(type) {
 		case cell.ReadDoc:
-			r.start(ctx, readCall{r})
+			r.startCall(ctx, readCall{r})
 		case cell.WriteDoc:
-			r.start(ctx, writeCall{r, e})
+			r.startCall(ctx, writeCall{r, e})
 		case cell.AcquireLease:
-			r.start(ctx, leaseCall{r, e, time.Now()})
+			r.startCall(ctx, acquireLeaseCall{r, e, time.Now()})
 		case cell.ReleaseLease:
-			r.start(ctx, releaseCall{r})
+			r.startCall(ctx, releaseLeaseCall{r})
 		case cell.SendOrder:
-			r.start(ctx, orderCall{r, e, time.Now()})
+			r.startCall(ctx, orderCall{r, e, time.Now()})
 		case cell.SendPeer:
 			r.sendPeer(ctx, e)
 		case cell.Publish:
@@ -154,7 +154,7 @@
 		case cell.Log:
 			r.log.Info(e.Text)
 		case cell.Stopped:
-			r.stop()
+			r.markStopped()
 		}
 	}
 }
@@ -162,15 +162,15 @@
 // call is one call to the outside.
 type call interface{ run(ctx context.Context) }
 
-// start makes a call in a goroutine of its own, bounded by the call's timeout.
-func (r *runner) start(ctx context.Context, c call) {
+// startCall makes a call in a goroutine of its own, bounded by the call's timeout.
+func (r *controller) startCall(ctx context.Context, c call) {
 	r.calls.Go(func() { c.run(ctx) })
 }
 
-// finish waits for the calls under way, such as giving up the lease, until
+// waitCalls waits for the calls under way, such as giving up the lease, until
 // ctx ends.
-func (r *runner) finish(ctx context.Context) {
-	w := waiter{runner: r, done: make(chan struct{})}
+func (r *controller) waitCalls(ctx context.Context) {
+	w := waiter{controller: r, done: make(chan struct{})}
 	go w.run()
 	select {
 	case <-w.done:
@@ -180,7 +180,7 @@
 
 // waiter closes done once no call is under way.
 type waiter struct {
-	*runner
+	*controller
 	done chan struct{}
 }
 
@@ -190,7 +190,7 @@
 }
 
 // sendPeer starts one message to a roster host whose address is known.
-func (r *runner) sendPeer(ctx context.Context, e cell.SendPeer) {
+func (r *controller) sendPeer(ctx context.Context, e cell.SendPeer) {
 	peer, ok := r.peers[e.To]
 	if !ok {
 		return
@@ -200,41 +200,41 @@
 		r.log.Error("Message not encoded.", slog.Any("error", err))
 		return
 	}
-	r.start(ctx, peerCall{r, peer.LeadAddr, body})
+	r.startCall(ctx, peerCall{r, peer.LeadAddr, body})
 }
 
 // publish puts the cell's routing table on the board of this process.
-func (r *runner) publish(t table.Table) {
+func (r *controller) publish(t table.Table) {
 	r.placer.table = t
 	body, err := table.Encode(t)
 	if err != nil {
 		r.log.Error("Table not encoded.", slog.Any("error", err))
 		return
 	}
-	r.daemon.board.Publish(docsync.Document{
+	r.daemon.replica.Publish(docsync.Document{
 		Name:    tableName(r.id),
 		Version: docsync.Version{Major: uint64(t.Version.Term), Minor: t.Version.Sequence},
 		Body:    body,
 	})
 }
 
-// dismissal ends a cell whose service is gone.
-type dismissal struct{ *runner }
+// cellRemoval ends a cell whose service is gone.
+type cellRemoval struct{ *controller }
 
 // run stops the cell in a planned way and then its goroutine.
-func (d dismissal) run(ctx context.Context) {
+func (d cellRemoval) run(ctx context.Context) {
 	d.send(ctx, cell.StopRequested{})
 	select {
 	case <-d.stopped:
 	case <-ctx.Done():
 		return
 	}
-	d.finish(ctx)
-	close(d.gone)
+	d.waitCalls(ctx)
+	close(d.quit)
 }
 
-// stop notes that the planned stop of the cell is complete.
-func (r *runner) stop() {
+// markStopped notes that the planned stop of the cell is complete.
+func (r *controller) markStopped() {
 	select {
 	case <-r.stopped:
 	default:
--- a/internal/lead/daemon.go
+++ b/internal/lead/daemon.go
@@ -34,46 +34,46 @@
 	StopTimeout time.Duration
 }
 
-// Parts are the outside interfaces of a lead process.
-type Parts struct {
-	Store   platform.Store
-	Link    peer.Transport
-	Board   docsync.Replica
-	Control target.Control
-	Log     *slog.Logger
+// Environment are the outside interfaces of a lead process.
+type Environment struct {
+	Store         platform.Store
+	Transport     peer.Transport
+	Replica       docsync.Replica
+	TargetControl target.Control
+	Log           *slog.Logger
 }
 
 // Daemon is a lead process.
 type Daemon struct {
-	cfg     Config
-	store   platform.Store
-	link    peer.Transport
-	board   docsync.Replica
-	control target.Control
-	log     *slog.Logger
-	started time.Time
-	library *library
+	cfg           Config
+	store         platform.Store
+	transport     peer.Transport
+	replica       docsync.Replica
+	targetControl target.Control
+	log           *slog.Logger
+	startedAt     time.Time
+	viewBuilder   *viewBuilder
 
-	mu      sync.Mutex
-	runners map[cell.ID]*runner
+	mu          sync.Mutex
+	controllers map[cell.ID]*controller
 }
 
 // New returns a lead process and sets its message handlers on the link.
-func New(cfg Config, parts Parts) *Daemon {
+func New(cfg Config, parts Environment) *Daemon {
 	d := &Daemon{
-		cfg:     cfg,
-		store:   parts.Store,
-		link:    parts.Link,
-		board:   parts.Board,
-		control: parts.Control,
-		log:     parts.Log,
-		started: time.Now(),
-		library: newLibrary(parts.Board, parts.Log),
-		runners: make(map[cell.ID]*runner),
+		cfg:           cfg,
+		store:         parts.Store,
+		transport:     parts.Transport,
+		replica:       parts.Replica,
+		targetControl: parts.TargetControl,
+		log:           parts.Log,
+		startedAt:     time.Now(),
+		viewBuilder:   newViewBuilder(parts.Replica, parts.Log),
+		controllers:   make(map[cell.ID]*controller),
 	}
-	d.link.Handle(peer.KindCell, d.handleCell)
-	d.link.Handle(peer.KindLoad, d.handleLoad)
-	d.link.Handle(peer.KindStatus, d.handleStatus)
+	d.transport.Handle(peer.KindCell, d.handleCell)
+	d.transport.Handle(peer.KindLoad, d.handleLoad)
+	d.transport.Handle(peer.KindStatus, d.handleStatus)
 	return d
 }
 
@@ -85,20 +85,20 @@
 	defer cancel()
 	group, inner := errgroup.WithContext(ctx)
 	group.Go(func() error { return reconciler{d, cells}.run(inner) })
-	group.Go(func() error { return newKeeper(d).run(inner) })
+	group.Go(func() error { return newCustodyKeeper(d).run(inner) })
 	err := group.Wait()
-	d.handOver()
+	d.stopCells()
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-// handOver asks all cells to stop and waits for them.
-func (d *Daemon) handOver() {
+// stopCells asks all cells to stop and waits for them.
+func (d *Daemon) stopCells() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.StopTimeout)
 	defer cancel()
-	runners := d.all()
+	runners := d.allControllers()
 	for _, r := range runners {
 		r.send(ctx, cell.StopRequested{})
 	}
@@ -110,7 +110,7 @@
 		}
 	}
 	for _, r := range runners {
-		r.finish(ctx)
+		r.waitCalls(ctx)
 	}
 }
 
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r := d.runner(e.id); r != nil {
+	if r := d.controller(e.id); r != nil {
 		r.send(ctx, cell.PeerReceived{From: from.Host, Message: e.message})
 	}
 	return nil, nil
@@ -134,19 +134,19 @@
 	return []byte(d.cfg.Host), nil
 }
 
-// runner returns the runner of a cell, or nil.
-func (d *Daemon) runner(id cell.ID) *runner {
+// controller returns the runner of a cell, or nil.
+func (d *Daemon) controller(id cell.ID) *controller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.runners[id]
+	return d.controllers[id]
 }
 
-// all returns the runners of all cells.
-func (d *Daemon) all() []*runner {
+// allControllers returns the runners of all cells.
+func (d *Daemon) allControllers() []*controller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := make([]*runner, 0, len(d.runners))
-	for _, r := range d.runners {
+	out := make([]*controller, 0, len(d.controllers))
+	for _, r := range d.controllers {
 		out = append(out, r)
 	}
 	return out
--- a/internal/lead/evict.go
+++ b/internal/lead/evict.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// evictLease is the length of the lease that a keeper takes on the cell of
+	// evictLeaseTTL is the length of the lease that a keeper takes on the cell of
 	// a silent zone; it outlasts several rounds of a slow keeper.
-	evictLease = 4 * time.Second
+	evictLeaseTTL = 4 * time.Second
 	// evictMargin is added to the hold and the grant of a silent zone.
 	evictMargin = time.Second
 	// pingTimeout bounds one question to a host of another zone.
 	pingTimeout = 300 * time.Millisecond
-	// pingHosts is how many hosts of a zone are asked whether they answer.
-	pingHosts = 3
+	// maxPingHosts is how many hosts of a zone are asked whether they answer.
+	maxPingHosts = 3
 )
 
-// silence is how long this host has held the lease of another zone's cell:
+// heldLease is how long this host has held the lease of another zone's cell:
 // since then, that cell's own leads can't have held it.
-type silence struct {
+type heldLease struct {
 	since time.Time // zero until the round after the lease was taken
-	// sent is when the newest renewal was sent, before the one before it.
-	sent, before time.Time
+	// sentAt is when the newest renewal was sent, before the one before it.
+	sentAt, prevSentAt time.Time
 }
 
 // evict takes the custody of lost zones away, one write a round. Every step
@@ -43,7 +43,7 @@
 //  3. the custody document names the new zones (custody.Settle).
 //
 // It returns the next custody document where steps 1 or 3 are due.
-func (k *keeper) evict(ctx context.Context, now time.Time, v *view, s settings.Service, doc custodyDoc) (custody.Doc, bool) {
+func (k *custodyKeeper) evict(ctx context.Context, now time.Time, v *view, s settings.Service, doc custodyDoc) (custody.Doc, bool) {
 	for _, zone := range v.zones(s) {
 		if zone == k.cfg.Zone {
 			continue
@@ -56,45 +56,45 @@
 		if next, changed := custody.Evict(doc.Doc, zone, v.weightsWithout(s, zone)); changed {
 			return next, true
 		}
-		if next, changed := k.giveUp(ctx, now, id, doc, evidence); changed {
+		if next, changed := k.advanceEviction(ctx, now, id, doc, evidence); changed {
 			return next, true
 		}
 	}
 	return custody.Doc{}, false
 }
 
-// giveUp takes step 2 of an eviction or, once that has stood for the length of
+// advanceEviction takes step 2 of an eviction or, once that has stood for the length of
 // a grant, step 3. The wait covers a zone that was declared lost while it runs:
 // its lead reads the higher term and stops, and what it granted ends.
-func (k *keeper) giveUp(ctx context.Context, now time.Time, id cell.ID, doc custodyDoc, evidence grant.Evidence) (custody.Doc, bool) {
+func (k *custodyKeeper) advanceEviction(ctx context.Context, now time.Time, id cell.ID, doc custodyDoc, evidence grant.Evidence) (custody.Doc, bool) {
 	leaving := doc.Outgoing(id.Zone)
 	if len(leaving) == 0 {
-		delete(k.evicted, id)
+		delete(k.evictedSince, id)
 		return custody.Doc{}, false
 	}
-	last, revision, err := k.readCell(ctx, id)
+	last, revision, err := k.readCellOrEmpty(ctx, id)
 	if err != nil {
 		k.log.Warn("Lost zone's document not read.", slog.Any("error", err))
 		return custody.Doc{}, false
 	}
 	if last.Custody < doc.revision {
-		delete(k.evicted, id)
-		k.writeCell(ctx, cell.Evict(last, doc.revision, leaving, evidence), revision)
+		delete(k.evictedSince, id)
+		k.writeCellDoc(ctx, cell.Evict(last, doc.revision, leaving, evidence), revision)
 		return custody.Doc{}, false
 	}
-	since, seen := k.evicted[id]
+	since, seen := k.evictedSince[id]
 	if !seen {
-		k.evicted[id] = now
+		k.evictedSince[id] = now
 		return custody.Doc{}, false
 	}
-	if now.Sub(since) < silenceBound(0, k.cfg.Timing) {
+	if now.Sub(since) < grantExpiryBound(0, k.cfg.Timing) {
 		return custody.Doc{}, false
 	}
 	return custody.CompleteTransfers(doc.Doc, id.Zone, last.Ceded)
 }
 
-// readCell reads the document of another zone's cell; it may not exist.
-func (k *keeper) readCell(ctx context.Context, id cell.ID) (cell.Doc, platform.Revision, error) {
+// readCellOrEmpty reads the document of another zone's cell; it may not exist.
+func (k *custodyKeeper) readCellOrEmpty(ctx context.Context, id cell.ID) (cell.Doc, platform.Revision, error) {
 	doc, revision, err := k.readDoc(ctx, id)
 	if errors.Is(err, platform.ErrNotFound) {
 		return cell.Doc{ID: id}, 0, nil
@@ -102,9 +102,9 @@
 	return doc, revision, err
 }
 
-// writeCell writes the document of another zone's cell. A lost answer is
+// writeCellDoc writes the document of another zone's cell. A lost answer is
 // resolved by the next round, which reads the document first.
-func (k *keeper) writeCell(ctx context.Context, doc cell.Doc, expect platform.Revision) {
+func (k *custodyKeeper) writeCellDoc(ctx context.Context, doc cell.Doc, expect platform.Revision) {
 	body, err := cell.EncodeDoc(doc)
 	if err != nil {
 		k.log.Error("Document not encoded.", slog.Any("error", err))
@@ -121,50 +121,50 @@
 
 // lossEvidence returns the evidence that no target of a zone holds a grant any
 // more, or nil.
-func (k *keeper) lossEvidence(ctx context.Context, now time.Time, v *view, s settings.Service, id cell.ID) grant.Evidence {
+func (k *custodyKeeper) lossEvidence(ctx context.Context, now time.Time, v *view, s settings.Service, id cell.ID) grant.Evidence {
 	if loss, ok := v.zoneLoss(id.Zone); ok {
 		return grant.Declared{By: loss.By, Reason: loss.Reason}
 	}
 	if s.Hold <= 0 {
 		return nil
 	}
-	if !k.silent(ctx, now, v, id) {
+	if !k.holdsLease(ctx, now, v, id) {
 		return nil
 	}
-	since := k.silences[id].since
-	if now.Sub(since) < silenceBound(s.Hold, k.cfg.Timing) {
+	since := k.heldLeases[id].since
+	if now.Sub(since) < grantExpiryBound(s.Hold, k.cfg.Timing) {
 		return nil
 	}
 	return grant.Expired{Since: since}
 }
 
-// silenceBound is how long another zone's lease has to be held before all
+// grantExpiryBound is how long another zone's lease has to be held before all
 // grants there have ended: its leads renew for at most the hold after they
 // last held the lease, and the last grant runs its length.
-func silenceBound(hold time.Duration, t cell.Timing) time.Duration {
+func grantExpiryBound(hold time.Duration, t cell.Timing) time.Duration {
 	bound := hold + t.GrantDuration
 	return bound + bound*time.Duration(t.DriftPerMil)/1000 + evictMargin
 }
 
-// silent reports whether this host holds the lease of another zone's cell. It
+// holdsLease reports whether this host holds the lease of another zone's cell. It
 // competes for it only while no host of that zone answers, so that it never
 // stands in the way of a successor there.
-func (k *keeper) silent(ctx context.Context, now time.Time, v *view, id cell.ID) bool {
-	have, holding := k.silences[id]
-	if k.answers(ctx, v.hosts(id.Zone)) {
+func (k *custodyKeeper) holdsLease(ctx context.Context, now time.Time, v *view, id cell.ID) bool {
+	have, holding := k.heldLeases[id]
+	if k.anyReachable(ctx, v.hosts(id.Zone)) {
 		if holding {
-			delete(k.silences, id)
+			delete(k.heldLeases, id)
 			_ = k.store.Release(ctx, leaseName(id), k.evictHolder())
 		}
 		return false
 	}
-	lease, err := k.store.Acquire(ctx, leaseName(id), k.evictHolder(), evictLease)
+	lease, err := k.store.Acquire(ctx, leaseName(id), k.evictHolder(), evictLeaseTTL)
 	if err != nil || !lease.Held {
-		delete(k.silences, id)
+		delete(k.heldLeases, id)
 		return false
 	}
-	k.silences[id] = have.renewed(now)
-	return !k.silences[id].since.IsZero()
+	k.heldLeases[id] = have.renewed(now)
+	return !k.heldLeases[id].since.IsZero()
 }
 
 // renewed returns the silence after a renewal that was sent at now.
@@ -173,26 +173,26 @@
 // past the lease of the one before that, the zone's lead may have held the
 // lease in between, and the silence starts anew: this host may have been
 // paused for a minute between two rounds.
-func (s silence) renewed(now time.Time) silence {
-	gap := !s.before.IsZero() && now.Sub(s.before) >= evictLease
+func (s heldLease) renewed(now time.Time) heldLease {
+	gap := !s.prevSentAt.IsZero() && now.Sub(s.prevSentAt) >= evictLeaseTTL
 	switch {
-	case s.sent.IsZero(), gap:
-		return silence{sent: now}
+	case s.sentAt.IsZero(), gap:
+		return heldLease{sentAt: now}
 	case s.since.IsZero():
 		s.since = now
 	}
-	s.sent, s.before = now, s.sent
+	s.sentAt, s.prevSentAt = now, s.sentAt
 	return s
 }
 
 // evictHolder names this host as the holder of another zone's lease.
-func (k *keeper) evictHolder() string { return "evict/" + string(k.cfg.Host) }
+func (k *custodyKeeper) evictHolder() string { return "evict/" + string(k.cfg.Host) }
 
-// answers reports whether any of some hosts of a zone answers a peer.
-func (k *keeper) answers(ctx context.Context, hosts []place.HostRow) bool {
-	for _, h := range hosts[:min(len(hosts), pingHosts)] {
+// anyReachable reports whether any of some hosts of a zone answers a peer.
+func (k *custodyKeeper) anyReachable(ctx context.Context, hosts []place.HostRow) bool {
+	for _, h := range hosts[:min(len(hosts), maxPingHosts)] {
 		call, cancel := context.WithTimeout(ctx, pingTimeout)
-		_, err := k.link.Call(call, h.LeadAddr, peer.KindStatus, nil)
+		_, err := k.transport.Call(call, h.LeadAddr, peer.KindStatus, nil)
 		cancel()
 		if err == nil {
 			return true
--- a/internal/lead/evict_test.go
+++ b/internal/lead/evict_test.go
@@ -22,26 +22,26 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// fakeLink is a peer link on which some addresses answer.
-type fakeLink struct{ answering map[netip.AddrPort]bool }
+// fakeTransport is a peer link on which some addresses answer.
+type fakeTransport struct{ reachable map[netip.AddrPort]bool }
 
-func (l *fakeLink) Call(_ context.Context, to netip.AddrPort, _ peer.Kind, _ []byte) ([]byte, error) {
-	if l.answering[to] {
+func (l *fakeTransport) Call(_ context.Context, to netip.AddrPort, _ peer.Kind, _ []byte) ([]byte, error) {
+	if l.reachable[to] {
 		return nil, nil
 	}
 	return nil, errors.New("no answer")
 }
 
-func (l *fakeLink) Handle(peer.Kind, peer.Handler) {}
+func (l *fakeTransport) Handle(peer.Kind, peer.Handler) {}
 
-// zones is a deployment of zones a and b, seen by the keeper of b's lead.
-type zones struct {
-	*keeper
-	platform *fake.Platform
-	link     *fakeLink
-	view     *view
-	service  settings.Service
-	now      time.Time
+// twoZones is a deployment of zones a and b, seen by the keeper of b's lead.
+type twoZones struct {
+	*custodyKeeper
+	platform  *fake.Platform
+	transport *fakeTransport
+	view      *view
+	service   settings.Service
+	now       time.Time
 }
 
 var (
@@ -50,21 +50,21 @@
 	hostA = place.HostRow{Host: "host-a", Zone: "a", LeadAddr: netip.MustParseAddrPort("127.0.0.1:1")}
 )
 
-func newZones(t *testing.T, hold time.Duration) *zones {
+func newTwoZones(t *testing.T, hold time.Duration) *twoZones {
 	t.Helper()
-	z := &zones{
-		platform: fake.NewPlatform(),
-		link:     &fakeLink{answering: make(map[netip.AddrPort]bool)},
-		service:  settings.Service{Name: "balance", Shards: 16, Zones: []place.Zone{"a", "b"}, Hold: hold},
-		now:      time.Now(),
+	z := &twoZones{
+		platform:  fake.NewPlatform(),
+		transport: &fakeTransport{reachable: make(map[netip.AddrPort]bool)},
+		service:   settings.Service{Name: "balance", Shards: 16, Zones: []place.Zone{"a", "b"}, Hold: hold},
+		now:       time.Now(),
 	}
-	d := New(Config{Host: "host-b", Zone: "b", Timing: cell.DefaultTiming()}, Parts{
-		Store: z.platform, Link: z.link, Board: docsync.New(), Log: logging.Nop(),
+	d := New(Config{Host: "host-b", Zone: "b", Timing: cell.DefaultTiming()}, Environment{
+		Store: z.platform, Transport: z.transport, Replica: docsync.New(), Log: logging.Nop(),
 	})
-	r := newRunner(d, d.cellConfig(&view{}, z.service))
-	r.state.store(cell.Status{ID: cellB, LeaseHeld: true})
-	d.runners[cellB] = r
-	z.keeper = newKeeper(d)
+	r := newController(d, d.cellConfig(&view{}, z.service))
+	r.status.store(cell.Status{ID: cellB, LeaseHeld: true})
+	d.controllers[cellB] = r
+	z.custodyKeeper = newCustodyKeeper(d)
 	z.view = &view{
 		settings: &settings.Settings{Services: []settings.Service{z.service}},
 		fleet: platform.Fleet{Hosts: []place.HostRow{hostA}, Targets: []place.TargetRow{
@@ -73,129 +73,129 @@
 		custody: make(map[key.Service]custodyDoc),
 	}
 	first := custody.New("balance", 16, z.view.weights(z.service))
-	z.write(t.Context(), first, 0)
+	z.writeCustody(t.Context(), first, 0)
 	a := cell.Doc{ID: cellA, Term: 3, Leader: "host-a"}
 	for _, row := range first.OwnableBy("a") {
 		a.Rows = append(a.Rows, cell.Row{Shard: row.Shard, Epoch: 5, Owner: cell.NoTarget, Standby: cell.NoTarget})
 	}
-	z.writeCell(t.Context(), a, 0)
+	z.writeCellDoc(t.Context(), a, 0)
 	return z
 }
 
-// round runs the keeper once, d later.
-func (z *zones) round(t *testing.T, d time.Duration) custody.Doc {
+// runRound runs the keeper once, d later.
+func (z *twoZones) runRound(t *testing.T, d time.Duration) custody.Doc {
 	t.Helper()
 	z.now = z.now.Add(d)
-	v, _ := z.library.look()
+	v, _ := z.viewBuilder.latest()
 	z.view.custody = v.custody
 	doc := z.view.custody["balance"]
-	if next, changed := z.next(t.Context(), z.now, z.view, z.service, doc); changed {
-		z.write(t.Context(), next, doc.revision)
+	if next, changed := z.nextCustody(t.Context(), z.now, z.view, z.service, doc); changed {
+		z.writeCustody(t.Context(), next, doc.revision)
 	}
-	v, _ = z.library.look()
+	v, _ = z.viewBuilder.latest()
 	return v.custody["balance"].Doc
 }
 
-func TestDeclaredZoneIsEvicted(t *testing.T) {
-	z := newZones(t, 0)
+func TestZoneDeclaredLostIsEvicted(t *testing.T) {
+	z := newTwoZones(t, 0)
 	z.view.settings.Losses = []settings.Loss{{Zone: "a", By: "ops", Reason: "fire"}}
 
-	doc := z.round(t, time.Second)
+	doc := z.runRound(t, time.Second)
 	assert.Equal(t, len(doc.OwnableBy("a")), 0, "step 1: custody names the next zones")
 	assert.Equal(t, len(doc.OwnableBy("b")), 8)
 
-	z.round(t, time.Second)
-	a, _, err := z.readCell(t.Context(), cellA)
+	z.runRound(t, time.Second)
+	a, _, err := z.readCellOrEmpty(t.Context(), cellA)
 	assert.NilError(t, err)
 	assert.Equal(t, a.Term, grant.Term(4), "step 2: the lost cell's term rises")
 	assert.Equal(t, len(a.Rows), 0)
 	assert.Equal(t, len(a.Ceded), 8)
 
-	z.round(t, time.Second)
-	doc = z.round(t, time.Second)
+	z.runRound(t, time.Second)
+	doc = z.runRound(t, time.Second)
 	assert.Equal(t, len(doc.OwnableBy("b")), 8, "grants of a live zone have not ended yet")
 
-	doc = z.round(t, 4*time.Second)
+	doc = z.runRound(t, 4*time.Second)
 	assert.Equal(t, len(doc.OwnableBy("b")), 16, "step 3: custody is b's")
 	for _, row := range doc.OwnableBy("b") {
 		assert.Assert(t, row.Floor == 0 || row.Floor > 5)
 	}
 }
 
-// TestEvictionGoesOnAfterACrash runs each step in a keeper that knows nothing
+// TestEvictionResumesAfterCrash runs each step in a keeper that knows nothing
 // of the steps before it.
-func TestEvictionGoesOnAfterACrash(t *testing.T) {
-	z := newZones(t, 0)
+func TestEvictionResumesAfterCrash(t *testing.T) {
+	z := newTwoZones(t, 0)
 	z.view.settings.Losses = []settings.Loss{{Zone: "a", By: "ops", Reason: "fire"}}
 	for range 3 {
-		z.keeper = newKeeper(z.Daemon)
-		z.round(t, time.Second)
+		z.custodyKeeper = newCustodyKeeper(z.Daemon)
+		z.runRound(t, time.Second)
 	}
-	doc := z.round(t, 5*time.Second)
+	doc := z.runRound(t, 5*time.Second)
 	assert.Equal(t, len(doc.OwnableBy("b")), 16)
 }
 
-func TestSilentZoneIsEvictedAfterItsHold(t *testing.T) {
-	z := newZones(t, 10*time.Second)
+func TestUnreachableZoneIsEvictedAfterHold(t *testing.T) {
+	z := newTwoZones(t, 10*time.Second)
 	for range 13 {
-		doc := z.round(t, time.Second)
+		doc := z.runRound(t, time.Second)
 		assert.Equal(t, len(doc.OwnableBy("a")), 8, "the hold and the grants run")
 	}
 	for range 20 {
-		doc := z.round(t, time.Second)
+		doc := z.runRound(t, time.Second)
 		assert.Assert(t, len(doc.OwnableBy("b")) >= 8, "b gives nothing to a zone that does not answer")
 	}
-	assert.Equal(t, len(z.round(t, time.Second).OwnableBy("b")), 16)
+	assert.Equal(t, len(z.runRound(t, time.Second).OwnableBy("b")), 16)
 
-	z.link.answering[hostA.LeadAddr] = true
+	z.transport.reachable[hostA.LeadAddr] = true
 	for range 15 {
-		z.round(t, time.Second)
+		z.runRound(t, time.Second)
 	}
-	doc := z.round(t, time.Second)
+	doc := z.runRound(t, time.Second)
 	assert.Equal(t, len(doc.Outgoing("b")), 8, "the zone is back and gets its share")
 }
 
 func TestZoneIsNotEvicted(t *testing.T) {
 	for name, test := range map[string]struct {
 		hold    time.Duration
-		arrange func(t *testing.T, z *zones)
+		arrange func(t *testing.T, z *twoZones)
 	}{
-		"hold is forever": {0, func(*testing.T, *zones) {}},
-		"a peer answers": {time.Second, func(_ *testing.T, z *zones) {
-			z.link.answering[hostA.LeadAddr] = true
+		"hold is forever": {0, func(*testing.T, *twoZones) {}},
+		"a peer answers": {time.Second, func(_ *testing.T, z *twoZones) {
+			z.transport.reachable[hostA.LeadAddr] = true
 		}},
-		"its lead renews the lease, though it is cut from the peers": {time.Second, func(t *testing.T, z *zones) {
+		"its lead renews the lease, though it is cut from the peers": {time.Second, func(t *testing.T, z *twoZones) {
 			_, err := z.platform.Acquire(t.Context(), leaseName(cellA), "host-a", time.Hour)
 			assert.NilError(t, err)
 		}},
-		"the store is down": {time.Second, func(_ *testing.T, z *zones) {
+		"the store is down": {time.Second, func(_ *testing.T, z *twoZones) {
 			z.platform.SetFaults(fake.PlatformFaults{Down: true})
 		}},
-		"this host leads nothing": {time.Second, func(_ *testing.T, z *zones) {
-			z.runners[cellB].state.store(cell.Status{ID: cellB})
+		"this host leads nothing": {time.Second, func(_ *testing.T, z *twoZones) {
+			z.controllers[cellB].status.store(cell.Status{ID: cellB})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			z := newZones(t, test.hold)
+			z := newTwoZones(t, test.hold)
 			test.arrange(t, z)
 			for range 30 {
-				doc := z.round(t, time.Second)
+				doc := z.runRound(t, time.Second)
 				assert.Equal(t, len(doc.OwnableBy("a")), 8)
 			}
 		})
 	}
 }
 
-// TestSilenceStartsAnewAfterAGap: this host was paused for longer than the
+// TestHeldLeaseRestartsAfterPause: this host was paused for longer than the
 // lease of the silent zone, so that zone's lead may have held it in between.
-func TestSilenceStartsAnewAfterAGap(t *testing.T) {
-	z := newZones(t, 10*time.Second)
+func TestHeldLeaseRestartsAfterPause(t *testing.T) {
+	z := newTwoZones(t, 10*time.Second)
 	for range 10 {
-		z.round(t, time.Second)
+		z.runRound(t, time.Second)
 	}
-	before := z.silences[cellA].since
-	z.round(t, time.Minute)
-	z.round(t, time.Second)
-	assert.Assert(t, z.silences[cellA].since.After(before))
-	assert.Equal(t, len(z.round(t, time.Second).OwnableBy("a")), 8)
+	before := z.heldLeases[cellA].since
+	z.runRound(t, time.Minute)
+	z.runRound(t, time.Second)
+	assert.Assert(t, z.heldLeases[cellA].since.After(before))
+	assert.Equal(t, len(z.runRound(t, time.Second).OwnableBy("a")), 8)
 }
--- a/internal/lead/main.go
+++ b/internal/lead/main.go
@@ -100,16 +100,16 @@
 
 // process is a lead process with its sockets open.
 type process struct {
-	daemon  *Daemon
-	link    *peer.Peer
-	store   *platform.Client
-	metrics *metric.Registry
-	// others run for longer than the daemon: its handover needs them.
-	others []part
+	daemon    *Daemon
+	transport *peer.Peer
+	store     *platform.Client
+	metrics   *metric.Registry
+	// components run for longer than the daemon: its handover needs them.
+	components []component
 }
 
-// part is what runs until its context ends.
-type part interface {
+// component is what runs until its context ends.
+type component interface {
 	Run(ctx context.Context) error
 }
 
@@ -120,14 +120,14 @@
 		return nil, fmt.Errorf("--keys: %w (make them with: citrontray keys host)", err)
 	}
 	p := &process{metrics: metric.New("citrontray_lead")}
-	if p.link, err = peer.New(peer.Config{Listen: o.Peer, Keys: material, Log: log}); err != nil {
+	if p.transport, err = peer.New(peer.Config{Listen: o.Peer, Keys: material, Log: log}); err != nil {
 		return nil, fmt.Errorf("--peer-address: %w", err)
 	}
 	p.store = platform.NewClient(platform.ClientConfig{
 		Addrs: o.Platform, Timeout: storeTimeout, Host: o.Host, Zone: o.Zone,
 	})
 	board := docsync.New()
-	p.daemon = o.daemon(p, board, log)
+	p.daemon = o.newDaemon(p, board, log)
 	pages, err := admin.Listen(o.Admin, p.metrics.Handler(), status.Handler(p.daemon))
 	if err != nil {
 		return nil, fmt.Errorf("--admin-address: %w", err)
@@ -139,21 +139,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("--operator-address: %w", err)
 	}
-	spreading := docsync.NewNode(board, p.link, docsync.Config{
+	spreading := docsync.NewNode(board, p.transport, docsync.Config{
 		Self: material.Self(), Addr: o.Peer, Seeds: o.Peers, Store: p.store, Log: log,
 	})
-	p.others = []part{p.link, pages, spreading, operators, status.NewExporter(p.daemon, p.metrics)}
+	p.components = []component{p.transport, pages, spreading, operators, status.NewExporter(p.daemon, p.metrics)}
 	return p, nil
 }
 
-// daemon returns the part that leads.
-func (o *Options) daemon(p *process, board docsync.Replica, log *slog.Logger) *Daemon {
+// newDaemon returns the part that leads.
+func (o *Options) newDaemon(p *process, board docsync.Replica, log *slog.Logger) *Daemon {
 	return New(Config{
 		Host: o.Host, Zone: o.Zone, PeerAddr: o.Peer,
 		Incarnation: place.Incarnation(rand.Uint64() | 1),
 		Timing:      o.Timing, StopTimeout: o.StopTimeout,
-	}, Parts{
-		Store: p.store, Link: p.link, Board: board, Control: target.NewControl(orderTimeout),
+	}, Environment{
+		Store: p.store, Transport: p.transport, Replica: board, TargetControl: target.NewControl(orderTimeout),
 		Log: log,
 	})
 }
@@ -164,7 +164,7 @@
 	outer, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	group, outer := errgroup.WithContext(outer)
-	for _, other := range p.others {
+	for _, other := range p.components {
 		group.Go(func() error { return other.Run(outer) })
 	}
 	group.Go(func() error {
@@ -183,7 +183,7 @@
 
 // close closes what Open opened and no part closes by itself.
 func (p *process) close() {
-	_ = p.link.Close()
+	_ = p.transport.Close()
 	_ = p.metrics.Close()
 	p.store.Close()
 }
--- a/internal/lead/placer.go
+++ b/internal/lead/placer.go
@@ -21,10 +21,10 @@
 // placer plans the moves of a cell that this host leads. It belongs to the
 // cell's goroutine.
 type placer struct {
-	planner *placement.Planner
-	loads   *placement.Loads
-	table   table.Table
-	due     time.Time
+	planner    *placement.Planner
+	loads      *placement.Loads
+	table      table.Table
+	nextPlanAt time.Time
 }
 
 func newPlacer() *placer {
@@ -33,10 +33,10 @@
 
 // plan returns the moves that pay now, at intervals.
 func (p *placer) plan(now time.Time, cfg cell.Config) []cell.PlannedMove {
-	if now.Before(p.due) {
+	if now.Before(p.nextPlanAt) {
 		return nil
 	}
-	p.due = now.Add(planInterval)
+	p.nextPlanAt = now.Add(planInterval)
 	p.loads.Sweep(now)
 	layout := placement.LayoutFromTable(now, &p.table, cfg.WarmUp)
 	return p.planner.Plan(now, placement.Config{
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := d.runner(cell.ID{Service: report.Service, Zone: report.Zone})
+	r := d.controller(cell.ID{Service: report.Service, Zone: report.Zone})
 	if r == nil {
 		return nil, nil
 	}
--- a/internal/lead/reconciler.go
+++ b/internal/lead/reconciler.go
@@ -16,16 +16,16 @@
 // changed on the board. Its cells run under the context cells.
 type reconciler struct {
 	*Daemon
-	cells context.Context //nolint:containedctx // lives as long as the cells, longer than run
+	cellsCtx context.Context //nolint:containedctx // lives as long as the cells, longer than run
 }
 
 // run reconciles whenever the documents that matter have changed. Routing
 // tables do not: they change with every move.
 func (r reconciler) run(ctx context.Context) error {
-	changed := r.board.Subscribe("")
+	changed := r.replica.Subscribe("")
 	var told uint64
 	for {
-		if v, changes := r.library.look(); changes != told {
+		if v, changes := r.viewBuilder.latest(); changes != told {
 			r.reconcile(v)
 			told = changes
 		}
@@ -34,14 +34,14 @@
 			return ctx.Err()
 		case <-changed:
 		}
-		if err := pause(ctx, reconcileInterval); err != nil {
+		if err := sleep(ctx, reconcileInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// pause waits for d or the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or the end of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -58,41 +58,41 @@
 	for _, s := range v.services(r.cfg.Zone) {
 		cfg := r.cellConfig(v, s)
 		wanted[cfg.ID] = true
-		run := r.ensure(cfg)
+		run := r.ensureController(cfg)
 		for _, ev := range v.events(cfg, s) {
-			run.send(r.cells, ev)
+			run.send(r.cellsCtx, ev)
 		}
 	}
 	if v.settings != nil {
-		r.dismiss(wanted)
+		r.stopRemoved(wanted)
 	}
 }
 
-// ensure returns the runner of a cell, started if it is new.
-func (r reconciler) ensure(cfg cell.Config) *runner {
+// ensureController returns the runner of a cell, started if it is new.
+func (r reconciler) ensureController(cfg cell.Config) *controller {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if run, ok := r.runners[cfg.ID]; ok {
+	if run, ok := r.controllers[cfg.ID]; ok {
 		return run
 	}
-	run := newRunner(r.Daemon, cfg)
-	r.runners[cfg.ID] = run
-	go run.run(r.cells)
+	run := newController(r.Daemon, cfg)
+	r.controllers[cfg.ID] = run
+	go run.run(r.cellsCtx)
 	return run
 }
 
-// dismiss stops the cells that no settings name any more. Their grants end by
+// stopRemoved stops the cells that no settings name any more. Their grants end by
 // themselves; the documents stay, so that epochs never fall should the service
 // come back.
-func (r reconciler) dismiss(wanted map[cell.ID]bool) {
+func (r reconciler) stopRemoved(wanted map[cell.ID]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, run := range r.runners {
+	for id, run := range r.controllers {
 		if wanted[id] {
 			continue
 		}
-		delete(r.runners, id)
+		delete(r.controllers, id)
 		run.log.Info("Service is gone, the cell stops.", slog.String("service", string(id.Service)))
-		go dismissal{run}.run(r.cells)
+		go cellRemoval{run}.run(r.cellsCtx)
 	}
 }
--- a/internal/lead/reconciler_test.go
+++ b/internal/lead/reconciler_test.go
@@ -12,42 +12,42 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// TestZoneTakenOutOfAServiceGivesItsShards: the settings name zone a alone
+// TestZoneRemovedFromServiceTransfersShards: the settings name zone a alone
 // from now on; the cell of b goes on until all its shards are on their way.
-func TestZoneTakenOutOfAServiceGivesItsShards(t *testing.T) {
-	z := newZones(t, 0)
-	z.link.answering[hostA.LeadAddr] = true
+func TestZoneRemovedFromServiceTransfersShards(t *testing.T) {
+	z := newTwoZones(t, 0)
+	z.transport.reachable[hostA.LeadAddr] = true
 	z.service.Zones = []place.Zone{"a"}
 	z.view.settings.Services = []settings.Service{z.service}
 	var doc custody.Doc
 	for range 12 {
-		doc = z.round(t, time.Second)
+		doc = z.runRound(t, time.Second)
 		assert.Equal(t, len(z.view.services("b")), 1, "the cell is still needed")
 	}
 	assert.Equal(t, len(doc.Outgoing("b")), 8)
 }
 
-// TestCellOfADeletedServiceStops: the cell hands over, gives up its goroutine
+// TestCellOfDeletedServiceStops: the cell hands over, gives up its goroutine
 // and is forgotten.
-func TestCellOfADeletedServiceStops(t *testing.T) {
-	z := newZones(t, 0)
-	delete(z.runners, cellB)
+func TestCellOfDeletedServiceStops(t *testing.T) {
+	z := newTwoZones(t, 0)
+	delete(z.controllers, cellB)
 	r := reconciler{z.Daemon, t.Context()}
 	r.reconcile(z.view)
-	run := z.runners[cellB]
+	run := z.controllers[cellB]
 	assert.Assert(t, run != nil)
 
 	z.view.settings.Services = nil
 	r.reconcile(z.view)
-	assert.Equal(t, len(z.runners), 0)
-	<-run.gone
+	assert.Equal(t, len(z.controllers), 0)
+	<-run.quit
 }
 
-// TestShardsOfAServiceMadeAnewStay: a service was deleted, and came back with
+// TestRecreatedServiceKeepsShardCount: a service was deleted, and came back with
 // another number of shards.
-func TestShardsOfAServiceMadeAnewStay(t *testing.T) {
-	z := newZones(t, 0)
-	z.round(t, time.Second)
+func TestRecreatedServiceKeepsShardCount(t *testing.T) {
+	z := newTwoZones(t, 0)
+	z.runRound(t, time.Second)
 	z.service.Shards = 64
 	assert.Equal(t, z.cellConfig(z.view, z.service).Shards, key.ShardCount(16))
 }
--- a/internal/lead/snapshot.go
+++ b/internal/lead/sharedstatus.go
@@ -6,21 +6,21 @@
 	"citrontray.example/citrontray/internal/cell"
 )
 
-// snapshot is the newest state of a cell for readers on other goroutines.
-type snapshot struct {
+// sharedStatus is the newest state of a cell for readers on other goroutines.
+type sharedStatus struct {
 	mu     sync.Mutex
 	status cell.Status
 }
 
 // store replaces the state.
-func (s *snapshot) store(status cell.Status) {
+func (s *sharedStatus) store(status cell.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status = status
 }
 
 // load returns the state.
-func (s *snapshot) load() cell.Status {
+func (s *sharedStatus) load() cell.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -14,16 +14,16 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// answeredWithin is how old a target's newest answer may be for it to count
+// maxResponseAge is how old a target's newest answer may be for it to count
 // as answering.
-const answeredWithin = 2 * time.Second
+const maxResponseAge = 2 * time.Second
 
 // Report implements status.Source.
 func (d *Daemon) Report(now time.Time, q status.Query) status.Report {
 	report := status.Report{
 		Host: string(d.cfg.Host), Zone: string(d.cfg.Zone), Role: string(peer.RoleLead),
-		Version: version.String(), Started: d.started, Ready: true,
-		Settings: d.inForce(),
+		Version: version.String(), Started: d.startedAt, Ready: true,
+		Settings: d.settingsInForce(),
 	}
 	for _, s := range d.statuses() {
 		if reached := now.Add(-s.SinceStoreContact); s.SinceStoreContact > 0 && reached.After(report.LastStoreResponse) {
@@ -39,10 +39,10 @@
 
 // statuses returns the state of all cells, by service.
 func (d *Daemon) statuses() []cell.Status {
-	runners := d.all()
+	runners := d.allControllers()
 	out := make([]cell.Status, 0, len(runners))
 	for _, r := range runners {
-		out = append(out, r.state.load())
+		out = append(out, r.status.load())
 	}
 	slices.SortFunc(out, func(a, b cell.Status) int { return cmp.Compare(a.ID.Service, b.ID.Service) })
 	return out
@@ -53,8 +53,8 @@
 	out := status.Cell{
 		Service: string(s.ID.Service), Zone: string(s.ID.Zone),
 		Term: uint64(s.Term), Lead: string(s.Leader), Leading: s.MayRenew,
-		Shards: s.Rows, Owned: d.owned(s.ID), Moving: len(s.Releasing), SingleKeys: s.SingleKeys,
-		Moves: movesOf(s.Moves),
+		Shards: s.Rows, Owned: d.ownedShards(s.ID), Moving: len(s.Releasing), SingleKeys: s.SingleKeys,
+		Moves: toStatusMoves(s.Moves),
 	}
 	for _, doubt := range s.Blocked {
 		out.Blocked = append(out.Blocked, status.BlockedShard{
@@ -67,14 +67,14 @@
 		}
 		out.Members = append(out.Members, status.Member{
 			Target: string(t.Target), Shards: t.Rows, Leaving: t.Leaving,
-			Responded: now.Sub(t.RespondedAt) < answeredWithin,
+			Responded: now.Sub(t.RespondedAt) < maxResponseAge,
 		})
 	}
 	return out
 }
 
-// movesOf maps moves of a cell.
-func movesOf(moves []cell.Move) []status.Move {
+// toStatusMoves maps moves of a cell.
+func toStatusMoves(moves []cell.Move) []status.Move {
 	out := make([]status.Move, 0, len(moves))
 	for _, m := range moves {
 		out = append(out, status.Move{
@@ -85,8 +85,8 @@
 	return out
 }
 
-// owned counts the shards of a cell that its routing table sends somewhere.
-func (d *Daemon) owned(id cell.ID) int {
+// ownedShards counts the shards of a cell that its routing table sends somewhere.
+func (d *Daemon) ownedShards(id cell.ID) int {
 	t, ok := d.table(id)
 	if !ok {
 		return 0
@@ -102,7 +102,7 @@
 
 // table returns the newest routing table of a cell on the board.
 func (d *Daemon) table(id cell.ID) (table.Table, bool) {
-	doc, ok := d.board.Get(tableName(id))
+	doc, ok := d.replica.Get(tableName(id))
 	if !ok {
 		return table.Table{}, false
 	}
@@ -112,8 +112,8 @@
 
 // explain tells where a key is, from the tables of all zones on the board.
 func (d *Daemon) explain(q status.Query) *status.Key {
-	v, _ := d.library.look()
-	for _, s := range v.all() {
+	v, _ := d.viewBuilder.latest()
+	for _, s := range v.allServices() {
 		if s.Name != q.Service {
 			continue
 		}
@@ -133,7 +133,7 @@
 		return nil
 	}
 	hash := key.HashOf(q.Key)
-	shard, solo := soloOf(t, hash)
+	shard, solo := shardOf(t, hash)
 	row, found := rowOf(t, shard)
 	if !found {
 		return nil
@@ -151,8 +151,8 @@
 	return out
 }
 
-// soloOf returns the shard of a key: its own, if it is a solo key.
-func soloOf(t table.Table, hash key.Hash) (key.Shard, bool) {
+// shardOf returns the shard of a key: its own, if it is a solo key.
+func shardOf(t table.Table, hash key.Hash) (key.Shard, bool) {
 	for _, s := range t.SingleKeys {
 		if s.Hash == hash {
 			return s.Shard, true
@@ -174,17 +174,17 @@
 
 // shardMoves returns the newest moves of one shard of a cell of this zone.
 func (d *Daemon) shardMoves(id cell.ID, shard key.Shard) []status.Move {
-	r := d.runner(id)
+	r := d.controller(id)
 	if r == nil {
 		return nil
 	}
-	moves := movesOf(r.state.load().Moves)
+	moves := toStatusMoves(r.status.load().Moves)
 	return slices.DeleteFunc(moves, func(m status.Move) bool { return m.Shard != uint32(shard) })
 }
 
-// inForce tells which settings this process acts on.
-func (d *Daemon) inForce() status.Settings {
-	v, _ := d.library.look()
+// settingsInForce tells which settings this process acts on.
+func (d *Daemon) settingsInForce() status.Settings {
+	v, _ := d.viewBuilder.latest()
 	if v.settings == nil {
 		return status.Settings{}
 	}
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -33,14 +33,14 @@
 // services returns the services that the zone has a cell of: those that name
 // it, and those that named it while it still has custody of some shard.
 func (v *view) services(zone place.Zone) []settings.Service {
-	return slices.DeleteFunc(v.all(), func(s settings.Service) bool {
+	return slices.DeleteFunc(v.allServices(), func(s settings.Service) bool {
 		named := len(s.Zones) == 0 || slices.Contains(s.Zones, zone)
 		return !named && v.custody[s.Name].CountByZone()[zone] == 0 && len(v.custody[s.Name].Outgoing(zone)) == 0
 	})
 }
 
-// all returns all services.
-func (v *view) all() []settings.Service {
+// allServices returns all services.
+func (v *view) allServices() []settings.Service {
 	if v.settings == nil {
 		return nil
 	}
@@ -95,20 +95,20 @@
 	return slices.ContainsFunc(rows, func(r place.TargetRow) bool { return r.Target == name })
 }
 
-// drains returns those of the targets that operators drain.
-func (v *view) drains(targets []place.TargetRow) []place.Target {
+// drainedTargets returns those of the targets that operators drain.
+func (v *view) drainedTargets(targets []place.TargetRow) []place.Target {
 	var out []place.Target
 	for _, t := range targets {
-		if v.drained(t.Target) {
+		if v.targetDrained(t.Target) {
 			out = append(out, t.Target)
 		}
 	}
 	return out
 }
 
-// drained reports whether an operator drains the target by its name. Of a
+// targetDrained reports whether an operator drains the target by its name. Of a
 // drained zone the shards go to other zones through custody.
-func (v *view) drained(target place.Target) bool {
+func (v *view) targetDrained(target place.Target) bool {
 	return slices.ContainsFunc(v.settings.Drains, func(d settings.Drain) bool {
 		return d.Target != "" && d.Target == target
 	})
@@ -132,8 +132,8 @@
 	return v.settings.Losses[i], true
 }
 
-// zoneOut reports whether a zone takes no custody: drained or lost.
-func (v *view) zoneOut(zone place.Zone) bool {
+// zoneExcluded reports whether a zone takes no custody: drained or lost.
+func (v *view) zoneExcluded(zone place.Zone) bool {
 	_, lost := v.zoneLoss(zone)
 	return lost || v.zoneDrained(zone)
 }
@@ -157,8 +157,8 @@
 	out := make([]custody.ZoneTargets, 0, len(zones))
 	for _, zone := range zones {
 		w := custody.ZoneTargets{Zone: zone}
-		if !v.zoneOut(zone) {
-			w.Targets = v.usable(s, zone)
+		if !v.zoneExcluded(zone) {
+			w.Targets = v.usableTargets(s, zone)
 		}
 		out = append(out, w)
 	}
@@ -170,11 +170,11 @@
 	return slices.DeleteFunc(v.weights(s), func(w custody.ZoneTargets) bool { return w.Zone == zone })
 }
 
-// usable counts the targets of a zone that may own shards.
-func (v *view) usable(s settings.Service, zone place.Zone) int {
+// usableTargets counts the targets of a zone that may own shards.
+func (v *view) usableTargets(s settings.Service, zone place.Zone) int {
 	n := 0
 	for _, t := range v.targets(s, zone) {
-		if t.State == place.Live && !v.drained(t.Target) {
+		if t.State == place.Live && !v.targetDrained(t.Target) {
 			n++
 		}
 	}
@@ -202,7 +202,7 @@
 	events := []cell.Event{
 		cell.ConfigChanged{Config: cfg},
 		cell.FleetReceived{Hosts: v.hosts(cfg.ID.Zone), Targets: targets},
-		cell.DrainsReceived{Targets: v.drains(targets)},
+		cell.DrainsReceived{Targets: v.drainedTargets(targets)},
 		cell.LossesDeclared{Losses: v.losses()},
 	}
 	if doc, ok := v.custody[s.Name]; ok {
--- a/internal/lead/library.go
+++ b/internal/lead/viewbuilder.go
@@ -12,35 +12,35 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// library keeps the decoded documents of the board, so that a document is
+// viewBuilder keeps the decoded documents of the board, so that a document is
 // decoded once a version and not once a look. Safe for concurrent use.
-type library struct {
-	board docsync.Replica
-	log   *slog.Logger
+type viewBuilder struct {
+	replica docsync.Replica
+	log     *slog.Logger
 
-	mu      sync.Mutex
-	view    *view
-	seen    map[docsync.Name]docsync.Version
-	changes uint64
+	mu           sync.Mutex
+	view         *view
+	readVersions map[docsync.Name]docsync.Version
+	changes      uint64
 }
 
-func newLibrary(board docsync.Replica, log *slog.Logger) *library {
-	return &library{
-		board: board,
-		log:   log,
-		view:  &view{custody: make(map[key.Service]custodyDoc)},
-		seen:  make(map[docsync.Name]docsync.Version),
+func newViewBuilder(board docsync.Replica, log *slog.Logger) *viewBuilder {
+	return &viewBuilder{
+		replica:      board,
+		log:          log,
+		view:         &view{custody: make(map[key.Service]custodyDoc)},
+		readVersions: make(map[docsync.Name]docsync.Version),
 	}
 }
 
-// look returns the newest view and the number of changes so far. The view is
+// latest returns the newest view and the number of changes so far. The view is
 // not changed afterwards.
-func (l *library) look() (*view, uint64) {
+func (l *viewBuilder) latest() (*view, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, doc := range l.unseen() {
-		l.seen[doc.Name] = doc.Version
-		next, err := l.view.with(time.Now(), doc)
+	for _, doc := range l.newDocs() {
+		l.readVersions[doc.Name] = doc.Version
+		next, err := l.view.withDoc(time.Now(), doc)
 		if err != nil {
 			// The cells keep what they were last told.
 			l.log.Error("Document not readable.", slog.String("name", string(doc.Name)), slog.Any("error", err))
@@ -52,25 +52,25 @@
 	return l.view, l.changes
 }
 
-// unseen returns the documents that the view does not reflect yet.
-func (l *library) unseen() []docsync.Document {
-	docs := l.board.List(docsync.CustodyPrefix)
+// newDocs returns the documents that the view does not reflect yet.
+func (l *viewBuilder) newDocs() []docsync.Document {
+	docs := l.replica.List(docsync.CustodyPrefix)
 	for _, name := range []docsync.Name{docsync.Settings, docsync.Fleet} {
-		if doc, ok := l.board.Get(name); ok {
+		if doc, ok := l.replica.Get(name); ok {
 			docs = append(docs, doc)
 		}
 	}
 	out := docs[:0]
 	for _, doc := range docs {
-		if seen, ok := l.seen[doc.Name]; !ok || seen.Less(doc.Version) {
+		if seen, ok := l.readVersions[doc.Name]; !ok || seen.Less(doc.Version) {
 			out = append(out, doc)
 		}
 	}
 	return out
 }
 
-// with returns a copy of the view that reflects the document as well.
-func (v *view) with(now time.Time, doc docsync.Document) (*view, error) {
+// withDoc returns a copy of the view that reflects the document as well.
+func (v *view) withDoc(now time.Time, doc docsync.Document) (*view, error) {
 	next := *v
 	switch doc.Name {
 	case docsync.Settings:
