--- a/internal/bench/action.go
+++ b/internal/bench/action.go
@@ -90,7 +90,7 @@
 }
 
 // target returns the n-th target of the deployment.
-func (r *Run) target(n int) *fake.Target { return r.farm.Targets()[n] }
+func (r *Run) target(n int) *fake.Target { return r.targets.Targets()[n] }
 
 // chooseLead chooses the lead process that leads the cell of the first target.
 func (r *Run) chooseLead() error {
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -99,7 +99,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &Run{Config: Config{Scenario: tt.scenario}, farm: fake.NewTargetSet(nil, nil)}
+			r := &Run{Config: Config{Scenario: tt.scenario}, targets: fake.NewTargetSet(nil, nil)}
 			got := r.violations(snapshot{ledger: tt.ledger}, tt.summary)
 			assert.Equal(t, strings.Join(got, "; "), tt.want)
 		})
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -49,8 +49,8 @@
 	s := snapshot{
 		at:       time.Now(),
 		platform: r.platform.Counts(),
-		ledger:   r.farm.Ledger.Counts(),
-		served:   r.farm.Served(),
+		ledger:   r.targets.Ledger.Counts(),
+		served:   r.targets.Served(),
 		usage:    map[Process]map[string]Usage{LeadProcess: {}, EntryProcess: {}},
 	}
 	for _, host := range r.Hosts {
@@ -196,7 +196,7 @@
 	if s.Done == 0 && r.Scenario.Load > 0 {
 		out = append(out, "no requests were done")
 	}
-	return append(out, r.farm.Ledger.Violations()...)
+	return append(out, r.targets.Ledger.Violations()...)
 }
 
 // imbalance returns the load of the busiest target relative to the mean, of the service
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -56,7 +56,7 @@
 	Config
 
 	platform   *fake.Platform
-	farm       *fake.TargetSet
+	targets    *fake.TargetSet
 	network    *fake.Network
 	balancer   *load.Balancer
 	plan       load.Plan
@@ -75,7 +75,7 @@
 // New returns a run that is not started.
 func New(config Config) *Run {
 	r := &Run{Config: config, platform: fake.NewPlatform(), network: fake.NewNetwork()}
-	r.farm = fake.NewTargetSet(load.TargetGroups(config.Preset, config.Settings, config.Scenario.slowdown()), config.Preset.Zones)
+	r.targets = fake.NewTargetSet(load.TargetGroups(config.Preset, config.Settings, config.Scenario.slowdown()), config.Preset.Zones)
 	r.balancer = load.NewBalancer(EntryHosts(config.Hosts))
 	r.plan = load.NewPlan(config.Preset, config.Settings, config.Scenario.Load, config.Scenario.slowdown())
 	r.plan.Hot = config.Scenario.Hot
@@ -95,7 +95,7 @@
 	}
 	server := &http.Server{Handler: platform.NewHandler(r.platform), ReadHeaderTimeout: time.Minute}
 	defer server.Close() //nolint:errcheck // the run is over
-	if err := r.farm.Start(); err != nil {
+	if err := r.targets.Start(); err != nil {
 		return Report{}, err
 	}
 	defer r.network.Close()
@@ -147,7 +147,7 @@
 // register adds targets and hosts to the platform's list without its usual lag.
 func (r *Run) register(now time.Time) {
 	r.platform.SetFleetLag(0)
-	r.farm.Register(now, r.platform)
+	r.targets.Register(now, r.platform)
 	for _, host := range r.Hosts {
 		r.platform.SetHost(now, host.Row(place.Live))
 	}
@@ -175,7 +175,7 @@
 	}
 	stop, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	r.farm.Stop(stop)
+	r.targets.Stop(stop)
 	return report, nil
 }
 
@@ -213,7 +213,7 @@
 // owned returns the number of shards with an owner and the number of all shards.
 func (r *Run) owned(now time.Time) (owned, shards int) {
 	for service, count := range r.plan.Shards {
-		owned += min(r.farm.Ledger.Owned(now, service), int(count))
+		owned += min(r.targets.Ledger.Owned(now, service), int(count))
 		shards += int(count)
 	}
 	return owned, shards
@@ -243,7 +243,7 @@
 	}
 	after := r.snapshot()
 	summary, err := r.generator.Result().Summarize(time.Now(), func(operations []string) ([]uint32, error) {
-		return r.farm.Ledger.RunsOf(operations), nil
+		return r.targets.Ledger.RunsOf(operations), nil
 	})
 	if err != nil {
 		return Report{}, err
--- a/internal/fake/target.go
+++ b/internal/fake/target.go
@@ -181,7 +181,7 @@
 	t.abortIfKilled(p)
 	resp := t.apply(p, order)
 	t.abortIfKilled(p)
-	body, err = target.EncodeAnswer(resp)
+	body, err = target.EncodeResponse(resp)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -75,7 +75,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return grant.Response{}, fmt.Errorf("target: order failed with status %d", resp.StatusCode)
 	}
-	response, err := DecodeAnswer(body)
+	response, err := DecodeResponse(body)
 	if err != nil {
 		return grant.Response{}, oops.Wrapf(err, "target: decode response")
 	}
--- a/internal/target/holdings_test.go
+++ b/internal/target/holdings_test.go
@@ -91,7 +91,7 @@
 	assert.Assert(t, h.Owns(120, 1, 3))
 }
 
-func TestOrderAndAnswerRoundTrip(t *testing.T) {
+func TestOrderAndResponseRoundTrip(t *testing.T) {
 	sent := order(4, 99, granted(3))
 	sent.Release = []grant.ShardEpoch{{Shard: 9, Epoch: 2}}
 	body, err := target.EncodeOrder(sent)
@@ -102,9 +102,9 @@
 
 	response := newHoldings(true).Apply(10, order(1, 10, granted(3)))
 	response.Held, response.Floors = []grant.ShardEpoch{{Shard: 1, Epoch: 3}}, []grant.ShardEpoch{{Shard: 1, Epoch: 3}}
-	body, err = target.EncodeAnswer(response)
+	body, err = target.EncodeResponse(response)
 	assert.NilError(t, err)
-	decoded, err := target.DecodeAnswer(body)
+	decoded, err := target.DecodeResponse(body)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, decoded, response)
 }
@@ -113,6 +113,6 @@
 	f.Add([]byte(`{"service":"balance","items":[[1,2,3]]}`))
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		_, _ = target.DecodeOrder(body)
-		_, _ = target.DecodeAnswer(body)
+		_, _ = target.DecodeResponse(body)
 	})
 }
--- a/internal/target/wire.go
+++ b/internal/target/wire.go
@@ -97,8 +97,8 @@
 	}, nil
 }
 
-// EncodeAnswer encodes a response in JSON.
-func EncodeAnswer(response grant.Response) ([]byte, error) {
+// EncodeResponse encodes a response in JSON.
+func EncodeResponse(response grant.Response) ([]byte, error) {
 	return json.Marshal(wireResponse{
 		Target:      string(response.Target),
 		Incarnation: uint64(response.Incarnation),
@@ -113,8 +113,8 @@
 	})
 }
 
-// DecodeAnswer decodes a response. It returns an error if body is not a valid one.
-func DecodeAnswer(body []byte) (grant.Response, error) {
+// DecodeResponse decodes a response. It returns an error if body is not a valid one.
+func DecodeResponse(body []byte) (grant.Response, error) {
 	var w wireResponse
 	if err := json.Unmarshal(body, &w); err != nil {
 		return grant.Response{}, err
