--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -180,7 +180,7 @@
 	targetConns map[place.Target]*targetConn
 	targetRows  map[place.Target]place.TargetRow
 	// reclaimedAt is when a range last stayed with or returned to its owner because the
-	// store did not respond.
+	// store refused a write or did not respond.
 	reclaimedAt time.Time
 	// joinedAt is when the newest target joined.
 	joinedAt time.Time
