--- a/internal/lead/call.go
+++ b/internal/lead/call.go
@@ -14,23 +14,23 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// docPath is where a cell's document lives in the platform's service.
+// docPath returns the store path of a cell's document.
 func docPath(id cell.ID) platform.Path {
 	return platform.Path("cell/" + string(id.Service) + "/" + string(id.Zone))
 }
 
-// leaseName is the name of a cell's lease.
+// leaseName returns the name of a cell's lease in the store.
 func leaseName(id cell.ID) string {
 	return "lease/" + string(id.Service) + "/" + string(id.Zone)
 }
 
-// leaseHolder names this life of this host as the holder of a lease. A late call of
-// an earlier life, such as one that gives the lease up, then does nothing.
+// leaseHolder returns the name under which this incarnation of the host holds leases.
+// A late call of an earlier incarnation, such as a release, has no effect on them.
 func (d *Daemon) leaseHolder() string {
 	return string(d.cfg.Host) + "/" + strconv.FormatUint(uint64(d.cfg.Incarnation), 36)
 }
 
-// readCall reads the cell's document from the store.
+// readCall reads the cell's document from the store for the core.
 type readCall struct{ *controller }
 
 func (c readCall) run(ctx context.Context) {
@@ -39,18 +39,17 @@
 	case errors.Is(err, platform.ErrNotFound):
 		c.send(ctx, cell.DocReceived{FromStore: true})
 	case errors.Is(err, errUnreadable):
-		c.log.Error("Document not readable.", slog.Any("error", err))
+		c.log.Error("Cell document not decodable.", slog.Any("error", err))
 	case err == nil:
 		c.send(ctx, cell.DocReceived{Exists: true, FromStore: true, Doc: doc, Revision: revision})
 	}
 }
 
-// errUnreadable is returned for a document that the store has and that can't
-// be decoded.
-var errUnreadable = errors.New("lead: document not readable")
+// errUnreadable is returned for a document in the store that cannot be decoded.
+var errUnreadable = errors.New("lead: cell document not decodable")
 
-// readDoc reads the document of a cell from the store. Errors: those of
-// platform.Store.Get, errUnreadable.
+// readDoc reads the document of a cell from the store. It returns the errors of
+// platform.Store.Get, and errUnreadable.
 func (d *Daemon) readDoc(ctx context.Context, id cell.ID) (cell.Doc, platform.Revision, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -74,7 +73,7 @@
 func (c writeCall) run(ctx context.Context) {
 	body, err := cell.EncodeDoc(c.effect.Doc)
 	if err != nil {
-		c.log.Error("Document not encoded.", slog.Any("error", err))
+		c.log.Error("Cell document not encoded.", slog.Any("error", err))
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -87,7 +86,8 @@
 	})
 }
 
-// writeResult maps the store's error. All that is not certain is unknown.
+// writeResult converts an error of platform.Store.Write. After any error that does not
+// tell the outcome, the outcome is unknown.
 func writeResult(err error) cell.WriteResult {
 	var conflict *platform.ConflictError
 	switch {
@@ -101,8 +101,8 @@
 	return cell.WriteUnknown
 }
 
-// acquireLeaseCall takes or renews the cell's lease. The lease is counted from before
-// the call: sentAt is when the core decided on it.
+// acquireLeaseCall acquires or renews the cell's lease. The core counts the lease from
+// sentAt, just before the call, as the store may start it at any time during the call.
 type acquireLeaseCall struct {
 	*controller
 	effect cell.AcquireLease
@@ -120,14 +120,14 @@
 	})
 }
 
-// releaseLeaseCall gives the cell's lease up.
+// releaseLeaseCall releases the cell's lease.
 type releaseLeaseCall struct{ *controller }
 
 func (c releaseLeaseCall) run(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := c.daemon.store.Release(call, leaseName(c.id), c.daemon.leaseHolder()); err != nil {
-		c.log.Info("Lease not given up, it will lapse.", slog.Any("error", err))
+		c.log.Info("Lease not released, it will expire.", slog.Any("error", err))
 	}
 }
 
@@ -141,17 +141,17 @@
 func (c orderCall) run(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	answer, err := c.daemon.targetControl.Order(call, c.effect.Addr, c.effect.Order)
+	response, err := c.daemon.targetControl.Order(call, c.effect.Addr, c.effect.Order)
 	c.send(ctx, cell.OrderDone{
 		Target:   c.effect.Target,
 		SentAt:   c.sentAt,
 		Reached:  err == nil,
-		Response: answer,
+		Response: response,
 	})
 }
 
-// peerCall sends one message to a roster host. Its answer, if any, is a
-// message of its own.
+// peerCall sends one message to a roster host. The reply, if any, arrives as a separate
+// message.
 type peerCall struct {
 	*controller
 	to   netip.AddrPort
@@ -161,7 +161,7 @@
 func (c peerCall) run(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	// A message that is lost here is as one lost on the way: the rules
-	// expect it, and the next heartbeat follows.
+	// An error is treated like a message lost in the network: the protocol of the
+	// cell allows for it, and another heartbeat follows.
 	_, _ = c.daemon.transport.Call(call, c.to, peer.KindCell, c.body)
 }
--- a/internal/lead/controller.go
+++ b/internal/lead/controller.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// tickInterval is how often a cell's systems run.
+	// tickInterval is the time between two ticks of a cell's core.
 	tickInterval = 50 * time.Millisecond
-	// statusInterval is how often others see a cell's state anew.
+	// statusInterval is the time between two updates of a cell's sharedStatus.
 	statusInterval = 250 * time.Millisecond
-	// eventBuffer is how many events wait for a cell before senders wait too.
+	// eventBuffer is the number of events buffered for a cell before senders block.
 	eventBuffer = 256
-	// orderTimeout bounds one order; a later renewal follows anyway.
+	// orderTimeout bounds one order. The next renewal makes up for a lost one.
 	orderTimeout = time.Second
-	// storeTimeout bounds one call to a slow store.
+	// storeTimeout bounds one call to the store, which may be slow.
 	storeTimeout = 12 * time.Second
 	// peerTimeout bounds one message to a roster host.
 	peerTimeout = 800 * time.Millisecond
 )
 
-// controller drives one cell: it hands events to the core in order and carries out
-// the effects. It decides nothing itself.
+// controller drives the core of one cell: it passes events to the core in order and
+// carries out the effects. All decisions are the core's.
 type controller struct {
 	daemon          *Daemon
 	id              cell.ID
@@ -39,15 +39,15 @@
 	events          chan cell.Event
 	reports         chan placement.Report
 	placer          *placer
-	stopped         chan struct{}
-	quit            chan struct{} // closed once the goroutine is to end
+	stopped         chan struct{} // closed once the graceful stop is complete
+	quit            chan struct{} // closed to end the goroutine
 	calls           sync.WaitGroup
 	peers           map[place.Host]place.HostRow
 	status          sharedStatus
 	statusUpdatedAt time.Time
 }
 
-// newController returns a runner for the cell of cfg. It has to be run.
+// newController returns a controller for the cell of cfg. The caller starts run.
 func newController(d *Daemon, cfg cell.Config) *controller {
 	return &controller{
 		daemon:  d,
@@ -64,113 +64,117 @@
 	}
 }
 
-// send hands an event to the cell, waiting while its buffer is full.
-func (r *controller) send(ctx context.Context, ev cell.Event) {
+// send queues an event for the cell. It blocks while the buffer is full, until ctx is
+// done.
+func (c *controller) send(ctx context.Context, ev cell.Event) {
 	select {
-	case r.events <- ev:
+	case c.events <- ev:
 	case <-ctx.Done():
 	}
 }
 
-// run is the cell's one goroutine: all decisions are made here, in order.
-func (r *controller) run(ctx context.Context) {
+// run is the cell's goroutine, the only one that calls the core. It handles events in
+// order.
+func (c *controller) run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.quit:
+		case <-c.quit:
 			return
-		case ev := <-r.events:
-			r.handle(ctx, ev)
-		case report := <-r.reports:
-			r.placer.loads.Add(time.Now(), report)
+		case ev := <-c.events:
+			c.handle(ctx, ev)
+		case report := <-c.reports:
+			c.placer.loads.Add(time.Now(), report)
 		case <-tick.C:
 			now := time.Now()
-			r.apply(ctx, r.core.Tick(now))
-			r.updateStatus(now)
-			r.planMoves(ctx, now)
+			c.apply(ctx, c.core.Tick(now))
+			c.updateStatus(now)
+			c.planMoves(ctx, now)
 		}
 	}
 }
 
-// updateStatus lets other goroutines see the cell's state, at intervals.
-func (r *controller) updateStatus(now time.Time) {
-	if now.Sub(r.statusUpdatedAt) >= statusInterval {
-		r.statusUpdatedAt = now
-		r.status.store(r.core.Status(now))
+// updateStatus updates the status for other goroutines, once per statusInterval.
+func (c *controller) updateStatus(now time.Time) {
+	if now.Sub(c.statusUpdatedAt) >= statusInterval {
+		c.statusUpdatedAt = now
+		c.status.store(c.core.Status(now))
 	}
 }
 
-// planMoves hands the core the moves that placement wants, while this host leads.
-func (r *controller) planMoves(ctx context.Context, now time.Time) {
-	if !r.status.load().LeaseHeld {
+// planMoves passes the moves that placement plans to the core, while this host holds the
+// cell's lease.
+func (c *controller) planMoves(ctx context.Context, now time.Time) {
+	if !c.status.load().LeaseHeld {
 		return
 	}
-	if moves := r.placer.plan(now, r.cfg); len(moves) > 0 {
-		r.apply(ctx, r.core.Handle(now, cell.PlanReceived{Moves: moves}))
+	if moves := c.placer.plan(now, c.cfg); len(moves) > 0 {
+		c.apply(ctx, c.core.Handle(now, cell.PlanReceived{Moves: moves}))
 	}
 }
 
-// handle gives one event to the core.
-func (r *controller) handle(ctx context.Context, ev cell.Event) {
+// handle passes one event to the core, and keeps the hosts and the configuration for the
+// controller itself.
+func (c *controller) handle(ctx context.Context, ev cell.Event) {
 	switch e := ev.(type) {
 	case cell.FleetReceived:
-		r.learnPeers(e.Hosts)
+		c.learnPeers(e.Hosts)
 	case cell.ConfigChanged:
-		r.cfg = e.Config
+		c.cfg = e.Config
 	}
-	r.apply(ctx, r.core.Handle(time.Now(), ev))
+	c.apply(ctx, c.core.Handle(time.Now(), ev))
 }
 
-// learnPeers notes where the hosts of the zone are reached. A host that left
-// the list keeps its last address: the list lags and may be wrong.
-func (r *controller) learnPeers(hosts []place.HostRow) {
+// learnPeers records the addresses of the zone's hosts. A host that is no longer listed
+// keeps its last address, as the list lags and may be wrong.
+func (c *controller) learnPeers(hosts []place.HostRow) {
 	for _, h := range hosts {
-		r.peers[h.Host] = h
+		c.peers[h.Host] = h
 	}
 }
 
-// apply carries out the effects of one step, in order. Calls go out in
-// goroutines of their own; what they bring back comes in as an event.
-func (r *controller) apply(ctx context.Context, effects []cell.Effect) {
+// apply carries out the effects of one step, in order. Each call runs in its own
+// goroutine and returns a result, if any, as an event.
+func (c *controller) apply(ctx context.Context, effects []cell.Effect) {
 	for _, eff := range effects {
 		switch e := eff.(type) {
 		case cell.ReadDoc:
-			r.startCall(ctx, readCall{r})
+			c.startCall(ctx, readCall{c})
 		case cell.WriteDoc:
-			r.startCall(ctx, writeCall{r, e})
+			c.startCall(ctx, writeCall{c, e})
 		case cell.AcquireLease:
-			r.startCall(ctx, acquireLeaseCall{r, e, time.Now()})
+			c.startCall(ctx, acquireLeaseCall{c, e, time.Now()})
 		case cell.ReleaseLease:
-			r.startCall(ctx, releaseLeaseCall{r})
+			c.startCall(ctx, releaseLeaseCall{c})
 		case cell.SendOrder:
-			r.startCall(ctx, orderCall{r, e, time.Now()})
+			c.startCall(ctx, orderCall{c, e, time.Now()})
 		case cell.SendPeer:
-			r.sendPeer(ctx, e)
+			c.sendPeer(ctx, e)
 		case cell.Publish:
-			r.publish(e.Table)
+			c.publish(e.Table)
 		case cell.Log:
-			r.log.Info(e.Text)
+			c.log.Info(e.Text)
 		case cell.Stopped:
-			r.markStopped()
+			c.markStopped()
 		}
 	}
 }
 
-// call is one call to the outside.
+// call is one call to the store, a target or a peer.
 type call interface{ run(ctx context.Context) }
 
-// startCall makes a call in a goroutine of its own, bounded by the call's timeout.
-func (r *controller) startCall(ctx context.Context, c call) {
-	r.calls.Go(func() { c.run(ctx) })
+// startCall runs a call in its own goroutine. The call limits its own duration.
+func (c *controller) startCall(ctx context.Context, op call) {
+	c.calls.Go(func() { op.run(ctx) })
 }
 
-// waitCalls waits for the calls under way, such as giving up the lease, until
-// ctx ends.
-func (r *controller) waitCalls(ctx context.Context) {
-	w := waiter{controller: r, done: make(chan struct{})}
+// waitCalls waits until no call is in flight, such as the release of the lease, or ctx is
+// done.
+func (c *controller) waitCalls(ctx context.Context) {
+	w := waiter{controller: c, done: make(chan struct{})}
 	go w.run()
 	select {
 	case <-w.done:
@@ -178,7 +182,7 @@
 	}
 }
 
-// waiter closes done once no call is under way.
+// waiter closes done once no call is in flight.
 type waiter struct {
 	*controller
 	done chan struct{}
@@ -189,60 +193,60 @@
 	close(w.done)
 }
 
-// sendPeer starts one message to a roster host whose address is known.
-func (r *controller) sendPeer(ctx context.Context, e cell.SendPeer) {
-	peer, ok := r.peers[e.To]
+// sendPeer starts sending a message to a roster host, if its address is known.
+func (c *controller) sendPeer(ctx context.Context, e cell.SendPeer) {
+	host, ok := c.peers[e.To]
 	if !ok {
 		return
 	}
-	body, err := encodeEnvelope(envelope{id: r.id, message: e.Message})
+	body, err := encodeEnvelope(envelope{id: c.id, message: e.Message})
 	if err != nil {
-		r.log.Error("Message not encoded.", slog.Any("error", err))
+		c.log.Error("Message not encoded.", slog.Any("error", err))
 		return
 	}
-	r.startCall(ctx, peerCall{r, peer.LeadAddr, body})
+	c.startCall(ctx, peerCall{c, host.LeadAddr, body})
 }
 
-// publish puts the cell's routing table on the board of this process.
-func (r *controller) publish(t table.Table) {
-	r.placer.table = t
+// publish publishes the cell's routing table in the replica.
+func (c *controller) publish(t table.Table) {
+	c.placer.table = t
 	body, err := table.Encode(t)
 	if err != nil {
-		r.log.Error("Table not encoded.", slog.Any("error", err))
+		c.log.Error("Routing table not encoded.", slog.Any("error", err))
 		return
 	}
-	r.daemon.replica.Publish(docsync.Document{
-		Name:    tableName(r.id),
+	c.daemon.replica.Publish(docsync.Document{
+		Name:    tableName(c.id),
 		Version: docsync.Version{Major: uint64(t.Version.Term), Minor: t.Version.Sequence},
 		Body:    body,
 	})
 }
 
-// cellRemoval ends a cell whose service is gone.
+// cellRemoval ends the cell of a service that was removed from this zone.
 type cellRemoval struct{ *controller }
 
-// run stops the cell in a planned way and then its goroutine.
-func (d cellRemoval) run(ctx context.Context) {
-	d.send(ctx, cell.StopRequested{})
+// run stops the cell gracefully, then ends its goroutine.
+func (r cellRemoval) run(ctx context.Context) {
+	r.send(ctx, cell.StopRequested{})
 	select {
-	case <-d.stopped:
+	case <-r.stopped:
 	case <-ctx.Done():
 		return
 	}
-	d.waitCalls(ctx)
-	close(d.quit)
+	r.waitCalls(ctx)
+	close(r.quit)
 }
 
-// markStopped notes that the planned stop of the cell is complete.
-func (r *controller) markStopped() {
+// markStopped records that the graceful stop of the cell is complete.
+func (c *controller) markStopped() {
 	select {
-	case <-r.stopped:
+	case <-c.stopped:
 	default:
-		close(r.stopped)
+		close(c.stopped)
 	}
 }
 
-// tableName is the board's name of a cell's routing table.
+// tableName returns the document name of a cell's routing table.
 func tableName(id cell.ID) docsync.Name {
 	return docsync.TablePrefix + docsync.Name(id.Service) + "/" + docsync.Name(id.Zone)
 }
--- a/internal/lead/custodykeeper.go
+++ b/internal/lead/custodykeeper.go
@@ -19,27 +19,29 @@
 )
 
 const (
-	// custodyInterval is how often custody is looked at.
+	// custodyInterval is the time between two rounds of the custody keeper.
 	custodyInterval = 500 * time.Millisecond
-	// stabilizationWindow is how long the zones' shares have to stand unchanged
-	// before shards are transferred for them: the fleet list flaps.
+	// stabilizationWindow is how long the weights of a service's zones must be
+	// unchanged before shards are transferred to match them, as the fleet list flaps.
 	stabilizationWindow = 10 * time.Second
-	// maxTransfers bounds the shards of one zone under transfer at once.
+	// maxTransfers bounds the concurrent transfers out of one zone, in shards.
 	maxTransfers = 16
 )
 
-// custodyKeeper writes the custody documents: the first layout, the transfers that
-// this host's cells have settled, those for balance, and declared losses.
-// Every write is a compare-and-swap, so keepers on several hosts may race.
+// custodyKeeper writes the custody documents. It creates the first layout of a service,
+// completes transfers whose shards this host's cells have ceded, starts transfers to
+// balance the zones, and evicts lost zones. Every write is a compare-and-swap, so keepers
+// on several hosts may race.
 type custodyKeeper struct {
 	*Daemon
 	observed   map[key.Service]observedWeights
 	heldLeases map[cell.ID]heldLease
-	// evictedSince is since when a cell's document shows that it gave up.
+	// evictedSince is the time at which this host first read that a lost zone's cell
+	// has ceded its shards.
 	evictedSince map[cell.ID]time.Time
 }
 
-// observedWeights is since when the zones of a service have had these shares.
+// observedWeights holds the weights of a service's zones, unchanged since a time.
 type observedWeights struct {
 	weights []custody.ZoneTargets
 	since   time.Time
@@ -54,7 +56,7 @@
 	}
 }
 
-// run keeps custody until ctx ends.
+// run reconciles once per custodyInterval until ctx is done.
 func (k *custodyKeeper) run(ctx context.Context) error {
 	tick := time.NewTicker(custodyInterval)
 	defer tick.Stop()
@@ -68,7 +70,7 @@
 	}
 }
 
-// reconcile looks at each service once.
+// reconcile creates or updates the custody document of each service of this zone.
 func (k *custodyKeeper) reconcile(ctx context.Context, now time.Time) {
 	v, _ := k.viewBuilder.latest()
 	for _, s := range v.services(k.cfg.Zone) {
@@ -83,26 +85,26 @@
 	}
 }
 
-// createCustody writes the first layout of a service, once its targets are known.
+// createCustody writes the first layout of a service, once any of its targets is known.
 func (k *custodyKeeper) createCustody(ctx context.Context, v *view, s settings.Service) {
 	doc := custody.New(s.Name, v.shards(s), v.weights(s))
 	if len(doc.Rows) == 0 {
 		return
 	}
 	if _, err := k.store.Get(ctx, custody.Path(s.Name)); !errors.Is(err, platform.ErrNotFound) {
-		return // it is there and on its way to the board, or the store is out
+		return // the document has not reached the replica yet, or the store is unavailable
 	}
 	k.writeCustody(ctx, doc, 0)
 }
 
-// nextCustody returns the document as it should be now, and whether it changed. Only
-// the lead of this zone's cell changes custody, or hands over a lost zone's.
+// nextCustody returns the next version of a custody document and whether it differs from
+// doc. Only the leader of this zone's cell transfers shards of its zone, and of lost zones.
 func (k *custodyKeeper) nextCustody(ctx context.Context, now time.Time, v *view, s settings.Service, doc custodyDoc) (custody.Doc, bool) {
-	state, leading := k.statusIfLeading(cell.ID{Service: s.Name, Zone: k.cfg.Zone})
+	status, leading := k.statusIfLeading(cell.ID{Service: s.Name, Zone: k.cfg.Zone})
 	if !leading {
 		return custody.Doc{}, false
 	}
-	if next, changed := custody.CompleteTransfers(doc.Doc, k.cfg.Zone, state.Ceded); changed {
+	if next, changed := custody.CompleteTransfers(doc.Doc, k.cfg.Zone, status.Ceded); changed {
 		return next, true
 	}
 	if next, changed := k.evict(ctx, now, v, s, doc); changed {
@@ -119,58 +121,59 @@
 	return next, true
 }
 
-// destinationsReachable reports whether hosts answer in every zone that shards of this zone
-// are about to go to. A zone that is cut off is in the fleet list for a while,
-// and its own shards may just have come here.
+// destinationsReachable reports whether every destination of this zone's planned transfers
+// has a reachable host. A partitioned zone stays in the fleet list for a while, and may
+// just have been evicted: its shards would go straight back to it.
 func (k *custodyKeeper) destinationsReachable(ctx context.Context, v *view, next custody.Doc) bool {
-	asked := make(map[place.Zone]bool)
+	checked := make(map[place.Zone]bool)
 	for _, row := range next.Rows {
-		if row.Zone != k.cfg.Zone || row.Next == "" || asked[row.Next] {
+		if row.Zone != k.cfg.Zone || row.Next == "" || checked[row.Next] {
 			continue
 		}
 		if !k.anyReachable(ctx, v.hosts(row.Next)) {
 			return false
 		}
-		asked[row.Next] = true
+		checked[row.Next] = true
 	}
 	return true
 }
 
-// statusIfLeading returns the state of a cell if this host leads it now.
+// statusIfLeading returns the status of a cell, and whether this host leads the cell and
+// holds its lease.
 func (k *custodyKeeper) statusIfLeading(id cell.ID) (cell.Status, bool) {
-	r := k.controller(id)
-	if r == nil {
+	c := k.controller(id)
+	if c == nil {
 		return cell.Status{}, false
 	}
-	state := r.status.load()
-	return state, state.LeaseHeld
+	latest := c.status.load()
+	return latest, latest.LeaseHeld
 }
 
-// weightsStable reports whether the shares have stood long enough to act on.
+// weightsStable reports whether the weights have been unchanged for stabilizationWindow.
 func (k *custodyKeeper) weightsStable(now time.Time, s settings.Service, weights []custody.ZoneTargets) bool {
-	have, ok := k.observed[s.Name]
-	if !ok || !slices.Equal(have.weights, weights) {
+	last, ok := k.observed[s.Name]
+	if !ok || !slices.Equal(last.weights, weights) {
 		k.observed[s.Name] = observedWeights{weights: weights, since: now}
 		return false
 	}
-	return now.Sub(have.since) >= stabilizationWindow
+	return now.Sub(last.since) >= stabilizationWindow
 }
 
-// writeCustody commits a custody document and shows it to this process at once. A
-// lost answer needs no care here: the next round reads the board again, and
-// each step is idempotent.
+// writeCustody writes a custody document to the store, and on success publishes it in the
+// replica at once. A lost response needs no handling: every step is idempotent, and the
+// next round starts from the replica again.
 func (k *custodyKeeper) writeCustody(ctx context.Context, doc custody.Doc, expect platform.Revision) {
 	doc.WriteID = uuid.NewString()
 	body, err := custody.Encode(doc)
 	if err != nil {
-		k.log.Error("Custody not encoded.", slog.Any("error", err))
+		k.log.Error("Custody document not encoded.", slog.Any("error", err))
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	revision, err := k.store.Write(call, custody.Path(doc.Service), body, expect)
 	if err != nil {
-		k.log.Info("Custody not written.", slog.Any("error", err))
+		k.log.Info("Custody document not written.", slog.Any("error", err))
 		return
 	}
 	k.replica.Publish(docsync.Document{
--- a/internal/lead/daemon.go
+++ b/internal/lead/daemon.go
@@ -1,6 +1,7 @@
-// Package lead is the shell around the ownership core: one process on every
-// entry host, which runs the cells of its zone, watches the platform, spreads
-// documents and keeps custody. It does the I/O; cell and custody decide.
+// Package lead implements citrontray-lead, the lead process that runs on every entry
+// host. It runs the cells of its zone, watches the platform's service, replicates
+// documents and maintains the custody documents. It does the I/O; the packages cell and
+// custody decide.
 package lead
 
 import (
@@ -23,18 +24,18 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// Config is what a lead process learns from its flags.
+// Config holds the identity and the timing of a lead process.
 type Config struct {
 	Host        place.Host
 	Zone        place.Zone
 	PeerAddr    netip.AddrPort
 	Incarnation place.Incarnation
 	Timing      cell.Timing
-	// StopTimeout bounds a planned stop.
+	// StopTimeout bounds a graceful stop.
 	StopTimeout time.Duration
 }
 
-// Environment are the outside interfaces of a lead process.
+// Environment holds the external dependencies of a lead process.
 type Environment struct {
 	Store         platform.Store
 	Transport     peer.Transport
@@ -43,7 +44,7 @@
 	Log           *slog.Logger
 }
 
-// Daemon is a lead process.
+// Daemon runs the cells and the custody keeper of a lead process.
 type Daemon struct {
 	cfg           Config
 	store         platform.Store
@@ -58,17 +59,17 @@
 	controllers map[cell.ID]*controller
 }
 
-// New returns a lead process and sets its message handlers on the link.
-func New(cfg Config, parts Environment) *Daemon {
+// New returns a daemon and registers its message handlers with the transport.
+func New(cfg Config, env Environment) *Daemon {
 	d := &Daemon{
 		cfg:           cfg,
-		store:         parts.Store,
-		transport:     parts.Transport,
-		replica:       parts.Replica,
-		targetControl: parts.TargetControl,
-		log:           parts.Log,
+		store:         env.Store,
+		transport:     env.Transport,
+		replica:       env.Replica,
+		targetControl: env.TargetControl,
+		log:           env.Log,
 		startedAt:     time.Now(),
-		viewBuilder:   newViewBuilder(parts.Replica, parts.Log),
+		viewBuilder:   newViewBuilder(env.Replica, env.Log),
 		controllers:   make(map[cell.ID]*controller),
 	}
 	d.transport.Handle(peer.KindCell, d.handleCell)
@@ -77,10 +78,10 @@
 	return d
 }
 
-// Run works until ctx ends, then stops every cell in a planned way: each hands
-// its lead over within Config.StopTimeout.
+// Run runs until ctx is done, then stops every cell gracefully: a cell that leads hands
+// its leadership over. It waits for the cells at most Config.StopTimeout.
 func (d *Daemon) Run(ctx context.Context) error {
-	// The cells outlive ctx: they need their goroutines for the handover.
+	// The cells outlive ctx, as their goroutines carry out the handover.
 	cells, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	group, inner := errgroup.WithContext(ctx)
@@ -94,65 +95,66 @@
 	return err
 }
 
-// stopCells asks all cells to stop and waits for them.
+// stopCells stops all cells and waits for their handovers and calls in flight.
 func (d *Daemon) stopCells() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.StopTimeout)
 	defer cancel()
-	runners := d.allControllers()
-	for _, r := range runners {
-		r.send(ctx, cell.StopRequested{})
+	controllers := d.allControllers()
+	for _, c := range controllers {
+		c.send(ctx, cell.StopRequested{})
 	}
-	for _, r := range runners {
+	for _, c := range controllers {
 		select {
-		case <-r.stopped:
+		case <-c.stopped:
 		case <-ctx.Done():
-			d.log.Warn("Cell not handed over in time.", slog.String("service", string(r.id.Service)))
+			d.log.Warn("Cell not stopped before the stop timeout.", slog.String("service", string(c.id.Service)))
 		}
 	}
-	for _, r := range runners {
-		r.waitCalls(ctx)
+	for _, c := range controllers {
+		c.waitCalls(ctx)
 	}
 }
 
-// handleCell passes a message of another lead on to its cell.
+// handleCell passes a message of another lead process of the zone to its cell.
 func (d *Daemon) handleCell(ctx context.Context, from peer.Identity, body []byte) ([]byte, error) {
 	if from.Role != peer.RoleLead || from.Zone != d.cfg.Zone {
-		return nil, fmt.Errorf("lead: %s of %s/%s takes no part in the cells of %s", from.Role, from.Zone, from.Host, d.cfg.Zone)
+		return nil, fmt.Errorf("lead: %s process of %s/%s may not send cell messages to zone %s", from.Role, from.Zone, from.Host, d.cfg.Zone)
 	}
 	e, err := decodeEnvelope(body)
 	if err != nil {
 		return nil, err
 	}
-	if r := d.controller(e.id); r != nil {
-		r.send(ctx, cell.PeerReceived{From: from.Host, Message: e.message})
+	if c := d.controller(e.id); c != nil {
+		c.send(ctx, cell.PeerReceived{From: from.Host, Message: e.message})
 	}
 	return nil, nil
 }
 
-// handleStatus answers a peer's question whether this process runs.
+// handleStatus responds with the host's name. Peers call it to check that this process is
+// reachable.
 func (d *Daemon) handleStatus(context.Context, peer.Identity, []byte) ([]byte, error) {
 	return []byte(d.cfg.Host), nil
 }
 
-// controller returns the runner of a cell, or nil.
+// controller returns the controller of a cell, or nil if this process has none.
 func (d *Daemon) controller(id cell.ID) *controller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.controllers[id]
 }
 
-// allControllers returns the runners of all cells.
+// allControllers returns the controllers of all cells, in no order.
 func (d *Daemon) allControllers() []*controller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make([]*controller, 0, len(d.controllers))
-	for _, r := range d.controllers {
-		out = append(out, r)
+	for _, c := range d.controllers {
+		out = append(out, c)
 	}
 	return out
 }
 
-// cellConfig derives the core's configuration from the settings.
+// cellConfig returns the core's configuration for a service in this zone.
 func (d *Daemon) cellConfig(v *view, s settings.Service) cell.Config {
 	return cell.Config{
 		ID:               cell.ID{Service: s.Name, Zone: d.cfg.Zone},
--- a/internal/lead/envelope.go
+++ b/internal/lead/envelope.go
@@ -10,7 +10,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// envelope is a message with the cell that it is about.
+// envelope is a message of a cell with the cell's ID.
 type envelope struct {
 	id      cell.ID
 	message cell.Message
@@ -22,7 +22,7 @@
 	Message []byte `cbor:"3,keyasint"`
 }
 
-// encodeEnvelope returns the bytes of a message between leads.
+// encodeEnvelope encodes a message to another lead process.
 func encodeEnvelope(e envelope) ([]byte, error) {
 	body, err := cell.EncodeMessage(e.message)
 	if err != nil {
@@ -35,11 +35,11 @@
 	})
 }
 
-// decodeEnvelope reads what encodeEnvelope wrote.
+// decodeEnvelope decodes the output of encodeEnvelope.
 func decodeEnvelope(b []byte) (envelope, error) {
 	var w wireEnvelope
 	if err := cbor.Unmarshal(b, &w); err != nil {
-		return envelope{}, fmt.Errorf("lead: envelope: %w", err)
+		return envelope{}, fmt.Errorf("lead: decode envelope: %w", err)
 	}
 	message, err := cell.DecodeMessage(w.Message)
 	if err != nil {
--- a/internal/lead/evict_test.go
+++ b/internal/lead/evict_test.go
@@ -22,19 +22,20 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// fakeTransport is a peer link on which some addresses answer.
+// fakeTransport is a peer.Transport on which only some addresses are reachable.
 type fakeTransport struct{ reachable map[netip.AddrPort]bool }
 
 func (l *fakeTransport) Call(_ context.Context, to netip.AddrPort, _ peer.Kind, _ []byte) ([]byte, error) {
 	if l.reachable[to] {
 		return nil, nil
 	}
-	return nil, errors.New("no answer")
+	return nil, errors.New("no response")
 }
 
 func (l *fakeTransport) Handle(peer.Kind, peer.Handler) {}
 
-// twoZones is a deployment of zones a and b, seen by the keeper of b's lead.
+// twoZones is a deployment of zones a and b, with the custody keeper of the host that
+// leads the cell of zone b.
 type twoZones struct {
 	*custodyKeeper
 	platform  *fake.Platform
@@ -61,9 +62,9 @@
 	d := New(Config{Host: "host-b", Zone: "b", Timing: cell.DefaultTiming()}, Environment{
 		Store: z.platform, Transport: z.transport, Replica: docsync.New(), Log: logging.Nop(),
 	})
-	r := newController(d, d.cellConfig(&view{}, z.service))
-	r.status.store(cell.Status{ID: cellB, LeaseHeld: true})
-	d.controllers[cellB] = r
+	c := newController(d, d.cellConfig(&view{}, z.service))
+	c.status.store(cell.Status{ID: cellB, LeaseHeld: true})
+	d.controllers[cellB] = c
 	z.custodyKeeper = newCustodyKeeper(d)
 	z.view = &view{
 		settings: &settings.Settings{Services: []settings.Service{z.service}},
@@ -82,7 +83,8 @@
 	return z
 }
 
-// runRound runs the keeper once, d later.
+// runRound advances the time by d, runs one round of the keeper and returns the custody
+// document after it.
 func (z *twoZones) runRound(t *testing.T, d time.Duration) custody.Doc {
 	t.Helper()
 	z.now = z.now.Add(d)
@@ -96,34 +98,36 @@
 	return v.custody["balance"].Doc
 }
 
+// TestZoneDeclaredLostIsEvicted checks the three steps of an eviction, and that the epoch
+// floors of the transferred shards are above their last epochs.
 func TestZoneDeclaredLostIsEvicted(t *testing.T) {
 	z := newTwoZones(t, 0)
 	z.view.settings.Losses = []settings.Loss{{Zone: "a", By: "ops", Reason: "fire"}}
 
 	doc := z.runRound(t, time.Second)
-	assert.Equal(t, len(doc.OwnableBy("a")), 0, "step 1: custody names the next zones")
+	assert.Equal(t, len(doc.OwnableBy("a")), 0, "step 1: the custody document names the destination zones")
 	assert.Equal(t, len(doc.OwnableBy("b")), 8)
 
 	z.runRound(t, time.Second)
 	a, _, err := z.readCellOrEmpty(t.Context(), cellA)
 	assert.NilError(t, err)
-	assert.Equal(t, a.Term, grant.Term(4), "step 2: the lost cell's term rises")
+	assert.Equal(t, a.Term, grant.Term(4), "step 2: the lost cell's term increases")
 	assert.Equal(t, len(a.Rows), 0)
 	assert.Equal(t, len(a.Ceded), 8)
 
 	z.runRound(t, time.Second)
 	doc = z.runRound(t, time.Second)
-	assert.Equal(t, len(doc.OwnableBy("b")), 8, "grants of a live zone have not ended yet")
+	assert.Equal(t, len(doc.OwnableBy("b")), 8, "the zone may still run, its grants have not expired yet")
 
 	doc = z.runRound(t, 4*time.Second)
-	assert.Equal(t, len(doc.OwnableBy("b")), 16, "step 3: custody is b's")
+	assert.Equal(t, len(doc.OwnableBy("b")), 16, "step 3: b has custody of all shards")
 	for _, row := range doc.OwnableBy("b") {
 		assert.Assert(t, row.Floor == 0 || row.Floor > 5)
 	}
 }
 
-// TestEvictionResumesAfterCrash runs each step in a keeper that knows nothing
-// of the steps before it.
+// TestEvictionResumesAfterCrash runs each step in a new keeper, which knows the earlier
+// steps only from the documents.
 func TestEvictionResumesAfterCrash(t *testing.T) {
 	z := newTwoZones(t, 0)
 	z.view.settings.Losses = []settings.Loss{{Zone: "a", By: "ops", Reason: "fire"}}
@@ -135,15 +139,18 @@
 	assert.Equal(t, len(doc.OwnableBy("b")), 16)
 }
 
+// TestUnreachableZoneIsEvictedAfterHold checks that the shards of an unreachable zone stay
+// there until its renew limit and its grants have ended, and that the zone gets shards again
+// once it is reachable.
 func TestUnreachableZoneIsEvictedAfterHold(t *testing.T) {
 	z := newTwoZones(t, 10*time.Second)
 	for range 13 {
 		doc := z.runRound(t, time.Second)
-		assert.Equal(t, len(doc.OwnableBy("a")), 8, "the hold and the grants run")
+		assert.Equal(t, len(doc.OwnableBy("a")), 8, "renew limit and grants have not ended")
 	}
 	for range 20 {
 		doc := z.runRound(t, time.Second)
-		assert.Assert(t, len(doc.OwnableBy("b")) >= 8, "b gives nothing to a zone that does not answer")
+		assert.Assert(t, len(doc.OwnableBy("b")) >= 8, "b transfers nothing to an unreachable zone")
 	}
 	assert.Equal(t, len(z.runRound(t, time.Second).OwnableBy("b")), 16)
 
@@ -152,26 +159,28 @@
 		z.runRound(t, time.Second)
 	}
 	doc := z.runRound(t, time.Second)
-	assert.Equal(t, len(doc.Outgoing("b")), 8, "the zone is back and gets its share")
+	assert.Equal(t, len(doc.Outgoing("b")), 8, "the zone is reachable again and gets its share")
 }
 
+// TestZoneIsNotEvicted covers the cases in which the grants of a zone may not have ended, or
+// in which this host may not decide.
 func TestZoneIsNotEvicted(t *testing.T) {
 	for name, test := range map[string]struct {
 		hold    time.Duration
 		arrange func(t *testing.T, z *twoZones)
 	}{
-		"hold is forever": {0, func(*testing.T, *twoZones) {}},
-		"a peer answers": {time.Second, func(_ *testing.T, z *twoZones) {
+		"no renew limit": {0, func(*testing.T, *twoZones) {}},
+		"a host of the zone is reachable": {time.Second, func(_ *testing.T, z *twoZones) {
 			z.transport.reachable[hostA.LeadAddr] = true
 		}},
-		"its lead renews the lease, though it is cut from the peers": {time.Second, func(t *testing.T, z *twoZones) {
+		"leader isolated from its peers renews the lease": {time.Second, func(t *testing.T, z *twoZones) {
 			_, err := z.platform.Acquire(t.Context(), leaseName(cellA), "host-a", time.Hour)
 			assert.NilError(t, err)
 		}},
-		"the store is down": {time.Second, func(_ *testing.T, z *twoZones) {
+		"store is unavailable": {time.Second, func(_ *testing.T, z *twoZones) {
 			z.platform.SetFaults(fake.PlatformFaults{Down: true})
 		}},
-		"this host leads nothing": {time.Second, func(_ *testing.T, z *twoZones) {
+		"this host leads no cell": {time.Second, func(_ *testing.T, z *twoZones) {
 			z.controllers[cellB].status.store(cell.Status{ID: cellB})
 		}},
 	} {
@@ -186,8 +195,9 @@
 	}
 }
 
-// TestHeldLeaseRestartsAfterPause: this host was paused for longer than the
-// lease of the silent zone, so that zone's lead may have held it in between.
+// TestHeldLeaseRestartsAfterPause pauses the process for longer than evictLeaseTTL. The
+// unreachable zone's leader may have held the lease meanwhile, so the wait for the expiry of
+// its grants has to start again.
 func TestHeldLeaseRestartsAfterPause(t *testing.T) {
 	z := newTwoZones(t, 10*time.Second)
 	for range 10 {
--- a/internal/lead/placer.go
+++ b/internal/lead/placer.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// planInterval is how often moves are planned.
+	// planInterval is the time between two plans of moves.
 	planInterval = time.Second
-	// reportBuffer is how many load reports wait for a cell; later ones are
-	// dropped, as the next of that entry follows in a second.
+	// reportBuffer is the number of load reports that are buffered for a cell. Further
+	// reports are dropped, as each entry process sends another one within a second.
 	reportBuffer = 256
 )
 
-// placer plans the moves of a cell that this host leads. It belongs to the
-// cell's goroutine.
+// placer plans the moves of a cell that this host leads. Only the cell's goroutine uses
+// it.
 type placer struct {
 	planner    *placement.Planner
 	loads      *placement.Loads
@@ -31,7 +31,7 @@
 	return &placer{planner: placement.NewPlanner(), loads: placement.NewLoads()}
 }
 
-// plan returns the moves that pay now, at intervals.
+// plan returns the moves worth making now, at most once per planInterval.
 func (p *placer) plan(now time.Time, cfg cell.Config) []cell.PlannedMove {
 	if now.Before(p.nextPlanAt) {
 		return nil
@@ -46,18 +46,18 @@
 	}, layout, p.loads)
 }
 
-// handleLoad passes an entry's load report on to its cell.
+// handleLoad passes the load report of an entry process to its cell.
 func (d *Daemon) handleLoad(_ context.Context, _ peer.Identity, body []byte) ([]byte, error) {
 	report, err := placement.DecodeReport(body)
 	if err != nil {
 		return nil, err
 	}
-	r := d.controller(cell.ID{Service: report.Service, Zone: report.Zone})
-	if r == nil {
+	c := d.controller(cell.ID{Service: report.Service, Zone: report.Zone})
+	if c == nil {
 		return nil, nil
 	}
 	select {
-	case r.reports <- report:
+	case c.reports <- report:
 	default:
 	}
 	return nil, nil
--- a/internal/lead/reconciler.go
+++ b/internal/lead/reconciler.go
@@ -8,26 +8,26 @@
 	"citrontray.example/citrontray/internal/cell"
 )
 
-// reconcileInterval bounds how often the cells are told of changes: a burst of
-// settings is one change.
+// reconcileInterval is the minimum time between two reconciliations, which combines a
+// burst of changes into one.
 const reconcileInterval = 50 * time.Millisecond
 
-// reconciler starts the cells that the settings name and tells all cells what
-// changed on the board. Its cells run under the context cells.
+// reconciler starts and stops the cells as the settings require, and passes changed
+// documents of the replica to the cells as events.
 type reconciler struct {
 	*Daemon
-	cellsCtx context.Context //nolint:containedctx // lives as long as the cells, longer than run
+	cellsCtx context.Context //nolint:containedctx // context of the cells, which outlive run
 }
 
-// run reconciles whenever the documents that matter have changed. Routing
-// tables do not: they change with every move.
+// run reconciles whenever the view has changed, until ctx is done. Routing tables are not
+// part of the view: they change with every move.
 func (r reconciler) run(ctx context.Context) error {
 	changed := r.replica.Subscribe("")
-	var told uint64
+	var applied uint64
 	for {
-		if v, changes := r.viewBuilder.latest(); changes != told {
+		if v, changes := r.viewBuilder.latest(); changes != applied {
 			r.reconcile(v)
-			told = changes
+			applied = changes
 		}
 		select {
 		case <-ctx.Done():
@@ -40,7 +40,7 @@
 	}
 }
 
-// sleep waits for d or the end of ctx.
+// sleep waits for d. If ctx is done first, it returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -52,15 +52,15 @@
 	}
 }
 
-// reconcile brings the cells in line with the view.
+// reconcile starts, updates and stops cells to match the view.
 func (r reconciler) reconcile(v *view) {
 	wanted := make(map[cell.ID]bool)
 	for _, s := range v.services(r.cfg.Zone) {
 		cfg := r.cellConfig(v, s)
 		wanted[cfg.ID] = true
-		run := r.ensureController(cfg)
+		c := r.ensureController(cfg)
 		for _, ev := range v.events(cfg, s) {
-			run.send(r.cellsCtx, ev)
+			c.send(r.cellsCtx, ev)
 		}
 	}
 	if v.settings != nil {
@@ -68,31 +68,31 @@
 	}
 }
 
-// ensureController returns the runner of a cell, started if it is new.
+// ensureController returns the controller of a cell. It starts one if there is none.
 func (r reconciler) ensureController(cfg cell.Config) *controller {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if run, ok := r.controllers[cfg.ID]; ok {
-		return run
+	if c, ok := r.controllers[cfg.ID]; ok {
+		return c
 	}
-	run := newController(r.Daemon, cfg)
-	r.controllers[cfg.ID] = run
-	go run.run(r.cellsCtx)
-	return run
+	c := newController(r.Daemon, cfg)
+	r.controllers[cfg.ID] = c
+	go c.run(r.cellsCtx)
+	return c
 }
 
-// stopRemoved stops the cells that no settings name any more. Their grants end by
-// themselves; the documents stay, so that epochs never fall should the service
-// come back.
+// stopRemoved stops the cells of services that this zone no longer has. Their grants
+// expire. Their documents stay in the store, so that epochs never decrease if the service
+// returns.
 func (r reconciler) stopRemoved(wanted map[cell.ID]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, run := range r.controllers {
+	for id, c := range r.controllers {
 		if wanted[id] {
 			continue
 		}
 		delete(r.controllers, id)
-		run.log.Info("Service is gone, the cell stops.", slog.String("service", string(id.Service)))
-		go cellRemoval{run}.run(r.cellsCtx)
+		c.log.Info("Service removed from this zone, stopping its cell.", slog.String("service", string(id.Service)))
+		go cellRemoval{c}.run(r.cellsCtx)
 	}
 }
--- a/internal/lead/reconciler_test.go
+++ b/internal/lead/reconciler_test.go
@@ -12,8 +12,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// TestZoneRemovedFromServiceTransfersShards: the settings name zone a alone
-// from now on; the cell of b goes on until all its shards are on their way.
+// TestZoneRemovedFromServiceTransfersShards removes zone b from a service. The cell of b
+// must go on running while its shards are transferred to zone a.
 func TestZoneRemovedFromServiceTransfersShards(t *testing.T) {
 	z := newTwoZones(t, 0)
 	z.transport.reachable[hostA.LeadAddr] = true
@@ -22,29 +22,29 @@
 	var doc custody.Doc
 	for range 12 {
 		doc = z.runRound(t, time.Second)
-		assert.Equal(t, len(z.view.services("b")), 1, "the cell is still needed")
+		assert.Equal(t, len(z.view.services("b")), 1, "b still needs its cell")
 	}
 	assert.Equal(t, len(doc.Outgoing("b")), 8)
 }
 
-// TestCellOfDeletedServiceStops: the cell hands over, gives up its goroutine
-// and is forgotten.
+// TestCellOfDeletedServiceStops checks that the cell of a deleted service stops, that its
+// goroutine ends and that the daemon drops it.
 func TestCellOfDeletedServiceStops(t *testing.T) {
 	z := newTwoZones(t, 0)
 	delete(z.controllers, cellB)
 	r := reconciler{z.Daemon, t.Context()}
 	r.reconcile(z.view)
-	run := z.controllers[cellB]
-	assert.Assert(t, run != nil)
+	c := z.controllers[cellB]
+	assert.Assert(t, c != nil)
 
 	z.view.settings.Services = nil
 	r.reconcile(z.view)
 	assert.Equal(t, len(z.controllers), 0)
-	<-run.quit
+	<-c.quit
 }
 
-// TestRecreatedServiceKeepsShardCount: a service was deleted, and came back with
-// another number of shards.
+// TestRecreatedServiceKeepsShardCount covers a service that was deleted and created again
+// with another number of shards. Its custody document remains, and with it the old number.
 func TestRecreatedServiceKeepsShardCount(t *testing.T) {
 	z := newTwoZones(t, 0)
 	z.runRound(t, time.Second)
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -14,8 +14,8 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// maxResponseAge is how old a target's newest answer may be for it to count
-// as answering.
+// maxResponseAge is the largest age of the last response at which a target counts as
+// responding.
 const maxResponseAge = 2 * time.Second
 
 // Report implements status.Source.
@@ -37,18 +37,18 @@
 	return report
 }
 
-// statuses returns the state of all cells, by service.
+// statuses returns the status of all cells, sorted by service.
 func (d *Daemon) statuses() []cell.Status {
-	runners := d.allControllers()
-	out := make([]cell.Status, 0, len(runners))
-	for _, r := range runners {
-		out = append(out, r.status.load())
+	controllers := d.allControllers()
+	out := make([]cell.Status, 0, len(controllers))
+	for _, c := range controllers {
+		out = append(out, c.status.load())
 	}
 	slices.SortFunc(out, func(a, b cell.Status) int { return cmp.Compare(a.ID.Service, b.ID.Service) })
 	return out
 }
 
-// cellReport maps the state of one cell.
+// cellReport converts the status of one cell.
 func (d *Daemon) cellReport(now time.Time, s cell.Status) status.Cell {
 	out := status.Cell{
 		Service: string(s.ID.Service), Zone: string(s.ID.Zone),
@@ -56,14 +56,14 @@
 		Shards: s.Rows, Owned: d.ownedShards(s.ID), Moving: len(s.Releasing), SingleKeys: s.SingleKeys,
 		Moves: toStatusMoves(s.Moves),
 	}
-	for _, doubt := range s.Blocked {
+	for _, blocked := range s.Blocked {
 		out.Blocked = append(out.Blocked, status.BlockedShard{
-			Shard: uint32(doubt.Shard), Target: string(doubt.Owner), Reason: doubt.Reason,
+			Shard: uint32(blocked.Shard), Target: string(blocked.Owner), Reason: blocked.Reason,
 		})
 	}
 	for _, t := range s.Targets {
 		if t.Target == "" {
-			continue // a row that waits for reuse
+			continue // a free row, to be reused for another target
 		}
 		out.Members = append(out.Members, status.Member{
 			Target: string(t.Target), Shards: t.Rows, Leaving: t.Leaving,
@@ -73,7 +73,7 @@
 	return out
 }
 
-// toStatusMoves maps moves of a cell.
+// toStatusMoves converts the moves of a cell.
 func toStatusMoves(moves []cell.Move) []status.Move {
 	out := make([]status.Move, 0, len(moves))
 	for _, m := range moves {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// ownedShards counts the shards of a cell that its routing table sends somewhere.
+// ownedShards counts the shards of a cell that have an owner in its routing table.
 func (d *Daemon) ownedShards(id cell.ID) int {
 	t, ok := d.table(id)
 	if !ok {
@@ -100,7 +100,8 @@
 	return n
 }
 
-// table returns the newest routing table of a cell on the board.
+// table returns the newest routing table of a cell in the replica. It reports false if
+// there is none or it cannot be decoded.
 func (d *Daemon) table(id cell.ID) (table.Table, bool) {
 	doc, ok := d.replica.Get(tableName(id))
 	if !ok {
@@ -110,7 +111,8 @@
 	return t, err == nil
 }
 
-// explain tells where a key is, from the tables of all zones on the board.
+// explain returns which zone and target own a key, or nil if no routing table in the
+// replica covers it.
 func (d *Daemon) explain(q status.Query) *status.Key {
 	v, _ := d.viewBuilder.latest()
 	for _, s := range v.allServices() {
@@ -126,24 +128,25 @@
 	return nil
 }
 
-// explainIn looks the key up in the table of one cell.
+// explainIn looks up the key in the routing table of one cell. It returns nil if there is
+// no table, or no row for the key.
 func (d *Daemon) explainIn(id cell.ID, q status.Query) *status.Key {
 	t, ok := d.table(id)
 	if !ok {
 		return nil
 	}
 	hash := key.HashOf(q.Key)
-	shard, solo := shardOf(t, hash)
+	shard, single := shardOf(t, hash)
 	row, found := rowOf(t, shard)
 	if !found {
 		return nil
 	}
 	out := &status.Key{
 		Service: string(q.Service), Key: q.Key, Zone: string(id.Zone),
-		Shard: uint32(shard), SingleKey: solo, Epoch: uint64(row.Epoch), Term: uint64(t.Version.Term),
+		Shard: uint32(shard), SingleKey: single, Epoch: uint64(row.Epoch), Term: uint64(t.Version.Term),
 	}
 	if row.Owner == table.NoOwner {
-		out.Reason = "its owner's grant has not ended, or no target is there"
+		out.Reason = "no target may serve it now: an earlier grant has not ended, the new owner has not acknowledged its grant, or no target is available"
 	} else {
 		out.Owner = string(t.Targets[row.Owner].Name)
 	}
@@ -151,7 +154,7 @@
 	return out
 }
 
-// shardOf returns the shard of a key: its own, if it is a solo key.
+// shardOf returns the shard of a key, and whether it is a single-key shard.
 func shardOf(t table.Table, hash key.Hash) (key.Shard, bool) {
 	for _, s := range t.SingleKeys {
 		if s.Hash == hash {
@@ -161,7 +164,7 @@
 	return hash.Shard(t.Shards), false
 }
 
-// rowOf returns the row of a shard.
+// rowOf returns the row of a shard, and whether the table has one.
 func rowOf(t table.Table, shard key.Shard) (table.Row, bool) {
 	i, found := slices.BinarySearchFunc(t.Rows, shard, func(r table.Row, s key.Shard) int {
 		return cmp.Compare(r.Shard, s)
@@ -172,17 +175,18 @@
 	return t.Rows[i], true
 }
 
-// shardMoves returns the newest moves of one shard of a cell of this zone.
+// shardMoves returns the recent moves of one shard of a cell, or nil if the cell is not in
+// this zone.
 func (d *Daemon) shardMoves(id cell.ID, shard key.Shard) []status.Move {
-	r := d.controller(id)
-	if r == nil {
+	c := d.controller(id)
+	if c == nil {
 		return nil
 	}
-	moves := toStatusMoves(r.status.load().Moves)
+	moves := toStatusMoves(c.status.load().Moves)
 	return slices.DeleteFunc(moves, func(m status.Move) bool { return m.Shard != uint32(shard) })
 }
 
-// settingsInForce tells which settings this process acts on.
+// settingsInForce returns which settings are in force in this process.
 func (d *Daemon) settingsInForce() status.Settings {
 	v, _ := d.viewBuilder.latest()
 	if v.settings == nil {
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -13,33 +13,33 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// view is what a lead process knows of the world beyond its cells: the newest
-// settings, fleet list and custody documents on its board. Its methods are
-// pure; every lead that has the same documents derives the same events.
+// view holds the latest settings, fleet list and custody documents of the replica,
+// decoded. Its methods are pure: lead processes with the same documents derive the same
+// events for a cell.
 type view struct {
 	settings *settings.Settings
-	// settingsSince is when these settings came into force here.
+	// settingsSince is the time since which these settings are in force here.
 	settingsSince time.Time
 	fleet         platform.Fleet
 	custody       map[key.Service]custodyDoc
 }
 
-// custodyDoc is a custody document with its revision in the store.
+// custodyDoc is a custody document with its store revision.
 type custodyDoc struct {
 	custody.Doc
 	revision platform.Revision
 }
 
-// services returns the services that the zone has a cell of: those that name
-// it, and those that named it while it still has custody of some shard.
+// services returns the services that have a cell in the zone: those whose settings include
+// the zone, and those for which the zone has, or is about to get, custody of a shard.
 func (v *view) services(zone place.Zone) []settings.Service {
 	return slices.DeleteFunc(v.allServices(), func(s settings.Service) bool {
-		named := len(s.Zones) == 0 || slices.Contains(s.Zones, zone)
-		return !named && v.custody[s.Name].CountByZone()[zone] == 0 && len(v.custody[s.Name].Outgoing(zone)) == 0
+		included := len(s.Zones) == 0 || slices.Contains(s.Zones, zone)
+		return !included && v.custody[s.Name].CountByZone()[zone] == 0 && len(v.custody[s.Name].Outgoing(zone)) == 0
 	})
 }
 
-// allServices returns all services.
+// allServices returns all services of the settings, or nil before the first settings.
 func (v *view) allServices() []settings.Service {
 	if v.settings == nil {
 		return nil
@@ -47,9 +47,9 @@
 	return slices.Clone(v.settings.Services)
 }
 
-// shards returns the number of hash-range shards of a service. Once there is a
-// custody document it is that document's: a service that was deleted and made
-// anew with another number keeps the old one, as its epochs count on it.
+// shards returns the number of hash-range shards of a service. Once there is a custody
+// document, its number counts: a service that was deleted and created again with another
+// number of shards keeps the old number, as the epochs depend on it.
 func (v *view) shards(s settings.Service) key.ShardCount {
 	if n := len(v.custody[s.Name].Rows); n > 0 {
 		return key.ShardCount(n)
@@ -60,7 +60,7 @@
 	return s.Shards
 }
 
-// hosts returns the entry hosts of the zone.
+// hosts returns the entry hosts of a zone.
 func (v *view) hosts(zone place.Zone) []place.HostRow {
 	var out []place.HostRow
 	for _, h := range v.fleet.Hosts {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// targets returns the targets of a service in a zone, by name: those of the
-// fleet list and those that the settings name.
+// targets returns the targets of a service in a zone, sorted by name: those in the fleet
+// list, and those that only the settings list.
 func (v *view) targets(s settings.Service, zone place.Zone) []place.TargetRow {
 	var out []place.TargetRow
 	for _, t := range v.fleet.Targets {
@@ -90,12 +90,12 @@
 	return out
 }
 
-// containsTarget reports whether the rows name the target.
+// containsTarget reports whether the rows include the target.
 func containsTarget(rows []place.TargetRow, name place.Target) bool {
 	return slices.ContainsFunc(rows, func(r place.TargetRow) bool { return r.Target == name })
 }
 
-// drainedTargets returns those of the targets that operators drain.
+// drainedTargets returns the targets among the given ones that an operator drains.
 func (v *view) drainedTargets(targets []place.TargetRow) []place.Target {
 	var out []place.Target
 	for _, t := range targets {
@@ -106,22 +106,22 @@
 	return out
 }
 
-// targetDrained reports whether an operator drains the target by its name. Of a
-// drained zone the shards go to other zones through custody.
+// targetDrained reports whether an operator drains the target by name. The drain of a whole
+// zone does not count: its shards are transferred to other zones through custody.
 func (v *view) targetDrained(target place.Target) bool {
 	return slices.ContainsFunc(v.settings.Drains, func(d settings.Drain) bool {
 		return d.Target != "" && d.Target == target
 	})
 }
 
-// zoneDrained reports whether an operator drains the whole zone.
+// zoneDrained reports whether an operator drains a whole zone.
 func (v *view) zoneDrained(zone place.Zone) bool {
 	return slices.ContainsFunc(v.settings.Drains, func(d settings.Drain) bool {
 		return d.Target == "" && d.Zone == zone
 	})
 }
 
-// zoneLoss returns the operators' declaration that a whole zone is lost.
+// zoneLoss returns the loss declaration for a whole zone, and whether there is one.
 func (v *view) zoneLoss(zone place.Zone) (settings.Loss, bool) {
 	i := slices.IndexFunc(v.settings.Losses, func(l settings.Loss) bool {
 		return l.Zone == zone && l.Target == "" && l.Host == ""
@@ -132,13 +132,14 @@
 	return v.settings.Losses[i], true
 }
 
-// zoneExcluded reports whether a zone takes no custody: drained or lost.
+// zoneExcluded reports whether a zone gets no custody because it is drained or declared
+// lost.
 func (v *view) zoneExcluded(zone place.Zone) bool {
 	_, lost := v.zoneLoss(zone)
 	return lost || v.zoneDrained(zone)
 }
 
-// losses returns the declared losses of single targets and hosts.
+// losses returns the loss declarations for single targets and hosts.
 func (v *view) losses() []cell.LossDeclaration {
 	var out []cell.LossDeclaration
 	for _, l := range v.settings.Losses {
@@ -150,8 +151,8 @@
 	return out
 }
 
-// weights returns the share of each zone of a service: its live targets, none
-// where the zone is drained or lost.
+// weights returns the weight of each zone of a service in the assignment of shards: the
+// number of its usable targets, or zero for a zone that is drained or declared lost.
 func (v *view) weights(s settings.Service) []custody.ZoneTargets {
 	zones := v.zones(s)
 	out := make([]custody.ZoneTargets, 0, len(zones))
@@ -165,12 +166,13 @@
 	return out
 }
 
-// weightsWithout returns the shares as they are without one zone.
+// weightsWithout returns the weights of all zones of a service but one.
 func (v *view) weightsWithout(s settings.Service, zone place.Zone) []custody.ZoneTargets {
 	return slices.DeleteFunc(v.weights(s), func(w custody.ZoneTargets) bool { return w.Zone == zone })
 }
 
-// usableTargets counts the targets of a zone that may own shards.
+// usableTargets counts the targets of a service in a zone that may own shards: live and
+// not drained.
 func (v *view) usableTargets(s settings.Service, zone place.Zone) int {
 	n := 0
 	for _, t := range v.targets(s, zone) {
@@ -181,7 +183,8 @@
 	return n
 }
 
-// zones returns the zones of a service, by name.
+// zones returns the zones of a service, sorted by name: those in its settings, or else all
+// in which it has targets.
 func (v *view) zones(s settings.Service) []place.Zone {
 	zones := slices.Clone(s.Zones)
 	if len(zones) == 0 {
@@ -195,8 +198,8 @@
 	return slices.Compact(zones)
 }
 
-// events returns what the cell of a service in a zone has to know, in the
-// order in which it is handed over.
+// events returns the events that bring the cell of cfg up to date with the view, in the
+// order in which the cell must receive them.
 func (v *view) events(cfg cell.Config, s settings.Service) []cell.Event {
 	targets := v.targets(s, cfg.ID.Zone)
 	events := []cell.Event{
--- a/internal/lead/viewbuilder.go
+++ b/internal/lead/viewbuilder.go
@@ -12,8 +12,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// viewBuilder keeps the decoded documents of the board, so that a document is
-// decoded once a version and not once a look. Safe for concurrent use.
+// viewBuilder builds views from the documents of the replica. It decodes each version of
+// a document once, not for each use. It is safe for concurrent use.
 type viewBuilder struct {
 	replica docsync.Replica
 	log     *slog.Logger
@@ -33,43 +33,43 @@
 	}
 }
 
-// latest returns the newest view and the number of changes so far. The view is
-// not changed afterwards.
-func (l *viewBuilder) latest() (*view, uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, doc := range l.newDocs() {
-		l.readVersions[doc.Name] = doc.Version
-		next, err := l.view.withDoc(time.Now(), doc)
+// latest returns the latest view and the number of changes so far. The view is immutable.
+func (b *viewBuilder) latest() (*view, uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, doc := range b.newDocs() {
+		b.readVersions[doc.Name] = doc.Version
+		next, err := b.view.withDoc(time.Now(), doc)
 		if err != nil {
-			// The cells keep what they were last told.
-			l.log.Error("Document not readable.", slog.String("name", string(doc.Name)), slog.Any("error", err))
+			// The cells go on with the last version that could be decoded.
+			b.log.Error("Document not decodable, keeping the last one.", slog.String("name", string(doc.Name)), slog.Any("error", err))
 			continue
 		}
-		l.view = next
-		l.changes++
+		b.view = next
+		b.changes++
 	}
-	return l.view, l.changes
+	return b.view, b.changes
 }
 
-// newDocs returns the documents that the view does not reflect yet.
-func (l *viewBuilder) newDocs() []docsync.Document {
-	docs := l.replica.List(docsync.CustodyPrefix)
+// newDocs returns the documents whose newest version has not been read yet.
+func (b *viewBuilder) newDocs() []docsync.Document {
+	docs := b.replica.List(docsync.CustodyPrefix)
 	for _, name := range []docsync.Name{docsync.Settings, docsync.Fleet} {
-		if doc, ok := l.replica.Get(name); ok {
+		if doc, ok := b.replica.Get(name); ok {
 			docs = append(docs, doc)
 		}
 	}
 	out := docs[:0]
 	for _, doc := range docs {
-		if seen, ok := l.readVersions[doc.Name]; !ok || seen.Less(doc.Version) {
+		if read, ok := b.readVersions[doc.Name]; !ok || read.Less(doc.Version) {
 			out = append(out, doc)
 		}
 	}
 	return out
 }
 
-// withDoc returns a copy of the view that reflects the document as well.
+// withDoc returns a copy of the view with the document decoded into it. It returns an
+// error for a document that cannot be decoded.
 func (v *view) withDoc(now time.Time, doc docsync.Document) (*view, error) {
 	next := *v
 	switch doc.Name {
