--- a/internal/lead/viewbuilder.go
+++ b/internal/lead/viewbuilder.go
@@ -24,9 +24,9 @@
 	changes      uint64
 }
 
-func newViewBuilder(board docsync.Replica, log *slog.Logger) *viewBuilder {
+func newViewBuilder(replica docsync.Replica, log *slog.Logger) *viewBuilder {
 	return &viewBuilder{
-		replica:      board,
+		replica:      replica,
 		log:          log,
 		view:         &view{custody: make(map[key.Service]custodyDoc)},
 		readVersions: make(map[docsync.Name]docsync.Version),
