--- a/internal/host/backoff.go
+++ b/internal/host/backoff.go
@@ -17,10 +17,10 @@
 // no more requests. It covers the wait for a slot and the transit.
 const drainSafetyMargin = 300 * time.Millisecond
 
-// checkBackoff returns the step for a request whose owner wants no requests from this
-// host now: wait for a short pause to end, or respond with a Retry-After of the pause.
-// A leaving target stays the owner of its keys until they have moved or its drain time
-// is over.
+// checkBackoff returns the step to take instead of sending a request to its owner, nil
+// if it may be sent. The request waits for a short pause to end; for a longer one it is
+// refused with the pause as Retry-After. A leaving target owns its keys until they have
+// moved, so it gets requests until drainSafetyMargin before the end of its drain time.
 func (j *job) checkBackoff(now time.Time, owner place.TargetRow) step {
 	leaving, pause := j.host.dispatcher.backoff(now, owner)
 	switch {
--- a/internal/host/campaign.go
+++ b/internal/host/campaign.go
@@ -18,8 +18,8 @@
 	// candidateDelay is the campaign delay of each candidate after the previous one.
 	candidateDelay = 200 * time.Millisecond
 	// restoredDelay is the additional delay of all hosts but the last leader after the
-	// store was restored from an older snapshot. Any other leader would have to let all
-	// keys wait.
+	// store was restored from an older snapshot. With any other leader all keys are
+	// unavailable until the grants of leaders lost in the restore must have expired.
 	restoredDelay = 2 * time.Second
 	// incumbentDelay is the additional delay in favor of a running leader that lost its
 	// entry.
@@ -32,7 +32,8 @@
 	campaignTimeout = 1200 * time.Millisecond
 )
 
-// campaignIfDue starts a campaign where there is no leader.
+// campaignIfDue starts a campaign if campaignDue, unless one is running, the last one
+// failed a moment ago, or this host is stopping.
 func (c *controller) campaignIfDue(ctx context.Context, now time.Time, v *view) {
 	if c.campaigning || c.host.stopping.Load() || now.Before(c.pausedUntil) || !c.campaignDue(now, v) {
 		return
@@ -61,11 +62,12 @@
 	}
 	rank := slices.Index(v.candidates(c.service), c.host.site.Host)
 	if ok && !v.members.Ended(leader) {
-		// This host's own entry, of a term that it gave up, can be replaced at once. Of
-		// another's, the store knows sooner than the list that it is gone.
+		// This host's own entry is of a term that it gave up and can be replaced at
+		// once. Another host's entry may be gone from the store before the list shows
+		// that, so after a time without notices the campaign reads the store.
 		own := leader.Host == c.host.site.Host && now.Sub(c.campaignedAt) > candidateDelay
-		// A process that just started may be one of many: the list may name a leader
-		// that ended at the same time.
+		// Without any notice the time counts from the start of this process: if many
+		// processes started together, the list may name a leader that ended with them.
 		since := c.startedAt
 		if c.leaderHeardAt.After(since) {
 			since = c.leaderHeardAt
@@ -100,8 +102,8 @@
 
 // incumbentAlive reports whether the last leader probably still runs and only lost its
 // entry in a store outage. It campaigns first then, because a new leader has to contact
-// every owner again. Candidates receive the notices of a running leader; other hosts go
-// by the list.
+// every owner again. Candidates receive the notices of a running leader; other hosts
+// rely on the list.
 func (c *controller) incumbentAlive(now time.Time, v *view, rank int) bool {
 	table := v.tables[c.service]
 	if table == nil || rank < candidateCount && now.Sub(c.leaderHeardAt) > leaderSilence {
@@ -119,7 +121,8 @@
 	members member.List
 	// localDoc is the ownership document in this host's core, nil if it does not lead.
 	localDoc *owner.Doc
-	// noLeaderKnown is set if this host knows of no earlier leader.
+	// noLeaderKnown is set if the whole deployment starts for the first time and this
+	// host knows of no earlier leader.
 	noLeaderKnown bool
 }
 
@@ -305,7 +308,8 @@
 var errWriteConflict = errors.New("host: leader entry or document changed by another write")
 
 // commitUntilKnown repeats a transaction until it is certain whether it was committed.
-// It recognizes its own write by the write ID of the document at path.
+// It recognizes its own write by the write ID of the document at path. If ctx ends
+// first, it returns errOutcomeUnknown.
 func commitUntilKnown(ctx context.Context, log *slog.Logger, store platform.SessionStore, txn platform.Txn, path platform.Path, write uint64) (platform.Revision, error) {
 	const minPause, maxPause = 100 * time.Millisecond, 500 * time.Millisecond
 	unknown := false
--- a/internal/host/clienttimeouts.go
+++ b/internal/host/clienttimeouts.go
@@ -20,10 +20,10 @@
 }
 
 // observe records a client's timeout and returns the usual one of the route.
-func (p *clientTimeouts) observe(route traffic.RouteName, timeout time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	longest := max(p.routes[route], timeout)
-	p.routes[route] = longest
+func (c *clientTimeouts) observe(route traffic.RouteName, timeout time.Duration) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	longest := max(c.routes[route], timeout)
+	c.routes[route] = longest
 	return longest
 }
--- a/internal/host/codec_test.go
+++ b/internal/host/codec_test.go
@@ -10,8 +10,9 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// FuzzDatagram checks that no datagram between hosts makes a decoder panic. Ticket
-// messages and heartbeats have fuzz tests in the packages that decode them.
+// FuzzDatagram checks that no datagram makes the decoders of load reports and notices
+// panic. Ticket messages and heartbeats have fuzz tests in the packages that decode
+// them.
 func FuzzDatagram(f *testing.F) {
 	report := loadReport{service: "s", points: map[key.Point]int{5: 2}, targets: []dispatch.TargetStats{{Target: "t", Mean: time.Second, Slowdown: 1, Used: true, Samples: 9}}}
 	body, err := report.encode()
--- a/internal/host/controller.go
+++ b/internal/host/controller.go
@@ -113,7 +113,7 @@
 	moveLog                               moveLog
 	// inFlight counts the orders in flight.
 	inFlight atomic.Int32
-	// leading is core.Leading for other goroutines.
+	// leading is a copy of core.Leading for other goroutines.
 	leading       atomic.Bool
 	loadUpdatedAt time.Time
 	// knownFleet is the version of the list of targets in the core, zero for none.
@@ -129,7 +129,7 @@
 type targetStats struct {
 	// latency is the mean time of a request at the target, multiplied by slowdown if
 	// that exceeds minSlowdown. requests is the number of samples behind the mean,
-	// slowdown the decayed ratio of recent times to it.
+	// slowdown a moving average of the ratio of recent times to the mean.
 	latency   time.Duration
 	requests  float64
 	slowdown  float64
@@ -222,8 +222,8 @@
 
 // receiveReport queues a load report. It is dropped if the queue is full, as the next
 // one follows soon.
-func (c *controller) receiveReport(l loadReport) {
-	c.tryPost(func(now time.Time) { c.applyReport(now, l) })
+func (c *controller) receiveReport(r loadReport) {
+	c.tryPost(func(now time.Time) { c.applyReport(now, r) })
 }
 
 // tryPost is post for events that may be dropped if the queue is full.
@@ -234,40 +234,40 @@
 	}
 }
 
-func (c *controller) applyReport(now time.Time, l loadReport) {
+func (c *controller) applyReport(now time.Time, r loadReport) {
 	if !c.core.Leading() {
 		return
 	}
-	for p, n := range l.points {
+	for p, n := range r.points {
 		c.meter.Add(now, p, n)
 	}
-	for _, o := range l.targets {
-		if o.Leaving {
-			c.markLeaving(o.Target)
+	for _, s := range r.targets {
+		if s.Leaving {
+			c.markLeaving(s.Target)
 		}
-		if !o.Used && !o.Down {
+		if !s.Used && !s.Down {
 			continue
 		}
-		took := o.Mean
+		took := s.Mean
 		if took == 0 {
-			took = c.meanLatency(now) // it is down and has served nothing here
+			took = c.meanLatency(now) // a target that is down may have no samples at the reporting host
 		}
-		last, ok := c.targetStats[o.Target]
+		last, ok := c.targetStats[s.Target]
 		if !ok || now.Sub(last.updatedAt) > maxStatsAge {
-			last.slowdown = o.Slowdown
+			last.slowdown = s.Slowdown
 		}
 		weight := 1 - math.Exp(-now.Sub(last.updatedAt).Seconds()/slowdownDecayTime.Seconds())
-		last.slowdown += weight * (o.Slowdown - last.slowdown)
-		last.latency, last.requests, last.down, last.updatedAt = took, o.Samples, o.Down, now
+		last.slowdown += weight * (s.Slowdown - last.slowdown)
+		last.latency, last.requests, last.down, last.updatedAt = took, s.Samples, s.Down, now
 		if last.slowdown > minSlowdown {
 			last.latency = time.Duration(float64(took) * last.slowdown)
 		}
-		c.targetStats[o.Target] = last
+		c.targetStats[s.Target] = last
 	}
 }
 
 // markLeaving records that a target signaled that it is leaving. The platform's list
-// may say so later or never.
+// may show that later or never.
 func (c *controller) markLeaving(name place.Target) {
 	row, ok := c.host.views.view().targets[name]
 	incarnation, noted := c.leaving[name]
@@ -279,8 +279,8 @@
 	c.knownFleet = 0 // pass the change to the core
 }
 
-// effectiveTargets returns the targets of a view, with those that signaled it marked as
-// leaving.
+// effectiveTargets returns the targets of a view. Those that signaled that they are
+// leaving are marked as leaving.
 func (c *controller) effectiveTargets(v *view) map[place.Target]place.TargetRow {
 	maps.DeleteFunc(c.leaving, func(name place.Target, incarnation place.Incarnation) bool {
 		row, ok := v.targets[name]
@@ -334,7 +334,8 @@
 	c.apply(ctx, c.core.Tick(now))
 }
 
-// observeLeader steps down if the list of hosts names another leader.
+// observeLeader updates vacantSince from the list of hosts. It steps down if the list
+// names another, later leader.
 func (c *controller) observeLeader(now time.Time, v *view) {
 	leader, ok := v.members.Leader(c.service)
 	ok = ok && !leader.Restored()
@@ -371,18 +372,18 @@
 	measured := make(map[place.Target]partition.Target)
 	suspect := make(map[place.Target]bool)
 	for _, row := range v.services[c.service] {
-		o, ok := c.targetStats[row.Target]
-		if !ok || now.Sub(o.updatedAt) > maxStatsAge {
+		s, ok := c.targetStats[row.Target]
+		if !ok || now.Sub(s.updatedAt) > maxStatsAge {
 			continue
 		}
-		suspect[row.Target] = o.down
-		t := partition.EstimateTarget(row.Target, row.Slots, partition.Sample{MeanTime: o.latency, Requests: o.requests}, mean)
+		suspect[row.Target] = s.down
+		t := partition.EstimateTarget(row.Target, row.Slots, partition.Sample{MeanTime: s.latency, Requests: s.requests}, mean)
 		filtered, changed := c.capacities.Apply(t)
 		measured[row.Target] = filtered
 		if changed {
 			c.log.Info("Target capacity changed.", slog.String("target", string(row.Target)),
 				slog.Float64("capacity", t.Capacity), slog.Float64("doubt", t.RelStdDev), slog.Int("slots", row.Slots),
-				millisAttr("time", o.latency), millisAttr("mean", mean), slog.Float64("requests", o.requests))
+				millisAttr("time", s.latency), millisAttr("mean", mean), slog.Float64("requests", s.requests))
 		}
 	}
 	c.capacities.Retain(func(name place.Target) bool { _, ok := v.targets[name]; return ok })
@@ -397,9 +398,9 @@
 func (c *controller) meanLatency(now time.Time) time.Duration {
 	var sum time.Duration
 	n := 0
-	for _, o := range c.targetStats {
-		if now.Sub(o.updatedAt) <= maxStatsAge && o.latency > 0 {
-			sum += o.latency
+	for _, s := range c.targetStats {
+		if now.Sub(s.updatedAt) <= maxStatsAge && s.latency > 0 {
+			sum += s.latency
 			n++
 		}
 	}
--- a/internal/host/controller_test.go
+++ b/internal/host/controller_test.go
@@ -16,28 +16,28 @@
 )
 
 // TestIncumbentAlive checks that candidates wait for a leader that lost its entry only
-// while they hear it. After a power failure the list still has entries of hosts that
-// are gone.
+// while they receive its notices. After a power failure the list still has entries of
+// hosts that are gone.
 func TestIncumbentAlive(t *testing.T) {
 	tests := map[string]struct {
-		life  place.Incarnation // of the leader's host in the list
-		heard time.Duration     // ago
-		place int
-		want  bool
+		incarnation place.Incarnation // of the leader's host in the list
+		lastNotice  time.Duration     // ago
+		place       int
+		want        bool
 	}{
-		"leader is heard":             {1, 100 * time.Millisecond, 0, true},
-		"leader no longer heard":      {1, 2 * time.Second, 0, false},
-		"leader never heard":          {1, time.Hour, 2, false},
-		"leader's host restarted":     {2, 100 * time.Millisecond, 0, false},
-		"hosts that hear no leader":   {1, time.Hour, candidateCount, true},
-		"hosts that see it restarted": {2, time.Hour, candidateCount, false},
+		"recent notice":                            {1, 100 * time.Millisecond, 0, true},
+		"no recent notice":                         {1, 2 * time.Second, 0, false},
+		"no notice ever":                           {1, time.Hour, 2, false},
+		"leader's host restarted":                  {2, 100 * time.Millisecond, 0, false},
+		"not a candidate":                          {1, time.Hour, candidateCount, true},
+		"not a candidate, leader's host restarted": {2, time.Hour, candidateCount, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			c := &controller{service: "s", leaderHeardAt: now.Add(-test.heard)}
+			c := &controller{service: "s", leaderHeardAt: now.Add(-test.lastNotice)}
 			v := &view{
-				members: member.List{Hosts: []member.Host{{Name: "lead", Incarnation: test.life}}},
+				members: member.List{Hosts: []member.Host{{Name: "lead", Incarnation: test.incarnation}}},
 				tables:  map[key.Service]*owner.Table{"s": {Leader: "lead", LeaderIncarnation: 1}},
 			}
 			assert.Equal(t, c.incumbentAlive(now, v, test.place), test.want)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestPredecessor checks that the end of the predecessor tells nothing about the
-// leaders before it, if it recorded that they may still renew grants.
+// TestPredecessor checks that the end of the predecessor does not count as the end of
+// the leaders before it, if it recorded that they may still renew grants.
 func TestPredecessor(t *testing.T) {
 	members := member.List{Hosts: []member.Host{{Name: "again", Incarnation: 2, Revision: 9}, {Name: "on", Incarnation: 1, Revision: 1}}}
 	tests := map[string]struct {
@@ -99,24 +99,25 @@
 	d.eventually("a host leads", 900*time.Millisecond, func() bool { return slices.ContainsFunc(d.hosts, leads) })
 }
 
-// TestCampaignWithoutHeardLeader: a host that never heard the listed leader since its
-// start campaigns after the same time as after the leader's last notice.
+// TestCampaignWithoutHeardLeader: a host that has received no notice of the listed
+// leader since its start campaigns as long after the start as otherwise after the last
+// notice.
 func TestCampaignWithoutHeardLeader(t *testing.T) {
 	tests := map[string]struct {
-		started, heard time.Duration // ago
-		want           bool
+		started, lastNotice time.Duration // ago
+		want                bool
 	}{
-		"just started":                {100 * time.Millisecond, time.Hour, false},
-		"started, leader never heard": {leaderSilence + candidateDelay, time.Hour, true},
-		"started, leader just heard":  {time.Hour, 100 * time.Millisecond, false},
-		"silent":                      {time.Hour, leaderSilence + candidateDelay, true},
+		"just started":            {100 * time.Millisecond, time.Hour, false},
+		"started, no notice ever": {leaderSilence + candidateDelay, time.Hour, true},
+		"started, recent notice":  {time.Hour, 100 * time.Millisecond, false},
+		"silent":                  {time.Hour, leaderSilence + candidateDelay, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			c := &controller{
 				host: &Host{site: site.Site{Host: "self"}}, service: "s", core: owner.New(owner.Config{}),
-				startedAt: now.Add(-test.started), leaderHeardAt: now.Add(-test.heard),
+				startedAt: now.Add(-test.started), leaderHeardAt: now.Add(-test.lastNotice),
 			}
 			v := &view{rankCache: newRankCache(), members: member.List{
 				Hosts:   []member.Host{{Name: "lead", Incarnation: 1}, {Name: "self", Incarnation: 1}},
--- a/internal/host/dispatcher.go
+++ b/internal/host/dispatcher.go
@@ -189,27 +189,28 @@
 	}
 }
 
-// flush sends the messages of the homes and the client. Messages to this host itself
-// are handled directly. The caller holds mu.
+// flush sends the given messages of the homes and the pending ones of the client, and
+// delivers final replies. Messages to this host itself are handled directly. The caller
+// holds mu.
 func (d *dispatcher) flush(now time.Time, messages []dispatch.PeerMessage) {
 	defer d.scheduleTick(now)
 	for {
-		for _, l := range messages {
-			if l.To.Host == d.self.Host {
-				if l.To.Incarnation == d.self.Incarnation {
-					d.client.Receive(now, d.self.Host, l.Message)
+		for _, m := range messages {
+			if m.To.Host == d.self.Host {
+				if m.To.Incarnation == d.self.Incarnation {
+					d.client.Receive(now, d.self.Host, m.Message)
 				}
 				continue
 			}
-			d.send(l.To.Host, l.Message)
+			d.send(m.To.Host, m.Message)
 		}
 		messages = messages[:0]
 		d.logRefusals()
 		outgoing, replies := d.client.Flush()
-		for _, v := range replies {
-			if ch := d.pending[v.ID]; ch != nil {
-				ch <- ticketReply{v.Message, v.Home, v.Isolated} // doesn't block: the buffer holds the only reply
-				delete(d.pending, v.ID)
+		for _, r := range replies {
+			if ch := d.pending[r.ID]; ch != nil {
+				ch <- ticketReply{r.Message, r.Home, r.Isolated} // doesn't block: the buffer holds the only reply
+				delete(d.pending, r.ID)
 			}
 		}
 		if len(outgoing) == 0 {
@@ -278,7 +279,7 @@
 	isolated bool
 }
 
-// refresh tells the homes that the view changed.
+// refresh updates the homes after the view changed.
 func (d *dispatcher) refresh(now time.Time, v *view) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -330,20 +331,20 @@
 }
 
 // recordSignal records the signal in a target's response. It reports whether the home
-// of the pool was told that the target is leaving.
+// of the pool was notified that the target is leaving.
 func (d *dispatcher) recordSignal(now time.Time, pool dispatch.PoolID, row place.TargetRow, s target.Signal) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	tell := d.backoffs.Record(now, row.Target, row.Incarnation, s)
-	if tell {
+	notify := d.backoffs.Record(now, row.Target, row.Incarnation, s)
+	if notify {
 		d.client.Drain(pool, row.Target)
 		d.flush(now, nil)
 	}
-	return tell
+	return notify
 }
 
-// backoff returns the time since which a target is leaving, zero if it is not, and how
-// much longer it wants no requests from this host.
+// backoff returns when a target first signaled that it is leaving, zero if it has not,
+// and how much longer it wants no requests from this host.
 func (d *dispatcher) backoff(now time.Time, row place.TargetRow) (leaving time.Time, pause time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -382,7 +383,7 @@
 	return d.reach.Partitioned(now, d.self.Zone, zones)
 }
 
-// announceStop tells all hosts that this one stops.
+// announceStop announces to all hosts that this one stops.
 func (d *dispatcher) announceStop(hosts []member.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -235,7 +235,7 @@
 
 var requestIDs atomic.Int64
 
-// testResponse is a client's result of a request.
+// testResponse is the result of a request as its client sees it.
 type testResponse struct {
 	id     string
 	status int
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -189,7 +189,8 @@
 }
 
 // firstReadDelay returns how long a starting host waits for the documents that the
-// seeds have read before it reads the store itself. A seed does not wait.
+// seeds have read before it reads the store itself. It is zero for a seed, and for a
+// host that has no seeds.
 func firstReadDelay(s *site.Site) time.Duration {
 	if len(s.Seeds) == 0 || slices.ContainsFunc(s.Seeds, func(o site.Seed) bool { return o.Peer == s.Peer }) {
 		return 0
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -75,14 +75,14 @@
 	t.Parallel()
 	d := deploy(t, 2, 3, 1)
 	d.awaitServed()
-	gone := d.targets["span-1"]
-	d.listTarget(gone, "span", place.Leaving)
+	leavingTarget := d.targets["span-1"]
+	d.listTarget(leavingTarget, "span", place.Leaving)
 	time.Sleep(2 * time.Second)
-	before := gone.Arrived()
+	before := leavingTarget.Arrived()
 	for i := range 60 {
 		d.expectStatus(d.hosts[i%2], "GET", "/keys/x", key.Point(i*1000), http.StatusOK)
 	}
-	assert.Equal(t, gone.Arrived(), before)
+	assert.Equal(t, leavingTarget.Arrived(), before)
 }
 
 // TestTargetLost: after an unannounced loss of a target its ranges are served again
@@ -219,8 +219,8 @@
 func TestLeaderStopsWithoutStore(t *testing.T) {
 	t.Parallel()
 	tests := map[string]struct {
-		out  time.Duration
-		want string
+		outage time.Duration
+		want   string
 	}{
 		"outage ends":  {time.Second, `"msg":"Leadership handed over."`},
 		"outage lasts": {5 * time.Second, `"msg":"Leadership not handed over, its lease will expire."`},
@@ -232,8 +232,8 @@
 			d.awaitServed()
 			leadingHost := d.leader()
 			d.store.SetFaults(fake.SessionFaults{Down: true})
-			back := time.AfterFunc(test.out, func() { d.store.SetFaults(fake.SessionFaults{}) })
-			defer back.Stop()
+			restore := time.AfterFunc(test.outage, func() { d.store.SetFaults(fake.SessionFaults{}) })
+			defer restore.Stop()
 			d.hosts = slices.DeleteFunc(d.hosts, func(h *testHost) bool { return h == leadingHost })
 			stopped := make(chan struct{})
 			go func() { leadingHost.shutdown(); close(stopped) }()
--- a/internal/host/idlelimit.go
+++ b/internal/host/idlelimit.go
@@ -15,7 +15,7 @@
 	// connections.
 	idleLimitRatio = 0.5
 	// minDeadIdle is the shortest idle time that counts as the cause. With a shorter
-	// one the connection broke during its request.
+	// one the connection is assumed to have broken during its request.
 	minDeadIdle = 200 * time.Millisecond
 	// idleLimitTTL is how long after the last dead connection a limit applies.
 	idleLimitTTL = 20 * time.Second
@@ -37,10 +37,10 @@
 func newIdleLimits() *idleLimits { return &idleLimits{services: make(map[key.Service]*idleLimit)} }
 
 // limit returns the longest idle time, zero for no limit.
-func (t *idleLimits) limit(now time.Time, service key.Service) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if s := t.services[service]; s != nil && now.Before(s.until) {
+func (l *idleLimits) limit(now time.Time, service key.Service) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s := l.services[service]; s != nil && now.Before(s.until) {
 		return s.idle
 	}
 	return 0
@@ -48,18 +48,18 @@
 
 // observe records the result of a request. It reports whether the limit was set to a
 // value from this result.
-func (t *idleLimits) observe(now time.Time, service key.Service, result forward.Result) bool {
+func (l *idleLimits) observe(now time.Time, service key.Service, result forward.Result) bool {
 	u, ok := result.(forward.Uncertain)
 	if !ok || u.Idle < minDeadIdle || u.Reason != outcome.AnswerCut && u.Reason != outcome.SendCut {
 		return false
 	}
 	idle := max(time.Duration(idleLimitRatio*float64(u.Idle)), minDeadIdle/2)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	s := t.services[service]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.services[service]
 	if s == nil {
 		s = &idleLimit{}
-		t.services[service] = s
+		l.services[service] = s
 	}
 	if now.After(s.until) || idle < s.idle {
 		s.idle = idle
--- a/internal/host/job.go
+++ b/internal/host/job.go
@@ -51,8 +51,8 @@
 	deadline     time.Time
 	softDeadline time.Time
 	arrived      time.Time
-	// attempts counts the targets that may have worked on the request, arrivals those
-	// that received it at all.
+	// attempts counts the attempts that route.MaxAttempts limits, arrivals all that may
+	// have reached a target.
 	attempts int
 	arrivals int
 	tried    []place.Target
@@ -68,7 +68,7 @@
 	// one, and queued the total wait for slots.
 	parkedAt       time.Time
 	parked, queued time.Duration
-	// home sent the last ticket or refusal, the latter with a reason.
+	// home sent the last ticket or refusal. refusal is the reason of the last refusal.
 	home     place.Host
 	ticketID dispatch.TicketID
 	refusal  dispatch.Reason
@@ -81,11 +81,11 @@
 	config   traffic.Version
 	table    owner.Version
 	tableAge time.Duration
-	// cold is set if the table says that the key is still slow at its owner.
+	// cold is set if the key is still slow at its owner according to the table.
 	cold bool
 }
 
-// step is what to do after an attempt.
+// step is the next action for a request.
 type step interface{ step() }
 
 // finishStep ends the request. retryStep makes another attempt after the pause, or as
@@ -132,8 +132,9 @@
 	return true
 }
 
-// finalResult corrects the result by earlier attempts: a request that may have run must
-// not be reported as not run, also if a later attempt was refused.
+// finalResult corrects the result by earlier attempts. A request that may have run must
+// not be reported as not run, even if a later attempt was refused. A 5xx response of an
+// earlier attempt takes precedence over a failure without a response.
 func (j *job) finalResult(r outcome.Result) outcome.Result {
 	if _, ok := r.(outcome.Response); ok {
 		return r
@@ -285,7 +286,8 @@
 	return ticket{}, finishStep{outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: defaultRetryAfter}}
 }
 
-// returnTicket returns a ticket that arrived too late to be used.
+// returnTicket releases a ticket that is not used, if m assigned one. It returns the
+// zero ticket.
 func (j *job) returnTicket(id dispatch.TicketID, m dispatch.Message) ticket {
 	if _, ok := m.(dispatch.Assigned); ok {
 		j.host.dispatcher.release(time.Now(), id, dispatch.ResultUnused, 0)
@@ -370,7 +372,8 @@
 	j.host.log.Info("Attempt not served.", attrs...)
 }
 
-// retryDenied returns the result of a request that exhausted the retry budget.
+// retryDenied returns the result of a request that the retry budget does not allow to
+// be retried.
 func (j *job) retryDenied() outcome.Result {
 	return outcome.NotRunFailure{Reason: outcome.Refused, RetryAfter: busyRetryAfter}
 }
@@ -421,7 +424,8 @@
 	return pause
 }
 
-// mayRetry counts an attempt and reports whether the route allows another one.
+// mayRetry counts an attempt, excludes its target from the next one, and reports
+// whether the route allows another one.
 func (j *job) mayRetry(t ticket) bool {
 	j.attempts++
 	j.tried = append(j.tried, t.target)
@@ -455,8 +459,8 @@
 }
 
 // busyRetryAfter is the Retry-After hint after a target refused a request although its
-// home counted a free slot. It covers about one refusal in flight; the next request may
-// be accepted.
+// home counted a free slot. It is about the transit time of one refusal, as the next
+// request may be accepted.
 const busyRetryAfter = 25 * time.Millisecond
 
 // endOf converts the result of an attempt to the result reported to the home.
--- a/internal/host/loadreport.go
+++ b/internal/host/loadreport.go
@@ -18,8 +18,9 @@
 	// minReportInterval is the shortest time between two load reports to a leader,
 	// about its planning interval.
 	minReportInterval = 200 * time.Millisecond
-	// reportIntervalPerHost is a leader's time per report. With hundreds of hosts each
-	// reports less often; together they carry as much information.
+	// reportIntervalPerHost is the report interval per host of the deployment, within
+	// the limits of minReportInterval and maxReportInterval. With hundreds of hosts
+	// each reports less often; together they carry as much information.
 	reportIntervalPerHost = 2 * time.Millisecond
 	// maxReportInterval is the longest time between two reports.
 	maxReportInterval = time.Second
@@ -44,27 +45,28 @@
 
 func newKeyCounter() *keyCounter { return &keyCounter{counts: make(map[key.Service]map[key.Point]int)} }
 
-func (m *keyCounter) count(service key.Service, p key.Point) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	points := m.counts[service]
+func (c *keyCounter) count(service key.Service, p key.Point) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	points := c.counts[service]
 	if points == nil {
 		points = make(map[key.Point]int)
-		m.counts[service] = points
+		c.counts[service] = points
 	}
 	points[p]++
 }
 
 // takeAll returns the counts since the last call and resets them.
-func (m *keyCounter) takeAll() map[key.Service]map[key.Point]int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	out := m.counts
-	m.counts = make(map[key.Service]map[key.Point]int)
+func (c *keyCounter) takeAll() map[key.Service]map[key.Point]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := c.counts
+	c.counts = make(map[key.Service]map[key.Point]int)
 	return out
 }
 
-// loadReport is what a host reports to the leader of a service.
+// loadReport is a host's report to the leader of a service: its requests by key since
+// the last report, and its statistics of targets.
 type loadReport struct {
 	service key.Service
 	points  map[key.Point]int
@@ -95,10 +97,10 @@
 	for p, n := range r.points {
 		w.Points = append(w.Points, uint32(p), uint32(n))
 	}
-	for _, o := range r.targets {
+	for _, s := range r.targets {
 		w.Targets = append(w.Targets, wireTargetStats{
-			Target: string(o.Target), Mean: o.Mean.Microseconds(), Slowdown: o.Slowdown, Down: o.Down, Used: o.Used,
-			Samples: o.Samples, Leaving: o.Leaving,
+			Target: string(s.Target), Mean: s.Mean.Microseconds(), Slowdown: s.Slowdown, Down: s.Down, Used: s.Used,
+			Samples: s.Samples, Leaving: s.Leaving,
 		})
 	}
 	return cbor.Marshal(w)
@@ -113,10 +115,10 @@
 	for i := 0; i+1 < len(w.Points); i += 2 {
 		r.points[key.Point(w.Points[i])] += int(w.Points[i+1])
 	}
-	for _, l := range w.Targets {
+	for _, s := range w.Targets {
 		r.targets = append(r.targets, dispatch.TargetStats{
-			Target: place.Target(l.Target), Mean: time.Duration(l.Mean) * time.Microsecond, Slowdown: l.Slowdown, Down: l.Down, Used: l.Used,
-			Samples: l.Samples, Leaving: l.Leaving,
+			Target: place.Target(s.Target), Mean: time.Duration(s.Mean) * time.Microsecond, Slowdown: s.Slowdown, Down: s.Down, Used: s.Used,
+			Samples: s.Samples, Leaving: s.Leaving,
 		})
 	}
 	return r, nil
@@ -167,10 +169,10 @@
 	for service, points := range h.keyCounter.takeAll() {
 		get(service).points = points
 	}
-	for _, o := range h.dispatcher.targetStats(now) {
-		if o.Pool.Target != "" {
-			r := get(o.Pool.Service)
-			r.targets = append(r.targets, o)
+	for _, s := range h.dispatcher.targetStats(now) {
+		if s.Pool.Target != "" {
+			r := get(s.Pool.Service)
+			r.targets = append(r.targets, s)
 		}
 	}
 	for service, r := range reports {
--- a/internal/host/metrics.go
+++ b/internal/host/metrics.go
@@ -56,7 +56,8 @@
 	}).RecordDuration(took)
 }
 
-// countAttempt counts an attempt by its result and records its time.
+// countAttempt counts an attempt by its result and records its time and its wait for a
+// slot.
 func (m *metrics) countAttempt(service key.Service, end dispatch.Result, took, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/host/notice.go
+++ b/internal/host/notice.go
@@ -148,7 +148,8 @@
 const (
 	// noticeInterval is the time between two notices of a leader.
 	noticeInterval = 200 * time.Millisecond
-	// leaderSilence is how long candidates hear no leader before they read the store.
+	// leaderSilence is how long candidates receive no notice of a leader before they
+	// read the store.
 	leaderSilence = 700 * time.Millisecond
 	// candidateCount is the number of hosts, by rank, that receive the leader's
 	// notices.
--- a/internal/host/orderclient.go
+++ b/internal/host/orderclient.go
@@ -73,7 +73,8 @@
 	return conn.Grant(ctx, g)
 }
 
-// conn returns the connection with the effect's connection number.
+// conn returns the connection with the effect's connection number. It opens one for a
+// new number.
 func (c *orderClient) conn(ctx context.Context, e owner.SendGrants) (*orderConn, error) {
 	c.mu.Lock()
 	known := c.conns[e.Target]
--- a/internal/host/panic_test.go
+++ b/internal/host/panic_test.go
@@ -29,7 +29,7 @@
 	d.eventually("the panic of the configuration decoder is logged", 5*time.Second, logged("view"))
 	d.awaitServed()
 	d.putConfig(testConfig(2))
-	d.eventually("a later one is in force", 5*time.Second, func() bool {
+	d.eventually("a later configuration is in force", 5*time.Second, func() bool {
 		return h.views.view().routes.Config().Version == traffic.Version(2)
 	})
 
--- a/internal/host/pools.go
+++ b/internal/host/pools.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// dialTimeout limits a new connection to a target. A lost packet costs a second in
-	// any case, while a reachable machine responds within milliseconds.
+	// dialTimeout limits a new connection to a target. TCP resends a lost SYN only after
+	// a second, while a reachable machine responds within milliseconds.
 	dialTimeout = 300 * time.Millisecond
 	// poolIdleTimeout is how long connections to an unused address are kept.
 	poolIdleTimeout = 15 * time.Second
 	// connectionShare is the share of a target's connections used for requests. Orders
 	// and probes need the rest.
 	connectionShare = 0.7
-	// minConnections is what a host may always open: a connection for a request, and
-	// another while the last one is still closing.
+	// minConnections is the number of connections to a target that a host may always
+	// open: two for requests, and one that is still closing.
 	minConnections = 3
 )
 
--- a/internal/host/registrar.go
+++ b/internal/host/registrar.go
@@ -46,7 +46,8 @@
 	// missingSince is the time since which this host is not listed, announcedAt the
 	// time of its last heartbeat, enteredAt the last time that it entered itself.
 	missingSince, announcedAt, enteredAt time.Time
-	// selfEntryDelay is how long this host waits for a registrar to enter it.
+	// selfEntryDelay is how long this host waits for a registrar to enter it: the
+	// constant of that name plus a random delay.
 	selfEntryDelay time.Duration
 }
 
@@ -73,20 +74,20 @@
 	return nil
 }
 
-func (r *registrar) receive(now time.Time, p member.Heartbeat) {
+func (r *registrar) receive(now time.Time, hb member.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.registry.HandleHeartbeat(now, p)
+	r.registry.HandleHeartbeat(now, hb)
 }
 
 // handleHeartbeat handles the heartbeat of another host.
 func (h *Host) handleHeartbeat(body []byte) {
-	p, err := member.DecodeHeartbeat(body)
+	hb, err := member.DecodeHeartbeat(body)
 	if err != nil {
 		h.log.Warn("Heartbeat not decodable, dropped.", slog.Any("error", err))
 		return
 	}
-	h.registrar.receive(time.Now(), p)
+	h.registrar.receive(time.Now(), hb)
 }
 
 // announceSelf sends a heartbeat if one is due, and enters this host if no registrar
@@ -121,12 +122,12 @@
 // sendHeartbeat sends this host's heartbeat to its registrars.
 func (r *registrar) sendHeartbeat(now time.Time, list *member.List) {
 	for rank, addr := range r.registrars(list) {
-		p := member.Heartbeat{Host: r.self, Rank: rank}
+		hb := member.Heartbeat{Host: r.self, Rank: rank}
 		if addr == r.self.TicketAddr {
-			r.receive(now, p)
+			r.receive(now, hb)
 			continue
 		}
-		body, err := p.Encode()
+		body, err := hb.Encode()
 		if err != nil {
 			r.log.Error("Heartbeat not encoded.", slog.Any("error", err))
 			return
--- a/internal/host/resign.go
+++ b/internal/host/resign.go
@@ -32,7 +32,7 @@
 }
 
 // resignation is one attempt to hand leadership over. The document that it writes names
-// no leader, which tells the next one that no more orders will be sent.
+// no leader, so the next leader knows that this host sends no more orders.
 type resignation struct {
 	*controller
 
@@ -51,7 +51,7 @@
 			t.log.Info("Leadership handed over.", slog.Uint64("term", uint64(t.core.Term())))
 			t.core.StepDown()
 		case errors.Is(err, platform.ErrUnavailable):
-			// Certainly not committed: this host leads on until the outage ends.
+			// Certainly not committed: this host keeps leading until the outage ends.
 			t.log.Warn("Leadership not handed over, renewing grants meanwhile.", slog.Any("error", err))
 			t.resigning = false
 			t.core.Resume()
--- a/internal/host/restore_test.go
+++ b/internal/host/restore_test.go
@@ -53,16 +53,16 @@
 	points := []key.Point{0, 9000, 20000, 30000, 41000, 52000, key.Points - 1}
 	for name, test := range map[string]struct {
 		age time.Duration
-		// away is how long the store is unavailable before the restore. With twice, a
+		// outage is how long the store is unavailable before the restore. With twice, a
 		// second restore follows soon.
-		away  time.Duration
-		twice bool
+		outage time.Duration
+		twice  bool
 	}{
 		"one second old":         {age: time.Second},
-		"some seconds old":       {age: 4 * time.Second, away: 500 * time.Millisecond},
+		"some seconds old":       {age: 4 * time.Second, outage: 500 * time.Millisecond},
 		"before the first write": {age: time.Hour},
-		"twice in a row":         {age: 3 * time.Second, away: 200 * time.Millisecond, twice: true},
-		"after a long outage":    {age: 2 * time.Second, away: 4 * time.Second},
+		"twice in a row":         {age: 3 * time.Second, outage: 200 * time.Millisecond, twice: true},
+		"after a long outage":    {age: 2 * time.Second, outage: 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -70,8 +70,8 @@
 			d.store.StartSnapshots()
 			d.awaitServed()
 			d.watchSingleOwner(points...)
-			left := d.targets["desk-1"]
-			d.listTarget(left, "desk", place.Leaving)
+			leavingTarget := d.targets["desk-1"]
+			d.listTarget(leavingTarget, "desk", place.Leaving)
 			time.Sleep(1500 * time.Millisecond)
 			next := testConfig(9)
 			next.Routes[1].Prefix = "/new/"
@@ -85,9 +85,9 @@
 				return true
 			})
 			time.Sleep(500 * time.Millisecond)
-			if test.away > 0 {
+			if test.outage > 0 {
 				d.store.SetFaults(fake.SessionFaults{Down: true})
-				time.Sleep(test.away)
+				time.Sleep(test.outage)
 			}
 			d.store.RollBack(test.age)
 			d.store.SetFaults(fake.SessionFaults{})
@@ -118,9 +118,9 @@
 				leader, ok := v.members.Leader("span")
 				return len(v.members.Hosts) == 4 && ok && !leader.Restored()
 			})
-			before := left.Arrived()
+			before := leavingTarget.Arrived()
 			d.sendFor(200*time.Millisecond, "POST", "/new/x", 0)
-			assert.Equal(t, left.Arrived(), before, "requests reached a target that left")
+			assert.Equal(t, leavingTarget.Arrived(), before, "requests reached a target that left")
 			logged := 0
 			for _, h := range d.hosts[:3] {
 				logged += strings.Count(h.logs.String(), `"msg":"Store was restored from an older snapshot."`)
--- a/internal/host/retrybudget.go
+++ b/internal/host/retrybudget.go
@@ -46,7 +46,8 @@
 	// hostCountTTL is how long a larger number of hosts is remembered.
 	hostCountTTL = 20 * time.Second
 	// hostCountSettleTime is how long after the first list more hosts may join. A host
-	// that no registrar hears enters itself.
+	// that no registrar enters does so itself, after at most selfEntryDelay +
+	// selfEntryJitter.
 	hostCountSettleTime = selfEntryDelay + selfEntryJitter + time.Second
 )
 
@@ -76,7 +77,7 @@
 	return w
 }
 
-// countRequest adds one request to the budget.
+// countRequest counts one request, which raises the budget.
 func (r *retryBudget) countRequest(now time.Time, service key.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/host/retrybudget_test.go
+++ b/internal/host/retrybudget_test.go
@@ -21,31 +21,31 @@
 		"no list":                 {0, 0, 0, 0, 0},
 		"grows":                   {1, 4, 12, 12, 12},
 	}
-	for name, seen := range tests {
+	for name, hostCounts := range tests {
 		t.Run(name, func(t *testing.T) {
-			repeats := 0
+			retries := 0
 			for range hosts {
 				r := newRetryBudget()
 				r.setBudget(budget)
 				now := time.Unix(5000, 0)
-				for _, n := range seen {
+				for _, n := range hostCounts {
 					if n > 0 {
 						r.setHosts(now, n)
 					}
-					for range perHost / len(seen) {
-						now = now.Add(2 * time.Second * time.Duration(len(seen)) / perHost)
+					for range perHost / len(hostCounts) {
+						now = now.Add(2 * time.Second * time.Duration(len(hostCounts)) / perHost)
 						r.countRequest(now, "s")
 						for range 3 {
 							if r.withdraw(now, "s") {
-								repeats++
+								retries++
 							}
 						}
 					}
 				}
 			}
 			allowed := int(budget.Ratio*hosts*perHost) + budget.Slack
-			assert.Assert(t, repeats <= allowed, "%d retries, %d allowed", repeats, allowed)
-			assert.Assert(t, repeats > allowed/3, "%d retries, %d allowed", repeats, allowed)
+			assert.Assert(t, retries <= allowed, "%d retries, %d allowed", retries, allowed)
+			assert.Assert(t, retries > allowed/3, "%d retries, %d allowed", retries, allowed)
 		})
 	}
 }
--- a/internal/host/scale_bench_test.go
+++ b/internal/host/scale_bench_test.go
@@ -51,22 +51,22 @@
 func BenchmarkTable(b *testing.B) {
 	for _, targets := range []int{37, 164, 575, 1200} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
-			board := docsync.New()
-			v := newViewBuilder(board, logging.Nop(), nil)
+			documents := docsync.New()
+			v := newViewBuilder(documents, logging.Nop(), nil)
 			members := largeMembers(295)
 			body, err := members.Encode()
 			assert.NilError(b, err)
-			board.Publish(docsync.Document{Name: docMembers, Version: docsync.Version{Major: 1}, Body: body})
-			var d fleet.List
+			documents.Publish(docsync.Document{Name: docMembers, Version: docsync.Version{Major: 1}, Body: body})
+			var list fleet.List
 			for i := range targets {
-				d.Targets = append(d.Targets, place.TargetRow{
+				list.Targets = append(list.Targets, place.TargetRow{
 					Target: place.Target(fmt.Sprintf("i-%010x", i*7919)), Service: "s", Zone: "z0", State: place.Live,
 					Addr: netip.MustParseAddrPort("10.0.0.1:1"), Incarnation: 1, Slots: 3,
 				})
 			}
-			body, err = d.Encode()
+			body, err = list.Encode()
 			assert.NilError(b, err)
-			board.Publish(docsync.Document{Name: docTargets, Version: docsync.Version{Major: 1}, Body: body})
+			documents.Publish(docsync.Document{Name: docTargets, Version: docsync.Version{Major: 1}, Body: body})
 			bodies := make([][]byte, 16)
 			for i := range bodies {
 				bodies[i], err = largeTable(targets, uint64(i)).Encode()
@@ -76,7 +76,7 @@
 			now := time.Unix(1000, 0)
 			b.ResetTimer()
 			for i := range b.N {
-				board.Publish(docsync.Document{Name: docRanges + "s", Version: docsync.Version{Major: 1, Minor: uint64(i + 1)}, Body: bodies[i%16]})
+				documents.Publish(docsync.Document{Name: docRanges + "s", Version: docsync.Version{Major: 1, Minor: uint64(i + 1)}, Body: bodies[i%16]})
 				v.refresh(now)
 			}
 		})
--- a/internal/host/status.go
+++ b/internal/host/status.go
@@ -46,7 +46,7 @@
 	}
 )
 
-// serveView writes the state that this host decides by.
+// serveView writes the state on which this host bases its decisions.
 func (h *Host) serveView(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(h.status(time.Now())); err != nil {
--- a/internal/host/store.go
+++ b/internal/host/store.go
@@ -34,16 +34,17 @@
 	return s.firstEra, s.latestEra
 }
 
-// observeEra records the era of a response and logs a new one.
+// observeEra records the era of a response. An era later than all before means that the
+// store was restored from an older snapshot, which is counted and logged.
 func (s *instrumentedStore) observeEra(era platform.Era) {
 	s.mu.Lock()
-	before, rise := s.latestEra, s.hasEra && era > s.latestEra
+	before, restored := s.latestEra, s.hasEra && era > s.latestEra
 	if !s.hasEra {
 		s.firstEra, s.hasEra = era, true
 	}
 	s.latestEra = max(s.latestEra, era)
 	s.mu.Unlock()
-	if rise {
+	if restored {
 		s.metrics.countRestore()
 		s.log.Warn("Store was restored from an older snapshot.", slog.Uint64("era", uint64(era)), slog.Uint64("before", uint64(before)))
 	}
--- a/internal/host/targetsignal_test.go
+++ b/internal/host/targetsignal_test.go
@@ -57,14 +57,14 @@
 		d.awaitServed()
 		leavingTarget := d.targets["desk-0"]
 		leavingTarget.SetFaults(fake.RangeTargetFaults{Work: 5 * time.Millisecond, Leaving: true})
-		d.eventually("a host received the signal, which tells the home", 5*time.Second, func() bool {
-			heard := false
+		d.eventually("a host received the signal and notified the home", 5*time.Second, func() bool {
+			received := false
 			for _, h := range d.hosts {
 				d.burst(h, "POST", "/free/x", 0)
 				leaving, _ := h.dispatcher.backoff(time.Now(), h.views.view().targets["desk-0"])
-				heard = heard || !leaving.IsZero()
+				received = received || !leaving.IsZero()
 			}
-			return heard
+			return received
 		})
 		d.sendFor(100*time.Millisecond, "POST", "/free/x", 0)
 		n := arrivalsDuring(leavingTarget, func() {
@@ -111,7 +111,7 @@
 // until the pause ends. Callers are served by another target or get a Retry-After hint.
 func TestTargetBackoff(t *testing.T) {
 	t.Parallel()
-	const pause, grace = 3 * time.Second, 500 * time.Millisecond
+	const pause, tolerance = 3 * time.Second, 500 * time.Millisecond
 	for name, test := range map[string]struct {
 		method, path string
 		paused       place.Target
@@ -132,9 +132,9 @@
 				return left > 0
 			})
 			asked := time.Now()
-			time.Sleep(grace)
+			time.Sleep(tolerance)
 			n := arrivalsDuring(r, func() {
-				for time.Since(asked) < pause-2*grace { // near the end of the pause requests wait for it
+				for time.Since(asked) < pause-2*tolerance { // near the end of the pause requests wait for it
 					a := d.send(d.hosts[0], test.method, test.path, 30000)
 					assert.Equal(t, a.status, test.status, a.body)
 					if a.status == http.StatusOK {
@@ -143,7 +143,7 @@
 					after, err := time.ParseDuration(a.retry + "s")
 					assert.NilError(t, err)
 					left := pause - time.Since(asked)
-					assert.Assert(t, after <= left+2*grace && after >= left-2*grace, "Retry-After is %v, the pause ends in %v", after, left)
+					assert.Assert(t, after <= left+2*tolerance && after >= left-2*tolerance, "Retry-After is %v, the pause ends in %v", after, left)
 				}
 			})
 			assert.Equal(t, n, 0, "requests that reached the target")
--- a/internal/host/view.go
+++ b/internal/host/view.go
@@ -22,7 +22,7 @@
 	// routes is nil until the first configuration arrives.
 	routes   *traffic.Table
 	revision uint64 // store revision of the configuration
-	// era is the latest store era seen in any list.
+	// era is the latest store era of any list of hosts.
 	era      platform.Era
 	configAt time.Time
 	// listVersion changes with each new list of hosts or targets, fleetVersion with
@@ -105,7 +105,8 @@
 	return out
 }
 
-// ranked returns the hosts that can be the home of a pool, best first.
+// ranked returns the hosts that can be the home of a pool, best first, and self as the
+// last resort.
 func (v *view) ranked(pool dispatch.PoolID, self place.Host) []place.Host {
 	v.rankCache.mu.Lock()
 	defer v.rankCache.mu.Unlock()
@@ -187,9 +188,9 @@
 // of the store. Leaders publish at least once a second.
 const maxTableAge = 2500 * time.Millisecond
 
-func newViewBuilder(board *docsync.MemoryReplica, log *slog.Logger, decode func([]byte) (*traffic.Config, error)) *viewBuilder {
+func newViewBuilder(documents *docsync.MemoryReplica, log *slog.Logger, decode func([]byte) (*traffic.Config, error)) *viewBuilder {
 	return &viewBuilder{
-		replica: board, log: log, decodeConfig: decode,
+		replica: documents, log: log, decodeConfig: decode,
 		tracker:      fleet.NewTracker(),
 		readVersions: make(map[docsync.Name]docsync.Version),
 		published:    make(map[key.Service]publishedTable),
@@ -235,7 +236,7 @@
 
 // untilExpiry returns the time until something in the view may expire. No host may use
 // a target later than two seconds after its removal, so the check can't wait for the
-// next poll.
+// next regular one.
 func (v *viewBuilder) untilExpiry(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -382,8 +383,8 @@
 	}
 }
 
-// readTables reads newer routing tables of leaders, and the store's ownership documents
-// of services whose leader was not heard for a while.
+// readTables reads newer routing tables of leaders and newer ownership documents of the
+// store, and chooses the table of each service.
 func (v *viewBuilder) readTables(now time.Time, next *view) bool {
 	for _, doc := range v.replica.List(docRanges) {
 		doc, ok := v.newer(doc.Name)
@@ -436,17 +437,18 @@
 	return out
 }
 
-// chooseTable returns the table to use for a service now, and its time.
+// chooseTable returns the table to use for a service now, and the time from which its
+// age counts.
 func (v *viewBuilder) chooseTable(now time.Time, service key.Service) (*owner.Table, time.Time) {
-	heard, stored := v.published[service], v.stored[service]
+	received, stored := v.published[service], v.stored[service]
 	// Use the store's document where there is no leader's table, or where the leader's
 	// is old and the owners have changed since.
-	if stored != nil && (heard.Table == nil || now.Sub(heard.receivedAt) >= maxTableAge && stored.revision() > heard.DocRevision) {
+	if stored != nil && (received.Table == nil || now.Sub(received.receivedAt) >= maxTableAge && stored.revision() > received.DocRevision) {
 		if table := v.decodeOwners(stored); table != nil {
 			return table, now
 		}
 	}
-	return heard.Table, heard.receivedAt
+	return received.Table, received.receivedAt
 }
 
 // decodeOwners returns the routing table derived from an ownership document. If
--- a/internal/host/view_test.go
+++ b/internal/host/view_test.go
@@ -24,12 +24,12 @@
 	doc.Rows[0].Target = "t"
 	body, err := doc.Encode()
 	assert.NilError(t, err)
-	table := func(based platform.Revision) *owner.Table { return owner.TableFromDoc(&doc, based) }
+	table := func(revision platform.Revision) *owner.Table { return owner.TableFromDoc(&doc, revision) }
 	const fresh, old = time.Second, 2 * maxTableAge
 	tests := map[string]struct {
-		heard, stored platform.Revision // document revisions of the tables, 0 for no table
-		age           time.Duration
-		wantStored    bool
+		received, stored platform.Revision // document revisions of the tables, 0 for no table
+		age              time.Duration
+		wantStored       bool
 	}{
 		"nothing":                          {0, 0, fresh, false},
 		"stored only":                      {0, 5, fresh, true},
@@ -43,8 +43,8 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			v := newViewBuilder(docsync.New(), logging.Nop(), nil)
-			if test.heard > 0 {
-				v.published[key.Service("s")] = publishedTable{table(test.heard), now.Add(-test.age)}
+			if test.received > 0 {
+				v.published[key.Service("s")] = publishedTable{table(test.received), now.Add(-test.age)}
 			}
 			if test.stored > 0 {
 				v.stored["s"] = &storedOwners{Document: docsync.Document{Version: docsync.Version{Major: uint64(test.stored)}, Body: body}}
@@ -75,15 +75,15 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			board := docsync.New()
-			v := newViewBuilder(board, logging.Nop(), nil)
+			documents := docsync.New()
+			v := newViewBuilder(documents, logging.Nop(), nil)
 			for i, rows := range test.lists {
 				// Every list must be different, or it is not read again.
 				other := place.TargetRow{Target: place.Target(fmt.Sprint("other-", i)), Incarnation: 1}
-				doc := fleet.List{Targets: append([]place.TargetRow{other}, rows...)}
-				body, err := doc.Encode()
+				list := fleet.List{Targets: append([]place.TargetRow{other}, rows...)}
+				body, err := list.Encode()
 				assert.NilError(t, err)
-				board.PublishFromStore(docsync.Document{Name: docTargets, Version: docsync.Version{Major: uint64(i + 1)}, Body: body})
+				documents.PublishFromStore(docsync.Document{Name: docTargets, Version: docsync.Version{Major: uint64(i + 1)}, Body: body})
 				v.refresh(now)
 				now = now.Add(time.Second)
 			}
--- a/internal/host/watcher.go
+++ b/internal/host/watcher.go
@@ -22,8 +22,9 @@
 	docTraffic docsync.Name = "traffic"
 	docTargets docsync.Name = "targets"
 	docMembers docsync.Name = "members"
-	// docRanges and docOwners are prefixes of a service name: the routing table
-	// published by its leader, and the ownership document of the store.
+	// docRanges and docOwners are followed by the name of a service. The documents are
+	// the routing table published by its leader, and its ownership document in the
+	// store.
 	docRanges docsync.Name = "ranges/"
 	docOwners docsync.Name = "owners/"
 )
@@ -106,7 +107,7 @@
 	w.runMu.Lock()
 	defer w.runMu.Unlock()
 	w.rejected = make(map[platform.Path]platform.Revision)
-	w.healthySince = time.Time{} // an earlier run tells nothing about the store now
+	w.healthySince = time.Time{} // reads of an earlier run don't show that the store is available now
 	w.awaitSeeds(ctx)
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -289,7 +290,7 @@
 }
 
 func (w *watcher) encodeTargets(now time.Time, entries []platform.Entry) ([]byte, error) {
-	d := fleet.List{RecentOutage: w.unsure(now), StoreStable: w.steady(now)}
+	list := fleet.List{RecentOutage: w.unsure(now), StoreStable: w.steady(now)}
 	for _, e := range entries {
 		name := place.Target(strings.TrimPrefix(string(e.Path), string(platform.PathTargets)))
 		row, err := w.decodeTarget(name, e.Value)
@@ -297,9 +298,9 @@
 			w.logUnreadable(e, err)
 			continue
 		}
-		d.Targets = append(d.Targets, row)
+		list.Targets = append(list.Targets, row)
 	}
-	return d.Encode()
+	return list.Encode()
 }
 
 func (w *watcher) encodeMembers(entries []platform.Entry) ([]byte, error) {
@@ -344,9 +345,9 @@
 	w.peerDigest = d
 }
 
-// coveredAt returns the time of another watcher's last read if all documents that it
-// found have arrived here, otherwise zero. Ownership documents are not compared: they
-// change all the time, and nothing waits for them.
+// coveredAt returns when the last digest of another watcher arrived, if all documents
+// in it other than ownership documents have arrived here too, otherwise zero. Ownership
+// documents change all the time, and nothing waits for them.
 func (w *watcher) coveredAt() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/host/watcher_test.go
+++ b/internal/host/watcher_test.go
@@ -17,35 +17,35 @@
 	"citrontray.example/citrontray/internal/traffic"
 )
 
-// TestWatcherHandlesDigests: a watcher waits with its next read after another one has
+// TestWatcherHandlesDigests: a watcher postpones its next read after another one has
 // read the store, if all documents that the other one found have arrived here.
 func TestWatcherHandlesDigests(t *testing.T) {
 	const here = 7
-	versions := func(traffic uint64) map[docsync.Name]uint64 { return map[docsync.Name]uint64{docTraffic: traffic} }
+	versions := func(config uint64) map[docsync.Name]uint64 { return map[docsync.Name]uint64{docTraffic: config} }
 	for name, test := range map[string]struct {
 		own   time.Duration // ago
-		heard map[docsync.Name]uint64
+		found map[docsync.Name]uint64
 		at    time.Duration // ago
-		rests bool
+		waits bool
 	}{
 		"no reads":                                         {own: time.Hour},
-		"own read":                                         {own: time.Millisecond, rests: true},
-		"read by another watcher":                          {own: time.Hour, heard: versions(here), at: time.Millisecond, rests: true},
-		"read by another watcher, found older":             {own: time.Hour, heard: versions(here - 1), at: time.Millisecond, rests: true},
-		"read by another watcher, not arrived yet":         {own: time.Hour, heard: versions(here + 1), at: time.Millisecond},
-		"read by another watcher, only owners not arrived": {own: time.Hour, heard: map[docsync.Name]uint64{docTraffic: here, docOwners + "s": 9}, at: time.Millisecond, rests: true},
-		"read by another watcher long ago":                 {own: time.Hour, heard: versions(here), at: pollInterval},
-		"read by another watcher before the own read":      {own: time.Millisecond, heard: versions(here), at: time.Hour, rests: true},
+		"own read":                                         {own: time.Millisecond, waits: true},
+		"read by another watcher":                          {own: time.Hour, found: versions(here), at: time.Millisecond, waits: true},
+		"read by another watcher, found older":             {own: time.Hour, found: versions(here - 1), at: time.Millisecond, waits: true},
+		"read by another watcher, not arrived yet":         {own: time.Hour, found: versions(here + 1), at: time.Millisecond},
+		"read by another watcher, only owners not arrived": {own: time.Hour, found: map[docsync.Name]uint64{docTraffic: here, docOwners + "s": 9}, at: time.Millisecond, waits: true},
+		"read by another watcher long ago":                 {own: time.Hour, found: versions(here), at: pollInterval},
+		"read by another watcher before the own read":      {own: time.Millisecond, found: versions(here), at: time.Hour, waits: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			board := docsync.New()
-			board.PublishFromStore(docsync.Document{Name: docTraffic, Version: docsync.Version{Major: here}, Body: []byte("x")})
-			w := &watcher{replica: board, readAt: now.Add(-test.own)}
-			if test.heard != nil {
-				w.receive(digest{receivedAt: now.Add(-test.at), versions: test.heard})
+			documents := docsync.New()
+			documents.PublishFromStore(docsync.Document{Name: docTraffic, Version: docsync.Version{Major: here}, Body: []byte("x")})
+			w := &watcher{replica: documents, readAt: now.Add(-test.own)}
+			if test.found != nil {
+				w.receive(digest{receivedAt: now.Add(-test.at), versions: test.found})
 			}
-			assert.Equal(t, w.untilNextRead(now) > 0, test.rests)
+			assert.Equal(t, w.untilNextRead(now) > 0, test.waits)
 		})
 	}
 }
@@ -69,10 +69,10 @@
 	store := fake.NewSessionStore()
 	store.Set(platform.PathConfig, []byte("one"))
 	version := func() docsync.Version {
-		board := docsync.New()
-		w := &watcher{store: store, replica: board, log: logging.Nop(), configVersion: noVersion}
+		documents := docsync.New()
+		w := &watcher{store: store, replica: documents, log: logging.Nop(), configVersion: noVersion}
 		assert.NilError(t, w.read(context.Background()))
-		doc, ok := board.Get(docTraffic)
+		doc, ok := documents.Get(docTraffic)
 		assert.Assert(t, ok)
 		return doc.Version
 	}
@@ -86,23 +86,23 @@
 // TestUnsureWatcherSendsNoDigest: a watcher sends no digest right after the store
 // refused it, so that the others read the store themselves.
 func TestUnsureWatcherSendsNoDigest(t *testing.T) {
-	store, board := fake.NewSessionStore(), docsync.New()
+	store, documents := fake.NewSessionStore(), docsync.New()
 	var sent atomic.Int32
 	w := &watcher{
-		store: store, replica: board, log: logging.Nop(), broadcast: func(digest) { sent.Add(1) }, configVersion: noVersion,
+		store: store, replica: documents, log: logging.Nop(), broadcast: func(digest) { sent.Add(1) }, configVersion: noVersion,
 		decodeTarget: func(place.Target, []byte) (place.TargetRow, error) { return place.TargetRow{}, nil },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	start := func() { go func() { done <- w.run(ctx) }() }
-	listed := func() (d fleet.List, ok bool) {
-		doc, ok := board.Get(docTargets)
+	listed := func() (list fleet.List, ok bool) {
+		doc, ok := documents.Get(docTargets)
 		if !ok {
-			return d, false
+			return list, false
 		}
-		d, err := fleet.Decode(doc.Body)
+		list, err := fleet.Decode(doc.Body)
 		assert.NilError(t, err)
-		return d, true
+		return list, true
 	}
 	until := func(what string, holds func() bool) {
 		t.Helper()
@@ -119,8 +119,8 @@
 	until("another read", func() bool { return store.Calls() > calls })
 	cancel()
 	assert.NilError(t, <-done)
-	d, _ := listed()
-	assert.Assert(t, d.RecentOutage && !d.StoreStable)
+	list, _ := listed()
+	assert.Assert(t, list.RecentOutage && !list.StoreStable)
 	assert.Equal(t, sent.Load(), int32(0))
 }
 
