--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -9,7 +9,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Site describes one machine and the limits of the deployment.
+// Site describes one machine and the bounds of its deployment.
 type Site struct {
 	Host   place.Host
 	Zone   place.Zone
@@ -38,7 +38,7 @@
 // Seed is a host that a process contacts before it knows any others.
 type Seed struct{ Peer, Ticket netip.AddrPort }
 
-// Bounds are the guarantees that the deployment gives to operators and clients.
+// Bounds are the time limits and the retry budget of the deployment.
 type Bounds struct {
 	// Drain is how long a leaving target still accepts work after it announced its end.
 	Drain time.Duration
