--- a/cmd/citrontray-host/main.go
+++ b/cmd/citrontray-host/main.go
@@ -1,5 +1,6 @@
-// Command citrontray-host runs one host of a deployment on the users' platform. One
-// process serves client requests and leads the assignment of keys to targets.
+// Command citrontray-host runs one host of a deployment on the users' platform. The
+// process serves client requests and, where it is elected leader, assigns keys to
+// targets.
 package main
 
 import (
