--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -11,18 +11,18 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// role is what this host does for the cell now.
+// role is the role of this host in the cell.
 type role uint8
 
 const (
 	follower  role = iota
-	candidate      // takes the lease, then writes the next term
+	candidate      // acquires the lease, then writes the next term
 	leader
-	deputy // renews what stands while store and lead are silent
+	deputy // renews the grants while store and leader are unresponsive
 	stopped
 )
 
-// String returns the role's word in logs and output.
+// String returns the name of the role in logs and in the status.
 func (r role) String() string {
 	switch r {
 	case follower:
@@ -39,27 +39,28 @@
 	return "invalid"
 }
 
-// Cell is one host's part in one cell. It is not safe for concurrent use.
+// Cell is the state of one host in one cell. It is not safe for concurrent use.
 type Cell struct {
 	cfg     Config
 	now     time.Time
 	effects []Effect
 
-	// startedAt is the first present time seen: a restarted host stays silent for
-	// the length of a promise, since it may have made one in its last life.
+	// startedAt is the first time that Handle or Tick got. For the duration of a
+	// promise from then on, the host neither campaigns nor promises, as its
+	// previous incarnation may have made a promise.
 	startedAt time.Time
 	role      role
 
 	doc       Doc
 	revision  platform.Revision
 	hasDoc    bool
-	docAbsent bool // the store answered that there is no document
-	// readStore tells that this incarnation has read the document from the store.
+	docAbsent bool // the store responded that there is no document
+	// readStore is true if this incarnation has read the document from the store.
 	readStore   bool
 	readAskedAt time.Time
-	seenTerm    grant.Term // highest term that another host named
+	seenTerm    grant.Term // highest term seen in a message or response
 
-	term        grant.Term // the term this host leads at
+	term        grant.Term // term at which this host leads
 	leaderSince time.Time
 	lease       lease
 	write       write
@@ -73,7 +74,7 @@
 	heartbeatDue time.Time
 	reconcileDue time.Time
 
-	// listsChanged tells that a list or the document changed since judgeLists.
+	// listsChanged is true if a list or the document changed since applyLists.
 	listsChanged  bool
 	fleet         FleetReceived
 	hasFleet      bool
@@ -84,7 +85,7 @@
 	drains        []place.Target
 	plan          []PlannedMove
 	moveStarts    []time.Time
-	splitMoves    []PlannedMove // moves that follow a cut of a solo key
+	splitMoves    []PlannedMove // of keys that were split off, once their owners have confirmed
 	stopping      bool
 
 	tableSequence uint64
@@ -92,25 +93,26 @@
 	mutations     mutations
 }
 
-// lease is this host's view of the cell's lease in the platform's service.
+// lease is this host's view of the cell's lease in the store.
 type lease struct {
-	until time.Time // counted from before the call was sent
-	// start is when the unbroken lease began. A lead that lost its lease and
-	// got it back may have been succeeded meanwhile: the lease counts again
-	// once a write that was proposed since start has been won.
+	until time.Time // counted from just before the call was sent
+	// start is when the current uninterrupted lease began. A leader whose lease
+	// expired and was acquired again may have had a successor meanwhile, so the
+	// lease is verified only when a write proposed after start is committed.
 	start    time.Time
 	verified bool
 	askedAt  time.Time
 	pending  bool
-	// contactAt is when the newest call that reached the store was sent.
+	// contactAt is when the last call to which the store responded was sent.
 	contactAt time.Time
-	// renewedAt is when the newest call that took or renewed the lease was sent.
+	// renewedAt is when the last call that acquired or renewed the lease was sent.
 	renewedAt time.Time
-	// heldByOther tells that another host held the lease by the newest answer.
+	// heldByOther is true if by the last response another host held the lease.
 	heldByOther bool
 }
 
-// mutations switch off one rule each, for the runs that prove the rules needed.
+// mutations disable one rule each. Tests set them to show that the simulation
+// detects the violation that the rule prevents.
 type mutations struct {
 	alwaysGrant, skipInventory, ignoreRenewers, renewUnbacked                                                 bool
 	expireFromAnchor, sharedPromises, skipStartupSilence, skipStoreRead                                       bool
@@ -118,13 +120,12 @@
 	assumeWriteFailed, leaseFromResponse, skipLeaseCheck, ignoreLostPromises, limitFromContact, leadPastLimit bool
 }
 
-// New returns the cell's core for one host. It does nothing before the first
-// Handle or Tick.
+// New returns a cell that has seen no event yet.
 func New(cfg Config) *Cell {
 	return &Cell{cfg: cfg}
 }
 
-// Handle takes one event and returns what has to be done now.
+// Handle processes an event and returns the effects to carry out.
 func (c *Cell) Handle(now time.Time, ev Event) []Effect {
 	c.setNow(now)
 	if c.role != stopped {
@@ -134,7 +135,7 @@
 	return c.takeEffects()
 }
 
-// Tick judges all timers. The shell calls it every 50 ms, and at once after a
+// Tick processes the timers. It has to be called every 50 ms, and right after a
 // pause of the process.
 func (c *Cell) Tick(now time.Time) []Effect {
 	c.setNow(now)
@@ -144,7 +145,7 @@
 	return c.takeEffects()
 }
 
-// setNow sets the present time, which never goes back.
+// setNow sets the current time, which never goes back.
 func (c *Cell) setNow(now time.Time) {
 	if c.startedAt.IsZero() {
 		c.startedAt = now
@@ -167,7 +168,8 @@
 	c.emit(Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// dispatch records what the event says. Decisions follow in advance.
+// dispatch records an event. The decisions that follow from it are made in
+// advance.
 func (c *Cell) dispatch(ev Event) {
 	switch ev := ev.(type) {
 	case DocReceived:
@@ -197,7 +199,7 @@
 	}
 }
 
-// advance runs each system once, in the order of their dependence.
+// advance runs the decision steps once, in the order of their dependencies.
 func (c *Cell) advance() {
 	c.checkRole()
 	c.retryWrite()
@@ -231,30 +233,32 @@
 	c.plan = slices.Clone(ev.Moves[:min(len(ev.Moves), maxPlan)])
 }
 
-// handleConfig keeps what names this cell and this life.
+// handleConfig adopts cfg, except for the identity of the cell and of this
+// incarnation and for the number of shards.
 func (c *Cell) handleConfig(cfg Config) {
 	cfg.ID, cfg.Self, cfg.SelfAddr, cfg.Incarnation = c.cfg.ID, c.cfg.Self, c.cfg.SelfAddr, c.cfg.Incarnation
 	cfg.Shards = c.cfg.Shards
 	c.cfg = cfg
 }
 
-// addDrift returns d as it must be waited by a clock that may run fast, for
-// something that ends after d by a clock that may run slow.
+// addDrift returns how long to wait by this host's clock, which may run fast, for
+// d to have passed by a clock that may run slow.
 func (c *Cell) addDrift(d time.Duration) time.Duration {
 	m := time.Duration(c.cfg.Timing.DriftPerMil)
 	return d*(perMil+m)/(perMil-m) + time.Nanosecond
 }
 
-// subtractDrift is the reverse of longer.
+// subtractDrift returns how much time may pass by this host's clock, which may run
+// slow, for d not to have passed by a clock that may run fast.
 func (c *Cell) subtractDrift(d time.Duration) time.Duration {
 	m := time.Duration(c.cfg.Timing.DriftPerMil)
 	return d * (perMil - m) / (perMil + m)
 }
 
-// perMil is the unit of Timing.DriftPerMil.
+// perMil is one in the unit of Timing.DriftPerMil.
 const perMil = 1000
 
-// Bounds of lists that come from outside or grow with time.
+// Limits of lists that are received or grow over time.
 const (
 	maxPlan        = 256
 	maxMoveHistory = 64
@@ -263,34 +267,35 @@
 	maxReleases    = 64
 )
 
-// Pacing of work that no timer of Timing names.
+// Intervals and timeouts that are not part of Timing.
 const (
 	readInterval         = 400 * time.Millisecond
 	writeRetryDelay      = 400 * time.Millisecond
 	reconcileInterval    = 100 * time.Millisecond
-	callTimeout          = 15 * time.Second // after it an unanswered call counts as lost
-	rankDelay            = 150 * time.Millisecond
-	fastCampaignInterval = 100 * time.Millisecond // between calls for a lease about to lapse
-	fastCampaignPeriod   = 2 * time.Second        // after it, calls come as a lead's do
-	maxSilence           = 3 * time.Second        // of a roster host before it is dropped
-	unlistedRetention    = 10 * time.Second       // of an unlisted target before its row is reused
+	callTimeout          = 15 * time.Second       // after it, the response counts as lost
+	rankDelay            = 150 * time.Millisecond // of a campaign, per rank on the roster
+	fastCampaignInterval = 100 * time.Millisecond // between lease calls, while the old leader's lease is about to expire
+	fastCampaignPeriod   = 2 * time.Second        // after it, the interval is Timing.LeaseRenewInterval
+	maxSilence           = 3 * time.Second        // of a roster host or standby before it is replaced
+	unlistedRetention    = 10 * time.Second       // of an unresponsive target that is not listed
 )
 
-// knownTerm returns the highest term this host has heard of.
+// knownTerm returns the highest term that this host knows.
 func (c *Cell) knownTerm() grant.Term {
 	return max(c.doc.Term, c.seenTerm)
 }
 
-// leading reports whether this host leads the cell at the document's term.
+// leading reports whether this host is the leader.
 func (c *Cell) leading() bool { return c.role == leader }
 
-// leaseValid reports whether this host leads with a lease that runs for
-// certain and was unbroken since the document is known to be the newest.
+// leaseValid reports whether this host leads with a lease that certainly has not
+// expired, and that has been held without interruption since the document is known
+// to be the newest.
 func (c *Cell) leaseValid() bool {
 	return c.leading() && c.now.Before(c.lease.until) && (c.lease.verified || c.mutations.skipLeaseCheck)
 }
 
-// currentRow returns the row as it is in force, with a standby activated by this lead.
+// currentRow returns the row with the activation of its standby applied, if any.
 func (c *Cell) currentRow(i int) Row {
 	r := c.doc.Rows[i]
 	if a := c.rows[i].activation; a != nil {
@@ -310,7 +315,7 @@
 	return i
 }
 
-// clone returns a copy that shares nothing that is written later.
+// clone returns a copy whose lists can be changed without changing d.
 func (d *Doc) clone() Doc {
 	out := *d
 	out.Roster = slices.Clone(d.Roster)
--- a/internal/cell/codec.go
+++ b/internal/cell/codec.go
@@ -10,7 +10,7 @@
 	"citrontray.example/citrontray/internal/wire"
 )
 
-// maxElements bounds each list of a decoded document or message.
+// maxElements bounds the length of each list of a decoded document or message.
 const maxElements = 1 << 17
 
 var decMode = newDecMode()
@@ -18,18 +18,19 @@
 func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxElements, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
-		panic(err) // the options above are constants
+		panic(err) // can't happen, as the options are constant
 	}
 	return mode
 }
 
-// EncodeDoc returns the document as it is kept in the platform's service.
+// EncodeDoc returns the document in its stored form.
 func EncodeDoc(d Doc) ([]byte, error) {
 	data, err := cbor.Marshal(docToWire(d))
 	return data, oops.Wrapf(err, "encode cell document")
 }
 
-// DecodeDoc reads what EncodeDoc wrote. It returns an error for anything else.
+// DecodeDoc decodes a document that EncodeDoc encoded. It checks the order of the rows
+// and their indexes of targets.
 func DecodeDoc(data []byte) (Doc, error) {
 	var w wireDoc
 	if err := decMode.Unmarshal(data, &w); err != nil {
@@ -42,8 +43,8 @@
 	return d, nil
 }
 
-// check reports rows that are out of order or name a target that is not
-// there: code that holds a checked document may index by it.
+// check returns an error if rows are out of order or have an index without a target.
+// The indexes of a checked document can be used without a bounds check.
 func (d *Doc) check() error {
 	known := func(i TargetIndex) bool { return i == NoTarget || int(i) < len(d.Targets) }
 	for i, r := range d.Rows {
@@ -51,13 +52,13 @@
 			return oops.Errorf("cell document: rows out of order at shard %d", r.Shard)
 		}
 		if !known(r.Owner) || !known(r.Standby) {
-			return oops.Errorf("cell document: shard %d names an unknown target", r.Shard)
+			return oops.Errorf("cell document: shard %d has the index of an unknown target", r.Shard)
 		}
 	}
 	return nil
 }
 
-// The kinds of wireMessage.
+// The values of wireMessage.Kind.
 const (
 	wireHeartbeat = iota + 1
 	wirePromise
@@ -65,7 +66,7 @@
 	wireHandover
 )
 
-// wireMessage holds any message; Kind tells which fields count.
+// wireMessage is the wire form of every message. Kind tells which fields are set.
 type wireMessage struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        uint8
@@ -77,14 +78,14 @@
 	Doc         *wireDoc
 }
 
-// EncodeMessage returns the message as it travels between hosts.
+// EncodeMessage returns the message in its wire form.
 func EncodeMessage(m Message) ([]byte, error) {
 	data, err := cbor.Marshal(messageToWire(m))
 	return data, oops.Wrapf(err, "encode cell message")
 }
 
-// DecodeMessage reads what EncodeMessage wrote. It returns an error for
-// anything else.
+// DecodeMessage decodes a message that EncodeMessage encoded. It checks a document in it
+// as DecodeDoc does.
 func DecodeMessage(data []byte) (Message, error) {
 	var w wireMessage
 	if err := decMode.Unmarshal(data, &w); err != nil {
--- a/internal/cell/custody.go
+++ b/internal/cell/custody.go
@@ -8,7 +8,7 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// custodyRow returns the custody row of a shard of this cell.
+// custodyRow returns the custody row of a shard, if it is in this cell's custody.
 func (c *Cell) custodyRow(shard key.Shard) (CustodyRow, bool) {
 	i, found := slices.BinarySearchFunc(c.custody.Shards, shard, func(r CustodyRow, s key.Shard) int {
 		return cmp.Compare(r.Shard, s)
@@ -19,8 +19,8 @@
 	return c.custody.Shards[i], true
 }
 
-// keepsCustody reports whether custody still has the shard here; a solo key stays
-// with its parent.
+// keepsCustody reports whether the shard is still in this cell's custody. A single-key
+// shard is where its parent shard is.
 func (c *Cell) keepsCustody(shard key.Shard) bool {
 	if !c.hasCustody || c.custody.Revision < c.doc.Custody {
 		return true
@@ -34,7 +34,7 @@
 	return found
 }
 
-// addCustodyRows adds rows for the shards that came into custody.
+// addCustodyRows adds rows for shards that came into this cell's custody.
 func (c *Cell) addCustodyRows(d *draft) {
 	if !c.hasCustody || c.custody.Revision <= c.doc.Custody {
 		return
@@ -44,11 +44,11 @@
 			continue
 		}
 		epoch := max(s.Floor, 1)
-		d.doc.Ceded = slices.DeleteFunc(d.doc.Ceded, func(g CededShard) bool {
-			if g.Shard == s.Shard {
-				epoch = max(epoch, g.Floor)
+		d.doc.Ceded = slices.DeleteFunc(d.doc.Ceded, func(ceded CededShard) bool {
+			if ceded.Shard == s.Shard {
+				epoch = max(epoch, ceded.Floor)
 			}
-			return g.Shard == s.Shard
+			return ceded.Shard == s.Shard
 		})
 		may := func(t TargetIndex) bool { return int(t) < len(c.targets) && c.eligible(t) }
 		owner := d.pickOwner(s.Shard, may)
@@ -58,8 +58,8 @@
 	d.changed = true
 }
 
-// cedeShards removes the rows that custody took away, once nobody here holds
-// them. A parent goes after its solo keys, with a floor above all of theirs.
+// cedeShards cedes the shards that are not in this cell's custody any more, once no
+// target holds them. A parent shard is ceded after its single keys.
 func (c *Cell) cedeShards(d *draft) {
 	for i := range c.rows {
 		r, s := c.doc.Rows[i], &c.rows[i]
@@ -91,7 +91,7 @@
 	return slices.ContainsFunc(d.SingleKeys, func(s SingleKey) bool { return s.Parent == parent })
 }
 
-// cede deletes the row from the draft and lists it as given up.
+// cede removes the row. It lists the shard as ceded, unless it is a single-key shard.
 func (c *Cell) cede(d *draft, r Row, floor grant.Epoch, e grant.Evidence) {
 	d.changed = true
 	if i := d.doc.rowIndex(r.Shard); i >= 0 {
--- a/internal/cell/deputy.go
+++ b/internal/cell/deputy.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// deputyDelay is how long a campaign waits for the store before it deputises. A
-// store that works answers within milliseconds; each millisecond more is one
-// less until the grants of the lost lead end.
+// deputyDelay is how long a candidate waits for the store before it becomes a deputy.
+// An available store responds within milliseconds. A longer delay leaves less time to
+// renew the old leader's grants before they expire.
 const deputyDelay = 200 * time.Millisecond
 
-// considerDeputy turns a campaign that gets no lease from a silent or slow
-// store into deputising; where another host has the lease, that one leads.
-// The host must have read the store and heard the lead in this life. With a
-// bounded hold there is no deputy: it does not know the lead's last contact.
+// considerDeputy makes a candidate a deputy if the store is unavailable or slow and it
+// gets no lease, unless another host holds the lease and will lead. This incarnation
+// must have read the store and heard the leader. With a renew limit there is no deputy,
+// as it does not know when the leader last renewed the lease.
 func (c *Cell) considerDeputy() {
 	if !c.hasDoc || !c.readStore || !c.promise.heardLeader || c.cfg.RenewLimit > 0 || c.write.pending {
 		return
@@ -32,21 +32,21 @@
 		c.targets[i].resetTerm()
 	}
 	c.heartbeatDue = c.now
-	c.logf("Renews as deputy at term %d.", c.doc.Term)
+	c.logf("Renewing grants as deputy at term %d.", c.doc.Term)
 }
 
-// actAsDeputy renews what stands, and goes on trying to get the lease.
+// actAsDeputy renews grants and keeps trying to acquire the lease.
 func (c *Cell) actAsDeputy() {
 	if !c.campaign.docRead {
 		c.readDoc()
 	}
 	c.requestLease(c.cfg.Timing.LeaseRenewInterval)
 	if c.lease.heldByOther {
-		c.stepDown("another host has the lease")
+		c.stepDown("another host holds the lease")
 		return
 	}
 	if c.campaign.docRead && c.now.Before(c.lease.until) {
-		c.logf("Campaigns again: the store answers.")
+		c.logf("Store is available again, campaigning.")
 		c.role = candidate
 		c.runCampaign()
 		return
--- a/internal/cell/doc.go
+++ b/internal/cell/doc.go
@@ -1,9 +1,9 @@
 // Package cell decides ownership within one cell: the shards of one service
 // that are in the custody of one availability zone.
 //
-// The package is a pure core. Events come in, the present time is an argument,
-// effects come out; no function of it does I/O or reads a clock. The daemons
-// and the randomised runs drive the same code.
+// It is a deterministic state machine. It takes events and the current time,
+// and returns effects; it does no I/O and reads no clock. The lead process and
+// the randomized simulation run the same code.
 package cell
 
 import (
@@ -22,59 +22,62 @@
 	Zone    place.Zone
 }
 
-// TargetIndex is an index into Doc.Targets. Indexes are stable while a target
-// is a member; the rows of a target that left are reused.
+// TargetIndex is an index into Doc.Targets. It is stable while the target is a
+// member; the entry of a removed target is reused.
 type TargetIndex uint16
 
 // NoTarget stands for a shard without an owner or standby.
 const NoTarget TargetIndex = 0xffff
 
-// Doc is the cell's document in the platform's service.
+// Doc is the cell's document in the store.
 type Doc struct {
 	ID                ID
 	Term              grant.Term
 	Leader            place.Host
 	LeaderAddr        netip.AddrPort
 	LeaderIncarnation place.Incarnation
-	// WriteID is the id of the write that made this revision: a write whose
-	// answer was lost is resolved by reading back and comparing it.
+	// WriteID is the ID of the write that made this revision. After a lost
+	// response, the writer reads the document and compares WriteID to learn
+	// whether its write was committed.
 	WriteID    string
 	Roster     []place.Host
 	Removed    []RemovedHost
 	Targets    []TargetDoc
 	Rows       []Row
 	SingleKeys []SingleKey
-	// NextSingleKey plus its parent's shard is the shard of the next solo key; no
-	// number is reused in the cell, and none is used by two cells.
+	// NextSingleKey plus the parent shard is the number of the next single-key
+	// shard. No number is reused in the cell or used by two cells.
 	NextSingleKey key.Shard
-	// Ceded lists the shards that custody took away and that nobody in this
-	// cell holds any more.
+	// Ceded lists the shards that were taken out of the cell's custody and that
+	// no target of this cell holds any more.
 	Ceded []CededShard
 	// Custody is the revision of the custody document that Rows reflects.
 	Custody platform.Revision
-	// Moves holds the newest moves, oldest first, bounded.
+	// Moves holds the last maxMoveHistory moves, oldest first.
 	Moves []Move
 }
 
-// RemovedHost is a host that was dropped from the roster at a term. It counts
-// as unaccounted for a target until that target has accepted a term >= Term.
+// RemovedHost is a host that was removed from the roster at a term. It is a
+// possible renewer of a target's grants until that target has accepted a
+// term >= Term.
 type RemovedHost struct {
 	Host place.Host
 	Term grant.Term
 }
 
-// TargetDoc is one member target of the cell.
+// TargetDoc is the document's entry of one member target.
 type TargetDoc struct {
 	Target  place.Target
 	Addr    netip.AddrPort
 	Leaving bool
-	// Since is when the target became a member: the start of its warm-up.
+	// Since is when the target became a member and its warm-up began.
 	Since time.Time
-	// Incarnation is the life of the target that the rows were granted to.
+	// Incarnation is the incarnation that the target had when a row was last
+	// assigned to it.
 	Incarnation place.Incarnation
 }
 
-// Row is the ownership of one shard. Rows are sorted by Shard.
+// Row is the ownership of one shard. Doc.Rows is sorted by Shard.
 type Row struct {
 	Shard   key.Shard
 	Epoch   grant.Epoch
@@ -82,24 +85,25 @@
 	Standby TargetIndex
 }
 
-// SingleKey cuts one hot key out of its hash-range shard.
+// SingleKey is a hot key that was split off its hash-range shard into a
+// single-key shard.
 type SingleKey struct {
 	Hash  key.Hash
 	Shard key.Shard
-	// Parent is the hash-range shard, Cut its first epoch without the key.
+	// Parent is the hash-range shard, SplitEpoch its first epoch without the key.
 	Parent     key.Shard
 	SplitEpoch grant.Epoch
 }
 
-// CededShard is one shard that this cell gave up. Another cell may grant it at
-// Floor or above.
+// CededShard is a shard that this cell gave up. Another cell may grant it at
+// epoch Floor or above.
 type CededShard struct {
 	Shard    key.Shard
 	Floor    grant.Epoch
 	Evidence grant.Evidence
 }
 
-// Move records one change of owner and the evidence for it.
+// Move records a change of owner and the evidence that the old grant had ended.
 type Move struct {
 	At       time.Time
 	Shard    key.Shard
@@ -108,17 +112,18 @@
 	Evidence grant.Evidence
 }
 
-// Timing holds the durations of the ownership rules.
+// Timing holds the durations of the ownership protocol.
 type Timing struct {
-	RenewInterval      time.Duration // between two renewals of a target
-	GrantDuration      time.Duration // length of a grant, by the target's clock
-	LeaseTTL           time.Duration // the lead's lease in the platform's service
+	RenewInterval      time.Duration // between two orders to a target
+	GrantDuration      time.Duration // by the target's clock
+	LeaseTTL           time.Duration // of the leader's lease in the store
 	LeaseRenewInterval time.Duration // between two renewals of that lease
-	PromiseDuration    time.Duration // how long a roster host's promise runs
-	DriftPerMil        int           // clock-rate margin, in thousandths
+	PromiseDuration    time.Duration // of a roster host's promise
+	DriftPerMil        int           // largest clock drift, in thousandths
 }
 
-// DefaultTiming meets the promise that a key is served again 4 s after a loss.
+// DefaultTiming meets the objective that a key is served again within 4 s of the
+// loss of its target.
 func DefaultTiming() Timing {
 	return Timing{
 		RenewInterval:      400 * time.Millisecond,
@@ -130,7 +135,7 @@
 	}
 }
 
-// Config is what a cell needs of the settings and of its process.
+// Config holds the settings of a cell and the identity of this host.
 type Config struct {
 	ID          ID
 	Self        place.Host
@@ -138,16 +143,17 @@
 	Incarnation place.Incarnation
 	Timing      Timing
 	Shards      key.ShardCount
-	// ChecksTerms tells whether the targets refuse orders of a lower term.
+	// ChecksTerms is true if the targets reject orders of a term lower than the
+	// highest that they have accepted.
 	ChecksTerms bool
-	// RenewLimit bounds how long the cell renews without contact to the store;
-	// zero stands for no bound.
+	// RenewLimit is the longest time since the lease was last renewed in which
+	// grants are renewed. Zero means no limit.
 	RenewLimit time.Duration
-	// MovesPerMinute bounds planned moves.
+	// MovesPerMinute limits planned moves.
 	MovesPerMinute int
-	// ImbalancePercent is the busiest target's load over the mean that
-	// placement accepts, in percent above 100.
+	// ImbalancePercent is by how much placement lets the load of the busiest
+	// target exceed the mean, in percent of the mean.
 	ImbalancePercent int
-	// WarmUp is the length of a new target's ramp; placement heeds it.
+	// WarmUp is the duration of a new target's warm-up, used by placement.
 	WarmUp time.Duration
 }
--- a/internal/cell/draft.go
+++ b/internal/cell/draft.go
@@ -8,7 +8,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// draft gathers the changes of one write.
+// draft is the document of the next write, while it is changed.
 type draft struct {
 	doc       Doc
 	changed   bool
@@ -30,7 +30,7 @@
 	}
 }
 
-// reassign gives the row a new owner and epoch.
+// reassign gives a row a new owner and epoch, and records the move.
 func (d *draft) reassign(c *Cell, i int, to TargetIndex, epoch grant.Epoch, e grant.Evidence) {
 	r := &d.doc.Rows[i]
 	d.doc.Moves = append(d.doc.Moves, Move{
@@ -64,8 +64,9 @@
 	return d.doc.Targets[i].Target
 }
 
-// pickOwner returns the best target for a shard by rendezvous among those that
-// may hold it, passing over those that already hold more than their part.
+// pickOwner returns the target with the highest rendezvous weight for a shard among
+// those for which may is true and that own fewer than maxRows shards. If there is none,
+// it returns the one of them that owns the fewest.
 func (d *draft) pickOwner(shard key.Shard, may func(TargetIndex) bool) TargetIndex {
 	best, fallback := NoTarget, NoTarget
 	var weight uint64
@@ -89,7 +90,8 @@
 	return best
 }
 
-// maxRows bounds the rows of one target to its part and an eighth.
+// maxRows returns the largest number of rows that a target should own: an even part
+// and an eighth of it.
 func (d *draft) maxRows(may func(TargetIndex) bool) int {
 	n := 0
 	for i := range d.doc.Targets {
@@ -104,7 +106,8 @@
 	return part + part/8
 }
 
-// pickStandby returns the second best target by rendezvous.
+// pickStandby returns the target with the highest rendezvous weight other than the
+// owner.
 func (d *draft) pickStandby(shard key.Shard, owner TargetIndex, may func(TargetIndex) bool) TargetIndex {
 	best := NoTarget
 	var weight uint64
@@ -121,17 +124,17 @@
 	return best
 }
 
-// insertRow adds a row and keeps the order by shard.
+// insertRow inserts a row in the order of shards.
 func (d *draft) insertRow(r Row) {
-	i, _ := slices.BinarySearchFunc(d.doc.Rows, r.Shard, func(have Row, s key.Shard) int {
-		return int(have.Shard) - int(s)
+	i, _ := slices.BinarySearchFunc(d.doc.Rows, r.Shard, func(row Row, s key.Shard) int {
+		return int(row.Shard) - int(s)
 	})
 	d.doc.Rows = slices.Insert(d.doc.Rows, i, r)
 	d.adjustCounts(NoTarget, r.Owner)
 	d.changed = true
 }
 
-// addTarget puts a target into a free row of the table.
+// addTarget adds a target, at the index of a removed one if there is one.
 func (d *draft) addTarget(t TargetDoc) TargetIndex {
 	d.changed = true
 	i := slices.IndexFunc(d.doc.Targets, func(t TargetDoc) bool { return t.Target == "" })
--- a/internal/cell/election.go
+++ b/internal/cell/election.go
@@ -8,15 +8,16 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// campaign is the state of a host that tries to take the lead.
+// campaign is the state of a candidate.
 type campaign struct {
 	startedAt time.Time
-	// docRead tells that the store was read since the campaign began.
+	// docRead is true if the store was read since the campaign began.
 	docRead bool
 }
 
-// mayLead reports whether the document, or the fleet where there is no
-// document yet, names this host as one that may lead the cell.
+// mayLead reports whether this host may lead the cell: it is on the document's
+// roster, or on the desired roster while there is no document or every roster host
+// is declared lost.
 func (c *Cell) mayLead() bool {
 	if !c.hasDoc {
 		return c.docAbsent && c.hasCustody && c.hasFleet && slices.Contains(c.desiredRoster(), c.cfg.Self)
@@ -27,8 +28,8 @@
 	return c.rosterLost() && slices.Contains(c.desiredRoster(), c.cfg.Self)
 }
 
-// rosterLost reports whether operators declared every roster host lost. The
-// document of a cell that was evicted before it had a lead names no host.
+// rosterLost reports whether every roster host is declared lost. That includes an
+// empty roster, as of a cell that was evicted before it had a leader.
 func (c *Cell) rosterLost() bool {
 	for _, h := range c.doc.Roster {
 		if !c.hostDeclaredLost(h) {
@@ -38,20 +39,22 @@
 	return true
 }
 
-// campaignDelay spreads the candidates of one cell over time.
+// campaignDelay returns this host's delay by its rank on the roster, so that the
+// hosts of a cell do not all campaign at once.
 func (c *Cell) campaignDelay() time.Duration {
 	roster := c.doc.Roster
 	if !c.hasDoc {
 		roster = c.desiredRoster()
 	}
 	i := max(slices.Index(roster, c.cfg.Self), 0)
-	if lead := slices.Index(roster, c.doc.Leader); lead >= 0 && lead < i {
+	if leaderIndex := slices.Index(roster, c.doc.Leader); leaderIndex >= 0 && leaderIndex < i {
 		i--
 	}
 	return time.Duration(i) * rankDelay
 }
 
-// campaignInterval is short while the old lead's lease is about to lapse.
+// campaignInterval returns the interval between lease calls of a campaign. It is
+// short at first, while the old leader's lease is about to expire.
 func (c *Cell) campaignInterval() time.Duration {
 	if c.now.Sub(c.campaign.startedAt) < fastCampaignPeriod {
 		return fastCampaignInterval
@@ -59,9 +62,8 @@
 	return c.cfg.Timing.LeaseRenewInterval
 }
 
-// follow starts a campaign once the lead is silent on the peer link. A lead
-// that merely lost its lease to a slow store keeps its roster's ear, and with
-// it the lead.
+// follow starts a campaign once the leader sends no more heartbeats. A leader whose
+// lease expired because the store is slow still sends them, and so keeps leading.
 func (c *Cell) follow() {
 	if !c.hasDoc && !c.docAbsent {
 		c.readDoc()
@@ -74,21 +76,21 @@
 		c.rereadDoc()
 		return
 	}
-	silence := c.cfg.Timing.PromiseDuration
-	if c.now.Before(c.startedAt.Add(c.addDrift(silence))) && c.hasDoc {
+	promiseDuration := c.cfg.Timing.PromiseDuration
+	if c.now.Before(c.startedAt.Add(c.addDrift(promiseDuration))) && c.hasDoc {
 		return
 	}
-	if c.now.Before(c.promise.heardAt.Add(silence + c.campaignDelay())) {
+	if c.now.Before(c.promise.heardAt.Add(promiseDuration + c.campaignDelay())) {
 		return
 	}
 	c.startCampaign()
 	c.runCampaign()
 }
 
-// rereadDoc looks for a newer document where this host belongs on the roster but
-// hears no lead. The one that it has may be old: a host that was cut from the
-// store when it restarted got a document from a lead that it then succeeded,
-// and each of the two waited for the other.
+// rereadDoc reads the document if this host belongs on the roster but hears no
+// leader, as its document may be outdated. Otherwise a host that could not reach the
+// store as it restarted could get an old document from a leader that it then
+// succeeded, and the two hosts would wait for each other.
 func (c *Cell) rereadDoc() {
 	if !c.hasDoc || c.now.Before(c.promise.heardAt.Add(maxSilence)) || c.now.Before(c.readAskedAt.Add(maxSilence)) {
 		return
@@ -104,7 +106,8 @@
 	c.lease.heldByOther = false
 }
 
-// runCampaign carries a campaign on: read, take the lease, write the next term.
+// runCampaign takes the next step of a campaign: read the document, acquire the
+// lease, write the next term.
 func (c *Cell) runCampaign() {
 	if c.write.pending {
 		return
@@ -126,7 +129,7 @@
 	c.propose(c.nextTermDoc())
 }
 
-// nextTermDoc returns the document with this host as lead.
+// nextTermDoc returns the document of the next term, with this host as the leader.
 func (c *Cell) nextTermDoc() Doc {
 	d := c.doc.clone()
 	d.Term = c.knownTerm() + 1
@@ -144,8 +147,8 @@
 	return d
 }
 
-// becomeLeader takes up a won term. Rows that an earlier lead may have granted
-// are in doubt until their targets were asked.
+// becomeLeader begins the term that was just written. The holders of shards that a
+// prior leader may have granted are unknown until the targets have responded.
 func (c *Cell) becomeLeader() {
 	c.role = leader
 	c.term = c.doc.Term
@@ -163,13 +166,13 @@
 		c.rows[i] = rowState{holderUnknown: !first && !c.mutations.skipInventory, routable: !first}
 	}
 	c.tableChanged = true
-	c.logf("Leads at term %d.", c.term)
+	c.logf("Leading at term %d.", c.term)
 }
 
-// stepDown ends leading, deputising or campaigning.
-func (c *Cell) stepDown(why string) {
+// stepDown makes a leader, deputy or candidate a follower.
+func (c *Cell) stepDown(reason string) {
 	if c.role == leader || c.role == deputy {
-		c.logf("Stops being %s: %s.", c.role, why)
+		c.logf("Stepping down as %s: %s.", c.role, reason)
 	}
 	c.role = follower
 	c.term = 0
@@ -180,19 +183,20 @@
 	c.promise.heardAt = latest(c.promise.heardAt, c.now.Add(-c.cfg.Timing.PromiseDuration/2))
 }
 
-// observeTerm records a higher term and stops a lead of a lower one.
-func (c *Cell) observeTerm(term grant.Term, by string) {
+// observeTerm records a term that a host or target has reported. If it is higher
+// than the known one, a leader or deputy steps down.
+func (c *Cell) observeTerm(term grant.Term, reporter string) {
 	if term <= c.knownTerm() {
 		return
 	}
 	c.seenTerm = term
 	if c.role == leader || c.role == deputy {
-		c.stepDown("a higher term is known to " + by)
+		c.stepDown("higher term reported by " + reporter)
 	}
 	c.readDoc()
 }
 
-// stop is the planned stop: hand over to a host that promised, then end.
+// stop stops gracefully: it hands over to a host that has promised, if any.
 func (c *Cell) stop() {
 	if c.write.pending && c.now.Sub(c.write.sentAt) < callTimeout {
 		return
@@ -206,16 +210,16 @@
 		}
 		c.emit(ReleaseLease{})
 	}
-	c.stepDown("planned stop")
+	c.stepDown("graceful stop")
 	c.role = stopped
 	c.emit(Stopped{})
 }
 
-// leadCell runs the lead's systems.
+// leadCell runs the decision steps of a leader.
 func (c *Cell) leadCell() {
 	if c.renewLimitPassed() && !c.mutations.leadPastLimit {
-		// Another zone may have the shards by the time the store is back.
-		c.stepDown("the service's hold has passed")
+		// Another zone may have the shards by the time the store is available again.
+		c.stepDown("renew limit has passed")
 		return
 	}
 	c.requestLease(c.cfg.Timing.LeaseRenewInterval)
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -11,12 +11,12 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// Event is what happened outside, as the shell reports it to Cell.Handle.
+// Event is an input of Cell.Handle.
 type Event interface{ event() }
 
-// DocReceived reports a committed document. Exists is false where the store
-// answered that there is none. FromStore tells a read of the store from a
-// copy that a peer sent. Epoch floors of the rows never fall.
+// DocReceived reports a committed document. Exists is false if the store
+// responded that there is none. FromStore is true for a read of the store and
+// false for a copy sent by a peer.
 type DocReceived struct {
 	Exists    bool
 	FromStore bool
@@ -27,7 +27,8 @@
 // WriteResult is the outcome of a compare-and-swap.
 type WriteResult uint8
 
-// The outcomes of a write. After WriteUnknown the core reads back.
+// WriteConflict and WriteUnavailable mean that the write was not committed. After
+// WriteUnknown it may have been, and the document is read to find out.
 const (
 	WriteCommitted WriteResult = iota
 	WriteConflict
@@ -43,7 +44,7 @@
 }
 
 // LeaseDone reports the outcome of an AcquireLease effect. SentAt is the time
-// before the call was sent; Reached is false where the store did not answer.
+// just before the call was sent. Reached is false if the store did not respond.
 type LeaseDone struct {
 	SentAt  time.Time
 	Reached bool
@@ -58,37 +59,39 @@
 	Response grant.Response
 }
 
-// PeerReceived reports a message of another roster host of this cell.
+// PeerReceived reports a message from another host of this cell.
 type PeerReceived struct {
 	From    place.Host
 	Message Message
 }
 
-// FleetReceived reports the platform's lagging list, for this cell's zone.
+// FleetReceived reports the platform's lists of the hosts and targets of this
+// cell's zone, which lag behind.
 type FleetReceived struct {
 	Hosts   []place.HostRow
 	Targets []place.TargetRow
 }
 
-// CustodyReceived reports which shards this cell has custody of, with the lowest
-// epoch that each may be granted at, from the custody document.
+// CustodyReceived reports which shards are in this cell's custody by the custody
+// document, with the lowest epoch at which each may be granted.
 type CustodyReceived struct {
 	Revision platform.Revision
 	Shards   []CustodyRow
 }
 
-// CustodyRow is one shard in the custody of this cell.
+// CustodyRow is a shard in the custody of a cell and the lowest epoch at which it
+// may be granted.
 type CustodyRow struct {
 	Shard key.Shard
 	Floor grant.Epoch
 }
 
-// PlanReceived hands the cell the moves that placement wants now.
+// PlanReceived reports the moves that placement asks for.
 type PlanReceived struct{ Moves []PlannedMove }
 
-// PlannedMove asks for one move or, with Cut set, for cutting the hot key Solo
-// out of its shard first. With Join set it asks to put the solo key of that
-// shard back into its parent.
+// PlannedMove asks to move a shard to a target. With Split set it asks to split
+// HotKey off the shard first, and to move only the key. With Merge set it asks to
+// merge the single-key shard back into its parent shard.
 type PlannedMove struct {
 	Shard  key.Shard
 	To     place.Target
@@ -97,10 +100,10 @@
 	Merge  bool
 }
 
-// LossesDeclared reports the operators' declarations in force for this zone.
+// LossesDeclared reports the loss declarations in force for this zone.
 type LossesDeclared struct{ Losses []LossDeclaration }
 
-// LossDeclaration is one declaration that a target or host is lost.
+// LossDeclaration is an operator's declaration that a target or host is lost.
 type LossDeclaration struct {
 	Target place.Target
 	Host   place.Host
@@ -108,13 +111,13 @@
 	Reason string
 }
 
-// DrainsReceived reports the targets that operators drain.
+// DrainsReceived reports the targets that operators have ordered to be drained.
 type DrainsReceived struct{ Targets []place.Target }
 
 // ConfigChanged reports a changed configuration.
 type ConfigChanged struct{ Config Config }
 
-// StopRequested asks for a planned stop: hand over, then Stopped.
+// StopRequested asks for a graceful stop: a handover, then the effect Stopped.
 type StopRequested struct{}
 
 func (DocReceived) event()     {}
@@ -130,7 +133,7 @@
 func (ConfigChanged) event()   {}
 func (StopRequested) event()   {}
 
-// Effect is what the shell has to do, as Handle and Tick return it.
+// Effect is an action that the caller of Handle or Tick has to carry out.
 type Effect interface{ effect() }
 
 // ReadDoc asks for a read of the cell's document from the store.
@@ -142,32 +145,32 @@
 	Expect platform.Revision
 }
 
-// AcquireLease asks to take or renew the cell's lease for Config.Self.
+// AcquireLease asks to acquire or renew the cell's lease for Config.Self.
 type AcquireLease struct{ TTL time.Duration }
 
-// ReleaseLease asks to give up the cell's lease.
+// ReleaseLease asks to release the cell's lease.
 type ReleaseLease struct{}
 
-// SendOrder asks to send one order; its outcome comes back as OrderDone.
+// SendOrder asks to send an order, whose outcome is reported by OrderDone.
 type SendOrder struct {
 	Target place.Target
 	Addr   netip.AddrPort
 	Order  grant.Order
 }
 
-// SendPeer asks to send a message to a host of this cell's roster.
+// SendPeer asks to send a message to another host of this cell.
 type SendPeer struct {
 	To      place.Host
 	Message Message
 }
 
-// Publish hands out the routing table of the cell.
+// Publish asks to publish the cell's routing table.
 type Publish struct{ Table table.Table }
 
-// Log asks for one line in the log.
+// Log asks to write a line to the log.
 type Log struct{ Text string }
 
-// Stopped reports that the planned stop is complete.
+// Stopped reports that the graceful stop is complete.
 type Stopped struct{}
 
 func (ReadDoc) effect()      {}
@@ -180,22 +183,22 @@
 func (Log) effect()          {}
 func (Stopped) effect()      {}
 
-// Message is what leads and roster hosts of one cell tell each other.
+// Message is a message between two hosts of a cell.
 type Message interface{ message() }
 
-// Heartbeat goes from a lead (or a deputy) to each roster host.
+// Heartbeat is sent by a leader or deputy to ask a peer for a promise.
 type Heartbeat struct {
 	Term   grant.Term
-	SentAt time.Time // by the sender's clock, returned in the promise
+	SentAt time.Time // by the sender's clock, echoed in the promise
 	Deputy bool
-	// Revision is the newest document that the sender knows; the receiver
-	// asks for it through the peers where it is older.
+	// Revision is that of the newest document that the sender has.
 	Revision platform.Revision
-	// Doc is the document of that revision, for a receiver known to be behind.
+	// Doc is the document of that revision, set if the receiver is known to have
+	// an older one.
 	Doc *Doc
 }
 
-// Activation is a standby that the lead made the owner while the store is out.
+// Activation is a standby that the leader made the owner during a store outage.
 type Activation struct {
 	Evidence grant.Evidence
 	Shard    key.Shard
@@ -203,21 +206,21 @@
 	Epoch    grant.Epoch
 }
 
-// Promise answers a heartbeat: until the promise's end, counted by the lead
-// from SentAt, the sender neither leads nor renews here.
+// Promise answers a heartbeat. Until it expires, the sender neither leads nor
+// renews grants in this cell. The leader counts its duration from SentAt.
 type Promise struct {
 	Term        grant.Term
 	SentAt      time.Time // copied from the heartbeat
 	Incarnation place.Incarnation
 	ReadStore   bool
-	// Revision is the newest document that the sender knows.
+	// Revision is that of the newest document that the sender has.
 	Revision platform.Revision
 }
 
-// HigherTerm answers a heartbeat of a lower term: its sender stops at once.
+// HigherTerm answers a heartbeat of a lower term, whose sender then steps down.
 type HigherTerm struct{ Term grant.Term }
 
-// Handover asks a roster host to take the lead: a planned stop.
+// Handover asks a roster host to become the leader, as the sender stops.
 type Handover struct{ Term grant.Term }
 
 func (Heartbeat) message()  {}
--- a/internal/cell/invariant.go
+++ b/internal/cell/invariant.go
@@ -7,9 +7,9 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// checkTransition reports whether the step from one document to the next keeps the
-// invariants. A violation ends leading: it is a fault of this program, and
-// the next lead starts from the store.
+// checkTransition reports whether a change of the document keeps the invariants. A
+// violation is a bug in this program. The leader steps down, and the next one starts
+// from the document in the store.
 func (c *Cell) checkTransition(from, to *Doc) bool {
 	err := transitionError(from, to)
 	if err == nil {
@@ -20,7 +20,7 @@
 	return false
 }
 
-// checkRole ends leading and deputising while a promise of this host runs.
+// checkRole makes a leader or deputy step down that is bound by a promise.
 func (c *Cell) checkRole() {
 	if (c.role == leader || c.role == deputy) && c.boundByPromise() {
 		c.logf("Invariant violated: %s while promised to %s.", c.role, c.promise.to)
@@ -28,7 +28,7 @@
 	}
 }
 
-// checkTerm reports whether a document may follow the one in force.
+// checkTerm reports whether the term of a newer document has not fallen.
 func (c *Cell) checkTerm(next *Doc) bool {
 	if !c.hasDoc || next.Term >= c.doc.Term {
 		return true
@@ -37,7 +37,8 @@
 	return false
 }
 
-// transitionError returns what is wrong with a step between two documents.
+// transitionError returns the first violation of the invariants by a change of the
+// document, or nil.
 func transitionError(from, to *Doc) error {
 	if to.Term < from.Term {
 		return fmt.Errorf("term fell from %d to %d", from.Term, to.Term)
@@ -51,7 +52,7 @@
 		}
 	}
 	if to.NextSingleKey < from.NextSingleKey {
-		return fmt.Errorf("solo number fell from %d to %d", from.NextSingleKey, to.NextSingleKey)
+		return fmt.Errorf("next single-key number fell from %d to %d", from.NextSingleKey, to.NextSingleKey)
 	}
 	return nil
 }
@@ -67,13 +68,13 @@
 	}
 	moved := next.Owner != r.Owner
 	if moved && next.Epoch == r.Epoch {
-		return fmt.Errorf("shard %d moved within epoch %d", r.Shard, r.Epoch)
+		return fmt.Errorf("shard %d changed its owner within epoch %d", r.Shard, r.Epoch)
 	}
 	return nil
 }
 
-// missingRowError accepts a row that is listed as given up above its epoch, and a
-// solo key that went back to its parent.
+// missingRowError returns nil if the row was removed for a reason: it is ceded with a
+// floor above its epoch, or a single key was merged into its parent shard.
 func missingRowError(r Row, from, to *Doc) error {
 	for _, g := range to.Ceded {
 		if g.Shard == r.Shard && g.Floor > r.Epoch {
@@ -83,7 +84,7 @@
 	if isSingleKey(from, r.Shard) && !isSingleKey(to, r.Shard) {
 		return nil
 	}
-	return fmt.Errorf("shard %d is in no row and not given up", r.Shard)
+	return fmt.Errorf("shard %d has no row and was not ceded", r.Shard)
 }
 
 func isSingleKey(d *Doc, shard key.Shard) bool {
@@ -95,8 +96,8 @@
 	return false
 }
 
-// Floor returns an epoch above every one that this cell can have granted for
-// the shard, a standby's activation included. Zero where it has no row.
+// Floor returns an epoch above all that this cell may have granted for the shard, also
+// to activated standbys. It returns zero if the shard has no row.
 func (d *Doc) Floor(shard key.Shard) grant.Epoch {
 	i := d.rowIndex(shard)
 	if i < 0 {
@@ -105,5 +106,5 @@
 	return d.Rows[i].Epoch + maxStandbyEpochs
 }
 
-// maxStandbyEpochs bounds the epochs that standbys can add without the store.
+// maxStandbyEpochs bounds how much activations can raise an epoch during a store outage.
 const maxStandbyEpochs = 1 << 10
--- a/internal/cell/membership.go
+++ b/internal/cell/membership.go
@@ -7,9 +7,9 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// updateRoster drops roster hosts that are silent or gone and lets others
-// join. Each change raises the term and asks for all promises anew, which
-// delays lapse; so it waits until no target that owns shards is silent.
+// updateRoster removes roster hosts that are unresponsive or leaving and adds
+// others. Each change raises the term and needs new promises of all hosts, which
+// delays the expiry of grants. It therefore waits until all owners are responsive.
 func (c *Cell) updateRoster() {
 	if !c.stable() {
 		return
@@ -30,7 +30,8 @@
 	}
 }
 
-// stable reports whether all rows are settled and their owners answer.
+// stable reports whether all holders are known, no shard is released or activated,
+// and all owners are responsive.
 func (c *Cell) stable() bool {
 	for i := range c.rows {
 		s := &c.rows[i]
@@ -44,7 +45,7 @@
 	return true
 }
 
-// nextRoster returns the roster after the next change and who leaves it.
+// nextRoster returns the next roster and the hosts to be removed.
 func (c *Cell) nextRoster() (roster, removed []place.Host) {
 	for _, h := range c.doc.Roster {
 		if c.staysOnRoster(h) {
@@ -54,37 +55,37 @@
 		}
 	}
 	for i := range c.peers {
-		m := &c.peers[i]
-		if !m.onRoster && len(roster) < maxRoster && c.promisedBy(m) && m.revision == c.revision && c.belongsOnRoster(m.host) {
-			roster = append(roster, m.host)
+		p := &c.peers[i]
+		if !p.onRoster && len(roster) < maxRoster && c.promisedBy(p) && p.revision == c.revision && c.belongsOnRoster(p.host) {
+			roster = append(roster, p.host)
 		}
 	}
 	return roster, removed
 }
 
-// belongsOnRoster reports whether the host belongs on the roster.
+// belongsOnRoster reports whether the host is on the desired roster.
 func (c *Cell) belongsOnRoster(h place.Host) bool { return slices.Contains(c.desiredRoster(), h) }
 
 func (c *Cell) staysOnRoster(h place.Host) bool {
 	if h == c.cfg.Self {
 		return true
 	}
-	m := c.peer(h)
-	if m == nil || c.hostDeclaredLost(h) {
+	p := c.peer(h)
+	if p == nil || c.hostDeclaredLost(h) {
 		return false
 	}
-	if c.now.Sub(latest(m.promiseEnd, c.leaderSince)) > maxSilence {
+	if c.now.Sub(latest(p.promiseEnd, c.leaderSince)) > maxSilence {
 		return false
 	}
 	i := slices.IndexFunc(c.fleet.Hosts, func(r place.HostRow) bool { return r.Host == h })
 	return i < 0 || c.fleet.Hosts[i].State != place.Leaving
 }
 
-// handleLosses records the operators' declarations. What a lost host granted until
-// then, or let others grant by its promise, still has to lapse.
-func (c *Cell) handleLosses(lost []LossDeclaration) {
+// handleLosses records the loss declarations, and since when each host is declared
+// lost. The grants that it made, or allowed by its promise, still have to expire.
+func (c *Cell) handleLosses(declarations []LossDeclaration) {
 	since := make(map[place.Host]time.Time)
-	for _, l := range lost {
+	for _, l := range declarations {
 		if l.Host == "" {
 			continue
 		}
@@ -93,11 +94,11 @@
 			since[l.Host] = at
 		}
 	}
-	c.losses, c.hostLostSince, c.listsChanged = slices.Clone(lost), since, true
+	c.losses, c.hostLostSince, c.listsChanged = slices.Clone(declarations), since, true
 }
 
-// adoptRoster takes up a roster that this lead wrote: promises to the term
-// before count no more.
+// adoptRoster begins the term of a roster that this leader wrote. The promises to
+// the term before no longer count.
 func (c *Cell) adoptRoster() {
 	c.term = c.doc.Term
 	c.leaderSince = c.now
--- a/internal/cell/order.go
+++ b/internal/cell/order.go
@@ -5,7 +5,8 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// sendOrders sends each target its renewal, one message at a time.
+// sendOrders sends each target its next order if that is due. A target gets no order
+// while one is in flight, for a renew interval at most.
 func (c *Cell) sendOrders() {
 	for i := range c.targets {
 		t := &c.targets[i]
@@ -19,8 +20,8 @@
 	}
 }
 
-// sendOrder sends one target what it should hold. An order without an anchor, or
-// without the right to renew, only asks.
+// sendOrder sends an order to a target. If the target's clock is not known, or this
+// host may not renew, the order only asks for a response.
 func (c *Cell) sendOrder(i TargetIndex) {
 	t := &c.targets[i]
 	o := grant.Order{
@@ -36,8 +37,8 @@
 		}
 	}
 	o.Inventory = c.leading() && (t.inventoryTerm != c.term || len(o.Release) > 0)
-	// A reading serves for orders until the next one comes; the time sent
-	// must still tell two orders apart.
+	// Orders are identified by the time they were sent, which therefore has to
+	// differ between two orders to a target.
 	sent := c.now
 	if !sent.After(t.sentAt) {
 		sent = t.sentAt.Add(1)
@@ -47,26 +48,27 @@
 	c.emit(SendOrder{Target: t.target, Addr: t.addr, Order: o})
 }
 
-// fillOrder fills in what the order lengthens, grants and releases. It reports
-// whether the order can lengthen or make a grant.
+// fillOrder sets what the order extends, grants and releases. It reports whether the
+// order extends or grants anything.
 func (c *Cell) fillOrder(i TargetIndex, o *grant.Order) bool {
 	t := &c.targets[i]
-	want := c.expectedHoldings(i)
+	expected := c.expectedHoldings(i)
 	if c.leading() {
-		o.Release = c.releases(i, want)
+		o.Release = c.releases(i, expected)
 	}
-	if len(want) > 0 && grant.Digest(want) == t.digest {
+	if len(expected) > 0 && grant.Digest(expected) == t.digest {
 		o.ExtendAll, o.Digest = true, t.digest
 		return true
 	}
-	for _, h := range want {
+	for _, h := range expected {
 		o.Items = append(o.Items, grant.Item{Shard: h.Shard, Epoch: h.Epoch, Kind: c.itemKind(h.Shard)})
 	}
-	return len(want) > 0
+	return len(expected) > 0
 }
 
-// itemKind returns whether an order of now may create ownership: only with a
-// valid lease, or for an activated standby with every host's promise.
+// itemKind returns Grant if an order may create ownership of the shard, otherwise
+// Extend. That takes a valid lease or, for an activated standby, the promises of all
+// hosts.
 func (c *Cell) itemKind(shard key.Shard) grant.Kind {
 	if c.leaseValid() || c.mutations.alwaysGrant {
 		return grant.Grant
@@ -78,9 +80,9 @@
 	return grant.Extend
 }
 
-// releases lists what the target has to give up: shards on the move, and
-// left-overs that its newest inventory shows beside what it should hold.
-func (c *Cell) releases(t TargetIndex, want []grant.ShardEpoch) []grant.ShardEpoch {
+// releases returns what the target has to release: shards that are being released,
+// and stale holdings in its last inventory.
+func (c *Cell) releases(t TargetIndex, expected []grant.ShardEpoch) []grant.ShardEpoch {
 	var out []grant.ShardEpoch
 	for i := range c.doc.Rows {
 		r := c.currentRow(i)
@@ -93,7 +95,7 @@
 		}
 	}
 	state := &c.targets[t]
-	if state.inventoryTerm != c.term || grant.Digest(want) == state.digest {
+	if state.inventoryTerm != c.term || grant.Digest(expected) == state.digest {
 		return out
 	}
 	for _, h := range state.held {
@@ -104,8 +106,8 @@
 	return out
 }
 
-// staleHolding reports whether a held shard belongs to another owner by a row
-// that is beyond doubt.
+// staleHolding reports whether a held shard certainly belongs to another owner, or to
+// none.
 func (c *Cell) staleHolding(t TargetIndex, h grant.ShardEpoch) bool {
 	i := c.doc.rowIndex(h.Shard)
 	if i < 0 {
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// startReleases asks owners to release shards: those that custody took away,
-// those of leaving targets, then planned moves within the minute's budget.
+// startReleases starts to release shards at their owners: those that are not in
+// custody any more, those of leaving targets, and then planned moves within
+// MovesPerMinute.
 func (c *Cell) startReleases() {
-	open := c.releaseBudget()
+	budget := c.releaseBudget()
 	for i := range c.rows {
 		r := c.doc.Rows[i]
-		if open <= 0 || r.Owner == NoTarget || !c.idleRow(i) {
+		if budget <= 0 || r.Owner == NoTarget || !c.idleRow(i) {
 			continue
 		}
 		switch {
 		case c.rows[i].custodyLost:
 			c.startRelease(i, NoTarget)
 			c.rows[i].ceding = true
-			open--
+			budget--
 		case c.isLeaving(r.Owner) && c.hasAlternative(r.Owner):
 			c.startRelease(i, NoTarget)
-			open--
+			budget--
 		}
 	}
-	c.startPlannedMoves(open)
+	c.startPlannedMoves(budget)
 }
 
-// releaseBudget returns how many releases may begin now, and gives up those that
-// have lost their reason.
+// releaseBudget returns how many more releases may start. It also keeps a shard in the
+// cell that came back into custody while it was released to be ceded.
 func (c *Cell) releaseBudget() int {
-	open := maxReleases
+	budget := maxReleases
 	for i := range c.rows {
 		s := &c.rows[i]
 		if !s.releasing {
 			continue
 		}
-		open--
+		budget--
 		if s.ceding && !s.custodyLost && !s.merging {
-			s.ceding = false // the release goes on; the shard comes back here
+			s.ceding = false // the release goes on, then the shard gets a new owner here
 		}
 	}
-	return open
+	return budget
 }
 
-// idleRow reports whether nothing else is under way for the row.
+// idleRow reports whether the holder of the row is known and it is neither released
+// nor activated.
 func (c *Cell) idleRow(i int) bool {
 	s := &c.rows[i]
 	return !s.holderUnknown && !s.releasing && s.activation == nil
@@ -57,7 +59,7 @@
 	c.tableChanged = true
 }
 
-// hasAlternative reports whether a shard could go to some other target.
+// hasAlternative reports whether a shard of owner can be assigned to another target.
 func (c *Cell) hasAlternative(owner TargetIndex) bool {
 	for i := range c.targets {
 		if TargetIndex(i) != owner && c.eligible(TargetIndex(i)) {
@@ -67,8 +69,9 @@
 	return false
 }
 
-// startPlannedMoves begins planned moves, oldest first.
-func (c *Cell) startPlannedMoves(open int) {
+// startPlannedMoves starts the moves and merges of the plan. It also merges the oldest
+// single key back if few more can be split off.
+func (c *Cell) startPlannedMoves(budget int) {
 	c.plan = append(c.plan, c.readySplitMoves()...)
 	if len(c.doc.SingleKeys) > maxSingleKeys-spareSingleKeys {
 		c.startMerge(c.doc.SingleKeys[0].Shard)
@@ -78,24 +81,25 @@
 	})
 	c.plan = slices.DeleteFunc(c.plan, func(p PlannedMove) bool {
 		if p.Split {
-			return false // maintain writes it
+			return false // left to splitKeys
 		}
 		if p.Merge {
 			c.startMerge(p.Shard)
 			return true
 		}
-		if open <= 0 || len(c.moveStarts) >= c.cfg.MovesPerMinute {
-			return true // placement asks again
+		if budget <= 0 || len(c.moveStarts) >= c.cfg.MovesPerMinute {
+			return true // placement will ask again
 		}
 		if c.startMove(p) {
-			open--
+			budget--
 			c.moveStarts = append(c.moveStarts, c.now)
 		}
 		return true
 	})
 }
 
-// readySplitMoves returns the moves of solo keys whose cut the owner confirmed.
+// readySplitMoves returns the moves of single-key shards that their owners have
+// confirmed since the split.
 func (c *Cell) readySplitMoves() []PlannedMove {
 	var ready []PlannedMove
 	c.splitMoves = slices.DeleteFunc(c.splitMoves, func(p PlannedMove) bool {
--- a/internal/cell/publish.go
+++ b/internal/cell/publish.go
@@ -9,7 +9,7 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// publish hands the routing table out after each change, while leading.
+// publish publishes the routing table after each change, if this host leads.
 func (c *Cell) publish() {
 	if !c.leading() || !c.tableChanged {
 		return
@@ -19,8 +19,7 @@
 	c.emit(Publish{Table: c.table()})
 }
 
-// table returns the routing table: an owner is named once it has confirmed
-// its grant, and until it is asked to release the shard.
+// table returns the routing table. It names the owners of routable rows only.
 func (c *Cell) table() table.Table {
 	t := table.Table{
 		Service: c.cfg.ID.Service, Zone: c.cfg.ID.Zone,
@@ -29,8 +28,8 @@
 		Targets: make([]table.Target, 0, len(c.doc.Targets)),
 		Rows:    make([]table.Row, 0, len(c.doc.Rows)),
 	}
-	for _, m := range c.doc.Targets {
-		t.Targets = append(t.Targets, table.Target{Name: m.Target, Addr: m.Addr, Leaving: m.Leaving, WarmupStart: m.Since})
+	for _, d := range c.doc.Targets {
+		t.Targets = append(t.Targets, table.Target{Name: d.Target, Addr: d.Addr, Leaving: d.Leaving, WarmupStart: d.Since})
 	}
 	for i := range c.doc.Rows {
 		r := c.currentRow(i)
@@ -46,7 +45,7 @@
 	return t
 }
 
-// Status is what operators see of one host's part in a cell.
+// Status is the status of a cell as one host sees it, for operators.
 type Status struct {
 	ID        ID
 	Role      string
@@ -55,10 +54,10 @@
 	Roster    []place.Host
 	Removed   []RemovedHost
 	LeaseHeld bool
-	// MayRenew tells whether this host may lengthen grants now.
+	// MayRenew is true if this host may renew grants now.
 	MayRenew bool
-	// SinceStoreContact is the time since the newest call that reached the store;
-	// zero while none was made.
+	// SinceStoreContact is the time since the last call was sent to which the store
+	// responded, or zero if there was none.
 	SinceStoreContact time.Duration
 	Promises          []PromiseStatus
 	Targets           []TargetStatus
@@ -71,14 +70,14 @@
 	SingleKeys        int
 }
 
-// PromiseStatus is the promise of one roster host, as the lead counts it.
+// PromiseStatus is the promise of a peer to this host.
 type PromiseStatus struct {
 	Host      place.Host
 	Remaining time.Duration
 	OnRoster  bool
 }
 
-// TargetStatus is one target, as this host sees it.
+// TargetStatus is the status of a target as this host sees it.
 type TargetStatus struct {
 	Target      place.Target
 	Rows        int
@@ -86,14 +85,14 @@
 	Leaving     bool
 }
 
-// BlockedShard is one shard that may not be moved yet, and why.
+// BlockedShard is a shard that can get no owner yet, as its holder is unknown.
 type BlockedShard struct {
 	Shard  key.Shard
 	Owner  place.Target
 	Reason string
 }
 
-// Status returns this host's view of the cell.
+// Status returns the status of the cell as this host sees it.
 func (c *Cell) Status(now time.Time) Status {
 	s := Status{
 		ID: c.cfg.ID, Role: c.role.String(), Term: c.doc.Term, Leader: c.doc.Leader,
@@ -105,8 +104,8 @@
 	if !c.lease.contactAt.IsZero() {
 		s.SinceStoreContact = now.Sub(c.lease.contactAt)
 	}
-	for _, m := range c.peers {
-		s.Promises = append(s.Promises, PromiseStatus{Host: m.host, Remaining: max(m.promiseEnd.Sub(now), 0), OnRoster: m.onRoster})
+	for _, p := range c.peers {
+		s.Promises = append(s.Promises, PromiseStatus{Host: p.host, Remaining: max(p.promiseEnd.Sub(now), 0), OnRoster: p.onRoster})
 	}
 	for i, t := range c.targets {
 		s.Targets = append(s.Targets, TargetStatus{Target: t.target, RespondedAt: t.respondedAt, Leaving: c.doc.Targets[i].Leaving})
@@ -137,9 +136,9 @@
 	r := c.doc.Rows[i]
 	switch c.resolve(i).kind {
 	case awaitOwner:
-		return "owner " + string(c.targets[r.Owner].target) + " was not reached since the change of lead"
+		return "owner " + string(c.targets[r.Owner].target) + " has not responded since the change of leader"
 	case awaitStandby:
-		return "standby " + string(c.targets[r.Standby].target) + " was not reached since the change of lead"
+		return "standby " + string(c.targets[r.Standby].target) + " has not responded since the change of leader"
 	}
-	return "to be recorded"
+	return "holder known but not recorded yet"
 }
--- a/internal/cell/reconcile.go
+++ b/internal/cell/reconcile.go
@@ -8,9 +8,9 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// reconcile brings the document in line with targets, custody and plans: all
-// that is ready goes into one write. Only a lead with a valid lease writes,
-// so that lapse is judged by one host alone.
+// reconcile updates the document by the targets, the custody and the plan, in one
+// write. Only a leader with a valid lease does so: then no other host decides that
+// grants have expired.
 func (c *Cell) reconcile() {
 	if !c.leaseValid() || c.write.pending || c.now.Before(c.reconcileDue) {
 		return
@@ -25,7 +25,7 @@
 	c.raiseEpochs(d)
 	c.refreshStandbys(d)
 	c.clearRemoved(d)
-	// From here on the rows of the draft are out of line with c.rows.
+	// From here on, the rows of the draft don't have the indexes of c.rows.
 	c.splitKeys(d)
 	c.mergeKeys(d)
 	c.addCustodyRows(d)
@@ -37,7 +37,7 @@
 	c.updateRoster()
 }
 
-// fillFirstDoc fills the first document from custody and the platform's list.
+// fillFirstDoc fills the first document from the custody and the platform's lists.
 func (c *Cell) fillFirstDoc(doc *Doc) {
 	d := &draft{doc: *doc}
 	d.doc.Roster = c.desiredRoster()
@@ -62,7 +62,7 @@
 	*doc = d.doc
 }
 
-// updateTargets adds listed targets and drops those that left and own nothing.
+// updateTargets adds listed targets, and removes unlisted ones that no row names.
 func (c *Cell) updateTargets(d *draft) {
 	for _, row := range c.fleet.Targets {
 		if row.Zone != c.cfg.ID.Zone || row.Service != string(c.cfg.ID.Service) {
@@ -75,7 +75,7 @@
 			}
 			continue
 		}
-		// The old address may still run the old life: move off it first.
+		// The old incarnation may still run at the old address: move off it first.
 		if t := &d.doc.Targets[i]; t.Addr != row.Addr && row.Addr.IsValid() && !d.references(i) {
 			t.Addr = row.Addr
 			d.changed = true
@@ -100,41 +100,42 @@
 	row := c.fleetRow(t.Target)
 	listed := row != nil && row.State != place.Absent
 	state := &c.targets[i]
-	silent := c.now.Sub(latest(state.respondedAt, c.leaderSince)) > unlistedRetention
-	if c.hasFleet && !listed && silent && !d.references(i) {
+	unresponsive := c.now.Sub(latest(state.respondedAt, c.leaderSince)) > unlistedRetention
+	if c.hasFleet && !listed && unresponsive && !d.references(i) {
 		*t = TargetDoc{}
 		d.changed = true
 	}
 }
 
-// references reports whether any row names the target.
+// references reports whether a row names the target.
 func (d *draft) references(i TargetIndex) bool {
 	return slices.ContainsFunc(d.doc.Rows, func(r Row) bool { return r.Owner == i || r.Standby == i })
 }
 
-// recordResolved writes what the inventories after a change of lead showed.
+// recordResolved records the holders that the inventories show to differ from the
+// document after a change of leader.
 func (c *Cell) recordResolved(d *draft) {
 	for i := range c.rows {
 		if !c.rows[i].holderUnknown {
 			continue
 		}
 		r := c.doc.Rows[i]
-		switch v := c.resolve(i); v.kind {
+		switch found := c.resolve(i); found.kind {
 		case atStandby:
-			d.reassign(c, i, r.Standby, v.epoch, grant.Expired{Since: c.now})
+			d.reassign(c, i, r.Standby, found.epoch, grant.Expired{Since: c.now})
 			d.doc.Rows[i].Standby = r.Owner
 		case raiseEpoch:
-			d.reassign(c, i, r.Owner, v.epoch, grant.Released{Epoch: r.Epoch})
+			d.reassign(c, i, r.Owner, found.epoch, grant.Released{Epoch: r.Epoch})
 		}
 	}
 }
 
-// moveRows gives shards whose old owner's grant has ended to new owners.
+// moveRows assigns new owners to the shards whose owner's grant has ended.
 func (c *Cell) moveRows(d *draft) {
-	lapsed := make([]bool, len(c.targets))
+	ended := make([]bool, len(c.targets))
 	for i := range c.targets {
 		t := &c.targets[i]
-		lapsed[i] = t.target != "" && !c.responsive(t) && c.grantsEnded(t)
+		ended[i] = t.target != "" && !c.responsive(t) && c.grantsEnded(t)
 	}
 	for i := range c.rows {
 		s := &c.rows[i]
@@ -146,7 +147,7 @@
 		switch {
 		case r.Owner == NoTarget:
 			e = grant.Released{Epoch: r.Epoch}
-		case lapsed[r.Owner]:
+		case ended[r.Owner]:
 			e = c.expiryEvidence(r.Owner)
 		case s.releasing:
 			e = c.releaseEvidence(i)
@@ -164,7 +165,8 @@
 	return grant.Expired{Since: c.grantsEndAt(&c.targets[t])}
 }
 
-// moveRow picks the new owner of a row whose old owner is done.
+// moveRow assigns a new owner to a row, given the evidence that the old owner's
+// grant has ended.
 func (c *Cell) moveRow(d *draft, i int, e grant.Evidence) {
 	r := d.doc.Rows[i]
 	to := NoTarget
@@ -192,8 +194,9 @@
 	return top + 1
 }
 
-// releaseEvidence returns proof that the owner gave the shard up: its floor
-// is above the epoch, and it does not hold the shard any more.
+// releaseEvidence returns evidence that the owner has released the shard: by its last
+// inventory, its floor is above the epoch and it does not hold the shard. It returns
+// nil if there is none.
 func (c *Cell) releaseEvidence(i int) grant.Evidence {
 	r, s := c.doc.Rows[i], &c.rows[i]
 	t := &c.targets[r.Owner]
@@ -209,32 +212,32 @@
 	return grant.Released{Epoch: r.Epoch}
 }
 
-// parentEnded reports, for a solo key, whether its owner has also given up the
-// parent shard at the epochs that still included the key.
+// parentEnded reports whether the owner of a single-key shard has also given up its
+// parent shard at the epochs that included the key. It is true for other shards.
 func (c *Cell) parentEnded(r Row) bool {
-	_, open := c.heldParent(r)
-	return !open
+	_, held := c.heldParent(r)
+	return !held
 }
 
-// heldParent returns, for a solo key, the parent shard at the last epoch that
-// included the key, unless the owner has given that up. An owner that the key
-// was moved to may never have held the parent: only a release raises its floor.
+// heldParent returns the parent of a single-key shard at the last epoch that included
+// the key, unless the key's owner is known not to hold that. An owner to which the
+// key was moved may never have held the parent; only a release raises its floor then.
 func (c *Cell) heldParent(r Row) (grant.ShardEpoch, bool) {
 	i := slices.IndexFunc(c.doc.SingleKeys, func(s SingleKey) bool { return s.Shard == r.Shard })
 	if i < 0 || c.mutations.skipParentCheck {
 		return grant.ShardEpoch{}, false
 	}
-	solo := c.doc.SingleKeys[i]
+	single := c.doc.SingleKeys[i]
 	t := &c.targets[r.Owner]
-	held := t.heldEpoch(solo.Parent)
-	if held >= solo.SplitEpoch || held == 0 && t.floor(solo.Parent) >= solo.SplitEpoch {
+	held := t.heldEpoch(single.Parent)
+	if held >= single.SplitEpoch || held == 0 && t.floor(single.Parent) >= single.SplitEpoch {
 		return grant.ShardEpoch{}, false
 	}
-	return grant.ShardEpoch{Shard: solo.Parent, Epoch: solo.SplitEpoch - 1}, true
+	return grant.ShardEpoch{Shard: single.Parent, Epoch: single.SplitEpoch - 1}, true
 }
 
-// raiseEpochs follows an owner that refuses the recorded epoch, because an
-// earlier lead released the shard there without recording it.
+// raiseEpochs raises the epoch of a shard whose owner rejects the recorded one, as a
+// prior leader released the shard there and did not record it.
 func (c *Cell) raiseEpochs(d *draft) {
 	for i := range c.rows {
 		r, s := c.doc.Rows[i], &c.rows[i]
@@ -248,7 +251,7 @@
 	}
 }
 
-// refreshStandbys replaces standbys that can't take over.
+// refreshStandbys replaces standbys that can't become the owner.
 func (c *Cell) refreshStandbys(d *draft) {
 	may := func(t TargetIndex) bool { return int(t) < len(c.targets) && c.eligible(t) }
 	fit := make([]bool, len(c.targets))
@@ -271,18 +274,18 @@
 	}
 }
 
-// fitStandby reports whether the target may stay a standby: a short silence
-// is no reason to write.
+// fitStandby reports whether the target may stay a standby. It may be unresponsive
+// for a short time, which is not worth a write.
 func (c *Cell) fitStandby(t *targetState) bool {
-	silent := c.now.Sub(latest(t.respondedAt, c.leaderSince)) > maxSilence
-	return t.target != "" && !t.leaving && !silent
+	unresponsive := c.now.Sub(latest(t.respondedAt, c.leaderSince)) > maxSilence
+	return t.target != "" && !t.leaving && !unresponsive
 }
 
-// clearRemoved forgets removed hosts that every target refuses by now, or
-// that promise to this term: those don't lead at an older one any more.
+// clearRemoved forgets the removed hosts that can't renew grants any more: either all
+// targets reject their terms, or they have promised to this leader.
 func (c *Cell) clearRemoved(d *draft) {
 	d.doc.Removed = slices.DeleteFunc(d.doc.Removed, func(r RemovedHost) bool {
-		if m := c.peer(r.Host); m != nil && c.promisedBy(m) {
+		if p := c.peer(r.Host); p != nil && c.promisedBy(p) {
 			d.changed = true
 			return true
 		}
--- a/internal/cell/rendezvous.go
+++ b/internal/cell/rendezvous.go
@@ -8,7 +8,8 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// rendezvousWeight is the weight of rendezvous hashing: the highest one wins.
+// rendezvousWeight returns the weight of a candidate in rendezvous hashing, where the
+// candidate with the highest weight is chosen.
 func rendezvousWeight(parts ...string) uint64 {
 	d := xxhash.New()
 	for _, p := range parts {
@@ -18,7 +19,8 @@
 	return d.Sum64()
 }
 
-// shardWeight is weigh for a shard at a target, without formatting numbers.
+// shardWeight is like rendezvousWeight for a shard at a target, without the cost of
+// formatting the shard number.
 func shardWeight(shard key.Shard, target string) uint64 {
 	h := xxhash.Sum64String(target) ^ uint64(shard)*0x9e3779b97f4a7c15
 	h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -9,40 +9,41 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// promise is what this host promised, and to whom: until its end it neither
-// leads nor renews here, nor promises to anyone else.
+// promise is the promise that this host has made. Until it expires, the host
+// neither leads nor renews grants in this cell, nor promises to another host.
 type promise struct {
 	to    place.Host
 	until time.Time
-	// heardAt is when a lead's heartbeat last came; deputies don't count.
+	// heardAt is when the last heartbeat of a leader, not of a deputy, came.
 	heardAt     time.Time
 	heardLeader bool
 }
 
-// peerState is what a lead or deputy knows of another host of the zone.
+// peerState is what a leader or deputy knows of another host of the zone.
 type peerState struct {
 	host     place.Host
-	onRoster bool // on the roster; others are asked before they join
-	// promiseEnd is the promise's end, counted from when the heartbeat was sent.
+	onRoster bool // others are asked for promises before they join
+	// promiseEnd is when the promise to this host expires, counted from when its
+	// heartbeat was sent.
 	promiseEnd time.Time
-	// promisedSince is when the promise became unbroken.
+	// promisedSince is when the current uninterrupted promise began.
 	promisedSince time.Time
 	incarnation   place.Incarnation
 	readStore     bool
 	revision      platform.Revision
-	// heartbeatTimes holds when the last heartbeats were sent, the newest at position
-	// next-1. A promise names one of them; its own text of the time has lost
-	// the monotonic reading.
+	// heartbeatTimes is a ring of the times at which the last heartbeats were sent,
+	// the newest at next-1. A promise echoes one of them, but the echoed time has
+	// lost its monotonic clock reading.
 	heartbeatTimes [heartbeatsKept]time.Time
 	next           int
 }
 
-// heartbeatsKept bounds the heartbeats that a late promise may answer.
+// heartbeatsKept is how many heartbeats back a late promise may answer.
 const heartbeatsKept = 8
 
-// heartbeatTime returns when the heartbeat was sent that the promise answers.
-func (m *peerState) heartbeatTime(named time.Time) (time.Time, bool) {
-	for _, at := range m.heartbeatTimes {
+// heartbeatTime returns when the heartbeat was sent whose time a promise echoes.
+func (p *peerState) heartbeatTime(named time.Time) (time.Time, bool) {
+	for _, at := range p.heartbeatTimes {
 		if !at.IsZero() && at.UnixNano() == named.UnixNano() {
 			return at, true
 		}
@@ -50,13 +51,13 @@
 	return time.Time{}, false
 }
 
-// clearPromise drops what was promised to an earlier term.
-func (m *peerState) clearPromise() {
-	m.promiseEnd, m.promisedSince = time.Time{}, time.Time{}
+// clearPromise drops a promise to an earlier term.
+func (p *peerState) clearPromise() {
+	p.promiseEnd, p.promisedSince = time.Time{}, time.Time{}
 }
 
-// alignPeers lists the roster, the hosts that should join it, and those that
-// left it and have not heard so.
+// alignPeers rebuilds c.peers from the roster, the hosts that should join it, and
+// the removed hosts, which may not know that they are removed.
 func (c *Cell) alignPeers() {
 	old := c.peers
 	c.peers = nil
@@ -79,29 +80,29 @@
 	if host == c.cfg.Self {
 		return
 	}
-	m := peerState{host: host}
-	if i := slices.IndexFunc(old, func(m peerState) bool { return m.host == host }); i >= 0 {
-		m = old[i]
+	p := peerState{host: host}
+	if i := slices.IndexFunc(old, func(p peerState) bool { return p.host == host }); i >= 0 {
+		p = old[i]
 	}
-	m.onRoster = member
-	c.peers = append(c.peers, m)
+	p.onRoster = member
+	c.peers = append(c.peers, p)
 }
 
 func (c *Cell) peer(host place.Host) *peerState {
-	i := slices.IndexFunc(c.peers, func(m peerState) bool { return m.host == host })
+	i := slices.IndexFunc(c.peers, func(p peerState) bool { return p.host == host })
 	if i < 0 {
 		return nil
 	}
 	return &c.peers[i]
 }
 
-// boundByPromise reports whether a promise of this host runs.
+// boundByPromise reports whether this host's promise to another has not expired.
 func (c *Cell) boundByPromise() bool { return c.now.Before(c.promise.until) }
 
-// promisedBy reports whether the mate's promise to this host runs.
-func (c *Cell) promisedBy(m *peerState) bool { return c.now.Before(m.promiseEnd) }
+// promisedBy reports whether the peer's promise to this host has not expired.
+func (c *Cell) promisedBy(p *peerState) bool { return c.now.Before(p.promiseEnd) }
 
-// sendHeartbeats asks each mate for its next promise.
+// sendHeartbeats asks each peer for its next promise.
 func (c *Cell) sendHeartbeats() {
 	if c.now.Before(c.heartbeatDue) {
 		return
@@ -109,18 +110,18 @@
 	c.heartbeatDue = c.now.Add(c.cfg.Timing.RenewInterval)
 	c.alignPeers()
 	for i := range c.peers {
-		m := &c.peers[i]
+		p := &c.peers[i]
 		hb := Heartbeat{
 			Term: c.doc.Term, SentAt: c.now, Deputy: c.role == deputy,
 			Revision: c.revision,
 		}
-		if m.incarnation != 0 && m.revision < c.revision {
+		if p.incarnation != 0 && p.revision < c.revision {
 			doc := c.doc.clone()
 			hb.Doc = &doc
 		}
-		m.heartbeatTimes[m.next%heartbeatsKept] = c.now
-		m.next++
-		c.emit(SendPeer{To: m.host, Message: hb})
+		p.heartbeatTimes[p.next%heartbeatsKept] = c.now
+		p.next++
+		c.emit(SendPeer{To: p.host, Message: hb})
 	}
 }
 
@@ -149,7 +150,7 @@
 		return
 	}
 	if c.role != follower {
-		c.stepDown("another lead was heard")
+		c.stepDown("heartbeat from another leader")
 	}
 	if !hb.Deputy {
 		c.promise.heardAt, c.promise.heardLeader = c.now, true
@@ -161,7 +162,7 @@
 	}})
 }
 
-// mayPromise reports whether this host is free to promise to from.
+// mayPromise reports whether this host may make a promise to from.
 func (c *Cell) mayPromise(from place.Host, hb Heartbeat) bool {
 	if !c.mutations.skipStartupSilence && c.now.Before(c.startedAt.Add(c.addDrift(c.cfg.Timing.PromiseDuration))) {
 		return false
@@ -170,7 +171,7 @@
 		return false
 	}
 	if c.write.pending {
-		return false // its outcome may make this host the lead
+		return false // if committed, it may make this host the leader
 	}
 	if c.role == deputy && hb.Deputy {
 		return false
@@ -179,24 +180,25 @@
 	return !other || c.mutations.sharedPromises
 }
 
-func (c *Cell) handlePromise(from place.Host, p Promise) {
-	m := c.peer(from)
-	active := c.leading() && p.Term == c.term || c.role == deputy && p.Term == c.doc.Term
-	if m == nil || !active {
+func (c *Cell) handlePromise(from place.Host, msg Promise) {
+	p := c.peer(from)
+	active := c.leading() && msg.Term == c.term || c.role == deputy && msg.Term == c.doc.Term
+	if p == nil || !active {
 		return
 	}
-	sent, known := m.heartbeatTime(p.SentAt)
+	sent, known := p.heartbeatTime(msg.SentAt)
 	if !known {
 		return
 	}
-	if !c.promisedBy(m) || m.incarnation != p.Incarnation {
-		m.promisedSince = c.now
+	if !c.promisedBy(p) || p.incarnation != msg.Incarnation {
+		p.promisedSince = c.now
 	}
-	m.promiseEnd = latest(m.promiseEnd, sent.Add(c.subtractDrift(c.cfg.Timing.PromiseDuration)))
-	m.incarnation, m.readStore, m.revision = p.Incarnation, p.ReadStore, p.Revision
+	p.promiseEnd = latest(p.promiseEnd, sent.Add(c.subtractDrift(c.cfg.Timing.PromiseDuration)))
+	p.incarnation, p.readStore, p.revision = msg.Incarnation, msg.ReadStore, msg.Revision
 }
 
-// handleHandover frees this host to take the lead at once.
+// handleHandover ends the promise to the leader that hands over, and starts a
+// campaign.
 func (c *Cell) handleHandover(from place.Host, h Handover) {
 	if h.Term < c.knownTerm() || c.promise.to != from || c.role != follower {
 		return
@@ -208,8 +210,8 @@
 	c.startCampaign()
 }
 
-// mayRenew reports whether this host has the right to renew grants: by a
-// valid lease, by the promise of a roster host, or alone on the roster.
+// mayRenew reports whether this host may renew grants: by a valid lease, by the
+// promise of a roster host, or as a leader that is alone on the roster.
 func (c *Cell) mayRenew() bool {
 	if c.renewLimitPassed() {
 		return false
@@ -217,24 +219,24 @@
 	if c.leaseValid() || c.mutations.renewUnbacked {
 		return true
 	}
-	members := 0
+	rosterPeers := 0
 	for i := range c.peers {
-		m := &c.peers[i]
-		if !m.onRoster {
+		p := &c.peers[i]
+		if !p.onRoster {
 			continue
 		}
-		members++
-		if c.promisedBy(m) {
+		rosterPeers++
+		if c.promisedBy(p) {
 			return true
 		}
 	}
-	// A pending write may have given this roster of one another member.
-	return c.leading() && members == 0 && !c.write.pending
+	// A pending write may have added a host to a roster of one.
+	return c.leading() && rosterPeers == 0 && !c.write.pending
 }
 
-// renewLimitPassed reports whether this host has been without the lease for longer
-// than the service allows. Contact alone does not count: another zone that
-// waits for the hold to pass has taken the lease, and counts from there.
+// renewLimitPassed reports whether the last lease renewal is longer ago than the
+// renew limit. Contact with the store without the lease does not count: a zone that
+// evicts this cell holds the lease and measures the limit from when it acquired it.
 func (c *Cell) renewLimitPassed() bool {
 	from := c.lease.renewedAt
 	if c.mutations.limitFromContact {
@@ -243,27 +245,27 @@
 	return c.cfg.RenewLimit > 0 && c.now.After(from.Add(c.subtractDrift(c.cfg.RenewLimit)))
 }
 
-// allPromised reports whether every roster host promises to this one and has
-// read the store in this life: nobody else can know better.
+// allPromised reports whether every roster host has promised to this one and its
+// incarnation has read the store, so that none of them knows a later term.
 func (c *Cell) allPromised() bool {
 	for i := range c.peers {
-		m := &c.peers[i]
-		if !m.onRoster {
+		p := &c.peers[i]
+		if !p.onRoster {
 			continue
 		}
-		if !c.promisedBy(m) || !m.readStore && !c.mutations.skipStoreRead {
+		if !c.promisedBy(p) || !p.readStore && !c.mutations.skipStoreRead {
 			return false
 		}
 	}
 	return len(c.doc.Removed) == 0
 }
 
-// possibleRenewers counts the hosts that may still renew grants of the target.
+// possibleRenewers counts the other hosts that may still renew the target's grants.
 func (c *Cell) possibleRenewers(t *targetState) int {
 	n := 0
 	for i := range c.peers {
-		m := &c.peers[i]
-		if m.onRoster && !c.promisedBy(m) && !c.hostDeclaredLost(m.host) {
+		p := &c.peers[i]
+		if p.onRoster && !c.promisedBy(p) && !c.hostDeclaredLost(p.host) {
 			n++
 		}
 	}
@@ -278,23 +280,24 @@
 	return n
 }
 
-// fenced reports whether the target refuses all terms below term.
+// fenced reports whether the target rejects all terms below term.
 func (c *Cell) fenced(t *targetState, term grant.Term) bool {
 	return c.cfg.ChecksTerms && t.acceptedTerm >= term
 }
 
-// grantsEndAt returns when the last grant that anybody could have made to the
-// target has ended, if nobody renews from now on.
+// grantsEndAt returns when the last grant of the target by any host has expired, if
+// no host renews from now on.
 func (c *Cell) grantsEndAt(t *targetState) time.Time {
 	from := t.anchoredAt
 	if !c.mutations.expireFromAnchor {
 		from = latest(from, c.leaderSince)
 		for i := range c.peers {
-			if m := &c.peers[i]; m.onRoster && c.promisedBy(m) {
-				from = latest(from, m.promisedSince)
+			if p := &c.peers[i]; p.onRoster && c.promisedBy(p) {
+				from = latest(from, p.promisedSince)
 			}
 		}
-		// A promise that the lost host made backs another one to its end.
+		// A host that is declared lost may have made a promise to another host, which
+		// may renew grants until it expires.
 		for _, since := range c.hostLostSince {
 			if c.mutations.ignoreLostPromises {
 				break
@@ -305,9 +308,9 @@
 	return from.Add(c.addDrift(c.cfg.Timing.GrantDuration))
 }
 
-// grantsExpired reports whether all grants of the target have ended for certain:
-// with the lease here, one host without a promise has neither lease nor
-// backer, and has stopped.
+// grantsExpired reports whether all grants of the target have certainly expired. One
+// possible renewer is allowed: as this host has the lease and the promises of all
+// others, that one has neither a lease nor a promise, and renews nothing.
 func (c *Cell) grantsExpired(t *targetState) bool {
 	if !c.leaseValid() || !c.now.After(c.grantsEndAt(t)) {
 		return false
@@ -319,8 +322,8 @@
 	return slices.ContainsFunc(c.losses, func(l LossDeclaration) bool { return l.Host != "" && l.Host == h })
 }
 
-// desiredRoster returns the hosts that should be able to lead, by rendezvous
-// over the live hosts of the zone; hosts that lead or can lead now stay.
+// desiredRoster returns the hosts that should be able to lead the cell: the live
+// hosts of the zone by rendezvous hashing, those on the roster first.
 func (c *Cell) desiredRoster() []place.Host {
 	var hosts []place.Host
 	for _, h := range c.fleet.Hosts {
--- a/internal/cell/row.go
+++ b/internal/cell/row.go
@@ -6,27 +6,31 @@
 	"citrontray.example/citrontray/internal/grant"
 )
 
-// rowState is what the lead does about one shard. The table is aligned to
+// rowState is the leader's state of one shard. Cell.rows has the order of
 // Doc.Rows.
 type rowState struct {
-	// routable tells that the owner confirmed this epoch.
+	// routable is true if the routing table names the owner: since it confirmed
+	// this epoch, or a prior leader recorded it, until it is asked to release the
+	// shard.
 	routable bool
-	// holderUnknown tells that an earlier lead may have granted the shard to its
-	// owner or to its standby, and that it is not known to which.
+	// holderUnknown is true if a prior leader may have granted the shard to its
+	// owner or to its standby, and it is not known to which.
 	holderUnknown bool
-	// releasing tells that the owner was asked to release the shard.
+	// releasing is true while the owner is asked to release the shard.
 	releasing bool
-	// releaseStart is when the release began; only answers to later orders count.
+	// releaseStart is when the release began. Only responses to later orders
+	// confirm it.
 	releaseStart time.Time
-	moveTo       TargetIndex // where the shard moves; NoTarget: any
-	custodyLost  bool        // custody took the shard away
-	ceding       bool        // it is being released to lose its row
-	merging      bool        // for a solo key: its row goes into its parent's
-	// activation is the standby that this lead made the owner.
+	moveTo       TargetIndex // planned next owner; NoTarget for any
+	custodyLost  bool        // the shard is not in the cell's custody any more
+	ceding       bool        // it is released to remove its row
+	merging      bool        // it is a single-key shard to be merged into its parent shard
+	// activation is set if this leader made the standby the owner.
 	activation *Activation
 }
 
-// alignRows carries the states over to the rows of the new document.
+// alignRows rebuilds c.rows for the new document. A row keeps its state if its
+// owner and epoch are unchanged.
 func (c *Cell) alignRows(old *Doc) {
 	states := make([]rowState, len(c.doc.Rows))
 	for i, r := range c.doc.Rows {
@@ -55,7 +59,7 @@
 	}
 }
 
-// mayOrder reports whether orders of now may name the row for its owner.
+// mayOrder reports whether an order may grant or extend the row at its owner.
 func (c *Cell) mayOrder(i int) bool {
 	s := &c.rows[i]
 	if s.holderUnknown || s.releasing {
@@ -65,11 +69,11 @@
 		return true
 	}
 	_, changing := c.write.changedShards[c.doc.Rows[i].Shard]
-	// A standby activated by this lead stays granted while it is recorded.
+	// An activated standby is renewed while its activation is written.
 	return !changing || s.activation != nil
 }
 
-// expectedHoldings returns what the target should hold by the rows in force.
+// expectedHoldings returns the shards that the target should hold.
 func (c *Cell) expectedHoldings(t TargetIndex) []grant.ShardEpoch {
 	var out []grant.ShardEpoch
 	for i := range c.doc.Rows {
@@ -81,12 +85,13 @@
 	return out
 }
 
-// confirmHeld marks the rows that the target's newest answer shows it to hold.
+// confirmHeld makes those rows routable that the target holds by its last
+// response.
 func (c *Cell) confirmHeld(t TargetIndex) {
 	state := &c.targets[t]
-	whole := grant.Digest(c.expectedHoldings(t)) == state.digest
-	fresh := state.inventoryTerm == c.term && state.inventoryAt.Equal(state.respondedOrderAt)
-	if !whole && !fresh {
+	allHeld := grant.Digest(c.expectedHoldings(t)) == state.digest
+	newInventory := state.inventoryTerm == c.term && state.inventoryAt.Equal(state.respondedOrderAt)
+	if !allHeld && !newInventory {
 		return
 	}
 	for i := range c.doc.Rows {
@@ -95,16 +100,15 @@
 		if r.Owner != t || s.routable || !c.mayOrder(i) {
 			continue
 		}
-		if whole || state.heldEpoch(r.Shard) == r.Epoch {
+		if allHeld || state.heldEpoch(r.Shard) == r.Epoch {
 			s.routable = true
 			c.tableChanged = true
 		}
 	}
 }
 
-// clearResolved clears the doubt about rows of an earlier lead, where the newest
-// inventories show who holds them. Rows whose epoch must rise first are left
-// to maintain.
+// clearResolved clears holderUnknown of the rows that are held as recorded by the
+// last inventories. The rows that have to be written first are left to reconcile.
 func (c *Cell) clearResolved() {
 	for i := range c.rows {
 		if c.rows[i].holderUnknown && c.resolve(i).kind == asRecorded {
@@ -114,16 +118,16 @@
 	}
 }
 
-// resolutionKind says who may hold a row that an earlier lead granted.
+// resolutionKind says who may hold a row that a prior leader granted.
 type resolutionKind uint8
 
 const (
 	unresolved   resolutionKind = iota
-	asRecorded                  // its owner, or nobody, at the recorded epoch
-	atStandby                   // the standby, at the verdict's epoch
-	raiseEpoch                  // nobody else; the owner needs the verdict's epoch
-	awaitOwner                  // unsettled: the owner was not heard
-	awaitStandby                // unsettled: the standby was not heard
+	asRecorded                  // the owner or nobody, at the recorded epoch
+	atStandby                   // the standby, at resolution.epoch
+	raiseEpoch                  // nobody but the owner, which needs resolution.epoch
+	awaitOwner                  // not known before the owner responds
+	awaitStandby                // not known before the standby responds
 )
 
 type resolution struct {
@@ -131,36 +135,37 @@
 	epoch grant.Epoch
 }
 
-// resolve weighs what owner and standby reported. An owner that still holds the
-// recorded epoch rules the standby out: that is activated only after the
-// owner's grant ended. Otherwise both must be heard, or have lapsed.
+// resolve finds out who may hold a row from the inventories of its owner and
+// standby. If the owner still holds the recorded epoch, the standby does not hold
+// the shard, as it is activated only after the owner's grant has ended. Otherwise
+// both must have responded, or their grants must have ended.
 func (c *Cell) resolve(i int) resolution {
 	r := c.doc.Rows[i]
 	if r.Owner == NoTarget {
 		return resolution{kind: asRecorded}
 	}
 	owner := &c.targets[r.Owner]
-	ownerHeard := owner.inventoryTerm == c.term
-	if ownerHeard && owner.heldEpoch(r.Shard) == r.Epoch {
+	ownerResponded := owner.inventoryTerm == c.term
+	if ownerResponded && owner.heldEpoch(r.Shard) == r.Epoch {
 		return resolution{kind: asRecorded}
 	}
-	if !ownerHeard && !c.grantsEnded(owner) {
+	if !ownerResponded && !c.grantsEnded(owner) {
 		return resolution{kind: awaitOwner}
 	}
 	floor := r.Epoch
-	if ownerHeard {
+	if ownerResponded {
 		floor = max(floor, owner.heldEpoch(r.Shard), owner.floor(r.Shard))
 	}
 	if c.cfg.ChecksTerms && r.Standby != NoTarget && r.Standby != r.Owner {
 		standby := &c.targets[r.Standby]
-		heard := standby.inventoryTerm == c.term
-		if !heard && !c.grantsEnded(standby) {
+		standbyResponded := standby.inventoryTerm == c.term
+		if !standbyResponded && !c.grantsEnded(standby) {
 			return resolution{kind: awaitStandby}
 		}
-		if heard && standby.heldEpoch(r.Shard) > r.Epoch {
+		if standbyResponded && standby.heldEpoch(r.Shard) > r.Epoch {
 			return resolution{kind: atStandby, epoch: standby.heldEpoch(r.Shard)}
 		}
-		if heard {
+		if standbyResponded {
 			floor = max(floor, standby.floor(r.Shard))
 		}
 	}
@@ -170,9 +175,9 @@
 	return resolution{kind: asRecorded}
 }
 
-// grantsEnded reports whether all of an unheard target's grants have ended. A
-// declaration vouches that no unaccounted host renews them; what this host
-// and its mates granted still has to run out, in case the target was alive.
+// grantsEnded reports whether all grants of a target have ended without its
+// response. A loss declaration states that no other host renews them; the grants
+// of this host and its peers still have to expire, as the target may be up.
 func (c *Cell) grantsEnded(t *targetState) bool {
 	declared := t.declaredLost && !t.lossRefuted && c.now.After(c.grantsEndAt(t))
 	return declared || c.grantsExpired(t)
--- a/internal/cell/singlekey.go
+++ b/internal/cell/singlekey.go
@@ -6,9 +6,9 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// splitKeys cuts planned hot keys out of their shards: the parent's epoch
-// rises at the same owner, so that requests routed by an older table are
-// refused, and the key gets a row there. It moves later, like any shard.
+// splitKeys splits the planned hot keys off their shards. The epoch of the parent shard
+// rises, so that the owner rejects requests routed by an older table. The key gets a
+// row with the same owner, and may move later like any shard.
 func (c *Cell) splitKeys(d *draft) {
 	c.plan = slices.DeleteFunc(c.plan, func(p PlannedMove) bool {
 		if !p.Split {
@@ -33,35 +33,36 @@
 	parent := &d.doc.Rows[j]
 	parent.Epoch++
 	shard, next := singleKeyShard(d.doc.NextSingleKey, p.Shard, c.cfg.Shards)
-	solo := SingleKey{Hash: p.HotKey, Shard: shard, Parent: p.Shard, SplitEpoch: parent.Epoch}
+	single := SingleKey{Hash: p.HotKey, Shard: shard, Parent: p.Shard, SplitEpoch: parent.Epoch}
 	d.doc.NextSingleKey = next
-	d.doc.SingleKeys = append(d.doc.SingleKeys, solo)
-	d.insertRow(Row{Shard: solo.Shard, Epoch: parent.Epoch, Owner: r.Owner, Standby: r.Standby})
+	d.doc.SingleKeys = append(d.doc.SingleKeys, single)
+	d.insertRow(Row{Shard: single.Shard, Epoch: parent.Epoch, Owner: r.Owner, Standby: r.Standby})
 	if p.To != "" {
-		c.splitMoves = append(c.splitMoves, PlannedMove{Shard: solo.Shard, To: p.To})
+		c.splitMoves = append(c.splitMoves, PlannedMove{Shard: single.Shard, To: p.To})
 	}
 }
 
-// maxSingleKeyShard leaves room for one more solo key at the highest shard count.
+// maxSingleKeyShard bounds NextSingleKey so that the number of one more single-key
+// shard fits into key.Shard at the highest shard count.
 const maxSingleKeyShard key.Shard = 1 << 31
 
-// singleKeyShard returns the number of a solo key and the next value of
-// Doc.NextSolo. The number ends in its parent's, so that two zones that cut
-// keys of one service never use the same one: entries merge their tables.
+// singleKeyShard returns the number of a single-key shard and the next value of
+// Doc.NextSingleKey. The number modulo the shard count is that of the parent shard, so
+// that two zones never use the same number: entries merge the tables of a service.
 func singleKeyShard(next, parent key.Shard, shards key.ShardCount) (key.Shard, key.Shard) {
 	base := max(next, key.Shard(shards))
 	return base + parent, base + key.Shard(shards)
 }
 
-// maxSolos bounds the hot keys that are cut out of their shards at one time.
-// The oldest go back while fewer than spareSolos could still be cut.
+// maxSingleKeys bounds the single keys of a cell. The oldest is merged back while
+// fewer than spareSingleKeys more could be split off.
 const (
 	maxSingleKeys   = 512
 	spareSingleKeys = 64
 )
 
-// startMerge asks the owner of a solo key to release it. The parent's owner may
-// serve the key once the row is gone: a table without the row routes it there.
+// startMerge starts to release a single-key shard. Once its row is removed, the table
+// routes the key to the owner of the parent shard.
 func (c *Cell) startMerge(shard key.Shard) {
 	i := c.doc.rowIndex(shard)
 	if i < 0 || !isSingleKey(&c.doc, shard) || c.doc.Rows[i].Owner == NoTarget || !c.idleRow(i) {
@@ -71,7 +72,8 @@
 	c.rows[i].ceding, c.rows[i].merging = true, true
 }
 
-// mergeKeys removes the rows of solo keys whose owners gave them up.
+// mergeKeys removes the rows of single-key shards to be merged whose owners' grants
+// have ended.
 func (c *Cell) mergeKeys(d *draft) {
 	for i := range c.rows {
 		r, s := c.doc.Rows[i], &c.rows[i]
--- a/internal/cell/standby.go
+++ b/internal/cell/standby.go
@@ -4,12 +4,14 @@
 	"citrontray.example/citrontray/internal/grant"
 )
 
-// activateStandbys activates the standby of shards whose owner is gone, or leaves,
-// while the store is out. Every roster host must promise, and must have read the store
-// in this life: nobody then knows a later term, or renews the old owner.
+// activateStandbys makes the standby the owner of shards whose owner's grant has ended
+// or that move off a leaving owner, while the store is unavailable. It needs the
+// promises of all roster hosts, whose incarnations must have read the store. Then no
+// host knows a later term or renews the old owner's grants.
 //
-// A successor need not have heard of it: it asks owner and standby. Nor need
-// a deputy: it only extends, and the old owner holds nothing to extend.
+// A later leader or deputy need not know of the activation. The leader asks both owner
+// and standby what they hold. The deputy only extends grants, and the old owner has
+// none.
 func (c *Cell) activateStandbys() {
 	if !c.storeUnavailable() || !c.cfg.ChecksTerms || !c.allPromised() || !c.mayRenew() || c.write.pending {
 		return
@@ -29,8 +31,8 @@
 	}
 }
 
-// endEvidence returns proof that the owner's grant has ended, without the
-// lease: every host that could renew promises to this one.
+// endEvidence returns evidence that the owner's grant has ended, or nil. It needs no
+// lease, as all hosts that could renew the grant have promised to this one.
 func (c *Cell) endEvidence(i int) grant.Evidence {
 	t := &c.targets[c.doc.Rows[i].Owner]
 	if !c.responsive(t) && c.now.After(c.grantsEndAt(t)) {
@@ -42,8 +44,8 @@
 	return nil
 }
 
-// activateStandby makes the standby the owner, above every epoch it may have held
-// the shard at before.
+// activateStandby makes the standby the owner, at an epoch above all at which it may
+// have held the shard.
 func (c *Cell) activateStandby(i int, e grant.Evidence) {
 	s := &c.rows[i]
 	r := c.doc.Rows[i]
@@ -55,7 +57,8 @@
 	c.logf("Activates the standby of shard %d.", r.Shard)
 }
 
-// storeUnavailable reports whether the lease has ended and the store is silent.
+// storeUnavailable reports whether this host has no valid lease and the store has not
+// responded for LeaseTTL.
 func (c *Cell) storeUnavailable() bool {
 	if c.leaseValid() {
 		return false
@@ -63,7 +66,7 @@
 	return c.now.Sub(c.lease.contactAt) > c.cfg.Timing.LeaseTTL
 }
 
-// recordActivations records activated standbys as owners.
+// recordActivations makes activated standbys the owners in the document.
 func (c *Cell) recordActivations(d *draft) {
 	for i := range c.rows {
 		a := c.rows[i].activation
--- a/internal/cell/store.go
+++ b/internal/cell/store.go
@@ -8,27 +8,27 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// write is the one compare-and-swap that may be under way.
+// write is the pending compare-and-swap of the document, at most one at a time.
 //
-// Once an answer was lost, the same write is sent again until its outcome is
-// known. Taking it for failed after a read that shows the old revision would
-// be wrong: the lost call may still be on its way, and land later.
+// After a lost response, the same write is retried until its outcome is known. A
+// read that returns the old revision does not show that it failed: the first
+// attempt may still be in flight and be committed later.
 type write struct {
 	pending bool
 	doc     Doc
 	expect  platform.Revision
-	// proposedAt is when the first attempt was sent, sent the newest.
+	// proposedAt is when the first attempt was sent, sentAt the last one.
 	proposedAt, sentAt time.Time
-	// inFlight tells that no outcome of the newest attempt has come back.
+	// inFlight is true while the last attempt has no outcome.
 	inFlight bool
-	// uncertain tells that an earlier attempt may have taken effect.
+	// uncertain is true if an earlier attempt may have been committed.
 	uncertain bool
-	// changedShards holds the shards whose owner or epoch the write changes: they
-	// are neither granted nor extended meanwhile.
+	// changedShards holds the shards whose owner or epoch the write changes. They
+	// are neither granted nor extended while it is pending.
 	changedShards map[key.Shard]struct{}
 }
 
-// propose sends the document as the next revision.
+// propose writes doc as the next revision of the document.
 func (c *Cell) propose(doc Doc) {
 	c.writes++
 	doc.ID = c.cfg.ID
@@ -46,7 +46,7 @@
 	c.emit(WriteDoc{Doc: c.write.doc.clone(), Expect: c.write.expect})
 }
 
-// retryWrite repeats a write whose outcome is not known.
+// retryWrite retries a write whose outcome is unknown.
 func (c *Cell) retryWrite() {
 	w := &c.write
 	if !w.pending {
@@ -94,7 +94,7 @@
 	}
 }
 
-// writeCommitted adopts the pending write as committed.
+// writeCommitted adopts the document of the pending write, which was committed.
 func (c *Cell) writeCommitted(revision platform.Revision) {
 	doc, proposed := c.write.doc, c.write.proposedAt
 	c.write = write{}
@@ -113,13 +113,15 @@
 	}
 }
 
-// dropWrite drops a write that certainly failed. A campaign reads again first.
+// dropWrite drops a write that certainly failed. A campaign has to read the
+// document again before it goes on.
 func (c *Cell) dropWrite() {
 	c.write = write{}
 	c.campaign.docRead = false
 }
 
-// handleDoc adopts a newer document and resolves a pending write by it.
+// handleDoc adopts a newer document, which may show the outcome of the pending
+// write.
 func (c *Cell) handleDoc(ev DocReceived) {
 	if ev.FromStore {
 		c.readStore = true
@@ -144,12 +146,12 @@
 		c.logf("Document changed by another writer.")
 	}
 	if c.leading() || c.role == deputy && higher {
-		c.stepDown("a newer document was read")
+		c.stepDown("newer document read")
 	}
 	c.adopt(ev.Doc.clone(), ev.Revision)
 }
 
-// readDoc asks for the document, at most once in readEvery.
+// readDoc asks for the document, at most once per readInterval.
 func (c *Cell) readDoc() {
 	if !c.readAskedAt.IsZero() && c.now.Sub(c.readAskedAt) < readInterval {
 		return
@@ -158,13 +160,13 @@
 	c.emit(ReadDoc{})
 }
 
-// requestLease takes or renews the lease, one call at a time.
-func (c *Cell) requestLease(every time.Duration) {
+// requestLease asks to acquire or renew the lease, one call at a time.
+func (c *Cell) requestLease(interval time.Duration) {
 	l := &c.lease
 	if l.pending && c.now.Sub(l.askedAt) < callTimeout {
 		return
 	}
-	if !l.askedAt.IsZero() && c.now.Sub(l.askedAt) < every {
+	if !l.askedAt.IsZero() && c.now.Sub(l.askedAt) < interval {
 		return
 	}
 	l.pending = true
@@ -172,8 +174,9 @@
 	c.emit(AcquireLease{TTL: c.cfg.Timing.LeaseTTL})
 }
 
-// handleLease counts the lease from before the call was sent: after a pause in
-// between, the lease may have ended already.
+// handleLease records the outcome of a lease call. It counts the lease from when the
+// call was sent, as the lease may already have expired when a paused process gets
+// the response.
 func (c *Cell) handleLease(ev LeaseDone) {
 	l := &c.lease
 	l.pending = false
@@ -197,8 +200,9 @@
 	l.until, l.verified = time.Time{}, false
 }
 
-// verifyLease writes the document unchanged, but for activated standbys. It
-// also makes any write of another host that is still on its way fail.
+// verifyLease writes the document, unchanged but for activations, to verify that no
+// other host has led since the lease was interrupted. It also makes every write of
+// another host fail that is still in flight.
 func (c *Cell) verifyLease() {
 	if c.lease.verified || !c.now.Before(c.lease.until) || c.write.pending || c.mutations.skipLeaseCheck {
 		return
@@ -215,7 +219,7 @@
 	return a
 }
 
-// changedShards returns the shards whose owner or epoch differs.
+// changedShards returns the shards of from whose owner or epoch differs in to.
 func changedShards(from, to *Doc) map[key.Shard]struct{} {
 	changed := make(map[key.Shard]struct{})
 	for _, r := range from.Rows {
@@ -227,8 +231,8 @@
 	return changed
 }
 
-// adopt makes doc the one in force and carries the states of its rows and
-// targets over by their names.
+// adopt makes doc the current document and keeps the states of its rows, targets
+// and peers.
 func (c *Cell) adopt(doc Doc, revision platform.Revision) {
 	old := c.doc
 	c.doc, c.revision, c.hasDoc, c.docAbsent = doc, revision, true, false
--- a/internal/cell/target.go
+++ b/internal/cell/target.go
@@ -11,52 +11,54 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// targetState is what this host knows of one target. The table is aligned to
+// targetState is what this host knows of one target. Cell.targets has the order of
 // Doc.Targets.
 type targetState struct {
 	target place.Target
 	addr   netip.AddrPort
 
 	incarnation place.Incarnation
-	// clock is the newest reading of the target's clock, which came at clockAt.
+	// clock is the last reading of the target's clock, received at clockAt.
 	clock   grant.Stamp
 	clockAt time.Time
-	// anchoredAt is when the newest reading came that an order relied on.
+	// anchoredAt is when the last reading was received that anchored an order.
 	anchoredAt time.Time
-	// acceptedTerm is the highest term of an order that this life accepted.
+	// acceptedTerm is the highest term that this incarnation has accepted.
 	acceptedTerm     grant.Term
-	respondedAt      time.Time // newest answer
-	respondedOrderAt time.Time // when the order of the newest answer was sent
+	respondedAt      time.Time // when the last response came
+	respondedOrderAt time.Time // when its order was sent
 	sentAt           time.Time
 	inFlight         bool
 	due              time.Time
 	digest           uint64
-	announcedLeaving bool // by its own word
-	leaving          bool // by any list or word
-	declaredLost     bool // declared lost
+	announcedLeaving bool // by the target itself
+	leaving          bool // by the target, the platform's list, a drain or a loss declaration
+	declaredLost     bool // by an operator
 	declaredLostAt   time.Time
-	lossRefuted      bool // it answered an order sent after lostAt
+	lossRefuted      bool // it responded to an order sent after declaredLostAt
 
-	// The newest whole inventory, of an order sent at inventoryAt at
-	// inventoryTerm. Zero term: none since this host took the lead.
+	// The last full inventory, in response to an order sent at inventoryAt in
+	// inventoryTerm. The term is zero if there is none since this host became the
+	// leader or deputy.
 	inventoryTerm grant.Term
 	inventoryAt   time.Time
 	held          []grant.ShardEpoch
 	floors        []grant.ShardEpoch
 }
 
-// resetTerm forgets what an answer to an earlier term proved.
+// resetTerm drops what was known by responses to an earlier term.
 func (t *targetState) resetTerm() {
 	t.inventoryTerm = 0
 	t.inFlight = false
 	t.due = time.Time{}
 }
 
-// heldEpoch returns the epoch of the shard in the newest inventory; zero for none.
+// heldEpoch returns the epoch at which the target holds the shard by its last
+// inventory, or zero.
 func (t *targetState) heldEpoch(shard key.Shard) grant.Epoch { return epochOf(t.held, shard) }
 
-// floor returns the lowest epoch that the target still accepts for the shard,
-// as far as its newest inventory tells.
+// floor returns the lowest epoch that the target accepts for the shard by its last
+// inventory, or zero.
 func (t *targetState) floor(shard key.Shard) grant.Epoch { return epochOf(t.floors, shard) }
 
 func epochOf(list []grant.ShardEpoch, shard key.Shard) grant.Epoch {
@@ -69,7 +71,8 @@
 	return list[i].Epoch
 }
 
-// alignTargets carries the states over to the rows of the new document.
+// alignTargets rebuilds c.targets for the new document and keeps the states of its
+// targets.
 func (c *Cell) alignTargets(old *Doc) {
 	states := make([]targetState, len(c.doc.Targets))
 	for i, t := range c.doc.Targets {
@@ -100,12 +103,12 @@
 	return c.losses[i], true
 }
 
-// responsive reports whether the target answered in the last renewals.
+// responsive reports whether the target has responded within 2.5 renew intervals.
 func (c *Cell) responsive(t *targetState) bool {
 	return !t.respondedAt.IsZero() && c.now.Sub(t.respondedAt) < 2*c.cfg.Timing.RenewInterval+c.cfg.Timing.RenewInterval/2
 }
 
-// eligible reports whether the target may get shards.
+// eligible reports whether shards may be assigned to the target.
 func (c *Cell) eligible(i TargetIndex) bool {
 	t := &c.targets[i]
 	if t.target == "" || !c.responsive(t) || t.inventoryTerm != c.term || c.isLeaving(i) {
@@ -114,8 +117,8 @@
 	return true
 }
 
-// applyLists works out what the lists say of each target and row, once after
-// each change.
+// applyLists applies changed lists, loss declarations, drains and custody to the
+// targets and rows.
 func (c *Cell) applyLists() {
 	if !c.listsChanged {
 		return
@@ -137,8 +140,8 @@
 	}
 }
 
-// isLeaving reports whether the platform's list, an operator or the target
-// itself says that it leaves.
+// isLeaving reports whether shards are to move off the target: it is leaving, drained
+// or declared lost.
 func (c *Cell) isLeaving(i TargetIndex) bool { return c.targets[i].leaving }
 
 func (c *Cell) fleetRow(name place.Target) *place.TargetRow {
@@ -151,8 +154,8 @@
 	return nil
 }
 
-// handleResponse records a target's answer. Answers to orders sent before the one
-// of the newest answer are too late to tell anything.
+// handleResponse records a target's response to an order. A response that comes after
+// that to a later order is ignored.
 func (c *Cell) handleResponse(ev OrderDone) {
 	i := c.doc.targetIndex(ev.Target)
 	if ev.Target == "" || i == NoTarget {
@@ -182,7 +185,7 @@
 	}
 }
 
-// handleAccepted records what an answer proves to the lead of the term.
+// handleAccepted records the response to an accepted order of the leader's term.
 func (c *Cell) handleAccepted(i TargetIndex, ev OrderDone) {
 	t := &c.targets[i]
 	if ev.SentAt.Before(c.leaderSince) || c.cfg.ChecksTerms && ev.Response.Term != c.term {
@@ -200,19 +203,19 @@
 	c.confirmHeld(i)
 }
 
-// newIncarnation forgets what an earlier life of the target had accepted.
-func (c *Cell) newIncarnation(t *targetState, life place.Incarnation) {
+// newIncarnation drops what an earlier incarnation of the target had accepted.
+func (c *Cell) newIncarnation(t *targetState, inc place.Incarnation) {
 	if t.incarnation != 0 {
 		c.logf("Target %s restarted.", t.target)
 	}
-	t.incarnation = life
+	t.incarnation = inc
 	t.acceptedTerm = 0
 	t.inventoryTerm = 0
 	t.held, t.floors = nil, nil
 	t.due = c.now
 }
 
-// sortedByShard returns a copy of a list from outside, sorted by shard.
+// sortedByShard returns a sorted copy of a received list.
 func sortedByShard(list []grant.ShardEpoch) []grant.ShardEpoch {
 	out := slices.Clone(list)
 	slices.SortFunc(out, func(a, b grant.ShardEpoch) int { return cmp.Compare(a.Shard, b.Shard) })
--- a/internal/cell/wire.go
+++ b/internal/cell/wire.go
@@ -76,7 +76,7 @@
 	Evidence wireEvidence
 }
 
-// The kinds of wireEvidence.
+// The values of wireEvidence.Kind.
 const (
 	wireNone = iota
 	wireReleased
@@ -85,7 +85,7 @@
 	wireDeclared
 )
 
-// wireEvidence holds any evidence; Kind tells which fields count.
+// wireEvidence is the wire form of every evidence. Kind tells which fields are set.
 type wireEvidence struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   uint8
@@ -122,15 +122,15 @@
 			Owner: uint16(r.Owner), Standby: uint16(r.Standby),
 		})
 	}
-	for _, s := range d.SingleKeys {
+	for _, k := range d.SingleKeys {
 		w.SingleKeys = append(w.SingleKeys, wireSingleKey{
-			Hash: uint64(s.Hash), Shard: uint32(s.Shard),
-			Parent: uint32(s.Parent), SplitEpoch: uint64(s.SplitEpoch),
+			Hash: uint64(k.Hash), Shard: uint32(k.Shard),
+			Parent: uint32(k.Parent), SplitEpoch: uint64(k.SplitEpoch),
 		})
 	}
-	for _, g := range d.Ceded {
+	for _, c := range d.Ceded {
 		w.Ceded = append(w.Ceded, wireCeded{
-			Shard: uint32(g.Shard), Floor: uint64(g.Floor), Evidence: evidenceToWire(g.Evidence),
+			Shard: uint32(c.Shard), Floor: uint64(c.Floor), Evidence: evidenceToWire(c.Evidence),
 		})
 	}
 	for _, m := range d.Moves {
@@ -165,15 +165,15 @@
 			Owner: TargetIndex(r.Owner), Standby: TargetIndex(r.Standby),
 		})
 	}
-	for _, s := range w.SingleKeys {
+	for _, k := range w.SingleKeys {
 		d.SingleKeys = append(d.SingleKeys, SingleKey{
-			Hash: key.Hash(s.Hash), Shard: key.Shard(s.Shard),
-			Parent: key.Shard(s.Parent), SplitEpoch: grant.Epoch(s.SplitEpoch),
+			Hash: key.Hash(k.Hash), Shard: key.Shard(k.Shard),
+			Parent: key.Shard(k.Parent), SplitEpoch: grant.Epoch(k.SplitEpoch),
 		})
 	}
-	for _, g := range w.Ceded {
+	for _, c := range w.Ceded {
 		d.Ceded = append(d.Ceded, CededShard{
-			Shard: key.Shard(g.Shard), Floor: grant.Epoch(g.Floor), Evidence: evidenceFromWire(g.Evidence),
+			Shard: key.Shard(c.Shard), Floor: grant.Epoch(c.Floor), Evidence: evidenceFromWire(c.Evidence),
 		})
 	}
 	for _, m := range w.Moves {
