--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -13,7 +13,7 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// driver answers a lone lead's effects at once, without faults.
+// driver carries out the effects of a single leader at once, without faults.
 type driver struct {
 	cell       *Cell
 	now        time.Time
@@ -68,11 +68,11 @@
 	if data, err := target.EncodeOrder(e.Order); err == nil {
 		d.orderBytes += len(data)
 	}
-	answer := d.holdings[e.Target].Apply(grant.Stamp(d.now.Sub(simStart)), e.Order)
-	d.handle(OrderDone{Target: e.Target, SentAt: d.now, Reached: true, Response: answer})
+	response := d.holdings[e.Target].Apply(grant.Stamp(d.now.Sub(simStart)), e.Order)
+	d.handle(OrderDone{Target: e.Target, SentAt: d.now, Reached: true, Response: response})
 }
 
-// run runs the cell for d2 with a tick each 50 ms.
+// run runs the cell for the given time, with a tick every tickInterval.
 func (d *driver) run(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); {
 		d.now = d.now.Add(tickInterval)
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkSteadySecond is one second of a lead whose targets all answer.
+// BenchmarkSteadySecond runs one second of a leader whose targets are all responsive.
 func BenchmarkSteadySecond(b *testing.B) {
 	sizes := map[string]struct {
 		targets int
@@ -96,7 +96,7 @@
 			d := newDriver(size.targets, size.shards)
 			d.run(5 * time.Second)
 			if s := d.cell.Status(d.now); !s.LeaseHeld || s.Rows != int(size.shards) {
-				b.Fatalf("no steady lead: %+v", s)
+				b.Fatalf("no steady leader: %+v", s)
 			}
 			d.orders, d.orderBytes = 0, 0
 			b.ReportAllocs()
--- a/internal/cell/codec_test.go
+++ b/internal/cell/codec_test.go
@@ -68,14 +68,14 @@
 	}
 }
 
-// TestDecodeCorrupted changes bytes of real documents and messages: the
-// decoders refuse them or return what the core can index by.
+// TestDecodeCorrupted checks that the decoders return an error for corrupted documents
+// and messages, or a document whose indexes are valid.
 func TestDecodeCorrupted(t *testing.T) {
 	doc := fullDoc()
-	whole, err := EncodeMessage(Heartbeat{Term: 2, Doc: &doc})
+	encoded, err := EncodeMessage(Heartbeat{Term: 2, Doc: &doc})
 	assert.NilError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
-		data := append([]byte{}, whole...)
+		data := append([]byte{}, encoded...)
 		for range rapid.IntRange(0, 6).Draw(t, "changes") {
 			data[rapid.IntRange(0, len(data)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
--- a/internal/cell/evict_test.go
+++ b/internal/cell/evict_test.go
@@ -13,8 +13,9 @@
 	evictPeriod   = 30 * time.Second
 )
 
-// tryEvict lets another zone take a silent cell's lease where hold is bounded,
-// and its shards once it held the lease for longer than leads here may renew.
+// tryEvict lets another zone acquire the cell's lease once it has expired, if there is
+// a renew limit. When that zone has held it for longer than leaders of the cell may
+// renew grants, it evicts the cell.
 func (w *sim) tryEvict() {
 	if w.renewLimit == 0 || !w.storeUp {
 		return
@@ -24,35 +25,35 @@
 		w.tracef("another zone waits for the lease")
 	}
 	now := w.storeClock.at(w.now)
-	mine := w.leaseHolder == evictor && now.Before(w.leaseEnd)
-	if w.now > w.evictUntil || !mine && now.Before(w.leaseEnd) {
+	held := w.leaseHolder == evictor && now.Before(w.leaseEnd)
+	if w.now > w.evictUntil || !held && now.Before(w.leaseEnd) {
 		return
 	}
-	if !mine {
+	if !held {
 		w.evictSince = now
 	}
 	w.leaseHolder, w.leaseEnd = evictor, now.Add(evictLeaseTTL)
 	timing := DefaultTiming()
-	bound := w.renewLimit + timing.GrantDuration
-	bound += bound*time.Duration(timing.DriftPerMil)/perMil + time.Second
-	if now.Sub(w.evictSince) >= bound {
+	minHeld := w.renewLimit + timing.GrantDuration
+	minHeld += minHeld*time.Duration(timing.DriftPerMil)/perMil + time.Second
+	if now.Sub(w.evictSince) >= minHeld {
 		w.evictCell(w.evictSince)
 	}
 }
 
-// evictCell evicts the cell: custody changes first, then its document.
+// evictCell evicts the cell: it changes the custody first, then the cell's document.
 func (w *sim) evictCell(since time.Time) {
 	w.evictUntil = 0
-	gone := w.custody.Shards
-	for _, s := range gone {
+	shards := w.custody.Shards
+	for _, s := range shards {
 		w.changeCustody(s.Shard, 0, false)
 	}
-	if w.docRevision == 0 || len(gone) == 0 {
+	if w.docRevision == 0 || len(shards) == 0 {
 		return
 	}
 	w.tracef("another zone evicts the cell")
 	w.stats.evicted++
-	next := Evict(w.doc, w.custody.Revision, gone, grant.Expired{Since: since})
+	next := Evict(w.doc, w.custody.Revision, shards, grant.Expired{Since: since})
 	w.recordDoc(&next)
 	w.revision++
 	w.doc, w.docRevision = next, w.revision
--- a/internal/cell/fault_test.go
+++ b/internal/cell/fault_test.go
@@ -10,7 +10,7 @@
 
 const faultInterval = 100 * time.Millisecond
 
-// scheduleFaults makes faults of all kinds, at the run's rate.
+// scheduleFaults injects faults of all kinds, at the rates of the options.
 func (w *sim) scheduleFaults() {
 	if w.noFaults {
 		return
@@ -88,19 +88,19 @@
 func (w *sim) pauseHost(h *simHost, d time.Duration) {
 	w.tracef("%s pauses for %v", h.name, d)
 	h.pausedUntil = max(h.pausedUntil, w.now+d)
-	life := h.incarnation
+	inc := h.incarnation
 	w.after(h.pausedUntil-w.now, func() {
-		if h.incarnation != life || w.now < h.pausedUntil {
+		if h.incarnation != inc || w.now < h.pausedUntil {
 			return
 		}
-		waiting := h.deferred
+		queued := h.deferred
 		h.deferred = nil
 		if w.chance(0.5) {
 			w.perform(h, h.cell.Tick(h.at(w.now)))
 		}
-		for i, do := range waiting {
+		for i, do := range queued {
 			if w.now < h.pausedUntil {
-				h.deferred = append(h.deferred, waiting[i:]...)
+				h.deferred = append(h.deferred, queued[i:]...)
 				return
 			}
 			do()
@@ -108,8 +108,8 @@
 	})
 }
 
-// declaredDown reports whether a node was declared lost or has not come back
-// since: operators keep it down.
+// declaredDown reports whether a node is kept down because it is, or was lately,
+// declared lost.
 func (w *sim) declaredDown(name string) bool { return w.now < w.downUntil[name] }
 
 func (w *sim) crashHost(h *simHost, d time.Duration) {
@@ -119,9 +119,9 @@
 	w.tracef("%s crashes for %v", h.name, d)
 	h.incarnation++
 	h.down = true
-	life := h.incarnation
+	inc := h.incarnation
 	w.after(d, func() {
-		if h.incarnation == life {
+		if h.incarnation == inc {
 			h.pausedUntil = 0
 			w.startHost(h)
 		}
@@ -140,14 +140,14 @@
 func (w *sim) freezeTarget(t *simTarget, d time.Duration) {
 	w.tracef("%s freezes for %v", t.name, d)
 	t.pausedUntil = max(t.pausedUntil, w.now+d)
-	life := t.incarnation
+	inc := t.incarnation
 	w.after(t.pausedUntil-w.now, func() {
-		if t.incarnation != life || w.now < t.pausedUntil {
+		if t.incarnation != inc || w.now < t.pausedUntil {
 			return
 		}
-		waiting := t.deferred
+		queued := t.deferred
 		t.deferred = nil
-		for _, do := range waiting {
+		for _, do := range queued {
 			do()
 		}
 	})
@@ -160,9 +160,9 @@
 	w.tracef("%s crashes for %v", t.name, d)
 	t.incarnation++
 	t.down = true
-	life := t.incarnation
+	inc := t.incarnation
 	w.after(d, func() {
-		if t.incarnation == life {
+		if t.incarnation == inc {
 			t.pausedUntil = 0
 			w.startTarget(t)
 		}
@@ -202,10 +202,10 @@
 			}
 		}
 	}
-	w.tracef("split %v until %v", side, until)
+	w.tracef("network is partitioned into %v until %v", side, until)
 }
 
-// isolateFromStore cuts one host from the store, or ends all such cuts.
+// isolateFromStore cuts the link of one host to the store, or restores all of them.
 func (w *sim) isolateFromStore() {
 	if w.chance(0.3) {
 		for _, h := range w.hosts {
@@ -215,10 +215,10 @@
 	}
 	h := w.hosts[w.rng.IntN(len(w.hosts))]
 	w.cutUntil[linkKey(h.name, storeName)] = w.now + w.randomDuration(20, 60, 150)
-	w.tracef("%s is cut from the store", h.name)
+	w.tracef("%s is isolated from the store", h.name)
 }
 
-// changeLists changes what the platform's list says, which need not be true.
+// changeLists changes the platform's lists at random, regardless of the actual state.
 func (w *sim) changeLists() {
 	names := w.nodeNames()[1:]
 	name := names[w.rng.IntN(len(names))]
@@ -231,10 +231,10 @@
 	w.sendListsToAll()
 }
 
-// declareLoss declares a host or target lost while it is down. It comes back some
-// time after the declaration was undone, as the operators' page asks for.
+// declareLoss takes a host or target down and declares it lost. It starts again only
+// some time after the declaration was removed, as operators are told to make sure.
 func (w *sim) declareLoss() {
-	const undo, back = 8 * time.Second, 14 * time.Second
+	const declaredFor, downFor = 8 * time.Second, 14 * time.Second
 	w.stats.declared++
 	l := LossDeclaration{By: "operator", Reason: "fire"}
 	if w.chance(0.5) {
@@ -242,31 +242,32 @@
 		if w.declaredDown(h.name) {
 			return
 		}
-		w.crashHost(h, back)
-		w.downUntil[h.name] = w.now + back
+		w.crashHost(h, downFor)
+		w.downUntil[h.name] = w.now + downFor
 		l.Host = place.Host(h.name)
 	} else {
 		t := w.targets[w.rng.IntN(len(w.targets))]
 		if w.declaredDown(t.name) {
 			return
 		}
-		w.crashTarget(t, back)
-		w.downUntil[t.name] = w.now + back
+		w.crashTarget(t, downFor)
+		w.downUntil[t.name] = w.now + downFor
 		l.Target = place.Target(t.name)
 	}
-	w.tracef("declared lost: %+v", l)
+	w.tracef("loss declared: %+v", l)
 	w.losses = append(w.losses, l)
 	w.sendListsToAll()
-	w.after(undo, func() {
+	w.after(declaredFor, func() {
 		w.losses = slices.DeleteFunc(w.losses, func(o LossDeclaration) bool { return o == l })
 		w.sendListsToAll()
 	})
 }
 
-// calmPhase is the quiet time at the end of a run.
+// calmPhase is the duration of the phase without faults at the end of a run.
 const calmPhase = 30 * time.Second
 
-// endFaults ends all faults. Pauses and crashes that have begun run out.
+// endFaults starts the calm phase. Pauses and crashes that have begun still run to
+// their end.
 func (w *sim) endFaults() {
 	w.tracef("all faults end")
 	w.noFaults, w.storeUp, w.storeSlow = true, true, false
@@ -276,7 +277,8 @@
 	w.sendListsToAll()
 }
 
-// checkRecovered reports shards in custody that the quiet time did not bring back.
+// checkRecovered fails the run if a shard in custody has no owner after the calm
+// phase, or a removed host is not forgotten.
 func (w *sim) checkRecovered() {
 	if w.failure != "" || w.skipRecoveryCheck {
 		return
@@ -292,7 +294,8 @@
 	}
 }
 
-// sampleServed counts which shards in custody are held by a target that runs.
+// sampleServed counts the shards in custody, and those of them that are held by a
+// running target.
 func (w *sim) sampleServed() {
 	held := w.servedShards()
 	for _, r := range w.custody.Shards {
@@ -303,7 +306,7 @@
 	}
 }
 
-// servedShards returns the shards that are held by a target that runs.
+// servedShards returns the shards that are held by a running target.
 func (w *sim) servedShards() map[key.Shard]bool {
 	held := make(map[key.Shard]bool)
 	for _, t := range w.targets {
@@ -317,7 +320,7 @@
 	return held
 }
 
-// planMove asks every host for a move or a cut, as placement would.
+// planMove sends every host a random move, split or merge, as placement would.
 func (w *sim) planMove() {
 	move := PlannedMove{
 		Shard: key.Shard(w.rng.IntN(int(simShards))),
@@ -335,12 +338,12 @@
 	}
 }
 
-// transferShard takes a shard away, or brings back one that was given up.
+// transferShard takes a shard out of the cell's custody, or returns a ceded one.
 func (w *sim) transferShard() {
 	shard := key.Shard(w.rng.IntN(int(simShards)))
-	if floor, away := w.ceded[shard]; away {
+	if floor, isCeded := w.ceded[shard]; isCeded {
 		if w.chance(0.8) {
-			w.tracef("shard %d comes back", shard)
+			w.tracef("shard %d returns to custody", shard)
 			delete(w.ceded, shard)
 			w.changeCustody(shard, floor+1, true)
 		}
@@ -348,7 +351,7 @@
 	}
 	for _, r := range w.custody.Shards {
 		if r.Shard == shard && w.doc.rowIndex(shard) >= 0 {
-			w.tracef("shard %d is to go", shard)
+			w.tracef("shard %d is taken out of custody", shard)
 			w.changeCustody(shard, 0, false)
 			return
 		}
--- a/internal/cell/network_test.go
+++ b/internal/cell/network_test.go
@@ -22,67 +22,67 @@
 	return w.delay()
 }
 
-// callStore makes one call: apply at the store, then done or failed at the host.
-// failed gets whether the call may have taken effect.
+// callStore makes a call: apply runs at the store, then done or failed at the host.
+// The argument of failed is whether the call may have taken effect.
 func (w *sim) callStore(h *simHost, apply, done func(), failed func(unknown bool)) {
-	life := h.incarnation
+	inc := h.incarnation
 	if !w.storeReachable(h) {
 		w.after(w.delay(), func() {
-			if failed != nil && h.incarnation == life {
+			if failed != nil && h.incarnation == inc {
 				failed(w.rng.IntN(4) == 0)
 			}
 		})
 		return
 	}
-	limit := simCallTimeout
+	timeout := simCallTimeout
 	if w.storeSlow {
-		limit = 12 * time.Second
+		timeout = 12 * time.Second
 	}
-	answered := false
+	finished := false
 	w.after(w.storeDelay(), func() {
 		if !w.storeUp {
 			return
 		}
 		apply()
 		if !w.noFaults && w.rng.IntN(20) == 0 {
-			return // the answer is lost
+			return // the response is lost
 		}
 		w.after(w.storeDelay(), func() {
-			if answered || h.incarnation != life || !w.linked(h.name, storeName) {
+			if finished || h.incarnation != inc || !w.linked(h.name, storeName) {
 				return
 			}
-			answered = true
+			finished = true
 			if done != nil {
 				done()
 			}
 		})
 	})
-	w.after(limit, func() {
-		if !answered && failed != nil && h.incarnation == life {
-			answered = true
+	w.after(timeout, func() {
+		if !finished && failed != nil && h.incarnation == inc {
+			finished = true
 			failed(true)
 		}
 	})
 }
 
 func (w *sim) readDoc(h *simHost) {
-	var seen DocReceived
-	life := h.incarnation
+	var read DocReceived
+	inc := h.incarnation
 	w.callStore(h, func() {
-		seen = DocReceived{Exists: w.docRevision != 0, FromStore: true, Doc: w.doc.clone(), Revision: w.docRevision}
-	}, func() { w.handle(h, life, seen) }, nil)
+		read = DocReceived{Exists: w.docRevision != 0, FromStore: true, Doc: w.doc.clone(), Revision: w.docRevision}
+	}, func() { w.handle(h, inc, read) }, nil)
 }
 
 func (w *sim) writeDoc(h *simHost, e WriteDoc) {
-	life := h.incarnation
+	inc := h.incarnation
 	result := WriteDone{WriteID: e.Doc.WriteID}
-	w.callStore(h, func() { w.commit(h, e, &result) }, func() { w.handle(h, life, result) }, func(unknown bool) {
+	w.callStore(h, func() { w.commit(h, e, &result) }, func() { w.handle(h, inc, result) }, func(unknown bool) {
 		result.Result = WriteUnavailable
 		if unknown {
 			w.stats.uncertain++
 			result.Result = WriteUnknown
 		}
-		w.handle(h, life, result)
+		w.handle(h, inc, result)
 	})
 }
 
@@ -92,7 +92,7 @@
 		return
 	}
 	if err := transitionError(&w.doc, &e.Doc); err != nil && w.docRevision != 0 {
-		w.failf("%s wrote a bad step: %v", h.name, err)
+		w.failf("%s wrote a document that violates an invariant: %v", h.name, err)
 	}
 	w.recordDoc(&e.Doc)
 	data, err := EncodeDoc(e.Doc)
@@ -111,7 +111,7 @@
 	w.tracef("%s commits rev %d term %d roster %v removed %v rows %v", h.name, w.docRevision, w.doc.Term, w.doc.Roster, w.doc.Removed, w.doc.Rows)
 }
 
-// recordDoc notes what the run's own checks need of a committed document.
+// recordDoc records what the checks of the simulation need of a committed document.
 func (w *sim) recordDoc(next *Doc) {
 	if next.Term > w.doc.Term {
 		w.stats.terms++
@@ -139,24 +139,24 @@
 			w.after(0, w.checkTargets)
 		}
 	}
-	for _, g := range next.Ceded {
-		if _, away := w.ceded[g.Shard]; away || slices.ContainsFunc(w.doc.Ceded, func(o CededShard) bool { return o.Shard == g.Shard }) {
+	for _, c := range next.Ceded {
+		if _, isCeded := w.ceded[c.Shard]; isCeded || slices.ContainsFunc(w.doc.Ceded, func(o CededShard) bool { return o.Shard == c.Shard }) {
 			continue
 		}
 		w.stats.ceded++
-		w.tracef("shard %d is given away at floor %d", g.Shard, g.Floor)
-		w.ceded[g.Shard] = g.Floor
+		w.tracef("shard %d is ceded at floor %d", c.Shard, c.Floor)
+		w.ceded[c.Shard] = c.Floor
 		for hash, s := range w.singleKeys {
-			if s.Parent == g.Shard {
-				w.merged[hash] = g.Floor
+			if s.Parent == c.Shard {
+				w.merged[hash] = c.Floor
 			}
 		}
-		w.checkCeded(g.Shard)
+		w.checkCeded(c.Shard)
 	}
 }
 
 func (w *sim) acquireLease(h *simHost) {
-	life := h.incarnation
+	inc := h.incarnation
 	sent := h.at(w.now)
 	var held bool
 	w.callStore(h, func() {
@@ -167,9 +167,9 @@
 		}
 		held = w.leaseHolder == me
 	}, func() {
-		w.handle(h, life, LeaseDone{SentAt: sent, Reached: true, Held: held})
+		w.handle(h, inc, LeaseDone{SentAt: sent, Reached: true, Held: held})
 	}, func(bool) {
-		w.handle(h, life, LeaseDone{SentAt: sent})
+		w.handle(h, inc, LeaseDone{SentAt: sent})
 	})
 }
 
@@ -183,7 +183,7 @@
 		if place.Host(to.name) != e.To || !w.linked(h.name, to.name) {
 			continue
 		}
-		life := to.incarnation
+		inc := to.incarnation
 		w.after(w.delay(), func() {
 			m, err := DecodeMessage(data)
 			if err != nil {
@@ -191,23 +191,23 @@
 				return
 			}
 			if w.linked(h.name, to.name) {
-				w.handle(to, life, PeerReceived{From: place.Host(h.name), Message: m})
+				w.handle(to, inc, PeerReceived{From: place.Host(h.name), Message: m})
 			}
 		})
 	}
 }
 
 func (w *sim) sendOrder(h *simHost, e SendOrder) {
-	life := h.incarnation
+	inc := h.incarnation
 	sent := h.at(w.now)
-	answered := false
+	finished := false
 	finish := func(ev OrderDone) {
 		ev.Target, ev.SentAt = e.Target, sent
-		w.handle(h, life, ev)
+		w.handle(h, inc, ev)
 	}
 	w.after(simCallTimeout, func() {
-		if !answered {
-			answered = true
+		if !finished {
+			finished = true
 			finish(OrderDone{})
 		}
 	})
@@ -219,11 +219,11 @@
 		if !w.linked(h.name, t.name) {
 			return
 		}
-		w.deliverOrder(t, e.Order, func(a grant.Response) {
+		w.deliverOrder(t, e.Order, func(r grant.Response) {
 			w.after(w.delay(), func() {
-				if w.linked(h.name, t.name) && (!answered || w.rng.IntN(2) == 0) {
-					answered = true
-					finish(OrderDone{Reached: true, Response: a})
+				if w.linked(h.name, t.name) && (!finished || w.rng.IntN(2) == 0) {
+					finished = true
+					finish(OrderDone{Reached: true, Response: r})
 				}
 			})
 		})
@@ -239,33 +239,34 @@
 	return nil
 }
 
-// deliverOrder gives an order to a target; a frozen one reads it after the thaw.
-func (w *sim) deliverOrder(t *simTarget, o grant.Order, answer func(grant.Response)) {
+// deliverOrder delivers an order to a target, after its pause if it is frozen.
+func (w *sim) deliverOrder(t *simTarget, o grant.Order, respond func(grant.Response)) {
 	if t.down {
 		return
 	}
 	if w.now < t.pausedUntil {
-		t.deferred = append(t.deferred, func() { w.deliverOrder(t, o, answer) })
+		t.deferred = append(t.deferred, func() { w.deliverOrder(t, o, respond) })
 		return
 	}
 	now := t.clockStamp(w.now)
 	if w.anchorAtArrival {
 		o.Anchor = now
 	}
-	a := t.holdings.Apply(now, o)
+	r := t.holdings.Apply(now, o)
 	if w.hideTerms {
-		a.Term = 0
+		r.Term = 0
 	}
 	w.checkDuplicates(t, o)
-	answer(a)
+	respond(r)
 }
 
-// checkDuplicates reports a shard or hot key that the target holds beside another.
-// Ownership begins with an order alone, so that this check sees every instant.
+// checkDuplicates fails the run if the target and another one hold the same shard or
+// hot key, or if the target holds a ceded shard. As ownership begins only with an
+// order, no duplicate owner is missed if it runs after each order.
 func (w *sim) checkDuplicates(t *simTarget, o grant.Order) {
 	for _, mine := range t.holdings.List(t.clockStamp(w.now)) {
-		if epoch, away := w.ceded[mine.Shard]; away {
-			w.failf("%s holds shard %d at %d, given away at floor %d", t.name, mine.Shard, mine.Epoch, epoch)
+		if floor, isCeded := w.ceded[mine.Shard]; isCeded {
+			w.failf("%s holds shard %d at %d, which is ceded at floor %d", t.name, mine.Shard, mine.Epoch, floor)
 		}
 		for _, other := range w.targets {
 			if other == t || other.down {
@@ -273,7 +274,7 @@
 			}
 			for _, theirs := range other.holdings.List(other.clockStamp(w.now)) {
 				if theirs.Shard == mine.Shard {
-					w.failf("shard %d doubled: %s at %d until +%v, %s at %d; order of term %d", mine.Shard, t.name, mine.Epoch,
+					w.failf("duplicate owner of shard %d: %s at %d until +%v, %s at %d; order of term %d", mine.Shard, t.name, mine.Epoch,
 						time.Duration(mine.End-t.clockStamp(w.now)), other.name, theirs.Epoch, o.Term)
 				}
 				w.checkSingleKeys(t, mine.ShardEpoch, other, theirs.ShardEpoch)
@@ -285,13 +286,14 @@
 func (w *sim) checkSingleKeys(t *simTarget, mine grant.ShardEpoch, other *simTarget, theirs grant.ShardEpoch) {
 	for hash := range w.singleKeys {
 		if w.covers(mine, hash) && w.covers(theirs, hash) {
-			w.failf("hot key of shard %d doubled: %s by %v, %s by %v", w.singleKeys[hash].Parent, t.name, mine, other.name, theirs)
+			w.failf("duplicate owner of a hot key of shard %d: %s by %v, %s by %v", w.singleKeys[hash].Parent, t.name, mine, other.name, theirs)
 		}
 	}
 }
 
-// covers reports whether a request for the hot key may be served under the
-// holding: by its own row, or by its parent at an epoch before the cut.
+// covers reports whether a target with the holding may serve the hot key: by its
+// single-key shard, or by its parent shard at an epoch before the split or since the
+// merge.
 func (w *sim) covers(h grant.ShardEpoch, hash key.Hash) bool {
 	s := w.singleKeys[hash]
 	if h.Shard == s.Shard {
@@ -300,8 +302,8 @@
 	if h.Shard != s.Parent {
 		return false
 	}
-	again, rejoined := w.merged[hash]
-	return h.Epoch < s.SplitEpoch || rejoined && h.Epoch >= again
+	mergeEpoch, wasMerged := w.merged[hash]
+	return h.Epoch < s.SplitEpoch || wasMerged && h.Epoch >= mergeEpoch
 }
 
 func (w *sim) checkTargets() {
@@ -312,7 +314,8 @@
 	}
 }
 
-// checkCeded reports a shard that a target still holds as another zone gets it.
+// checkCeded fails the run if a target still holds a shard that is ceded to another
+// zone.
 func (w *sim) checkCeded(shard key.Shard) {
 	for _, t := range w.targets {
 		if t.down {
@@ -320,7 +323,7 @@
 		}
 		for _, held := range t.holdings.List(t.clockStamp(w.now)) {
 			if held.Shard == shard {
-				w.failf("%s holds shard %d at %d as it is given away", t.name, shard, held.Epoch)
+				w.failf("%s holds shard %d at %d as it is ceded", t.name, shard, held.Epoch)
 			}
 		}
 	}
@@ -333,15 +336,15 @@
 		w.failf("%s: %s", h.name, e.Text)
 	case strings.HasPrefix(e.Text, "Activates"):
 		w.stats.activated++
-	case strings.HasPrefix(e.Text, "Renews as deputy"):
+	case strings.HasPrefix(e.Text, "Renewing grants as deputy"):
 		w.stats.deputies++
 	}
 }
 
-// custodyAt returns the custody without or with one shard, at the next revision.
-func (w *sim) changeCustody(shard key.Shard, floor grant.Epoch, here bool) {
+// changeCustody adds a shard to the cell's custody or removes it, at the next revision.
+func (w *sim) changeCustody(shard key.Shard, floor grant.Epoch, inCustody bool) {
 	rows := slices.DeleteFunc(slices.Clone(w.custody.Shards), func(r CustodyRow) bool { return r.Shard == shard })
-	if here {
+	if inCustody {
 		rows = append(rows, CustodyRow{Shard: shard, Floor: floor})
 	}
 	w.custody = CustodyReceived{Revision: w.custody.Revision + platform.Revision(1), Shards: rows}
--- a/internal/cell/rule_test.go
+++ b/internal/cell/rule_test.go
@@ -18,19 +18,20 @@
 
 func (w *sim) restoreLink(a, b string) { delete(w.cutUntil, linkKey(a, b)) }
 
-func (w *sim) otherHosts(not *simHost) []*simHost {
+func (w *sim) otherHosts(except *simHost) []*simHost {
 	var out []*simHost
 	for _, h := range w.hosts {
-		if h != not {
+		if h != except {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// promisedLeader makes a lead a that lost the store and lives on the promise of b,
-// and a successor c with the lease. The old lead reaches the target t alone,
-// the successor all others: these would tell the old lead of the later term.
+// promisedLeader isolates the leader a and the host b from the store and from c. The
+// leader then renews grants by the promise of b, while c acquires the lease and succeeds
+// it. The old leader reaches only the target t, and the successor only the other targets,
+// as these would report the later term to the old leader.
 func promisedLeader(w *sim) (a, b, c *simHost, t *simTarget) {
 	w.runUntil(4 * time.Second)
 	a = w.leaderHost()
@@ -43,13 +44,13 @@
 			w.cutLinks(a.name, other.name)
 		}
 	}
-	// The hosts' heartbeats come at other times in each run.
+	// Vary the time in relation to the heartbeats from seed to seed.
 	w.runUntil(8*time.Second + time.Duration(w.rng.IntN(400))*time.Millisecond)
 	return a, b, c, t
 }
 
-// restartPromiser restarts the host that backs the old lead; its new life
-// hears only the successor.
+// restartPromiser restarts the host that has promised to the old leader. The new
+// incarnation hears only the successor.
 func restartPromiser(w *sim) {
 	a, b, c, _ := promisedLeader(w)
 	w.cutLinks(a.name, b.name)
@@ -57,14 +58,16 @@
 	w.crashHost(b, 50*time.Millisecond)
 }
 
-// switchPromiser lets the host that backs the old lead hear only the successor.
+// switchPromiser makes the host that has promised to the old leader hear only the
+// successor.
 func switchPromiser(w *sim) {
 	a, b, c, _ := promisedLeader(w)
 	w.cutLinks(a.name, b.name)
 	w.restoreLink(b.name, c.name)
 }
 
-// losePromiser declares the host lost that backed the old lead until just now.
+// losePromiser declares the host lost whose promise to the old leader has not expired
+// yet.
 func losePromiser(w *sim) {
 	a, b, _, _ := promisedLeader(w)
 	w.cutLinks(a.name, b.name)
@@ -73,8 +76,8 @@
 	w.sendListsToAll()
 }
 
-// evictLeader activates a standby while the store is out, passes the hold, and
-// is evicted before it reaches the store again.
+// evictLeader makes a leader activate a standby during a store outage, pass its renew
+// limit, and be evicted before it reaches the store again.
 func evictLeader(w *sim) {
 	w.runUntil(4 * time.Second)
 	a := w.leaderHost()
@@ -87,7 +90,7 @@
 	w.leaseThenIsolate(a)
 }
 
-// leaseThenIsolate lets the host reach the store until it has the lease.
+// leaseThenIsolate lets a host reach the store until it has the lease.
 func (w *sim) leaseThenIsolate(h *simHost) {
 	w.restoreLink(h.name, storeName)
 	for end := w.now + 5*time.Second; w.now < end && !h.at(w.now).Before(h.cell.lease.until); {
@@ -96,8 +99,9 @@
 	w.cutLinks(h.name, storeName)
 }
 
-// removePromisers drops an old lead and its backer from the roster, then cuts
-// the successor from a target that the old lead still renews.
+// removePromisers waits until the successor has removed the old leader and the host
+// that has promised to it from the roster, and cuts the successor's link to a target
+// whose grants the old leader still renews.
 func removePromisers(w *sim) {
 	w.runUntil(4 * time.Second)
 	a := w.leaderHost()
@@ -108,8 +112,8 @@
 	w.cutLinks(c.name, w.firstOwner().name)
 }
 
-// unreadPromiser gives an old lead the promise of a host whose new life knows
-// nothing of two later terms and of the roster that replaced the old one.
+// unreadPromiser gives an old leader the promise of a host whose new incarnation knows
+// neither the two later terms nor the roster that replaced the old one.
 func unreadPromiser(w *sim) {
 	w.unlisted["h2"] = true
 	w.runUntil(4 * time.Second)
@@ -137,16 +141,17 @@
 	w.crashHost(b, 50*time.Millisecond)
 }
 
-// splitUnheard cuts a hot key at an owner that does not hear of it, and lets the
-// next lead settle the key's row, but not its parent's, whose standby it can't
-// reach. The owner still holds the parent at the epoch that includes the key.
+// splitUnheard splits a hot key off a shard whose owner does not learn of it. The next
+// leader then finds out the holder of the key's row, but not that of the parent's row, as
+// it does not reach the parent's standby. The owner still holds the parent shard at the
+// epoch that includes the key.
 func splitUnheard(w *sim) {
 	w.runUntil(4 * time.Second)
 	a, t := w.leaderHost(), w.firstOwner()
 	row := w.doc.Rows[0]
 	w.cutLinks(a.name, t.name)
-	cut := PlannedMove{Shard: row.Shard, Split: true, HotKey: key.Hash(uint64(row.Shard) << 62)}
-	w.handle(a, a.incarnation, PlanReceived{Moves: []PlannedMove{cut}})
+	split := PlannedMove{Shard: row.Shard, Split: true, HotKey: key.Hash(uint64(row.Shard) << 62)}
+	w.handle(a, a.incarnation, PlanReceived{Moves: []PlannedMove{split}})
 	w.runUntil(w.now + 150*time.Millisecond)
 	w.drains = []place.Target{w.doc.Targets[row.Standby].Target}
 	w.sendListsToAll()
@@ -156,19 +161,20 @@
 	for _, h := range w.otherHosts(a) {
 		w.cutLinks(h.name, standby)
 	}
-	solo := w.doc.Rows[len(w.doc.Rows)-1].Shard
+	single := w.doc.Rows[len(w.doc.Rows)-1].Shard
 	for range 20 {
 		w.runUntil(w.now + 50*time.Millisecond)
 		for _, to := range w.targets {
 			for _, h := range w.hosts {
-				w.handle(h, h.incarnation, PlanReceived{Moves: []PlannedMove{{Shard: solo, To: place.Target(to.name)}}})
+				w.handle(h, h.incarnation, PlanReceived{Moves: []PlannedMove{{Shard: single, To: place.Target(to.name)}}})
 			}
 		}
 	}
 }
 
-// pauseInLeaseCall pauses a lead while the answer about its lease is under way.
-// When it goes on, a target has forgotten all terms and reaches it alone.
+// pauseInLeaseCall pauses a leader while a response to its lease call is in flight. When
+// it goes on, a target has restarted and so accepts every term, and only this host
+// reaches it.
 func pauseInLeaseCall(w *sim) {
 	w.runUntil(4 * time.Second)
 	a, t := w.leaderHost(), w.firstOwner()
@@ -185,9 +191,9 @@
 	}
 }
 
-// regainLease cuts a lead off until its successor has moved the shards of a
-// target that the old lead alone reaches. Then the successor dies, and the old
-// lead gets the lapsed lease back, and loses the store before it has read it.
+// regainLease isolates a leader until its successor has moved the shards off a target that
+// only the old leader reaches. Then the successor crashes. The old leader acquires the
+// expired lease again, and is isolated from the store before it has read the document.
 func regainLease(w *sim) {
 	a, b, c, _ := promisedLeader(w)
 	w.cutLinks(a.name, b.name)
@@ -199,17 +205,17 @@
 	w.leaseThenIsolate(a)
 }
 
-// TestRulesPreventViolations plays scripts that random runs reach too seldom: each is safe
-// as it is, and doubles an owner once its rule is broken.
+// TestRulesPreventViolations runs scripts of cases that random runs seldom reach. Each
+// passes with all rules, and leads to a violation if its rule is disabled.
 func TestRulesPreventViolations(t *testing.T) {
 	const seeds = 30
 	if testing.Short() {
-		t.Skip("the whole run plays it")
+		t.Skip("skipped in short mode")
 	}
 	tests := map[string]struct {
 		script  func(*sim)
 		options options
-		breakIt func(*options)
+		mutate  func(*options)
 	}{
 		"silence of a restarted host": {
 			restartPromiser, options{hosts: 3, targets: 4}, func(o *options) { o.mutations.skipStartupSilence = true },
@@ -243,7 +249,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			play := func(o options) int {
+			countFailures := func(o options) int {
 				failed := 0
 				for seed := uint64(1); seed <= seeds; seed++ {
 					o.seed, o.noFaults, o.duration = seed, true, time.Hour
@@ -256,11 +262,11 @@
 				}
 				return failed
 			}
-			assert.Equal(t, play(tt.options), 0)
-			broken := tt.options
-			tt.breakIt(&broken)
-			failed := play(broken)
-			t.Logf("%d of %d scripts fail without the rule", failed, seeds)
+			assert.Equal(t, countFailures(tt.options), 0)
+			mutated := tt.options
+			tt.mutate(&mutated)
+			failed := countFailures(mutated)
+			t.Logf("%d of %d runs fail without the rule", failed, seeds)
 			assert.Assert(t, failed > 0)
 		})
 	}
--- a/internal/cell/run_test.go
+++ b/internal/cell/run_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// randomOptions draws the shape of a run from its seed.
+// randomOptions returns the options of a run, drawn from its seed.
 func randomOptions(seed uint64) options {
 	r := rand.New(rand.NewPCG(seed, 3))
 	o := options{
@@ -28,16 +28,16 @@
 	return o
 }
 
-func envInt(name string, otherwise int) int {
+func envInt(name string, fallback int) int {
 	n, err := strconv.Atoi(os.Getenv(name))
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// stats counts what happened in a run, to tell whether it reached anything.
-// Served and samples count shards in custody, ten times a second.
+// stats counts the events of a run, to show what it covered. samples counts the shards
+// in custody ten times a second, served those of them that a running target held.
 type stats struct {
 	moves, terms, activated, deputies, splits, ceded, uncertain, declared, rosterChanges, merges, evicted int
 	served, samples                                                                                       int
@@ -59,7 +59,7 @@
 	s.samples += o.samples
 }
 
-// runReport is the outcome of many runs.
+// runReport is the result of many runs.
 type runReport struct {
 	mu     sync.Mutex
 	failed []string
@@ -75,7 +75,7 @@
 	r.total.add(s)
 }
 
-// runSeeds plays the seeds from first on, three at a time.
+// runSeeds runs count seeds from first on, three at a time.
 func runSeeds(first, count int, change func(*options)) *runReport {
 	out := &runReport{}
 	var group errgroup.Group
@@ -95,8 +95,8 @@
 	return out
 }
 
-// TestRandomRuns plays hosts, targets and a store under faults of all kinds.
-// CELL_SEED and CELL_RUNS choose other seeds; CELL_TRACE prints one run.
+// TestRandomRuns simulates hosts, targets and a store with faults of all kinds.
+// CELL_SEED and CELL_RUNS choose other seeds. CELL_TRACE prints the trace of one run.
 func TestRandomRuns(t *testing.T) {
 	count := 800
 	if testing.Short() {
@@ -119,22 +119,22 @@
 	}
 }
 
-// TestRegressionSeeds plays the runs that once found a fault, with the grants that
-// they found it with.
+// TestRegressionSeeds repeats the runs that found a bug, each with the grant duration
+// that was in use then.
 func TestRegressionSeeds(t *testing.T) {
-	const longer, now = 2800 * time.Millisecond, 2500 * time.Millisecond
+	const longer, current = 2800 * time.Millisecond, 2500 * time.Millisecond
 	tests := map[string]struct {
 		seed  uint64
 		grant time.Duration
 	}{
-		"stale lead gets the lapsed lease back":                     {3574, longer},
+		"stale leader acquires the expired lease":                   {3574, longer},
 		"promise of a lost host outlives the declaration":           {41097, longer},
 		"grants of a lost host outlive the declaration":             {1551, longer},
-		"target answers although it is declared lost":               {106553, longer},
-		"standby granted again after the hold":                      {2002020, longer},
-		"stale lead grants to a restarted target":                   {435, longer},
+		"target responds although it is declared lost":              {106553, longer},
+		"standby granted again after the renew limit":               {2002020, longer},
+		"stale leader grants to a restarted target":                 {435, longer},
 		"a pause between two effects reorders published tables":     {1660, longer},
-		"two hosts wait for each other with documents of two terms": {4314, now},
+		"two hosts wait for each other with documents of two terms": {4314, current},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -145,8 +145,9 @@
 	}
 }
 
-// TestRulesNeeded breaks one rule after the other and counts the runs that
-// notice. It takes minutes: CELL_BREAK names the number of runs per rule.
+// TestRulesNeeded disables one rule after the other and logs how many runs fail
+// without it. It takes minutes. CELL_BREAK is the number of runs per rule, CELL_RULE the
+// name of the only rule to run.
 func TestRulesNeeded(t *testing.T) {
 	count := envInt("CELL_BREAK", 0)
 	if count == 0 {
@@ -156,7 +157,7 @@
 		if only := os.Getenv("CELL_RULE"); only != "" && only != rule.name {
 			continue
 		}
-		r := runSeeds(envInt("CELL_SEED", 1), count, rule.breakIt)
+		r := runSeeds(envInt("CELL_SEED", 1), count, rule.mutate)
 		first := ""
 		if len(r.failed) > 0 {
 			first = r.failed[0]
@@ -165,10 +166,11 @@
 	}
 }
 
-// ruleMutations lists each rule of ownership with the change that breaks it.
+// ruleMutations lists the rules of ownership, each with the mutation that disables it.
+// CELL_RULE selects them by name.
 var ruleMutations = []struct {
-	name    string
-	breakIt func(*options)
+	name   string
+	mutate func(*options)
 }{
 	{"anchored grants", func(o *options) { o.anchorAtArrival = true }},
 	{"extend is not grant", func(o *options) { o.mutations.alwaysGrant = true }},
--- a/internal/cell/scenario_test.go
+++ b/internal/cell/scenario_test.go
@@ -11,8 +11,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// longestGap plays the world for d and returns the longest time that any shard was
-// held by no target that answers.
+// longestGap runs the simulation for d and returns the longest time for which a shard
+// was held by no running target.
 func (w *sim) longestGap(d time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	last := make(map[key.Shard]time.Duration)
@@ -62,8 +62,8 @@
 	w.sendListsToAll()
 }
 
-// TestFailoverGap loses parts of a quiet cell and bounds the time that any
-// shard is without an owner.
+// TestFailoverGap injects single faults into a cell without other faults and checks for
+// how long a shard is without an owner.
 func TestFailoverGap(t *testing.T) {
 	const loss, long = 4 * time.Second, time.Hour
 	seeds := uint64(60)
@@ -96,22 +96,22 @@
 				w.after(time.Duration(i)*3*time.Second, func() { w.handle(h, h.incarnation, StopRequested{}) })
 			}
 		}, 0, 4},
-		"target restarted":   {func(w *sim) { w.crashTarget(w.firstOwner(), 100*time.Millisecond) }, time.Second, 3},
-		"lead killed":        {func(w *sim) { w.crashHost(w.leaderHost(), long) }, 0, 3},
-		"lead paused":        {func(w *sim) { w.pauseHost(w.leaderHost(), 5*time.Second) }, 0, 3},
-		"lead of two killed": {func(w *sim) { w.crashHost(w.leaderHost(), long) }, 0, 2},
-		"lead stopped":       {func(w *sim) { h := w.leaderHost(); w.handle(h, h.incarnation, StopRequested{}) }, 0, 3},
-		"store out":          {func(w *sim) { w.storeUp = false }, 0, 3},
-		"store slow":         {func(w *sim) { w.storeSlow = true }, 0, 3},
-		"store out, target killed": {func(w *sim) {
+		"target restarted":     {func(w *sim) { w.crashTarget(w.firstOwner(), 100*time.Millisecond) }, time.Second, 3},
+		"leader killed":        {func(w *sim) { w.crashHost(w.leaderHost(), long) }, 0, 3},
+		"leader paused":        {func(w *sim) { w.pauseHost(w.leaderHost(), 5*time.Second) }, 0, 3},
+		"leader of two killed": {func(w *sim) { w.crashHost(w.leaderHost(), long) }, 0, 2},
+		"leader stopped":       {func(w *sim) { h := w.leaderHost(); w.handle(h, h.incarnation, StopRequested{}) }, 0, 3},
+		"store unavailable":    {func(w *sim) { w.storeUp = false }, 0, 3},
+		"store slow":           {func(w *sim) { w.storeSlow = true }, 0, 3},
+		"store unavailable, target killed": {func(w *sim) {
 			w.storeUp = false
 			w.after(5*time.Second, func() { w.crashTarget(w.firstOwner(), long) })
 		}, loss, 3},
-		"store out, lead killed": {func(w *sim) {
+		"store unavailable, leader killed": {func(w *sim) {
 			w.storeUp = false
 			w.after(5*time.Second, func() { w.crashHost(w.leaderHost(), long) })
 		}, 0, 3},
-		"store slow, lead killed": {func(w *sim) {
+		"store slow, leader killed": {func(w *sim) {
 			w.storeSlow = true
 			w.after(5*time.Second, func() { w.crashHost(w.leaderHost(), long) })
 		}, 0, 3},
@@ -119,14 +119,14 @@
 			w.storeSlow = true
 			w.after(5*time.Second, func() { w.crashTarget(w.firstOwner(), long) })
 		}, loss, 3},
-		"store out, target drained": {func(w *sim) {
+		"store unavailable, target drained": {func(w *sim) {
 			w.storeUp = false
 			w.after(5*time.Second, func() {
 				w.drains = []place.Target{place.Target(w.firstOwner().name)}
 				w.sendListsToAll()
 			})
 		}, time.Second, 3},
-		"lead and target killed": {func(w *sim) {
+		"leader and target killed": {func(w *sim) {
 			w.crashTarget(w.firstOwner(), long)
 			w.crashHost(w.leaderHost(), long)
 		}, loss, 3},
--- a/internal/cell/sim_test.go
+++ b/internal/cell/sim_test.go
@@ -26,7 +26,7 @@
 
 var simStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// clock is a node's clock that runs up to 1% fast or slow.
+// clock is the clock of a node. It runs up to 1% fast or slow.
 type clock struct {
 	rate   float64
 	offset time.Duration
@@ -36,7 +36,8 @@
 	return simStart.Add(c.offset + time.Duration(float64(t)*c.rate))
 }
 
-// simEvent is something that happens at one instant of a run.
+// simEvent is an event of the simulation. Events at the same time run in the order
+// of seq.
 type simEvent struct {
 	at  time.Duration
 	seq int
@@ -58,12 +59,12 @@
 	return last
 }
 
-// node is what hosts and targets have in common.
+// node is the common part of hosts and targets.
 type node struct {
 	clock
 	name        string
 	incarnation int
-	pausedUntil time.Duration // until
+	pausedUntil time.Duration
 	down        bool
 }
 
@@ -85,25 +86,25 @@
 	return grant.Stamp(float64(now-n.startedAt) * n.rate)
 }
 
-// options shapes a run.
+// options are the parameters of a run.
 type options struct {
 	seed                                     uint64
 	hosts, targets                           int
 	mutations                                mutations
 	anchorAtArrival                          bool
 	noTermCheck, noFaults, skipRecoveryCheck bool
-	// hideTerms targets check no terms and don't report them either.
+	// hideTerms is set along with noTermCheck for targets that report no terms either.
 	hideTerms     bool
 	renewLimit    time.Duration
 	duration      time.Duration
 	grantDuration time.Duration // zero: the default
-	// faultRate is for hosts, targets and links, storeRate for the store,
-	// linkRate for single links to the store.
+	// faultRate scales the faults of hosts, targets and links, storeRate those of the
+	// store, linkRate those of single links to the store.
 	faultRate, storeRate, linkRate float64
 }
 
-// sim is one run: hosts, targets and a store on a network that loses,
-// delays and cuts.
+// sim is a simulation of hosts, targets and a store on a network that delays and
+// loses messages and becomes partitioned.
 type sim struct {
 	options
 	rng      *rand.Rand
@@ -132,7 +133,7 @@
 	drains        []place.Target
 	leaving       []place.Target
 	unlisted      map[string]bool
-	downUntil     map[string]time.Duration // declared nodes, until when
+	downUntil     map[string]time.Duration // of nodes that are declared lost
 	losses        []LossDeclaration
 	tableVersions map[place.Host]table.Version
 
@@ -206,10 +207,10 @@
 	h.deferred = nil
 	h.cell = New(w.config(h))
 	h.cell.mutations = w.mutations
-	life := h.incarnation
+	inc := h.incarnation
 	var tick func()
 	tick = func() {
-		if h.incarnation != life {
+		if h.incarnation != inc {
 			return
 		}
 		if !h.down && w.now >= h.pausedUntil {
@@ -233,7 +234,7 @@
 	})
 }
 
-// sendLists gives a host the lists that its shell would have by now.
+// sendLists sends a host the lists that it would have received by now.
 func (w *sim) sendLists(h *simHost) {
 	w.handle(h, h.incarnation, w.fleet())
 	w.handle(h, h.incarnation, w.custody)
@@ -268,35 +269,35 @@
 	return f
 }
 
-// handle gives one event to the core, after the host's pause if there is one.
-func (w *sim) handle(h *simHost, life int, ev Event) {
-	if h.incarnation != life || h.down {
+// handle passes an event to the cell, after the host's pause if it is paused.
+func (w *sim) handle(h *simHost, inc int, ev Event) {
+	if h.incarnation != inc || h.down {
 		return
 	}
 	if w.now < h.pausedUntil {
-		h.deferred = append(h.deferred, func() { w.handle(h, life, ev) })
+		h.deferred = append(h.deferred, func() { w.handle(h, inc, ev) })
 		return
 	}
 	w.perform(h, h.cell.Handle(h.at(w.now), ev))
 }
 
-// perform carries the effects out, now and then after a pause that falls
-// between the decision and the sending.
+// perform carries out the effects, now and then after a pause of the host between the
+// decision and its effects.
 func (w *sim) perform(h *simHost, effects []Effect) {
 	if len(effects) == 0 {
 		return
 	}
-	life := h.incarnation
+	inc := h.incarnation
 	if !w.noFaults && w.rng.IntN(3000) == 0 {
 		w.pauseHost(h, time.Duration(w.rng.IntN(6000))*time.Millisecond)
-		h.deferred = append(h.deferred, func() { w.performNow(h, life, effects) })
+		h.deferred = append(h.deferred, func() { w.performNow(h, inc, effects) })
 		return
 	}
-	w.performNow(h, life, effects)
+	w.performNow(h, inc, effects)
 }
 
-func (w *sim) performNow(h *simHost, life int, effects []Effect) {
-	if h.incarnation != life {
+func (w *sim) performNow(h *simHost, inc int, effects []Effect) {
+	if h.incarnation != inc {
 		return
 	}
 	for _, e := range effects {
@@ -329,9 +330,9 @@
 	case Stopped:
 		w.tracef("%s stopped", h.name)
 		h.down = true
-		life := h.incarnation
+		inc := h.incarnation
 		w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() {
-			if h.incarnation == life {
+			if h.incarnation == inc {
 				w.startHost(h)
 			}
 		})
@@ -339,14 +340,14 @@
 }
 
 func (w *sim) checkTable(h *simHost, t table.Table) {
-	last, again := w.tableVersions[place.Host(h.name)]
-	if again && !last.Less(t.Version) {
+	last, known := w.tableVersions[place.Host(h.name)]
+	if known && !last.Less(t.Version) {
 		w.failf("%s published version %v after %v", h.name, t.Version, last)
 	}
 	w.tableVersions[place.Host(h.name)] = t.Version
 }
 
-// failf records the first broken invariant.
+// failf records the first violation.
 func (w *sim) failf(format string, args ...any) {
 	if w.failure == "" {
 		w.failure = fmt.Sprintf("at %.3f s: ", w.now.Seconds()) + fmt.Sprintf(format, args...)
@@ -354,7 +355,7 @@
 	}
 }
 
-// delay is the time a message travels: a few milliseconds, seldom seconds.
+// delay returns the transit time of a message: up to 3.2 ms, rarely up to 4 s.
 func (w *sim) delay() time.Duration {
 	if !w.noFaults && w.rng.IntN(50) == 0 {
 		return time.Duration(w.rng.IntN(4000)) * time.Millisecond
@@ -371,28 +372,28 @@
 
 func (w *sim) linked(a, b string) bool { return w.cutUntil[linkKey(a, b)] <= w.now }
 
-// run plays the world until its end or the first failure.
+// run runs the simulation until its end or the first failure.
 func (w *sim) run() string {
 	w.scheduleFaults()
 	w.after(max(w.duration-calmPhase, 0), w.endFaults)
 	for len(w.events) > 0 && w.failure == "" {
-		s := heap.Pop(&w.events).(simEvent)
-		if s.at > w.duration {
+		ev := heap.Pop(&w.events).(simEvent)
+		if ev.at > w.duration {
 			break
 		}
-		w.now = s.at
-		s.do()
+		w.now = ev.at
+		ev.do()
 	}
 	w.checkRecovered()
 	return w.failure
 }
 
-// runUntil plays the world up to the instant end.
+// runUntil runs the simulation until the time end.
 func (w *sim) runUntil(end time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= end {
-		s := heap.Pop(&w.events).(simEvent)
-		w.now = s.at
-		s.do()
+		ev := heap.Pop(&w.events).(simEvent)
+		w.now = ev.at
+		ev.do()
 	}
 	w.now = end
 }
--- a/internal/cell/singlekey_test.go
+++ b/internal/cell/singlekey_test.go
@@ -9,9 +9,9 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// TestSingleKeyShardsUnique: cells of two zones counted from 1,024 both,
-// and the entries, which merge the tables of a service, sent keys of one zone
-// to targets of the other.
+// TestSingleKeyShardsUnique guards against two zones that use the same number for a
+// single-key shard. The entries merge the tables of a service, so keys of one zone were
+// sent to targets of the other when both counted from 1,024.
 func TestSingleKeyShardsUnique(t *testing.T) {
 	const shards key.ShardCount = 1024
 	used := make(map[key.Shard]bool)
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestMovedSingleKeyCeded: a solo key was moved to a target that had
-// never held its parent shard; when custody of the shard went away, the key
-// and the parent waited for each other for ever.
+// TestMovedSingleKeyCeded guards against a deadlock between a single key and its parent
+// shard when the shard is taken out of custody. It came about when the key had been
+// moved to a target that had never held the parent shard.
 func TestMovedSingleKeyCeded(t *testing.T) {
 	w := newSim(options{seed: 1, hosts: 3, targets: 4, noFaults: true, duration: time.Hour})
 	w.runUntil(4 * time.Second)
@@ -41,8 +41,8 @@
 	}
 	w.runUntil(w.now + 5*time.Second)
 	assert.Equal(t, len(w.doc.SingleKeys), 1)
-	solo := w.doc.Rows[w.doc.rowIndex(w.doc.SingleKeys[0].Shard)]
-	assert.Equal(t, w.doc.Targets[solo.Owner].Target, to)
+	row := w.doc.Rows[w.doc.rowIndex(w.doc.SingleKeys[0].Shard)]
+	assert.Equal(t, w.doc.Targets[row.Owner].Target, to)
 
 	w.changeCustody(parent, 0, false)
 	w.runUntil(w.now + 10*time.Second)
--- a/internal/cell/size_test.go
+++ b/internal/cell/size_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDocSize bounds the document of a large cell: the platform's service
-// holds values up to a megabyte.
+// TestDocSize checks that the document of a large cell stays below a quarter of the
+// store's limit of 1 MiB per value.
 func TestDocSize(t *testing.T) {
 	const limit = 1 << 20
 	d := newDriver(100, 4096)
