--- a/internal/custody/codec.go
+++ b/internal/custody/codec.go
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// wireDoc keeps one array per column and the zones by index: 1,024 shards take
-// a few kilobytes in place of one string a shard.
+// wireDoc is the stored form of a document: an array per column, with zones as indexes
+// into Zones, so that 1,024 shards take a few kilobytes.
 type wireDoc struct {
 	Service string   `cbor:"1,keyasint"`
 	WriteID string   `cbor:"2,keyasint"`
@@ -21,11 +21,11 @@
 	Floor   []uint64 `cbor:"6,keyasint"`
 }
 
-// Encode returns the document's bytes in the platform's service.
+// Encode returns the document in its stored form.
 func Encode(d Doc) ([]byte, error) {
 	w := wireDoc{Service: string(d.Service), WriteID: d.WriteID}
 	index := make(map[place.Zone]uint16)
-	of := func(z place.Zone) uint16 {
+	zoneIndex := func(z place.Zone) uint16 {
 		i, ok := index[z]
 		if !ok {
 			i = uint16(len(w.Zones))
@@ -35,14 +35,15 @@
 		return i
 	}
 	for _, r := range d.Rows {
-		w.Zone = append(w.Zone, of(r.Zone))
-		w.Next = append(w.Next, of(r.Next))
+		w.Zone = append(w.Zone, zoneIndex(r.Zone))
+		w.Next = append(w.Next, zoneIndex(r.Next))
 		w.Floor = append(w.Floor, uint64(r.Floor))
 	}
 	return cbor.Marshal(w)
 }
 
-// Decode reads what Encode wrote. Errors: malformed or inconsistent columns.
+// Decode decodes a document that Encode encoded. It returns an error for malformed data
+// and for columns that are inconsistent.
 func Decode(b []byte) (Doc, error) {
 	var w wireDoc
 	if err := cbor.Unmarshal(b, &w); err != nil {
@@ -55,7 +56,7 @@
 	d := Doc{Service: key.Service(w.Service), WriteID: w.WriteID, Rows: make([]Row, n)}
 	for i := range n {
 		if int(w.Zone[i]) >= len(w.Zones) || int(w.Next[i]) >= len(w.Zones) {
-			return Doc{}, fmt.Errorf("custody: decode: row %d names a zone that is not there", i)
+			return Doc{}, fmt.Errorf("custody: decode: row %d has the index of an unknown zone", i)
 		}
 		d.Rows[i] = Row{
 			Zone:  place.Zone(w.Zones[w.Zone[i]]),
--- a/internal/custody/custody.go
+++ b/internal/custody/custody.go
@@ -1,13 +1,14 @@
-// Package custody decides which availability zone has custody of each shard
-// of a service. It is pure: documents in, documents out.
+// Package custody decides which availability zone has custody of each shard of a
+// service. Its functions compute one document from another and do no I/O.
 //
-// A planned transfer takes three writes and survives a crash between any two,
-// since each step can be seen in the one before it:
+// A transfer takes three writes. A crash between two of them does no harm, as each
+// write shows which one has to follow:
 //
-//  1. the custody document names the next zone of the shard (Row.Next);
-//  2. the cell that has it ends its owner's grant by evidence and lists the
-//     shard, with the epoch it ended at, in its own document (cell.Doc.Given);
-//  3. the custody document names the new zone, with that epoch as the floor.
+//  1. The custody document names the next zone of the shard (Row.Next).
+//  2. The cell with the custody lists the shard as ceded in its own document
+//     (cell.Doc.Ceded) once there is evidence that the owner's grant has ended, with
+//     the lowest epoch at which another cell may grant it.
+//  3. The custody document names the new zone, with that epoch as the floor.
 package custody
 
 import (
@@ -23,7 +24,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// PathPrefix is where custody documents live in the platform's service.
+// PathPrefix is the path prefix of custody documents in the store.
 const PathPrefix platform.Path = "custody/"
 
 // Doc is the custody document of one service. Rows are indexed by key.Shard.
@@ -33,16 +34,17 @@
 	Rows    []Row
 }
 
-// Row is the custody of one hash-range shard. Solo keys stay with their shard.
+// Row is the custody of one hash-range shard and its single keys.
 type Row struct {
 	Zone place.Zone
-	// Next is the zone of a transfer under way, or empty.
+	// Next is the zone to which the shard is being transferred, or empty.
 	Next place.Zone
-	// Floor is the lowest epoch that the shard may be granted at.
+	// Floor is the lowest epoch at which the shard may be granted.
 	Floor grant.Epoch
 }
 
-// ZoneTargets is the share of a zone, in targets that may own shards there.
+// ZoneTargets is the number of targets in a zone that may own shards. The zone's share
+// of the shards is proportional to it.
 type ZoneTargets struct {
 	Zone    place.Zone
 	Targets int
@@ -53,10 +55,10 @@
 	return PathPrefix + platform.Path(service)
 }
 
-// New returns the layout of a new service: each shard goes to the zone with
-// room left that has the highest rendezvous score, so that every host makes
-// the same document and the race to write it is harmless. It returns a
-// document without rows where no zone has a target.
+// New returns the custody document of a new service. Each shard goes to the zone with
+// the highest rendezvous score among those whose quota is not used up. Every host thus
+// computes the same document, and it doesn't matter which one writes it. The document
+// has no rows if no zone has a target.
 func New(service key.Service, shards key.ShardCount, weights []ZoneTargets) Doc {
 	doc := Doc{Service: service}
 	share := quotas(int(shards), weights)
@@ -70,14 +72,15 @@
 	return doc
 }
 
-// quota is how many more shards a zone takes.
+// quota is how many more shards a zone may take.
 type quota struct {
 	zone      place.Zone
 	remaining int
 }
 
-// quotas splits the shards by weight; remainders go to the first zones by
-// name. It returns nil where no zone has a target.
+// quotas divides the shards among the zones in proportion to their targets. The
+// remainder goes to the first zones by name that have a target. It returns nil if no
+// zone has one.
 func quotas(shards int, weights []ZoneTargets) []quota {
 	sorted := slices.Clone(weights)
 	slices.SortFunc(sorted, func(a, b ZoneTargets) int { return cmp.Compare(a.Zone, b.Zone) })
@@ -89,23 +92,23 @@
 		return nil
 	}
 	out := make([]quota, 0, len(sorted))
-	given := 0
+	assigned := 0
 	for _, w := range sorted {
 		n := shards * w.Targets / total
-		given += n
+		assigned += n
 		out = append(out, quota{zone: w.Zone, remaining: n})
 	}
-	for i := 0; given < shards; i = (i + 1) % len(out) {
+	for i := 0; assigned < shards; i = (i + 1) % len(out) {
 		if sorted[i].Targets > 0 {
 			out[i].remaining++
-			given++
+			assigned++
 		}
 	}
 	return out
 }
 
-// assignBest takes one place from the zone that scores highest for the shard
-// among those with room, or returns an empty zone where none has.
+// assignBest returns the zone with the highest score for the shard among those with a
+// quota left, and takes one from its quota. It returns an empty zone if there is none.
 func assignBest(service key.Service, shard key.Shard, quotas []quota) place.Zone {
 	best := -1
 	var bestScore uint64
@@ -124,7 +127,7 @@
 	return quotas[best].zone
 }
 
-// score is the rendezvous score of a shard for a zone (Thaler, Ravishankar:
+// score returns the rendezvous hashing score of a shard for a zone (Thaler, Ravishankar:
 // Using Name-Based Mappings to Increase Hit Rates, 1998).
 func score(service key.Service, shard key.Shard, zone place.Zone) uint64 {
 	d := xxhash.New()
@@ -135,13 +138,13 @@
 	return d.Sum64()
 }
 
-// OwnableBy returns the shards that a zone's cell may own now: those in its custody
-// without a transfer under way.
+// OwnableBy returns the shards that the zone's cell may own: those in its custody that
+// are not being transferred.
 func (d Doc) OwnableBy(zone place.Zone) []cell.CustodyRow {
 	return d.filter(func(r Row) bool { return r.settledIn(zone) })
 }
 
-// CountByZone returns how many shards are, or are about to be, in each zone.
+// CountByZone returns the number of shards of each zone once all transfers are complete.
 func (d Doc) CountByZone() map[place.Zone]int {
 	out := make(map[place.Zone]int)
 	for _, r := range d.Rows {
@@ -150,7 +153,7 @@
 	return out
 }
 
-// destination is the zone of a shard once its transfer has ended.
+// destination returns the zone of the shard once its transfer is complete.
 func (r Row) destination() place.Zone {
 	if r.Next != "" {
 		return r.Next
@@ -158,7 +161,7 @@
 	return r.Zone
 }
 
-// Clone returns a copy that shares nothing with d.
+// Clone returns a deep copy of d.
 func (d Doc) Clone() Doc {
 	d.Rows = slices.Clone(d.Rows)
 	return d
--- a/internal/custody/custody_test.go
+++ b/internal/custody/custody_test.go
@@ -56,9 +56,9 @@
 	assert.Assert(t, !again)
 }
 
-// TestTransfers drives plans, settlements and evictions at random: a shard is in
-// one zone at every step, no floor falls, no transfer changes its target zone
-// on the way, and the shares are reached once the weights stand still.
+// TestTransfers plans, completes and evicts at random. It checks that a shard is always
+// in one zone, that no floor falls, that no transfer changes its destination, and that
+// the zones reach their shares once the weights no longer change.
 func TestTransfers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		doc := custody.New("balance", 64, weights(1, 1, 1))
@@ -84,7 +84,7 @@
 	})
 }
 
-// randomCeded draws shards that a cell might have given up, with an epoch.
+// randomCeded returns random shards as ceded by a cell, with random floors.
 func randomCeded(t *rapid.T, doc custody.Doc) []cell.CededShard {
 	var out []cell.CededShard
 	for s := range doc.Rows {
@@ -104,13 +104,13 @@
 			assert.Equal(t, row.Zone, old.Zone)
 			continue
 		}
-		stands := row == old
-		settled := row.Zone == old.Next && row.Next == ""
-		assert.Assert(t, stands || settled)
+		unchanged := row == old
+		completed := row.Zone == old.Next && row.Next == ""
+		assert.Assert(t, unchanged || completed)
 	}
 }
 
-// completeAll lets all transfers end and checks that the zones reach their shares.
+// completeAll completes all transfers and checks that the zones reach their shares.
 func completeAll(t *rapid.T, doc custody.Doc, w []custody.ZoneTargets, zones []place.Zone) {
 	all := make([]cell.CededShard, 0, len(doc.Rows))
 	for s := range doc.Rows {
--- a/internal/custody/plan.go
+++ b/internal/custody/plan.go
@@ -6,28 +6,28 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// slackPercent is how far a zone may be above its share before shards are
-// transferred for balance. A zone without targets has no slack.
+// slackPercent is by how much a zone may exceed its share, in percent of it, before
+// shards are transferred. A zone without targets has no slack.
 const slackPercent = 20
 
-// PlanTransfers starts transfers out of the zone from, where it has more than its share,
-// to the zones that have less, at most budget shards of them. It reports
-// whether the document changed. Each zone's lead plans for its own zone, so a
-// zone that is cut off from the store gives nothing away.
+// PlanTransfers starts transfers of at most budget shards from the zone from to zones
+// below their shares, if it exceeds its own. It reports whether the document changed.
+// The leader of each zone plans for its own zone only, so that a zone that does not
+// reach the store loses no shard.
 func PlanTransfers(d Doc, from place.Zone, weights []ZoneTargets, budget int) (Doc, bool) {
 	share := quotas(len(d.Rows), weights)
 	if share == nil || budget <= 0 {
 		return d, false
 	}
-	room, over := roomAndExcess(d, share)
-	if over[from] == 0 {
+	room, excess := roomAndExcess(d, share)
+	if excess[from] == 0 {
 		return d, false
 	}
 	out := d.Clone()
-	moved := 0
+	started := 0
 	for s := range out.Rows {
 		row := &out.Rows[s]
-		if moved == min(budget, over[from]) {
+		if started == min(budget, excess[from]) {
 			break
 		}
 		if !row.settledIn(from) {
@@ -38,15 +38,16 @@
 			break
 		}
 		row.Next = to
-		moved++
+		started++
 	}
-	return out, moved > 0
+	return out, started > 0
 }
 
-// roomAndExcess returns the zones with room and how many shards the others are over.
+// roomAndExcess returns how many shards are missing from the zones below their shares,
+// and by how many the zones above exceed theirs.
 func roomAndExcess(d Doc, share []quota) ([]quota, map[place.Zone]int) {
 	count := d.CountByZone()
-	over := make(map[place.Zone]int)
+	excess := make(map[place.Zone]int)
 	var room []quota
 	for _, q := range share {
 		have := count[q.zone]
@@ -55,39 +56,38 @@
 		case have < q.remaining:
 			room = append(room, quota{zone: q.zone, remaining: q.remaining - have})
 		case have > q.remaining+q.remaining*slackPercent/100:
-			over[q.zone] = have - q.remaining
+			excess[q.zone] = have - q.remaining
 		}
 	}
 	for zone, have := range count {
-		over[zone] = have // a zone without any target
+		excess[zone] = have // zone without targets
 	}
-	return room, over
+	return room, excess
 }
 
-// CompleteTransfers ends the transfers of the shards that the cell of zone has given up.
-// It reports whether the document changed.
-func CompleteTransfers(d Doc, zone place.Zone, given []cell.CededShard) (Doc, bool) {
+// CompleteTransfers completes the transfers of the shards that the zone's cell has
+// ceded. It reports whether the document changed.
+func CompleteTransfers(d Doc, zone place.Zone, ceded []cell.CededShard) (Doc, bool) {
 	out := d
 	changed := false
-	for _, g := range given {
-		if int(g.Shard) >= len(d.Rows) {
+	for _, c := range ceded {
+		if int(c.Shard) >= len(d.Rows) {
 			continue
 		}
-		row := d.Rows[g.Shard]
+		row := d.Rows[c.Shard]
 		if row.Zone != zone || row.Next == "" {
 			continue
 		}
 		if !changed {
 			out, changed = d.Clone(), true
 		}
-		out.Rows[g.Shard] = Row{Zone: row.Next, Floor: max(g.Floor, row.Floor)}
+		out.Rows[c.Shard] = Row{Zone: row.Next, Floor: max(c.Floor, row.Floor)}
 	}
 	return out, changed
 }
 
-// Evict starts the transfer of all shards of a zone that is lost to the zones
-// of the weights, the lost one not among them. It reports whether the document
-// changed.
+// Evict starts the transfers of all shards of a lost zone to the zones of weights,
+// which must not include it. It reports whether the document changed.
 func Evict(d Doc, zone place.Zone, weights []ZoneTargets) (Doc, bool) {
 	share := quotas(countSettled(d, zone), weights)
 	if countSettled(d, zone) == 0 || share == nil {
@@ -102,20 +102,20 @@
 	return out, true
 }
 
-// countSettled counts the shards of a zone that are not under transfer.
+// countSettled counts the shards of a zone that are not being transferred.
 func countSettled(d Doc, zone place.Zone) int {
 	return len(d.OwnableBy(zone))
 }
 
-// settledIn reports whether the shard is in the zone and not under transfer.
+// settledIn reports whether the shard is in the zone and is not being transferred.
 func (r Row) settledIn(zone place.Zone) bool { return r.Zone == zone && r.Next == "" }
 
-// Outgoing returns the shards that are under transfer out of a zone.
+// Outgoing returns the shards that are being transferred out of a zone.
 func (d Doc) Outgoing(zone place.Zone) []cell.CustodyRow {
 	return d.filter(func(r Row) bool { return r.Zone == zone && r.Next != "" })
 }
 
-// filter returns the shards whose rows match.
+// filter returns the shards for whose rows match returns true.
 func (d Doc) filter(match func(Row) bool) []cell.CustodyRow {
 	var out []cell.CustodyRow
 	for s, r := range d.Rows {
