--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -6,7 +6,7 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// balance is the load of a layout's targets, as moves are tried on it.
+// balance is the load of the targets of a layout, updated by the planned moves.
 type balance struct {
 	rows           []loadRow
 	hotKeys        []hotKeyRow
@@ -17,7 +17,7 @@
 	meanLoad       Load // of a target with weight 1
 }
 
-// loadRow is one shard or solo key.
+// loadRow is the load of a hash-range shard or single-key shard.
 type loadRow struct {
 	shard     key.Shard
 	owner     int
@@ -26,7 +26,7 @@
 	hash      key.Hash
 }
 
-// hotKeyRow is one hot key that still is part of its shard.
+// hotKeyRow is the load of a hot key that is still part of its shard.
 type hotKeyRow struct {
 	hash key.Hash
 	row  int
@@ -47,7 +47,7 @@
 	}
 	var total Load
 	byShard := make(map[key.Shard]int, len(layout.Rows))
-	alone := make(map[key.Hash]bool)
+	splitOff := make(map[key.Hash]bool)
 	for i, r := range layout.Rows {
 		load, requests := loads.shardLoad(now, w, r.Shard)
 		b.rows[i] = loadRow{shard: r.Shard, owner: r.Owner, load: load, singleKey: r.SingleKey, hash: r.Hash}
@@ -56,7 +56,7 @@
 		total += load
 		if r.SingleKey {
 			b.singleKeys++
-			alone[r.Hash] = true
+			splitOff[r.Hash] = true
 			continue
 		}
 		byShard[r.Shard] = i
@@ -65,32 +65,32 @@
 		b.meanLoad = total / Load(weights)
 	}
 	for _, h := range loads.hotKeys() {
-		if i, ok := byShard[h.Shard(cfg.Shards)]; ok && !alone[h] {
+		if i, ok := byShard[h.Shard(cfg.Shards)]; ok && !splitOff[h] {
 			b.hotKeys = append(b.hotKeys, hotKeyRow{hash: h, row: i, load: min(loads.keyLoad(now, w, h), b.rows[i].load)})
 		}
 	}
 	return b
 }
 
-// applyPending counts moves that were asked for lately as done.
+// applyPending applies the pending moves, which the layout does not show yet.
 func (b *balance) applyPending(now time.Time, p *Planner) {
 	for i := range b.rows {
 		r := &b.rows[i]
-		if a, ok := p.movedShards[r.shard]; ok && now.Sub(a.at) < pendingTimeout {
-			b.moveRow(r, a.to)
+		if m, ok := p.movedShards[r.shard]; ok && now.Sub(m.at) < pendingTimeout {
+			b.moveRow(r, m.to)
 		}
-		if a, ok := p.splitKeys[r.hash]; ok && r.singleKey && now.Sub(a.at) < pendingTimeout {
-			b.moveRow(r, a.to)
+		if m, ok := p.splitKeys[r.hash]; ok && r.singleKey && now.Sub(m.at) < pendingTimeout {
+			b.moveRow(r, m.to)
 		}
 	}
 	kept := b.hotKeys[:0]
 	for _, k := range b.hotKeys {
-		a, ok := p.splitKeys[k.hash]
-		if !ok || now.Sub(a.at) >= pendingTimeout {
+		m, ok := p.splitKeys[k.hash]
+		if !ok || now.Sub(m.at) >= pendingTimeout {
 			kept = append(kept, k)
 			continue
 		}
-		b.splitKey(k, a.to)
+		b.splitKey(k, m.to)
 	}
 	b.hotKeys = kept
 }
@@ -104,7 +104,7 @@
 	r.owner = to
 }
 
-// splitKey takes a key's load out of its shard.
+// splitKey moves the load of a key from its shard's owner to another target.
 func (b *balance) splitKey(k hotKeyRow, to int) {
 	if to >= len(b.targetLoads) {
 		return
@@ -116,7 +116,7 @@
 	b.singleKeys++
 }
 
-// apply carries out one move.
+// apply applies a planned move.
 func (b *balance) apply(m move) {
 	if !m.split {
 		b.moveRow(&b.rows[m.row], m.to)
@@ -131,8 +131,8 @@
 	}
 }
 
-// relativeLoad returns a target's load over its weight. A target that takes
-// nothing new counts as fully loaded where it has any load.
+// relativeLoad returns a target's load divided by its weight. The load of a target that
+// takes no new shards is taken as it is.
 func (b *balance) relativeLoad(i int) Load {
 	if b.weights[i] <= 0 {
 		return b.targetLoads[i]
@@ -140,7 +140,7 @@
 	return b.targetLoads[i] / Load(b.weights[i])
 }
 
-// busiest returns the index of the busiest target, -1 for none.
+// busiest returns the index of the target with the highest relative load, or -1.
 func (b *balance) busiest() int {
 	best := -1
 	for i := range b.targetLoads {
@@ -151,7 +151,8 @@
 	return best
 }
 
-// leastLoaded returns the index of the least busy target that takes shards.
+// leastLoaded returns the index of the target with the lowest relative load among those
+// that take new shards, or -1.
 func (b *balance) leastLoaded() int {
 	best := -1
 	for i := range b.targetLoads {
@@ -162,7 +163,7 @@
 	return best
 }
 
-// imbalance returns the busiest target's load over the mean.
+// imbalance returns the relative load of the busiest target divided by the mean.
 func (b *balance) imbalance() float64 {
 	i := b.busiest()
 	if i < 0 || b.meanLoad <= 0 {
@@ -171,7 +172,8 @@
 	return float64(b.relativeLoad(i) / b.meanLoad)
 }
 
-// leastLoadRatio returns the least busy target's load over the mean.
+// leastLoadRatio returns the relative load of the least loaded target divided by the
+// mean.
 func (b *balance) leastLoadRatio() float64 {
 	i := b.leastLoaded()
 	if i < 0 || b.meanLoad <= 0 {
@@ -180,15 +182,15 @@
 	return float64(b.relativeLoad(i) / b.meanLoad)
 }
 
-// maxTransfer returns the largest load that may go from one target to another: after
-// the move the receiver must not be as busy as the giver was, and it should
-// not end above the mean by more than the giver is left with.
+// maxTransfer returns the largest load that one move may transfer from one target to
+// another. It is above the load that would make them equal, so that also shards with
+// much load can move, but at equal weights to ends up less loaded than from was.
 func (b *balance) maxTransfer(from, to int) Load {
 	if b.weights[from] <= 0 {
 		return b.targetLoads[from]
 	}
 	wf, wt := Load(b.weights[from]), Load(b.weights[to])
-	// Equal relative loads after the move, half as much again at most.
+	// A transfer of this load would make the relative loads equal.
 	equal := (b.targetLoads[from]*wt - b.targetLoads[to]*wf) / (wf + wt)
 	const stretch = 1.5
 	return equal * stretch
--- a/internal/placement/layout.go
+++ b/internal/placement/layout.go
@@ -8,35 +8,34 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// initialWeight is the share of the usual load that a target takes at the start
-// of its warm-up.
+// initialWeight is the weight of a target at the start of its warm-up.
 const initialWeight = 0.1
 
-// Layout is which target has which shards, as the planner sees it.
+// Layout is the assignment of shards to targets.
 type Layout struct {
 	Targets []TargetRow
 	Rows    []Row
 }
 
-// TargetRow is one target that may take shards.
+// TargetRow is a target and its weight.
 type TargetRow struct {
 	Target place.Target
-	// Weight is the target's share of load against that of a warm one, above
-	// 0; zero stands for a target that takes nothing new.
+	// Weight is the load that the target should get relative to a warm one. Zero means
+	// that it takes no new shards.
 	Weight float64
 }
 
-// Row is one shard or solo key and the index of its owner in Layout.Targets.
+// Row is a shard and the index of its owner in Layout.Targets.
 type Row struct {
 	Shard key.Shard
 	Owner int
-	// SingleKey tells that the row is a hot key of its own; Hash is that key.
+	// SingleKey is true for a single-key shard, whose key is Hash.
 	SingleKey bool
 	Hash      key.Hash
 }
 
-// LayoutFromTable returns the layout of a cell's routing table at the time now.
-// Targets that started less than warmUp ago take part of the usual load.
+// LayoutFromTable returns the layout of a cell by its routing table. Targets whose
+// warm-up started less than warmUp ago have a reduced weight.
 func LayoutFromTable(now time.Time, t *table.Table, warmUp time.Duration) Layout {
 	var l Layout
 	for _, target := range t.Targets {
@@ -46,22 +45,22 @@
 		}
 		l.Targets = append(l.Targets, TargetRow{Target: target.Name, Weight: weight})
 	}
-	solos := make(map[key.Shard]key.Hash, len(t.SingleKeys))
+	hashes := make(map[key.Shard]key.Hash, len(t.SingleKeys))
 	for _, s := range t.SingleKeys {
-		solos[s.Shard] = s.Hash
+		hashes[s.Shard] = s.Hash
 	}
 	for _, r := range t.Rows {
 		if int(r.Owner) >= len(l.Targets) {
-			continue // nobody owns the shard now
+			continue // the shard has no owner now
 		}
-		hash, solo := solos[r.Shard]
-		l.Rows = append(l.Rows, Row{Shard: r.Shard, Owner: int(r.Owner), SingleKey: solo, Hash: hash})
+		hash, isSingle := hashes[r.Shard]
+		l.Rows = append(l.Rows, Row{Shard: r.Shard, Owner: int(r.Owner), SingleKey: isSingle, Hash: hash})
 	}
 	return l
 }
 
-// WarmupWeight returns the share of load of a target that started at since: it
-// rises from a tenth to all of it over warmUp.
+// WarmupWeight returns the weight of a target whose warm-up started at since. It rises
+// linearly from initialWeight to 1 over warmUp.
 func WarmupWeight(now, since time.Time, warmUp time.Duration) float64 {
 	age := now.Sub(since)
 	if warmUp <= 0 || since.IsZero() || age >= warmUp {
--- a/internal/placement/loads.go
+++ b/internal/placement/loads.go
@@ -9,57 +9,57 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// window selects how far back a load looks. A short one follows a hot set that
-// moves within a minute; a long one tells load from chance where requests are
-// few. All are kept, and the planner takes the shortest that is sure enough.
+// window is an index into halfLives. The load over a short window follows a hot set that
+// changes every minute. The load over a long one has less noise if requests are few. The
+// planner uses the shortest window whose noise is small enough.
 type window uint8
 
 // windowCount is the number of windows.
 const windowCount = 3
 
-// halfLives is how fast an old load loses its weight in each window.
+// halfLives are the half-lives of the exponential decay of old load in each window.
 var halfLives = [windowCount]time.Duration{2 * time.Second, 8 * time.Second, 32 * time.Second}
 
 const (
-	// maxHotKeys bounds the hot keys of one table of loads.
+	// maxHotKeys bounds the hot keys of a Loads.
 	maxHotKeys = 1024
-	// maxShardRows bounds the shards of one table of loads, solo keys included.
+	// maxShardRows bounds the shards of a Loads, including single-key shards.
 	maxShardRows = 1 << 16
-	// minBusySeconds is the busy time, in seconds, below which a row is dropped.
+	// minBusySeconds is the decayed busy time below which a row is dropped.
 	minBusySeconds = 1e-6
 	sweepInterval  = time.Minute
 )
 
-// Load is a number of slots that are busy on average.
+// Load is the mean number of busy slots.
 type Load float64
 
-// Loads is the decayed load of the shards and hot keys of one cell, from the
-// reports of all entries. Not safe for concurrent use.
+// Loads holds the load of the shards and hot keys of one cell, by the reports of all
+// entries, with exponential decay. It is not safe for concurrent use.
 type Loads struct {
-	firstReport time.Time // the first report
+	firstReport time.Time // start of its period
 	sweptAt     time.Time
 	shards      map[key.Shard]decayedSums
 	hot         map[key.Hash]decayedSums
 }
 
-// decayedSums is a row of decayed sums, one for each window.
+// decayedSums holds the decayed sums of one shard or hot key for each window.
 type decayedSums struct {
 	updatedAt time.Time
 	sums      [windowCount]windowSum
 }
 
-// windowSum is what a window has seen.
+// windowSum is a sum over a window.
 type windowSum struct {
-	busySeconds float64 // seconds
+	busySeconds float64
 	requests    float64
 }
 
-// NewLoads returns an empty table.
+// NewLoads returns a Loads without load.
 func NewLoads() *Loads {
 	return &Loads{shards: make(map[key.Shard]decayedSums), hot: make(map[key.Hash]decayedSums)}
 }
 
-// Add counts one report that arrived at the time now.
+// Add adds a report that arrived at the time now.
 func (l *Loads) Add(now time.Time, r Report) {
 	if l.firstReport.IsZero() {
 		l.firstReport = now.Add(-r.Period)
@@ -72,10 +72,10 @@
 		l.shards[s.Shard] = row.add(now, s.Busy, float64(s.Requests))
 	}
 	for _, h := range r.HotKeys {
-		// What the sketch is sure of: too high a load would cut a cold key.
-		sure := h.Busy - h.Error
-		if sure > 0 {
-			l.hot[h.Hash] = l.hot[h.Hash].add(now, sure, 0)
+		// The lower bound of the sketch, as an overestimate would split off a cold key.
+		lowerBound := h.Busy - h.Error
+		if lowerBound > 0 {
+			l.hot[h.Hash] = l.hot[h.Hash].add(now, lowerBound, 0)
 		}
 	}
 	if len(l.hot) > maxHotKeys {
@@ -103,7 +103,7 @@
 	return out
 }
 
-// sum returns the sum of one window at the time now.
+// sum returns the sum over a window at the time now.
 func (r decayedSums) sum(now time.Time, w window) windowSum {
 	if r.updatedAt.IsZero() {
 		return windowSum{}
@@ -112,7 +112,7 @@
 	return windowSum{busySeconds: r.sums[w].busySeconds * factor, requests: r.sums[w].requests * factor}
 }
 
-// negligible reports whether all windows have forgotten the row.
+// negligible reports whether the sums have decayed so far that the row can be dropped.
 func (r decayedSums) negligible(now time.Time) bool {
 	return r.sum(now, windowCount-1).busySeconds < minBusySeconds
 }
@@ -130,7 +130,8 @@
 	}
 }
 
-// windowSeconds is the time, in seconds, that the sums of a window stand for.
+// windowSeconds returns the effective length of a window, by which its sums have to be
+// divided.
 func (l *Loads) windowSeconds(now time.Time, w window) float64 {
 	full := halfLives[w].Seconds() / math.Ln2
 	age := now.Sub(l.firstReport)
@@ -140,19 +141,19 @@
 	return full * (1 - math.Exp2(-float64(age)/float64(halfLives[w])))
 }
 
-// shardLoad returns the load of one shard at the time now and the requests that it
-// was measured on: the fewer, the less the load tells.
+// shardLoad returns the load of a shard at the time now, and the decayed number of
+// requests from which it was measured.
 func (l *Loads) shardLoad(now time.Time, w window, shard key.Shard) (Load, float64) {
 	s := l.shards[shard].sum(now, w)
 	return Load(s.busySeconds / l.windowSeconds(now, w)), s.requests
 }
 
-// keyLoad returns the load of one hot key, zero where it is not among the hot.
+// keyLoad returns the load of a hot key, or zero if the key is not known as hot.
 func (l *Loads) keyLoad(now time.Time, w window, h key.Hash) Load {
 	return Load(l.hot[h].sum(now, w).busySeconds / l.windowSeconds(now, w))
 }
 
-// hotKeys returns the hot keys sorted by hash.
+// hotKeys returns the hot keys, sorted by hash.
 func (l *Loads) hotKeys() []key.Hash {
 	out := make([]key.Hash, 0, len(l.hot))
 	for h := range l.hot {
@@ -162,7 +163,7 @@
 	return out
 }
 
-// Sweep drops what has faded; Add calls it now and then.
+// Sweep drops rows with negligible load. Add calls it at sweepInterval.
 func (l *Loads) Sweep(now time.Time) {
 	l.sweptAt = now
 	for shard, row := range l.shards {
--- a/internal/placement/merge.go
+++ b/internal/placement/merge.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// keptSingleKeys is how many solo keys of a cell stay cut out although they
-	// have cooled: a key that was hot once may be so again.
+	// keptSingleKeys is how many single keys of a cell are kept although they are cold,
+	// as a key that was hot may become hot again.
 	keptSingleKeys = maxSingleKeys / 2
-	// maxMerges bounds the solo keys of one plan that go back.
+	// maxMerges bounds the merges of one plan.
 	maxMerges = 4
 )
 
-// merges returns the cold solo keys that go back into their shards, the coldest
-// first, so that the next hot set finds room. A key is cold where its load by
-// the longest window would not be worth a move. Each counts as a move: its
-// parent shard may have another owner.
+// merges returns the merges of cold single keys into their parent shards, the coldest
+// first, to make room for the next hot keys. A key is cold if its load over the longest
+// window is too small for a move. Each merge counts as a move, as the parent shard may
+// have another owner.
 func (p *Planner) merges(now time.Time, cfg Config, loads *Loads, b *balance) []cell.PlannedMove {
 	if b.singleKeys <= keptSingleKeys {
 		return nil
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -9,66 +9,65 @@
 )
 
 const (
-	// cooldown is how long a shard stays where it was put.
+	// cooldown is how long a shard is not moved again after a move.
 	cooldown = 20 * time.Second
-	// pendingTimeout is how long a move that was asked for counts as done although
-	// the layout does not show it yet.
+	// pendingTimeout is how long a requested move counts as done although the layout
+	// does not show it yet.
 	pendingTimeout = 5 * time.Second
-	// maxSingleKeys bounds the solo keys of one cell.
+	// maxSingleKeys bounds the single keys that the planner splits off in a cell.
 	maxSingleKeys = 256
-	// maxPlanMoves bounds the moves of one plan.
+	// maxPlanMoves bounds the moves of one plan, without the merges.
 	maxPlanMoves = 16
-	// idleLoad is the mean load of a target, in slots, below which nothing
-	// moves: an idle service has no imbalance that anybody feels.
+	// idleLoad is the mean load of a target, in slots, below which nothing moves, as
+	// an imbalance of an idle service has no effect.
 	idleLoad = 0.02
-	// minGainShare is the part of the mean load that a move has to shift.
+	// minGainShare is the share of the mean load that a move has to transfer.
 	minGainShare = 0.01
-	// splitShare is the part of the best move's load from which cutting one
-	// key is preferred to moving a whole shard: one key is pulled again
-	// instead of all of the shard's.
+	// splitShare is the share of the best shard's load from which splitting off one key
+	// is preferred to moving the shard, as then only that key has to be loaded again.
 	splitShare = 0.8
-	// underloadedShare is the part of the mean load below which a target gets more,
-	// busyShare the part at which it has enough.
+	// underloadedShare is the share of the mean load below which moves to a target
+	// start, sufficientShare the share at which they end.
 	underloadedShare = 0.5
 	sufficientShare  = 0.75
-	// noiseDeviations is how many standard deviations of the request count an
-	// imbalance has to exceed: the busiest of many targets is off by two by
-	// chance alone.
+	// noiseDeviations is how many standard deviations of the request count an imbalance
+	// has to exceed. The busiest of many targets deviates by two by chance alone.
 	noiseDeviations = 4
 )
 
-// Config is how an operator weighs moves against imbalance.
+// Config holds the settings of a service that apply to placement.
 type Config struct {
-	// ImbalancePercent is the busiest target's load over the mean, in percent
-	// above 100, from which shards move. Moving ends at half of it.
+	// ImbalancePercent is by how much the load of the busiest target has to exceed
+	// the mean, in percent of the mean, for moves to start. They end at half of it.
 	ImbalancePercent int
-	// MovesPerMinute bounds the moves.
+	// MovesPerMinute limits moves and merges.
 	MovesPerMinute int
 	// Shards is the number of hash-range shards of the service.
 	Shards key.ShardCount
 }
 
-// Planner plans the moves of one cell. It remembers its own recent moves; all
-// else comes in with each call. Not safe for concurrent use.
+// Planner plans the moves of one cell. Its only state is its own recent moves. It is
+// not safe for concurrent use.
 type Planner struct {
 	moving      bool
-	movedShards map[key.Shard]recentMove // by shard, within the cool-down
-	splitKeys   map[key.Hash]recentMove  // by hot key, within the cool-down
+	movedShards map[key.Shard]recentMove // within the cooldown
+	splitKeys   map[key.Hash]recentMove  // within the cooldown
 	moveStarts  []time.Time              // of the moves of the last minute
 }
 
-// recentMove is one move that the planner asked for.
+// recentMove is a move that the planner has requested. to is the index of the target.
 type recentMove struct {
 	at time.Time
 	to int
 }
 
-// NewPlanner returns a planner without a past.
+// NewPlanner returns a planner without recent moves.
 func NewPlanner() *Planner {
 	return &Planner{movedShards: make(map[key.Shard]recentMove), splitKeys: make(map[key.Hash]recentMove)}
 }
 
-// Plan returns the moves that pay now, the most useful first.
+// Plan returns the moves to start now, those with the greatest gain first, and then the
+// merges.
 func (p *Planner) Plan(now time.Time, cfg Config, layout Layout, loads *Loads) []cell.PlannedMove {
 	p.dropOld(now)
 	b := p.selectBalance(now, cfg, layout, loads)
@@ -105,8 +104,8 @@
 	p.moveStarts = kept
 }
 
-// selectBalance returns the balance by the shortest window that tells an imbalance
-// from chance, otherwise by the longest. Moves asked for lately count as done.
+// selectBalance returns the balance over the shortest window whose noise is within the
+// allowed imbalance, or over the longest one. Pending moves count as done.
 func (p *Planner) selectBalance(now time.Time, cfg Config, layout Layout, loads *Loads) *balance {
 	var b *balance
 	for w := range window(windowCount) {
@@ -119,34 +118,34 @@
 	return b
 }
 
-// allowedImbalance returns the imbalance that the operator accepts: the busiest target's
-// load over the mean, less one.
+// allowedImbalance returns by how much the load of the busiest target may exceed the
+// mean, relative to the mean.
 func allowedImbalance(cfg Config) float64 {
 	const percent = 100
 	return float64(cfg.ImbalancePercent) / percent
 }
 
-// startThreshold returns the imbalance from which shards move.
+// startThreshold returns the imbalance above which moves start.
 func startThreshold(cfg Config, b *balance) float64 {
 	return 1 + max(allowedImbalance(cfg), b.noise())
 }
 
-// stopThreshold returns the imbalance at which moving ends.
+// stopThreshold returns the imbalance at which moves end.
 func stopThreshold(cfg Config, b *balance) float64 {
 	return 1 + max(allowedImbalance(cfg), b.noise())/2
 }
 
-// shouldMove decides, with hysteresis, whether shards should move at all: where the
-// busiest target has too much, or the least busy one too little. The latter
-// gives a new target its part although the others could do without it.
+// shouldMove decides, with hysteresis, whether to move shards: if the busiest target has
+// too much load, or the least loaded one too little. The latter gives a new target its
+// share even if the others are not overloaded.
 func (p *Planner) shouldMove(cfg Config, b *balance) bool {
-	imbalance, idlest := b.imbalance(), b.leastLoadRatio()
+	imbalance, leastRatio := b.imbalance(), b.leastLoadRatio()
 	switch {
 	case b.meanLoad < idleLoad:
 		p.moving = false
-	case imbalance > startThreshold(cfg, b), idlest < min(underloadedShare, 1-b.noise()):
+	case imbalance > startThreshold(cfg, b), leastRatio < min(underloadedShare, 1-b.noise()):
 		p.moving = true
-	case imbalance <= stopThreshold(cfg, b) && idlest >= min(sufficientShare, 1-b.noise()):
+	case imbalance <= stopThreshold(cfg, b) && leastRatio >= min(sufficientShare, 1-b.noise()):
 		p.moving = false
 	}
 	return p.moving
@@ -165,34 +164,35 @@
 	}
 }
 
-// nextMove returns the move off the busiest target that brings most.
+// nextMove returns the move with the greatest gain from the busiest target to the least
+// loaded one, and whether its gain is large enough.
 func (p *Planner) nextMove(b *balance) (move, bool) {
 	from, to := b.busiest(), b.leastLoaded()
 	if from == to || from < 0 || to < 0 {
 		return move{}, false
 	}
 	room := b.maxTransfer(from, to)
-	var whole, single move
+	var rowMove, splitMove move
 	for i := range b.rows {
 		r := &b.rows[i]
 		if r.owner != from || r.load > room || p.inCooldown(r) {
 			continue
 		}
-		if r.load > whole.load {
-			whole = move{shard: r.shard, row: i, load: r.load, from: from, to: to, singleKey: r.singleKey, hash: r.hash}
+		if r.load > rowMove.load {
+			rowMove = move{shard: r.shard, row: i, load: r.load, from: from, to: to, singleKey: r.singleKey, hash: r.hash}
 		}
 	}
 	if b.singleKeys < maxSingleKeys {
-		single = p.nextSplit(b, from, to, room)
+		splitMove = p.nextSplit(b, from, to, room)
 	}
-	best := whole
-	if single.load > 0 && (single.load > whole.load || !whole.singleKey && single.load >= splitShare*whole.load) {
-		best = single
+	best := rowMove
+	if splitMove.load > 0 && (splitMove.load > rowMove.load || !rowMove.singleKey && splitMove.load >= splitShare*rowMove.load) {
+		best = splitMove
 	}
 	return best, best.load >= minGainShare*b.meanLoad
 }
 
-// inCooldown reports whether the row was moved, or cut out, a short while ago.
+// inCooldown reports whether the row was moved or split off within the cooldown.
 func (p *Planner) inCooldown(r *loadRow) bool {
 	if _, ok := p.movedShards[r.shard]; ok {
 		return true
@@ -201,14 +201,14 @@
 	return r.singleKey && ok
 }
 
-// nextSplit returns the hottest key of the busiest target that fits.
+// nextSplit returns the split of the hottest key of from whose load is at most room.
 func (p *Planner) nextSplit(b *balance, from, to int, room Load) move {
 	var best move
 	for _, k := range b.hotKeys {
 		if b.rows[k.row].owner != from || k.load > room || k.load <= best.load {
 			continue
 		}
-		if _, cooling := p.splitKeys[k.hash]; cooling {
+		if _, recent := p.splitKeys[k.hash]; recent {
 			continue
 		}
 		best = move{shard: b.rows[k.row].shard, row: k.row, load: k.load, from: from, to: to, split: true, hash: k.hash}
@@ -222,8 +222,8 @@
 	row       int
 	load      Load
 	from, to  int
-	singleKey bool // the row is a solo key
-	split     bool // hash becomes a solo key
+	singleKey bool // the row is a single-key shard
+	split     bool // the key hash is split off
 	hash      key.Hash
 }
 
@@ -235,7 +235,7 @@
 	return out
 }
 
-// noise returns the relative imbalance that chance alone explains.
+// noise returns the imbalance that may be due to chance, relative to the mean.
 func (b *balance) noise() float64 {
 	from := b.busiest()
 	if from < 0 || b.targetRequests[from] <= 0 {
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -11,20 +11,19 @@
 	"citrontray.example/citrontray/internal/placement"
 )
 
-// simResult sums up one run.
+// simResult is the result of a run.
 type simResult struct {
-	mean, p95, worst float64 // of the busiest target's load over the mean
+	mean, p95, worst float64 // of the busiest target's load divided by the mean
 	movesPerMinute   float64
-	wholePerMinute   float64 // of them, of whole shards
+	wholePerMinute   float64 // of hash-range shards
 	maxPerMinute     int
 	lastMinute       int // moves in the last minute
 	solos            int
 	p99              time.Duration
-	newTargetRatio   float64 // load of the last target over the mean, at the end
+	newTargetRatio   float64 // load of the last target divided by the mean, at the end
 }
 
-// simulate runs a world for some minutes; a planner of nil keeps the rendezvous
-// layout.
+// simulate runs a scenario. Without a planner the layout stays that by rendezvous hashing.
 func simulate(sc scenario, cfg placement.Config, p *placement.Planner) simResult {
 	w := newSim(sc)
 	loads := placement.NewLoads()
@@ -69,12 +68,12 @@
 }
 
 func (o simResult) String() string {
-	return fmt.Sprintf("imbalance mean %.2f p95 %.2f worst %.2f, moves a minute %.1f (shards %.1f, most %d), solo keys %d, p99 %v",
+	return fmt.Sprintf("imbalance mean %.2f p95 %.2f worst %.2f, moves a minute %.1f (shards %.1f, max %d), single keys %d, p99 %v",
 		o.mean, o.p95, o.worst, o.movesPerMinute, o.wholePerMinute, o.maxPerMinute, o.solos, o.p99.Round(time.Millisecond/10))
 }
 
-// TestAgainstRendezvous compares placement with the static rendezvous layout,
-// in one run, while 74 hot keys are replaced by others each minute.
+// TestAgainstRendezvous compares placement with the static layout by rendezvous hashing,
+// while all 74 hot keys are replaced every minute.
 func TestAgainstRendezvous(t *testing.T) {
 	const minutes = 3
 	for _, hotShare := range []float64{0.3, 0.6} {
@@ -97,8 +96,8 @@
 	}
 }
 
-// TestSteadyLoadSettles plays a load that does not change: after the first
-// minutes, chance alone moves nothing, however few requests make the load.
+// TestSteadyLoadSettles checks that under a steady load, noise causes no more moves after
+// the first minutes, however few requests make up the load.
 func TestSteadyLoadSettles(t *testing.T) {
 	for name, service := range map[string]time.Duration{
 		"3000 requests a second": 10 * time.Millisecond,
@@ -118,7 +117,7 @@
 	}
 }
 
-// TestNewTargetReceivesLoad adds a target to a service that is even without it.
+// TestNewTargetReceivesLoad adds a target to a service whose load is even without it.
 func TestNewTargetReceivesLoad(t *testing.T) {
 	cfg := placement.Config{ImbalancePercent: 40, MovesPerMinute: 30, Shards: simShards}
 	sc := scenario{seed: 1, minutes: 4, hotShare: 0.3, serviceTime: 10 * time.Millisecond, steady: true, joinSecond: 90}
@@ -128,8 +127,7 @@
 	assert.Assert(t, out.lastMinute <= 2)
 }
 
-// TestManyHotSets plays a long time in which more keys become hot than there
-// may be solo keys.
+// TestManyHotSets runs so long that more keys become hot than there may be single keys.
 func TestManyHotSets(t *testing.T) {
 	minutes := 12
 	if testing.Short() {
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -1,9 +1,8 @@
-// Package placement decides which shards move between the targets of a cell so
-// that load stays even, with as few moves as pay for themselves.
+// Package placement balances the load of the targets of a cell: it decides which shards
+// to move between them, and only makes moves whose gain is worth their cost.
 //
-// Load is what the entries measure where requests pass: the time for which a
-// request occupies a slot of its target. The package is pure: the present time
-// is an argument, no function does I/O.
+// The entries measure the load: the time for which requests occupy slots of a target.
+// The package does no I/O and gets the current time as an argument.
 package placement
 
 import (
@@ -27,33 +26,33 @@
 	busyUnit = 128 * time.Microsecond
 	// maxPeriod bounds the period of a report.
 	maxPeriod = time.Minute
-	// maxReportBytes bounds the packed shards of one report.
+	// maxReportBytes bounds the size of the packed shards of one report.
 	maxReportBytes = 1 << 20
 )
 
-// ErrMalformed is returned for a report that can't be read.
+// ErrMalformed is returned for a report that can't be decoded.
 var ErrMalformed = errors.New("placement: malformed report")
 
-// Report is what one entry process saw of one cell's shards in a period.
+// Report is the load of a cell's shards in a period, as measured by one entry.
 type Report struct {
 	Service key.Service
 	Zone    place.Zone // of the cell
 	Period  time.Duration
 	// Shards lists the shards with requests, sorted by Shard.
 	Shards []ShardLoad
-	// HotKeys lists the heaviest keys that are not solo keys, heaviest first.
+	// HotKeys lists the hottest keys that are part of hash-range shards, hottest first.
 	HotKeys []HotKey
 }
 
-// ShardLoad is the load of one shard in the period of a report. Busy is the
-// sum of the times for which its requests occupied a slot.
+// ShardLoad is the load of a shard in the period of a report. Busy is the total time
+// for which its requests occupied slots.
 type ShardLoad struct {
 	Shard    key.Shard
 	Requests uint32
 	Busy     time.Duration
 }
 
-// HotKey is the load of one key. Busy may be too high by up to Error.
+// HotKey is the load of a key. Busy may be too high by up to Error.
 type HotKey struct {
 	Hash  key.Hash
 	Busy  time.Duration
@@ -82,13 +81,12 @@
 	const maxNesting = 4
 	mode, err := cbor.DecOptions{MaxArrayElements: MaxHotKeys, MaxNestedLevels: maxNesting}.DecMode()
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // can't happen, as the options are constant
 	}
 	return mode
 }
 
-// EncodeReport returns the body of a load report. Hot keys past MaxHot are
-// left out.
+// EncodeReport returns the body of a load report, with at most MaxHotKeys hot keys.
 func EncodeReport(r Report) ([]byte, error) {
 	w := wireReport{
 		Service:  string(r.Service),
@@ -106,7 +104,7 @@
 	return data, nil
 }
 
-// DecodeReport reads a load report.
+// DecodeReport decodes the body of a load report.
 func DecodeReport(data []byte) (Report, error) {
 	var w wireReport
 	if err := reportDecMode.Unmarshal(data, &w); err != nil {
@@ -131,7 +129,8 @@
 	return r, nil
 }
 
-// toUnits rounds to the nearest unit; what took any time counts one at least.
+// toUnits returns d in units of busyUnit, rounded to the nearest, but at least one if d
+// is positive.
 func toUnits(d time.Duration) uint64 {
 	if d <= 0 {
 		return 0
@@ -139,15 +138,15 @@
 	return max(uint64((d+busyUnit/2)/busyUnit), 1)
 }
 
-// fromUnits returns at most a period's worth of very many requests, so that sums of
-// reports can't overflow.
+// fromUnits converts units of busyUnit to a duration. It limits them to about 38 hours,
+// so that sums of reports don't overflow.
 func fromUnits(units uint64) time.Duration {
-	const most = 1 << 30
-	return time.Duration(min(units, most)) * busyUnit
+	const maxUnits = 1 << 30
+	return time.Duration(min(units, maxUnits)) * busyUnit
 }
 
-// packShards writes, for each shard, the gap to the one before, the requests
-// and the busy time, as variable-length numbers: three or four bytes.
+// packShards encodes, for each shard, the gap to the one before, the requests and the
+// busy time as varints, in three or four bytes as a rule.
 func packShards(shards []ShardLoad) []byte {
 	var out []byte
 	next := key.Shard(0)
@@ -171,13 +170,13 @@
 		for i := range field {
 			value, size := binary.Uvarint(data)
 			if size <= 0 {
-				return nil, fmt.Errorf("%w: shards are cut off", ErrMalformed)
+				return nil, fmt.Errorf("%w: shards are truncated", ErrMalformed)
 			}
 			field[i], data = value, data[size:]
 		}
 		shard := next + field[0]
 		if field[0] > maxShard || shard > maxShard || field[1] > maxRequests || len(out) >= maxReportShards {
-			return nil, fmt.Errorf("%w: shard %d", ErrMalformed, shard)
+			return nil, fmt.Errorf("%w: shard %d is out of bounds", ErrMalformed, shard)
 		}
 		out = append(out, ShardLoad{Shard: key.Shard(shard), Requests: uint32(field[1]), Busy: fromUnits(field[2])})
 		next = shard + 1
--- a/internal/placement/sim_test.go
+++ b/internal/placement/sim_test.go
@@ -22,18 +22,18 @@
 	simShards   = 1024
 	simHotKeys  = 74
 	simColdKeys = 20_000
-	// simLoad is the number of busy slots, of three in each target.
+	// simLoad is the total load in slots. Each target has three slots.
 	simLoad = 30.0
-	// simHotSetPeriod is how often the whole hot set changes.
+	// simHotSetPeriod is the time after which the whole hot set changes.
 	simHotSetPeriod = time.Minute
 )
 
 var simStart = time.Unix(1_800_000_000, 0)
 
-// sim is a service under load, second by second.
+// sim simulates a service under load in steps of a second.
 type sim struct {
 	rng *rand.Rand
-	// arrivalRNG draws the arrival times within a second, apart from all else.
+	// arrivalRNG is used only for arrival times within a second.
 	arrivalRNG      *rand.Rand
 	now             time.Time
 	layout          placement.Layout
@@ -42,23 +42,23 @@
 	nextShard       key.Shard
 	cold            []key.Hash
 	hot             []key.Hash
-	hotShares       []float64 // of the hot keys, in the whole load
+	hotShares       []float64 // of the total load, by hot key
 	queues          map[int]*queue
 	scenario
 }
 
-// scenario is what a run is about.
+// scenario holds the parameters of a run.
 type scenario struct {
 	seed     uint64
 	minutes  int
 	hotShare float64
-	// serviceTime is the time that one request takes: the longer, the fewer
-	// requests make the same load, and the noisier it is.
+	// serviceTime is the service time of a request. The longer it is, the fewer
+	// requests make up the same load, and the more noise it has.
 	serviceTime time.Duration
-	// steady keeps the hot set as it is.
+	// steady keeps the hot set unchanged.
 	steady bool
-	// joinSecond is the second at which one more target joins; it is warm a minute
-	// later.
+	// joinSecond is the second at which one more target joins, whose warm-up takes a
+	// minute. Zero means that none joins.
 	joinSecond int
 }
 
@@ -103,7 +103,7 @@
 	return best
 }
 
-// replaceHotSet makes other keys hot.
+// replaceHotSet replaces all hot keys by new random ones.
 func (w *sim) replaceHotSet() {
 	w.hot = w.hot[:0]
 	for range simHotKeys {
@@ -129,8 +129,8 @@
 	return h.Shard(simShards)
 }
 
-// runSecond runs one second and returns the report of all entries together and the
-// load that each target really had.
+// runSecond simulates one second. It returns one report for all entries and the expected
+// load of each target.
 func (w *sim) runSecond() (placement.Report, []float64) {
 	w.now = w.now.Add(time.Second)
 	perSecond := simLoad / w.serviceTime.Seconds()
@@ -173,14 +173,14 @@
 	return r, truth
 }
 
-// queue is a target's: its slots take requests in the order of arrival.
+// queue is the FIFO queue of a target with three slots.
 type queue struct {
-	freeAt    [3]time.Duration // when each slot is free, since the start
+	freeAt    [3]time.Duration // when each slot becomes free, since the start
 	arrivals  []time.Duration
 	latencies []time.Duration
 }
 
-// addArrivals spreads n requests over the second that is being played.
+// addArrivals adds n requests at random times of the current second.
 func (w *sim) addArrivals(owner int, n uint32) {
 	q := w.queues[owner]
 	if q == nil {
@@ -207,7 +207,7 @@
 	q.arrivals = q.arrivals[:0]
 }
 
-// p99 returns the latency that 99 of 100 requests stayed within.
+// p99 returns the 99th percentile of the latency.
 func (w *sim) p99() time.Duration {
 	var all []time.Duration
 	for _, q := range w.queues {
@@ -217,7 +217,8 @@
 	return all[len(all)*99/100]
 }
 
-// poissonCount draws a count by its mean (Knuth for small, normal for large means).
+// poissonCount draws from a Poisson distribution: by Knuth's algorithm for small means,
+// by the normal approximation for large ones.
 func (w *sim) poissonCount(mean float64) uint32 {
 	if mean > 30 {
 		return uint32(max(0, math.Round(mean+math.Sqrt(mean)*w.rng.NormFloat64())))
@@ -229,24 +230,24 @@
 	return n
 }
 
-// mergeKey puts a solo key back into its shard and returns the moves of
-// ownership that this takes.
+// mergeKey merges a single key into its parent shard. It returns the number of changes of
+// owner, 0 or 1.
 func (w *sim) mergeKey(row int) int {
-	solo := w.layout.Rows[row]
-	parent := w.layout.Rows[w.rowIndex[solo.Hash.Shard(simShards)]]
-	delete(w.singleKeyShards, solo.Hash)
+	single := w.layout.Rows[row]
+	parent := w.layout.Rows[w.rowIndex[single.Hash.Shard(simShards)]]
+	delete(w.singleKeyShards, single.Hash)
 	w.layout.Rows = slices.Delete(w.layout.Rows, row, row+1)
 	for i, r := range w.layout.Rows {
 		w.rowIndex[r.Shard] = i
 	}
-	if parent.Owner == solo.Owner {
+	if parent.Owner == single.Owner {
 		return 0
 	}
 	return 1
 }
 
-// applyPlan does what a cell does with a plan, and returns the moves of
-// ownership and how many of them were of whole shards.
+// applyPlan applies a plan as a cell would. It returns the number of changes of owner and
+// how many of them were of hash-range shards.
 func (w *sim) applyPlan(plan []cell.PlannedMove) (moves, whole int) {
 	for _, m := range plan {
 		row := w.rowIndex[m.Shard]
--- a/internal/placement/topk/main_test.go
+++ b/internal/placement/topk/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random runs where none was given: the same
-// sources get the same verdict.
+// TestMain fixes the seed of the random tests, so that their results can be reproduced.
+// -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/placement/topk/topk.go
+++ b/internal/placement/topk/topk.go
@@ -1,6 +1,6 @@
-// Package topk finds the heaviest keys of a stream in bounded memory, by the
-// space-saving algorithm (Metwally, Agrawal, El Abbadi: Efficient Computation
-// of Frequent and Top-k Elements in Data Streams, ICDT 2005).
+// Package topk finds the keys with the greatest weight in a stream, in bounded memory. It
+// uses the Space-Saving algorithm (Metwally, Agrawal, El Abbadi: Efficient Computation of
+// Frequent and Top-k Elements in Data Streams, ICDT 2005).
 package topk
 
 import (
@@ -10,24 +10,23 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// Item is one key of a sketch. The key's true weight lies between
-// Weight - Error and Weight.
+// Item is a key of a sketch. Its true weight is between Weight - Error and Weight.
 type Item struct {
 	Hash   key.Hash
 	Weight uint64
 	Error  uint64
 }
 
-// Sketch holds a bounded number of keys: any key with more than the total
-// weight divided by the capacity is among them. Not safe for concurrent use.
+// Sketch holds a bounded number of keys. Every key whose weight is more than the total
+// weight divided by the capacity is among them. It is not safe for concurrent use.
 type Sketch struct {
-	// heap is a binary heap with the lightest item first.
+	// heap is a binary min-heap by weight.
 	heap     []Item
 	index    map[key.Hash]int // into heap
 	capacity int
 }
 
-// New returns an empty sketch of at most capacity keys, at least one.
+// New returns an empty sketch for capacity keys, or for one if capacity is below one.
 func New(capacity int) *Sketch {
 	capacity = max(capacity, 1)
 	return &Sketch{
@@ -37,7 +36,8 @@
 	}
 }
 
-// Add counts weight for a key.
+// Add adds weight to a key. If the sketch is full, a new key replaces the one with the
+// least weight.
 func (s *Sketch) Add(h key.Hash, weight uint64) {
 	if i, ok := s.index[h]; ok {
 		s.heap[i].Weight += weight
@@ -57,7 +57,7 @@
 	s.siftDown(0)
 }
 
-// Top returns the n heaviest keys, heaviest first.
+// Top returns the n keys with the greatest weight, in descending order of weight.
 func (s *Sketch) Top(n int) []Item {
 	out := slices.Clone(s.heap)
 	slices.SortFunc(out, func(a, b Item) int {
@@ -66,7 +66,7 @@
 	return out[:min(n, len(out))]
 }
 
-// Reset forgets all keys and keeps the memory.
+// Reset removes all keys and keeps the allocated memory.
 func (s *Sketch) Reset() {
 	s.heap = s.heap[:0]
 	clear(s.index)
--- a/internal/placement/topk/topk_test.go
+++ b/internal/placement/topk/topk_test.go
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/placement/topk"
 )
 
-// TestBounds checks the two promises of the algorithm on random streams: the
-// true weight lies within the item's bounds, and no heavy key is missing.
+// TestBounds checks the guarantees of the algorithm on random streams: the true weight of
+// an item is within its bounds, and no key above the threshold is missing.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 20).Draw(t, "capacity")
