--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -45,9 +45,9 @@
 	now     time.Time
 	effects []Effect
 
-	// startedAt is the first time that Handle or Tick got. For the duration of a
-	// promise from then on, the host neither campaigns nor promises, as its
-	// previous incarnation may have made a promise.
+	// startedAt is the time of the first Handle or Tick. For the duration of a promise
+	// from then on, the host makes no promise and, if there is a document, does not
+	// campaign, as its previous incarnation may have made a promise.
 	startedAt time.Time
 	role      role
 
@@ -85,7 +85,7 @@
 	drains        []place.Target
 	plan          []PlannedMove
 	moveStarts    []time.Time
-	splitMoves    []PlannedMove // of keys that were split off, once their owners have confirmed
+	splitMoves    []PlannedMove // of keys that were split off, started once the split is confirmed
 	stopping      bool
 
 	tableSequence uint64
@@ -120,7 +120,7 @@
 	assumeWriteFailed, leaseFromResponse, skipLeaseCheck, ignoreLostPromises, limitFromContact, leadPastLimit bool
 }
 
-// New returns a cell that has seen no event yet.
+// New returns a cell. It makes no decision before the first Handle or Tick.
 func New(cfg Config) *Cell {
 	return &Cell{cfg: cfg}
 }
--- a/internal/cell/doc.go
+++ b/internal/cell/doc.go
@@ -114,7 +114,7 @@
 
 // Timing holds the durations of the ownership protocol.
 type Timing struct {
-	RenewInterval      time.Duration // between two orders to a target
+	RenewInterval      time.Duration // between two orders to a target or heartbeats to a peer
 	GrantDuration      time.Duration // by the target's clock
 	LeaseTTL           time.Duration // of the leader's lease in the store
 	LeaseRenewInterval time.Duration // between two renewals of that lease
--- a/internal/cell/draft.go
+++ b/internal/cell/draft.go
@@ -8,7 +8,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// draft is the document of the next write, while it is changed.
+// draft collects the changes of the document for one write.
 type draft struct {
 	doc       Doc
 	changed   bool
@@ -106,8 +106,8 @@
 	return part + part/8
 }
 
-// pickStandby returns the target with the highest rendezvous weight other than the
-// owner.
+// pickStandby returns the target with the highest rendezvous weight among those for
+// which may is true, other than the owner.
 func (d *draft) pickStandby(shard key.Shard, owner TargetIndex, may func(TargetIndex) bool) TargetIndex {
 	best := NoTarget
 	var weight uint64
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -16,7 +16,8 @@
 
 // DocReceived reports a committed document. Exists is false if the store
 // responded that there is none. FromStore is true for a read of the store and
-// false for a copy sent by a peer.
+// false for a copy sent by a peer. From one revision to the next, the epoch of a
+// shard never falls.
 type DocReceived struct {
 	Exists    bool
 	FromStore bool
--- a/internal/cell/reconcile.go
+++ b/internal/cell/reconcile.go
@@ -62,7 +62,8 @@
 	*doc = d.doc
 }
 
-// updateTargets adds listed targets, and removes unlisted ones that no row names.
+// updateTargets adds listed targets, and removes unlisted ones that are unresponsive
+// and that no row names.
 func (c *Cell) updateTargets(d *draft) {
 	for _, row := range c.fleet.Targets {
 		if row.Zone != c.cfg.ID.Zone || row.Service != string(c.cfg.ID.Service) {
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -245,8 +245,9 @@
 	return c.cfg.RenewLimit > 0 && c.now.After(from.Add(c.subtractDrift(c.cfg.RenewLimit)))
 }
 
-// allPromised reports whether every roster host has promised to this one and its
-// incarnation has read the store, so that none of them knows a later term.
+// allPromised reports whether every roster host has promised to this one, in an
+// incarnation that has read the store, and no removed host is left. Then no other
+// host knows a later term.
 func (c *Cell) allPromised() bool {
 	for i := range c.peers {
 		p := &c.peers[i]
@@ -309,8 +310,8 @@
 }
 
 // grantsExpired reports whether all grants of the target have certainly expired. One
-// possible renewer is allowed: as this host has the lease and the promises of all
-// others, that one has neither a lease nor a promise, and renews nothing.
+// possible renewer is allowed: this host has the lease, and no other host can have
+// promised to that one, so that it has neither lease nor promise and renews nothing.
 func (c *Cell) grantsExpired(t *targetState) bool {
 	if !c.leaseValid() || !c.now.After(c.grantsEndAt(t)) {
 		return false
--- a/internal/cell/row.go
+++ b/internal/cell/row.go
@@ -176,8 +176,8 @@
 }
 
 // grantsEnded reports whether all grants of a target have ended without its
-// response. A loss declaration states that no other host renews them; the grants
-// of this host and its peers still have to expire, as the target may be up.
+// response. A loss declaration states that no possible renewer renews them. The
+// grants of this host and its peers still have to expire, as the target may be up.
 func (c *Cell) grantsEnded(t *targetState) bool {
 	declared := t.declaredLost && !t.lossRefuted && c.now.After(c.grantsEndAt(t))
 	return declared || c.grantsExpired(t)
--- a/internal/cell/target.go
+++ b/internal/cell/target.go
@@ -39,7 +39,7 @@
 
 	// The last full inventory, in response to an order sent at inventoryAt in
 	// inventoryTerm. The term is zero if there is none since this host became the
-	// leader or deputy.
+	// leader or the target restarted.
 	inventoryTerm grant.Term
 	inventoryAt   time.Time
 	held          []grant.ShardEpoch
