--- a/internal/dispatch/affinity.go
+++ b/internal/dispatch/affinity.go
@@ -30,9 +30,8 @@
 	inFlight, peak int
 }
 
-// affinity holds the targets that each host used last, the most recent one last.
-// It estimates which connections a host has open: homes are not told of
-// connections, only of requests.
+// affinity holds the targets that each host used last, the most recent one last. From
+// these, a home estimates which connections a host has open: no message reports them.
 type affinity map[place.Host][]affinityEntry
 
 // begin records that a request of the host starts at a target.
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -8,8 +8,8 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// Backoffs holds what targets have signaled to this host in their responses: a
-// pause, or that they are leaving. A signal holds for one incarnation of a target.
+// Backoffs holds the signals that this host received in responses of targets: a pause,
+// or that the target is leaving. A signal applies to one incarnation of a target.
 // It is not safe for concurrent use.
 type Backoffs struct{ targets map[place.Target]*backoff }
 
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -10,7 +10,7 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// TestBackoffs checks that a signal holds for one incarnation of a target, and a pause
+// TestBackoffs checks that a signal applies to one incarnation of a target, and a pause
 // for its duration.
 func TestBackoffs(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -8,8 +8,8 @@
 
 const (
 	// breakerThreshold is how many distinct targets of a zone must fail to connect,
-	// with no success in between, to open the zone's breaker. Single failures are
-	// more likely crashed targets.
+	// with no response of the zone in between, to open the zone's breaker. Single
+	// failures are more likely crashed targets.
 	breakerThreshold = 3
 	// breakerProbeInterval is the time between two requests that probe a zone whose
 	// breaker is open.
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -56,8 +56,8 @@
 	ID      TicketID
 	Message Message
 	Home    place.Host
-	// Isolated tells that no other host could be asked: a network partition may
-	// separate this one from the targets.
+	// Isolated is set if this host was its own home because it reached no other: a
+	// network partition may separate it from the targets.
 	Isolated bool
 }
 
@@ -139,7 +139,7 @@
 }
 
 // home returns the current home of a pool: the first host in its ranking that is not
-// suspected. isolated tells that it is this host only because all others are.
+// suspected. isolated reports that it is this host only because all others are.
 func (c *Client) home(pool PoolID) (host place.Host, isolated bool) {
 	ranked := c.homes.Ranked(pool)
 	for i, host := range ranked {
@@ -203,7 +203,7 @@
 	c.send(h.home, Done{ID: id, Pool: h.Pool, Target: h.Target, Class: h.Class, Result: result, Took: took})
 }
 
-// Drain tells the home of a pool that a target in it is leaving.
+// Drain reports to the home of a pool that a target in it is leaving.
 func (c *Client) Drain(pool PoolID, name place.Target) {
 	home, _ := c.home(pool)
 	c.send(home, Drain{Pool: pool, Target: name})
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -68,7 +68,7 @@
 	// Pressure that of the pool.
 	Waiting, Available int
 	Pressure           float64
-	// Cold tells that the request's key was cold.
+	// Cold is Acquire.Cold.
 	Cold bool
 }
 
@@ -79,11 +79,11 @@
 	return out
 }
 
-// peerState is what a home knows of a peer.
+// peerState is the state of a peer at a home.
 type peerState struct {
 	Peer
 
-	heardAt time.Time
+	heardAt time.Time // when its last message came
 }
 
 // NewHome returns a home without pools. They are created by the first message about
@@ -141,7 +141,8 @@
 	return h.flush()
 }
 
-// Tick expires silent hosts and idle pools, and schedules the queues.
+// Tick expires hosts after hostTimeout and idle pools after poolIdleTimeout, and
+// schedules the queues.
 func (h *Home) Tick(now time.Time) []PeerMessage {
 	for name, peer := range h.peers {
 		if now.Sub(peer.heardAt) > hostTimeout {
@@ -362,7 +363,7 @@
 	}
 }
 
-// adopt adds a ticket that another home granted.
+// adopt adds a ticket that another home issued.
 func (h *Home) adopt(now time.Time, key ticketKey, held Held) {
 	p := h.pool(now, held.Pool)
 	s := p.targets[held.Target]
@@ -387,11 +388,12 @@
 	Mean     time.Duration
 	Slowdown float64
 	Samples  float64
-	// Down tells that the target accepts no connections.
+	// Down is set after minConnectFailures failures to connect in a row.
 	Down bool
-	// Leaving tells that the target signaled that it is leaving.
+	// Leaving is set if the target signaled that it is leaving.
 	Leaving bool
-	// Used tells that the statistics are from the last maxStatsAge.
+	// Used is set if there are samples and the statistics were updated within
+	// maxStatsAge.
 	Used bool
 }
 
@@ -411,10 +413,12 @@
 }
 
 const (
-	// minConnectFailures is how many failures to connect in a row are reported as
-	// TargetStats.Down. The home itself backs off after the first one.
+	// minConnectFailures is the number of failures to connect in a row from which a
+	// target is reported as TargetStats.Down. The home itself backs off after the
+	// first one.
 	minConnectFailures = 2
-	// maxStatsAge is the age from which statistics are not reported as TargetStats.Used.
+	// maxStatsAge is the age from which statistics no longer count as
+	// TargetStats.Used.
 	maxStatsAge = 2 * time.Second
 )
 
--- a/internal/dispatch/home_test.go
+++ b/internal/dispatch/home_test.go
@@ -42,8 +42,8 @@
 }
 
 // TestDominantMean checks that the reported mean is that of the class with most of the
-// work. Rare short requests, such as those of new routes, must not make a target look
-// fast. A target without requests has no mean.
+// work. Rare short requests, such as those of new routes, must not lower the mean of a
+// target. A target without requests has no mean.
 func TestDominantMean(t *testing.T) {
 	const ms = time.Millisecond
 	const usual, rare = 270 * ms, 30 * ms
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestBreaker checks that a zone's breaker opens after failures at enough distinct
-// targets, lets one probe through per interval, and closes on a response.
+// TestBreaker checks that a zone's breaker opens after failures at breakerThreshold
+// distinct targets, admits one probe per interval, and closes on a response.
 func TestBreaker(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := newBreakers()
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -44,15 +44,15 @@
 	// Excluded are targets that failed this request before, or that are paused or
 	// leaving.
 	Excluded []place.Target
-	// Cold tells that the request's key is still slow, since its owner took it over
+	// Cold is set if requests for the key are still slow, since its owner took it over
 	// recently without a handover.
 	Cold bool
-	// Isolated tells that the requesting host is its own home only because it reaches
-	// no other candidate.
+	// Isolated is set if the requesting host is its own home only because it reaches
+	// no other host that may be the home.
 	Isolated bool
 }
 
-// Assigned grants a ticket for a slot of a target.
+// Assigned is the reply to an Acquire that issues the ticket for a slot of a target.
 type Assigned struct {
 	ID     TicketID
 	Target place.Target
@@ -62,8 +62,8 @@
 // Queued confirms that the home has queued an Acquire.
 type Queued struct{ ID TicketID }
 
-// Refused tells that a request can't be served in time, and after which delay a
-// retry makes sense.
+// Refused is the reply to an Acquire that gets no slot. A retry makes sense after
+// RetryAfter.
 type Refused struct {
 	ID         TicketID
 	RetryAfter time.Duration
@@ -77,7 +77,8 @@
 const (
 	// ReasonFull: the request is not expected to be served in time.
 	ReasonFull Reason = iota + 1
-	// ReasonLate: the deadline passed in the queue.
+	// ReasonLate: the deadline passed in the queue. No home sends it at present: such a
+	// request is refused with one of the other reasons.
 	ReasonLate
 	// ReasonNoTarget: no target of the pool is available.
 	ReasonNoTarget
@@ -139,7 +140,7 @@
 	Took   time.Duration
 }
 
-// Drain tells that a target of the pool has signaled that it is leaving.
+// Drain reports that a target of the pool has signaled that it is leaving.
 type Drain struct {
 	Pool   PoolID
 	Target place.Target
@@ -161,8 +162,9 @@
 	Since time.Duration
 }
 
-// Report lists the tickets that a host has in use at the home that it is sent to, all
-// those with an id from First to Last. A long list is sent as several reports.
+// Report lists the tickets of a host at the home that it is sent to: all those with an
+// id from First to Last that have been in use for minReportAge. A long list is sent as
+// several reports.
 type Report struct {
 	First, Last TicketID
 	Held        []Held
@@ -174,10 +176,10 @@
 // Pong is the reply to a Ping.
 type Pong struct{}
 
-// Leave tells clients that the sending host is stopping and is no home any more.
+// Leave announces to clients that the sending host is stopping and is no home any more.
 type Leave struct{}
 
-// Message is a message between the hosts and homes of pools.
+// Message is a message between the clients and the homes of pools.
 type Message interface{ message() }
 
 func (Acquire) message()  {}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -30,9 +30,9 @@
 	// overloadRetryShare is the shortest retry delay under overload, as a share of
 	// the time to the deadline: an earlier retry would be refused again.
 	overloadRetryShare = 0.3
-	// coldKeyFactor is how many times as long a request for a cold key takes: such
-	// requests take 3 to 6 times as long. With it they nearly always count as late,
-	// so that they only get slots that no other request wants.
+	// coldKeyFactor is how many times as long a request for a cold key is expected to
+	// take. It takes 3 to 6 times as long. With this factor, such requests nearly
+	// always count as late, so that they only get slots that no other request wants.
 	coldKeyFactor = 4
 	// warmWindow is how long after a request for a warm key more are expected. A
 	// target with a few requests per second gets one within it.
@@ -47,8 +47,8 @@
 
 	key  ticketKey
 	zone place.Zone
-	// mean is the expected service time, and late tells whether the request would
-	// miss its soft deadline if it started now. Both are set in each round.
+	// mean is the expected service time. late is set if the request would miss its
+	// soft deadline if it started now. Both are updated in each round.
 	mean time.Duration
 	late bool
 	// deadline is when the response must be there, softDeadline when it should be.
--- a/internal/dispatch/reachability.go
+++ b/internal/dispatch/reachability.go
@@ -24,7 +24,7 @@
 // respond: if all its hosts were killed, its targets still respond, and if its
 // targets crash, its hosts do. It is not safe for concurrent use.
 type Reachability struct {
-	// failed holds the zones in which the latest attempt failed to connect.
+	// failed holds the zones in which the latest conclusive attempt failed to connect.
 	failed map[place.Zone]bool
 	// heardAt is when the last message came from a host of each zone.
 	heardAt map[place.Zone]time.Time
@@ -67,8 +67,8 @@
 	all, unreachable := 0, 0
 	for name, z := range zones {
 		all += z.Targets
-		silent := z.Suspects > 0 && z.Suspects >= min(minZoneSuspects, z.Hosts) && now.Sub(r.heardAt[name]) >= zoneSilenceTimeout
-		if name != self && r.failed[name] && silent {
+		unresponsive := z.Suspects > 0 && z.Suspects >= min(minZoneSuspects, z.Hosts) && now.Sub(r.heardAt[name]) >= zoneSilenceTimeout
+		if name != self && r.failed[name] && unresponsive {
 			unreachable += z.Targets
 		}
 	}
--- a/internal/dispatch/reachability_test.go
+++ b/internal/dispatch/reachability_test.go
@@ -9,8 +9,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// TestReachability checks that only a network partition that leaves a host with too few
-// targets counts as one, and not crashed hosts or targets.
+// TestReachability checks that Partitioned detects a network partition that leaves a
+// host with too few targets, and does not mistake crashed hosts or targets for one.
 func TestReachability(t *testing.T) {
 	now := time.Unix(1000, 0)
 	whole := map[place.Zone]ZoneState{"a": {Targets: 10, Hosts: 4}, "b": {Targets: 10, Hosts: 4}, "c": {Targets: 10, Hosts: 4}}
@@ -23,10 +23,10 @@
 		return out
 	}
 	for name, test := range map[string]struct {
-		zones  map[place.Zone]ZoneState
-		failed []place.Zone
-		heard  map[place.Zone]time.Duration
-		want   bool
+		zones      map[place.Zone]ZoneState
+		failed     []place.Zone
+		messageAge map[place.Zone]time.Duration // time since the last message from the zone
+		want       bool
 	}{
 		"no failures":                  {zones: whole},
 		"both other zones partitioned": {suspects(map[place.Zone]int{"b": 2, "c": 3}), []place.Zone{"b", "c"}, nil, true},
@@ -49,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewReachability()
-			for zone, ago := range test.heard {
+			for zone, ago := range test.messageAge {
 				r.RecordMessage(now.Add(-ago), zone)
 			}
 			for _, zone := range test.failed {
--- a/internal/dispatch/simulate_test.go
+++ b/internal/dispatch/simulate_test.go
@@ -24,7 +24,8 @@
 	work      time.Duration // mean service time at speed 1
 	objective time.Duration
 	deadline  time.Duration
-	// cold, if set, is the route of the requests, which are marked as for cold keys.
+	// cold, if not empty, is the route that the requests are sent with instead of
+	// class, with Acquire.Cold set.
 	cold traffic.RouteName
 }
 
@@ -357,23 +358,23 @@
 func TestSimulatedLoads(t *testing.T) {
 	tests := map[string]struct {
 		load simConfig
-		// least is the lowest acceptable utility per request.
-		least map[traffic.RouteName]float64
+		// minUtility is the lowest acceptable utility per request.
+		minUtility map[traffic.RouteName]float64
 	}{
 		// 12 targets of different speeds at three quarters of their capacity.
 		"heavy": {
-			load:  simConfig{workloads: []workload{notices.withRate(225)}, speeds: unevenSpeeds(12), slots: 3, queue: 12},
-			least: map[traffic.RouteName]float64{"notice": 0.97},
+			load:       simConfig{workloads: []workload{notices.withRate(225)}, speeds: unevenSpeeds(12), slots: 3, queue: 12},
+			minUtility: map[traffic.RouteName]float64{"notice": 0.97},
 		},
 		// Twice the capacity of one target, as with a hot key.
 		"one target at twice its load": {
-			load:  simConfig{workloads: []workload{lookups.withRate(66)}, speeds: []float64{1}, slots: 3, queue: 12},
-			least: map[traffic.RouteName]float64{"look-up": 0.4},
+			load:       simConfig{workloads: []workload{lookups.withRate(66)}, speeds: []float64{1}, slots: 3, queue: 12},
+			minUtility: map[traffic.RouteName]float64{"look-up": 0.4},
 		},
 		// Urgent requests beside look-ups that alone exceed the capacity.
 		"urgent beside overload": {
-			load:  simConfig{workloads: []workload{lookups.withRate(300), plans.withRate(60)}, speeds: unevenSpeeds(6), slots: 3, queue: 12},
-			least: map[traffic.RouteName]float64{"plan": 0.97, "look-up": 0.4},
+			load:       simConfig{workloads: []workload{lookups.withRate(300), plans.withRate(60)}, speeds: unevenSpeeds(6), slots: 3, queue: 12},
+			minUtility: map[traffic.RouteName]float64{"plan": 0.97, "look-up": 0.4},
 		},
 		// A sixth of the targets becomes twelve times slower.
 		"slow targets": {
@@ -382,7 +383,7 @@
 					s.targets["t01"].speed, s.targets["t05"].speed = 0.08, 0.08
 				}
 			}},
-			least: map[traffic.RouteName]float64{"notice": 0.93},
+			minUtility: map[traffic.RouteName]float64{"notice": 0.93},
 		},
 		// Two targets start to refuse half of their requests.
 		"refusing targets": {
@@ -391,21 +392,21 @@
 					s.targets["t01"].refuseShare, s.targets["t05"].refuseShare = 0.5, 0.5
 				}
 			}},
-			least: map[traffic.RouteName]float64{"notice": 0.97},
+			minUtility: map[traffic.RouteName]float64{"notice": 0.97},
 		},
 		// A target that runs all requests and loses one response in twenty.
 		"lost responses": {
 			load: simConfig{workloads: []workload{lookups.withRate(20)}, speeds: []float64{1}, slots: 3, queue: 12, perturb: func(s *simulator, now time.Time) {
 				s.targets["t00"].loseShare = 0.05
 			}},
-			least: map[traffic.RouteName]float64{"look-up": 0.85},
+			minUtility: map[traffic.RouteName]float64{"look-up": 0.85},
 		},
 		// A target that took over keys without a handover: one request for a cold key
 		// per two for warm ones. The cold ones would be late anyway, and must not make
 		// the others late.
 		"cold keys beside warm ones": {
-			load:  simConfig{workloads: []workload{lookups.withRate(22), coldLookups.withRate(11)}, speeds: []float64{1}, slots: 3, queue: 12},
-			least: map[traffic.RouteName]float64{"look-up": 0.9},
+			load:       simConfig{workloads: []workload{lookups.withRate(22), coldLookups.withRate(11)}, speeds: []float64{1}, slots: 3, queue: 12},
+			minUtility: map[traffic.RouteName]float64{"look-up": 0.9},
 		},
 		// Two targets stop accepting connections.
 		"unreachable targets": {
@@ -414,7 +415,7 @@
 					s.targets["t01"].unreachable, s.targets["t05"].unreachable = true, true
 				}
 			}},
-			least: map[traffic.RouteName]float64{"notice": 0.93},
+			minUtility: map[traffic.RouteName]float64{"notice": 0.93},
 		},
 	}
 	for name, test := range tests {
@@ -423,8 +424,8 @@
 			cfg.hosts, cfg.duration, cfg.seed, cfg.pool = 12, 20*time.Second, 7, PoolID{Service: "s"}
 			for class, result := range simulate(cfg) {
 				t.Logf("%s: sent %d, on time %d, late %d, refused %d, failed %d, utility %.3f", class, result.sent, result.onTime, result.late, result.refused, result.failed, result.utility())
-				if result.utility() < test.least[class] {
-					t.Errorf("%s: utility %.3f, want at least %.2f", class, result.utility(), test.least[class])
+				if result.utility() < test.minUtility[class] {
+					t.Errorf("%s: utility %.3f, want at least %.2f", class, result.utility(), test.minUtility[class])
 				}
 			}
 		})
@@ -435,9 +436,9 @@
 // connection to, at no loss of utility.
 func TestConnectionAffinity(t *testing.T) {
 	tests := map[string]struct {
-		perSecond float64
-		least     float64
-		dials     float64 // per request
+		perSecond  float64
+		minUtility float64
+		dials      float64 // upper bound, per request
 	}{
 		"a third of the slots": {320, 0.97, 0.12},
 		"three quarters":       {720, 0.97, 0.12},
@@ -451,7 +452,7 @@
 			result := s.simulate()["notice"]
 			dials := float64(s.dials) / float64(result.sent)
 			t.Logf("utility %.3f, %.3f dials per request", result.utility(), dials)
-			assert.Assert(t, result.utility() >= test.least)
+			assert.Assert(t, result.utility() >= test.minUtility)
 			assert.Assert(t, dials <= test.dials)
 		})
 	}
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -45,7 +45,8 @@
 	crossZoneCost = 0.5
 )
 
-// serviceTime is the moving average of the time that requests of one class take.
+// serviceTime is the moving average of the time that requests of one class take: in a
+// pool, over all its targets.
 type serviceTime struct {
 	mean time.Duration
 	// ownMean is the mean without the prior.
@@ -62,14 +63,14 @@
 	s.ownMean += time.Duration(max(meanWeight, 1/float64(s.samples)) * float64(took-s.ownMean))
 }
 
-// targetState is what the home of a pool knows of one target.
+// targetState is the state of one target at the home of its pool.
 type targetState struct {
 	place.TargetRow
 
 	running map[ticketKey]*ticket
 	// slowdown is the moving average of a request's time over its class's mean.
 	slowdown float64
-	// failureRate is the moving average of failed attempts.
+	// failureRate is the moving average of the share of attempts that failed.
 	failureRate float64
 	// updatedAt is when slowdown and failureRate were last updated.
 	updatedAt time.Time
@@ -82,7 +83,7 @@
 	servedAt time.Time
 	// usable is false for targets that get no new requests.
 	usable bool
-	// leaving tells that this incarnation of the target signaled that it is leaving.
+	// leaving is set once this incarnation of the target signaled that it is leaving.
 	leaving bool
 	// connMark is the mark of the last Acquire whose host probably has an idle
 	// connection to the target.
@@ -216,14 +217,14 @@
 	class   traffic.RouteName
 	target  *targetState
 	started time.Time
-	// mean is the mean service time of its class when it started.
+	// mean is the expected service time of the request when it started.
 	mean time.Duration
-	// queued tells that the target had no free slot when the request was sent: its
-	// time includes a wait and is no sample of the service time.
+	// queued is set if the target had no free slot when the request was sent: its time
+	// includes a wait and is no sample of the service time.
 	queued bool
-	// promoted tells that it was queued at the target and probably has a slot now.
+	// promoted is set if it was queued at the target and probably has a slot now.
 	promoted bool
-	// cold tells that the request is for a cold key: its time is no sample of the
+	// cold is set if the request is for a cold key: its time is no sample of the
 	// service time.
 	cold bool
 	// confirmedAt is when its host last reported it as in use.
