--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -19,7 +19,7 @@
 	Limits   Limits
 }
 
-// KeySpace tells how a service's requests are divided among its targets.
+// KeySpace is the way in which a service's requests are divided among its targets.
 type KeySpace uint8
 
 // Any target of a Keyless service may take a request. A request to a Ranged service
