--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -10,7 +10,7 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Limits of what a caller sends.
+// Size limits of a caller's request.
 const (
 	maxCredentialBytes = 512
 	maxPathBytes       = 2048
@@ -39,9 +39,10 @@
 	return t.callers[sha256.Sum256([]byte(credential))]
 }
 
-// canonicalPath returns the escaped path and whether it is in canonical form: no empty,
-// "." or ".." segment, no encoded slash, no backslash, and no needless escape.
-// "/a/%2e%2e/b" and "/a//b" are not canonical.
+// canonicalPath returns the escaped path and whether it is accepted. It must be in
+// canonical form: no empty, "." or ".." segment, no encoded slash, no backslash, and no
+// needless or lower-case escape. "/a/%2e%2e/b" and "/a//b" are not canonical. Paths that
+// begin with reservedPrefix, in any case, are not accepted either.
 func canonicalPath(r *http.Request) (string, bool) {
 	path := r.URL.EscapedPath()
 	if len(path) < 2 || len(path) > maxPathBytes || path[0] != '/' || r.URL.Opaque != "" || r.URL.Host != "" {
@@ -79,7 +80,7 @@
 	return true
 }
 
-// pathByte reports whether a byte stands unescaped in a canonical path.
+// pathByte reports whether a byte is written without an escape in a canonical path.
 func pathByte(b byte) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,22 +15,22 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// newTable returns a table with two partners that share a service, each with its own
+// newTable returns a table with two callers that share a service, each with its own
 // key prefix.
 func newTable() *route.Table {
-	partner := func(name settings.Caller, prefix string) settings.Route {
+	routeFor := func(name settings.Caller, prefix string) settings.Route {
 		return settings.Route{
 			Name: string(name), Service: "register", Callers: []settings.Caller{name}, Methods: []string{"GET"},
 			Path: "/span/{key}", KeySource: settings.KeyInPath, KeyPrefix: prefix, Class: settings.Interactive,
 		}
 	}
-	query, header := partner("north", "north-"), partner("north", "north-")
+	query, header := routeFor("north", "north-"), routeFor("north", "north-")
 	query.Name, query.Path, query.KeySource, query.KeyName = "query", "/search", settings.KeyInQuery, "span"
 	header.Name, header.Path, header.KeySource, header.KeyName = "header", "/head/{any}/x", settings.KeyInHeader, "Span"
 	header.Methods = []string{"GET", "POST"}
 	return route.New(&settings.Settings{
 		Services: []settings.Service{{Name: "register"}},
-		Routes:   []settings.Route{partner("north", "north-"), partner("south", "south-"), query, header},
+		Routes:   []settings.Route{routeFor("north", "north-"), routeFor("south", "south-"), query, header},
 		Callers: []settings.CallerRow{
 			{Name: "north", CredentialHash: sha256.Sum256([]byte("n"))},
 			{Name: "south", CredentialHash: sha256.Sum256([]byte("s"))},
@@ -58,7 +58,7 @@
 	}{
 		"own key":                  {"GET", "/span/north-1", "n", nil, "north-1", ""},
 		"own key, encoded":         {"GET", "/span/north-%C3%A9", "n", nil, "north-é", ""},
-		"other partner's key":      {"GET", "/span/south-1", "n", nil, "", outcome.BadKey},
+		"other caller's key":       {"GET", "/span/south-1", "n", nil, "", outcome.BadKey},
 		"key without its prefix":   {"GET", "/span/nort", "n", nil, "", outcome.BadKey},
 		"prefix in another case":   {"GET", "/span/North-1", "n", nil, "", outcome.BadKey},
 		"wrong credential":         {"GET", "/span/north-1", "x", nil, "", outcome.Credential},
