--- a/internal/forward/endless_test.go
+++ b/internal/forward/endless_test.go
@@ -23,7 +23,8 @@
 	start, piece string
 	pause        time.Duration
 	sent         atomic.Int64
-	// closed gets the time at which the client had closed the connection.
+	// closed receives the time of the first write that failed, as the client had
+	// closed the connection.
 	closed chan time.Time
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,7 +19,7 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// pipeTo returns a pool whose connections are pipes to serve.
+// pipeTo returns a pool whose connections are pipes, with serve handling the other end.
 func pipeTo(serve func(net.Conn)) *forward.Pool {
 	return forward.New(forward.Config{
 		Addr: netip.MustParseAddrPort("127.0.0.1:1"), MaxOpen: 2, MinOpen: 1, DialTimeout: time.Second,
--- a/internal/forward/pool.go
+++ b/internal/forward/pool.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// ErrClosed is returned if the pool is closed.
+// ErrClosed is the error of NotSent if the pool is closed.
 var ErrClosed = errors.New("forward: pool is closed")
 
-// ErrFull is returned if Config.MaxOpen connections are in use.
+// ErrFull is the error of NotSent if Config.MaxOpen connections are in use.
 var ErrFull = errors.New("forward: all connections are in use")
 
 // Dial opens a connection to a target.
@@ -24,15 +24,17 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Config configures a Pool.
+// Config holds the address and the limits of a Pool.
 type Config struct {
 	Addr netip.AddrPort
 	// MaxOpen bounds the open connections.
 	MaxOpen int
 	// MinOpen is the number of open connections that Warm ensures.
 	MinOpen int
-	Dial    Dial
-	// DialTimeout bounds one attempt to connect; zero stands for no bound.
+	// Dial opens the connections; DialTCP if nil.
+	Dial Dial
+	// DialTimeout bounds one attempt to connect. If it is zero, only the request's
+	// deadline does, and Warm can't connect.
 	DialTimeout time.Duration
 }
 
@@ -55,8 +57,9 @@
 	return &Pool{cfg: cfg, host: cfg.Addr.String()}
 }
 
-// Do makes one attempt. If ctx ends meanwhile, Do closes the connection, which asks the
-// target to cancel the request, and returns Uncertain unless the response is complete.
+// Do makes one attempt. If ctx ends while the request is on a connection, Do closes the
+// connection, which asks the target to cancel the request, and returns Uncertain unless
+// the response is complete.
 func (p *Pool) Do(ctx context.Context, r *Request, now time.Time) Result {
 	if ctx.Err() != nil {
 		return NotSent{Err: ctx.Err()}
--- a/internal/forward/result.go
+++ b/internal/forward/result.go
@@ -1,4 +1,4 @@
-// Package forward sends requests to targets over pooled connections, and tells of each
+// Package forward sends requests to targets over pooled connections, and reports for each
 // failure whether the request may have run.
 //
 // It has its own small connection pool on top of net/http's reader instead of
@@ -56,7 +56,7 @@
 	Signal target.Signal
 }
 
-// Refused tells that the target refused the request and did not run it.
+// Refused is the result if the target refused the request and did not run it.
 type Refused struct {
 	Refusal target.Refusal
 	// Status is the HTTP status of the refusal.
@@ -64,10 +64,10 @@
 	Signal target.Signal
 }
 
-// NotSent tells that no byte of the request was sent, so that it did not run.
+// NotSent is the result if no byte of the request was sent, so that it did not run.
 type NotSent struct{ Err error }
 
-// Uncertain tells that the request may have run.
+// Uncertain is the result if the request may have run.
 type Uncertain struct {
 	Reason outcome.Reason
 	Err    error
--- a/internal/forward/unsharded.go
+++ b/internal/forward/unsharded.go
@@ -30,8 +30,8 @@
 // roundTripUnsharded sends a request without a shard and reads its response.
 func (c *conn) roundTripUnsharded(r *Request) Result {
 	if len(r.Body) < longBodyBytes {
-		if sent := c.write(r.Body); sent != nil {
-			return sent
+		if failure := c.write(r.Body); failure != nil {
+			return failure
 		}
 		return c.readUnsharded(r)
 	}
@@ -39,8 +39,8 @@
 	go w.run()
 	result := c.readUnsharded(r)
 	select {
-	case sent := <-w.done:
-		if sent != nil {
+	case failure := <-w.done:
+		if failure != nil {
 			c.broken = true
 		}
 	default:
@@ -59,7 +59,7 @@
 func (w *bodyWriter) run() { w.done <- w.conn.write(w.body) }
 
 // write sends the head, which is in c.writeBuf, and the body. It returns nil if all was
-// sent.
+// sent, else the failure.
 func (c *conn) write(body []byte) Result {
 	c.writeBuf = append(c.writeBuf, body...)
 	n, err := c.Write(c.writeBuf)
@@ -103,13 +103,13 @@
 	}
 }
 
-// refused reports whether a response tells that the request did not run.
+// refused reports whether a response guarantees that the request did not run.
 func refused(resp *http.Response, names *target.HeaderNames) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(names.NotRun) != ""
 }
 
-// finishUnsharded reads the body of the response to r and returns the result. stale
-// tells that other responses were skipped before.
+// finishUnsharded reads the body of the response to r and returns the result. stale is
+// set if other responses were skipped before.
 func (c *conn) finishUnsharded(resp *http.Response, r *Request, stale bool) Result {
 	defer c.closeBody(resp)
 	if resp.ContentLength > r.MaxBody {
--- a/internal/forward/unsharded_test.go
+++ b/internal/forward/unsharded_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// listenTo returns a pool whose connections are TCP connections to serve.
+// listenTo returns a pool that connects over TCP to a listener, whose connections serve
+// handles.
 func listenTo(t *testing.T, serve func(net.Conn)) *forward.Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +88,7 @@
 }
 
 // TestIdleConnection checks that a request gets a new connection if the idle one exceeds
-// its MaxIdle, and that Uncertain tells how long a broken connection was idle.
+// its MaxIdle, and that Uncertain.Idle is how long a broken connection was idle.
 func TestIdleConnection(t *testing.T) {
 	const pause = 50 * time.Millisecond
 	var conns atomic.Int32
@@ -198,8 +199,8 @@
 
 // TestDuplicateResponse sends a duplicate of a response while the connection's next
 // request runs. That request must get its own response or end as Uncertain. It must
-// never get the duplicate, above all not a duplicate refusal, which would tell that it
-// did not run.
+// never get the duplicate, above all not a duplicate refusal: the caller would learn
+// that the request did not run, although it may have.
 func TestDuplicateResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nCitrontray-Request: ID\r\nCitrontray-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 	const refusal = "HTTP/1.1 503 Busy\r\nCitrontray-Not-Run: busy\r\nContent-Length: 2\r\n\r\nno"
