--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -24,10 +24,10 @@
 type body struct {
 	conn *conn
 	src  io.Reader
-	// chunked tells that a trailer follows.
+	// chunked is set if the body is chunked: a trailer follows its last chunk.
 	chunked bool
-	// expectContinue tells that the client waits for 100 Continue before it sends the
-	// body.
+	// expectContinue is set while the client waits for 100 Continue before it sends
+	// the body.
 	expectContinue bool
 
 	once sync.Once
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -45,8 +45,8 @@
 	// queue holds the accepted requests whose response was not written yet, oldest
 	// first.
 	queue []*exchange
-	// reading tells that a request is being read, writing that a goroutine writes
-	// responses, closing that no more requests are accepted, broken that a write
+	// reading is set while a request is read, writing while a goroutine writes
+	// responses, closing once no more requests are accepted, broken once a write
 	// failed.
 	reading, writing, closing, broken bool
 	// progress gets a token when a response was written.
@@ -315,7 +315,8 @@
 	return !c.broken && !errors.Is(err, errIdle)
 }
 
-// linger lets the client read the last response before the connection is closed.
+// linger ends the sending side and reads on, up to lingerTimeout, until the client has
+// closed the connection. An immediate close could destroy the last response.
 func (c *conn) linger() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
--- a/internal/ingress/exchange.go
+++ b/internal/ingress/exchange.go
@@ -13,14 +13,14 @@
 	conn    *conn
 	request *http.Request
 	body    *body
-	// concurrent tells that the request may run concurrently with others of its
-	// connection, closeAfter that the connection closes after the response.
+	// concurrent is set if the request may run concurrently with others of its
+	// connection, closeAfter if the connection closes after the response.
 	concurrent, closeAfter bool
 
 	header   http.Header
 	status   int
 	response []byte
-	// answered tells that the response is complete. It is guarded by conn.mu.
+	// answered is set once the response is complete. It is guarded by conn.mu.
 	answered bool
 }
 
@@ -44,7 +44,7 @@
 		x.closeAfter = true // the start of the next request is unknown
 	}
 	if x.header.Get("Connection") == "close" {
-		x.closeAfter = true // the handler wants the client to connect to another host
+		x.closeAfter = true // set by a handler to make the client connect to another host
 	}
 	x.conn.mu.Lock()
 	x.answered = true
--- a/internal/ingress/head_test.go
+++ b/internal/ingress/head_test.go
@@ -30,10 +30,10 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, sent []byte) {
-		const most = 4 << 10
+		const maxBytes = 4 << 10
 		br := bufio.NewReader(bytes.NewReader(sent))
 		var h framing
-		head, err := h.read(br, nil, most)
+		head, err := h.read(br, nil, maxBytes)
 		if err != nil {
 			return
 		}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,7 +1,8 @@
 // Package ingress serves HTTP/1.1 connections with pipelining: clients may send requests
-// before earlier ones have their responses. Idempotent requests run concurrently, and
-// responses are written in the order of the requests. net/http would run them one after
-// the other, so that one slow request would delay all others on its connection.
+// before earlier ones have their responses. GET and HEAD requests for which
+// Config.Concurrent returns true run concurrently, and responses are written in the order
+// of the requests. net/http would run them one after the other, so that one slow request
+// would delay all others on its connection.
 package ingress
 
 import (
@@ -30,11 +31,11 @@
 	maxAcceptBackoff = time.Second
 )
 
-// Config configures a Server.
+// Config holds the handler and the limits of a Server.
 type Config struct {
 	Handler http.Handler
 	// Concurrent reports whether a request may run concurrently with others of its
-	// connection.
+	// connection. It is called only for GET and HEAD requests without a body.
 	Concurrent func(*http.Request) bool
 	// IdleTimeout returns how long a connection without a request is currently kept.
 	IdleTimeout func() time.Duration
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -27,7 +27,7 @@
 	t       *testing.T
 	addr    string
 	served  chan error
-	entered chan string // paths whose handler has started, without streamed
+	entered chan string // paths whose handler has started, except streamed
 
 	mu       sync.Mutex
 	gates    map[string]chan struct{}
@@ -97,7 +97,7 @@
 	case strings.HasPrefix(r.URL.Path, "/elsewhere"):
 		w.Header()["Connection"] = []string{"close"}
 	case strings.HasPrefix(r.URL.Path, "/panic"):
-		panic("told to")
+		panic("panic of a handler")
 	}
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.Path, body)
 }
@@ -219,13 +219,13 @@
 			c.expectResponse(http.StatusOK, "GET /2 ")
 		},
 		"at most maxPipelined at once": func(t *testing.T, s *testServer, c *client) {
-			var ahead strings.Builder
+			var pipelined strings.Builder
 			paths := make([]string, 0, maxPipelined+4)
 			for i := range maxPipelined + 4 {
 				paths = append(paths, fmt.Sprintf("/wait/%d", i))
-				ahead.WriteString(get(paths[i]))
+				pipelined.WriteString(get(paths[i]))
 			}
-			c.send(ahead.String())
+			c.send(pipelined.String())
 			s.expectStarted(paths[:maxPipelined]...)
 			s.expectNoneStarted(shortWait)
 			close(s.gate("/wait/0"))
@@ -282,18 +282,18 @@
 // TestClientDisconnect checks that the requests of a client that disconnects are
 // canceled at once, however many it has pipelined.
 func TestClientDisconnect(t *testing.T) {
-	for name, ahead := range map[string]int{"one": 1, "two": 2, "many": maxPipelined} {
+	for name, depth := range map[string]int{"one": 1, "two": 2, "many": maxPipelined} {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t)
 			c := s.dial()
-			for i := range ahead {
+			for i := range depth {
 				c.send(get(fmt.Sprintf("/wait/%d", i)))
 				s.expectStarted(fmt.Sprintf("/wait/%d", i))
 			}
 			assert.NilError(t, c.Close())
 			const bound = 500 * time.Millisecond // longest time that requests may run after the disconnect
-			for end := time.Now().Add(bound); s.canceled.Load() < int32(ahead); time.Sleep(time.Millisecond) {
-				assert.Assert(t, time.Now().Before(end), "%d of %d canceled", s.canceled.Load(), ahead)
+			for end := time.Now().Add(bound); s.canceled.Load() < int32(depth); time.Sleep(time.Millisecond) {
+				assert.Assert(t, time.Now().Before(end), "%d of %d canceled", s.canceled.Load(), depth)
 			}
 		})
 	}
@@ -443,10 +443,10 @@
 // stream counts the requests that a client sent and the responses that it got.
 type stream struct{ sent, answered int }
 
-// streamRequests pipelines requests on one connection until the server closes it, and
-// keeps ahead of them in flight. It returns an error if the connection closes without
+// streamRequests pipelines requests on one connection until the server closes it, with
+// up to depth of them in flight. It returns an error if the connection closes without
 // an announcement in the last response, or does not close.
-func streamRequests(addr string, ahead, rounds int) (stream, error) {
+func streamRequests(addr string, depth, rounds int) (stream, error) {
 	var counts stream
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
@@ -455,7 +455,7 @@
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for range rounds {
-		for counts.sent < counts.answered+ahead {
+		for counts.sent < counts.answered+depth {
 			if _, err := io.WriteString(c, get(streamed)); err != nil {
 				break // responses in transit are still read
 			}
