--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -15,7 +15,7 @@
 )
 
 // maxControlConnections is how many connections for orders a process opens to one
-// target. With two, an order can pass one that hangs.
+// target. With two, an order need not wait for another one that hangs.
 const maxControlConnections = 2
 
 // controlIdleTimeout is how long an idle connection is kept. Renewals are much more
--- a/internal/target/holdings.go
+++ b/internal/target/holdings.go
@@ -35,12 +35,12 @@
 	releasing bool
 }
 
-// HoldingsConfig identifies a target and tells how it checks orders.
+// HoldingsConfig identifies a target and sets how it checks orders.
 type HoldingsConfig struct {
 	Target      place.Target
 	Service     key.Service
 	Incarnation place.Incarnation
-	// ChecksTerms tells whether orders of a lower term are rejected.
+	// ChecksTerms is set if orders of a lower term are rejected.
 	ChecksTerms bool
 }
 
@@ -49,7 +49,7 @@
 	grant.ShardEpoch
 	// End is when the grant ends, by the target's clock.
 	End grant.Stamp
-	// Releasing tells that no new work starts; work in flight continues.
+	// Releasing is set after a release: no new work starts, work in flight continues.
 	Releasing bool
 }
 
@@ -66,12 +66,12 @@
 	}
 }
 
-// SetDraining sets whether responses tell that the target is leaving.
+// SetDraining sets whether responses announce that the target is leaving.
 func (h *Holdings) SetDraining(draining bool) { h.draining = draining }
 
 // Apply applies an order at time now of the target's clock and returns the response.
-// An order of a lower term, of another service or for another incarnation changes
-// nothing.
+// An order of another service or for another incarnation changes nothing, nor does one
+// of a lower term if terms are checked.
 func (h *Holdings) Apply(now grant.Stamp, order grant.Order) grant.Response {
 	h.expire(now)
 	accepted := h.accepts(order)
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -1,5 +1,6 @@
 // Package target defines the protocol with the targets: ownership orders and the
-// headers of forwarded requests. No other package knows it.
+// headers of forwarded requests. Orders to targets that own ranges are encoded by the
+// implementations of OrderDialer.
 package target
 
 import (
@@ -63,9 +64,10 @@
 	Leaving string
 }
 
-// Signal is what a target's response tells the host about further requests.
+// Signal is a target's instruction to the host about further requests, sent in a
+// response.
 type Signal struct {
-	// Leaving tells that the target stops soon and should get no new requests.
+	// Leaving is set if the target stops soon and should get no new requests.
 	Leaving bool
 	// Pause is how long this host should send no requests after a refused one; zero
 	// for none.
