--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome defines the outcomes that a caller is told of its request: that it
-// is done, that it certainly did not run, or that it may have run.
+// Package outcome defines the outcomes of a request that are reported to its caller: it
+// is done, it certainly did not run, or it may have run.
 package outcome
 
 import (
@@ -54,11 +54,11 @@
 // The reasons for Unknown.
 const (
 	SendCut      Reason = "send-cut"       // the connection broke while the request was sent
-	AnswerCut    Reason = "answer-cut"     // the connection broke before the end of the response
+	AnswerCut    Reason = "answer-cut"     // the response broke off or could not be parsed
 	AnswerLate   Reason = "answer-late"    // no complete response before the deadline
 	AnswerWrong  Reason = "answer-wrong"   // the response belongs to another request
 	AnswerTooBig Reason = "answer-too-big" // the response exceeds its limit or the memory left
-	AnswerBad    Reason = "answer-bad"     // the response is malformed or has no framing
+	AnswerBad    Reason = "answer-bad"     // the response is unusable, for example without framing or the target's stamp
 )
 
 // Result is the result of a request: a Response, a NotRunFailure or an
@@ -72,14 +72,14 @@
 	Body   []byte
 }
 
-// NotRunFailure tells that the request did not run and will not.
+// NotRunFailure is the result of a request that did not run and will not.
 type NotRunFailure struct {
 	Reason Reason
 	// RetryAfter is the delay after which a retry makes sense; zero stands for never.
 	RetryAfter time.Duration
 }
 
-// UnknownFailure tells that the request may have run.
+// UnknownFailure is the result of a request that may have run.
 type UnknownFailure struct{ Reason Reason }
 
 func (Response) result()       {}
--- a/internal/outcome/write.go
+++ b/internal/outcome/write.go
@@ -28,8 +28,8 @@
 // write writes a result with a retry delay in seconds, "0" for none.
 func write(w http.ResponseWriter, r Result, retry string) {
 	h := w.Header()
-	if a, ok := r.(Response); ok {
-		writeAnswer(w, a)
+	if resp, ok := r.(Response); ok {
+		writeAnswer(w, resp)
 		return
 	}
 	reason := ReasonOf(r)
