--- a/internal/lead/call.go
+++ b/internal/lead/call.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// writeResult converts an error of platform.Store.Write. After any error that does not
-// tell the outcome, the outcome is unknown.
+// writeResult converts an error of platform.Store.Write. After an error other than a
+// conflict or ErrUnavailable, the outcome is unknown.
 func writeResult(err error) cell.WriteResult {
 	var conflict *platform.ConflictError
 	switch {
@@ -150,8 +150,8 @@
 	})
 }
 
-// peerCall sends one message to a roster host. The reply, if any, arrives as a separate
-// message.
+// peerCall sends one message to a roster host. The response, if any, arrives as a
+// separate message.
 type peerCall struct {
 	*controller
 	to   netip.AddrPort
--- a/internal/lead/daemon.go
+++ b/internal/lead/daemon.go
@@ -1,7 +1,6 @@
 // Package lead implements citrontray-lead, the lead process that runs on every entry
-// host. It runs the cells of its zone, watches the platform's service, replicates
-// documents and maintains the custody documents. It does the I/O; the packages cell and
-// custody decide.
+// host. It runs the cells of its zone, watches the store, replicates documents and
+// maintains the custody documents. It does the I/O; the packages cell and custody decide.
 package lead
 
 import (
--- a/internal/lead/evict_test.go
+++ b/internal/lead/evict_test.go
@@ -25,14 +25,14 @@
 // fakeTransport is a peer.Transport on which only some addresses are reachable.
 type fakeTransport struct{ reachable map[netip.AddrPort]bool }
 
-func (l *fakeTransport) Call(_ context.Context, to netip.AddrPort, _ peer.Kind, _ []byte) ([]byte, error) {
-	if l.reachable[to] {
+func (f *fakeTransport) Call(_ context.Context, to netip.AddrPort, _ peer.Kind, _ []byte) ([]byte, error) {
+	if f.reachable[to] {
 		return nil, nil
 	}
 	return nil, errors.New("no response")
 }
 
-func (l *fakeTransport) Handle(peer.Kind, peer.Handler) {}
+func (f *fakeTransport) Handle(peer.Kind, peer.Handler) {}
 
 // twoZones is a deployment of zones a and b, with the custody keeper of the host that
 // leads the cell of zone b.
@@ -51,12 +51,12 @@
 	hostA = place.HostRow{Host: "host-a", Zone: "a", LeadAddr: netip.MustParseAddrPort("127.0.0.1:1")}
 )
 
-func newTwoZones(t *testing.T, hold time.Duration) *twoZones {
+func newTwoZones(t *testing.T, renewLimit time.Duration) *twoZones {
 	t.Helper()
 	z := &twoZones{
 		platform:  fake.NewPlatform(),
 		transport: &fakeTransport{reachable: make(map[netip.AddrPort]bool)},
-		service:   settings.Service{Name: "balance", Shards: 16, Zones: []place.Zone{"a", "b"}, Hold: hold},
+		service:   settings.Service{Name: "balance", Shards: 16, Zones: []place.Zone{"a", "b"}, Hold: renewLimit},
 		now:       time.Now(),
 	}
 	d := New(Config{Host: "host-b", Zone: "b", Timing: cell.DefaultTiming()}, Environment{
@@ -166,8 +166,8 @@
 // in which this host may not decide.
 func TestZoneIsNotEvicted(t *testing.T) {
 	for name, test := range map[string]struct {
-		hold    time.Duration
-		arrange func(t *testing.T, z *twoZones)
+		renewLimit time.Duration
+		arrange    func(t *testing.T, z *twoZones)
 	}{
 		"no renew limit": {0, func(*testing.T, *twoZones) {}},
 		"a host of the zone is reachable": {time.Second, func(_ *testing.T, z *twoZones) {
@@ -185,7 +185,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			z := newTwoZones(t, test.hold)
+			z := newTwoZones(t, test.renewLimit)
 			test.arrange(t, z)
 			for range 30 {
 				doc := z.runRound(t, time.Second)
--- a/internal/lead/main.go
+++ b/internal/lead/main.go
@@ -69,7 +69,8 @@
 	return o.Options, set.Findings.Err()
 }
 
-// declareTiming adds the flags of the durations that the ownership rules use.
+// declareTiming adds the flags of the durations and the clock drift that the ownership
+// rules use.
 func declareTiming(set *option.Set, t *cell.Timing) {
 	set.DurationVar(&t.RenewInterval, "renew", t.RenewInterval, "time between two renewals of a target's grants")
 	set.DurationVar(&t.GrantDuration, "grant", t.GrantDuration, "duration of a grant")
--- a/internal/lead/view.go
+++ b/internal/lead/view.go
@@ -30,8 +30,9 @@
 	revision platform.Revision
 }
 
-// services returns the services that have a cell in the zone: those whose settings include
-// the zone, and those for which the zone has, or is about to get, custody of a shard.
+// services returns the services that have a cell in the zone: those whose settings list
+// the zone or list none, and those for which the zone has, or is about to get, custody of
+// a shard.
 func (v *view) services(zone place.Zone) []settings.Service {
 	return slices.DeleteFunc(v.allServices(), func(s settings.Service) bool {
 		included := len(s.Zones) == 0 || slices.Contains(s.Zones, zone)
@@ -184,7 +185,7 @@
 }
 
 // zones returns the zones of a service, sorted by name: those in its settings, or else all
-// in which it has targets.
+// in which the fleet list has targets of it.
 func (v *view) zones(s settings.Service) []place.Zone {
 	zones := slices.Clone(s.Zones)
 	if len(zones) == 0 {
