--- a/internal/key/key.go
+++ b/internal/key/key.go
@@ -10,7 +10,7 @@
 type Hash uint64
 
 // Shard is an index into the shard rows of a service. Values below the service's
-// ShardCount are hash ranges; higher values are single-key shards.
+// ShardCount are hash ranges; values from ShardCount on are single-key shards.
 type Shard uint32
 
 // ShardCount is the number of hash-range shards of a service, a power of two.
@@ -24,8 +24,8 @@
 	return Hash(xxhash.Sum64String(k))
 }
 
-// Shard returns the hash-range shard of h. The high bits of the hash select the shard,
-// so that doubling the count splits each shard in two.
+// Shard returns the hash-range shard of h. As count is a power of two, the high bits of
+// the hash select the shard, and doubling the count splits each shard in two.
 func (h Hash) Shard(count ShardCount) Shard {
 	if count <= 1 {
 		return 0
