--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -62,8 +62,8 @@
 const strongShare = 0.5
 
 // Strong reports whether a host with the given CPU share is strong if the strongest
-// host has most.
-func Strong(cpuShare, most float64) bool { return cpuShare >= strongShare*most }
+// host has maxShare.
+func Strong(cpuShare, maxShare float64) bool { return cpuShare >= strongShare*maxShare }
 
 // TargetRow is a target as listed by the platform.
 type TargetRow struct {
