--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -9,10 +9,10 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Epoch is the number of a shard's owner; it rises with each change of owner.
+// Epoch numbers the successive owners of a shard; it rises with each change of owner.
 type Epoch uint64
 
-// Term is the number of a cell's leader; it rises with each change of leader.
+// Term numbers the successive leaders of a cell; it rises with each change of leader.
 type Term uint64
 
 // Stamp is a reading of a target's monotonic clock, in nanoseconds since the start of
@@ -22,7 +22,7 @@
 // Add returns the reading that is d later.
 func (s Stamp) Add(d time.Duration) Stamp { return s + Stamp(d) }
 
-// Kind says whether an item of an order may create ownership or only extend it.
+// Kind selects whether an item of an order may create ownership or only extend it.
 type Kind uint8
 
 // Extend extends the grant of a shard that the target holds with the same epoch, and is
@@ -81,7 +81,8 @@
 	// Accepted is false if the order's term is below Term.
 	Accepted bool
 	Digest   uint64
-	// Full is true if Held and Floors are the full inventory.
+	// Full is true if Held and Floors are the full inventory. The floor of a shard is
+	// the lowest epoch that the target still accepts for it.
 	Full   bool
 	Held   []ShardEpoch
 	Floors []ShardEpoch
