--- a/internal/fleet/codec_test.go
+++ b/internal/fleet/codec_test.go
@@ -11,17 +11,17 @@
 
 // FuzzDoc: no input makes the decoder panic, and a decoded list can be encoded again.
 func FuzzDoc(f *testing.F) {
-	d := List{Targets: []place.TargetRow{{Target: "t", Service: "s", Zone: "z", State: place.Live, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 3, Incarnation: 7}}}
-	body, err := d.Encode()
+	l := List{Targets: []place.TargetRow{{Target: "t", Service: "s", Zone: "z", State: place.Live, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 3, Incarnation: 7}}}
+	body, err := l.Encode()
 	assert.NilError(f, err)
 	f.Add(body)
 	f.Add(body[:len(body)/2])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		d, err := Decode(body)
+		l, err := Decode(body)
 		if err != nil {
 			return
 		}
-		_, err = d.Encode()
+		_, err = l.Encode()
 		assert.NilError(t, err)
 	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -107,11 +107,11 @@
 
 const (
 	// endedRetention is how long the end of an incarnation is remembered. A store that
-	// is restored from an older snapshot has lost only some seconds.
+	// is restored from an older snapshot has lost only the writes of the last seconds.
 	endedRetention = time.Minute
 	// restoredHoldOff is how long an entry that came back with an older snapshot is
-	// ignored. Without a target that renews it, about once a second, it expires after
-	// three times that period.
+	// ignored. Targets renew their entries about once a second, and an entry expires
+	// after three such periods without a renewal.
 	restoredHoldOff = 4 * time.Second
 )
 
@@ -132,8 +132,8 @@
 	return &Tracker{targets: make(map[place.Target]*trackedTarget), ended: make(map[place.Target]endedTarget)}
 }
 
-// readmit returns from when on a target that had ended is used again, zero for at once,
-// and whether it may come back at all.
+// readmit reports whether the entry of a target that had ended is accepted, and from
+// when on the target is used again; zero means at once.
 func (t *Tracker) readmit(now time.Time, row *place.TargetRow) (from time.Time, ok bool) {
 	e, known := t.ended[row.Target]
 	delete(t.ended, row.Target)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestMissingTarget: how long a target with a missing entry is still used depends on
-// what the watchers know of the store. A watcher that alone had no access to the store
-// must not make hosts keep a target that another watcher reliably saw disappear.
+// whether the watchers could read the store. If the store was unavailable to only one
+// watcher, its lists must not make hosts keep a target that was missing while the store
+// was stable for another watcher.
 func TestMissingTarget(t *testing.T) {
 	row := place.TargetRow{Target: "t", Incarnation: 1, State: place.Live}
 	leaving := row
@@ -24,14 +25,14 @@
 		lists []List
 		grace time.Duration // after the first list without the target
 	}{
-		"gone":                                 {[]List{listed, gone}, missingGrace},
-		"gone while leaving":                   {[]List{{Targets: []place.TargetRow{leaving}}, gone}, 0},
-		"store outage":                         {[]List{listed, outage}, outageGrace},
-		"store outage, then a read":            {[]List{listed, outage, gone}, outageGrace},
-		"another watcher's store is stable":    {[]List{listed, outage, stable}, step + missingGrace},
-		"another store is stable, then outage": {[]List{listed, outage, stable, outage}, step + missingGrace},
-		"stable store, then outage":            {[]List{listed, stable, outage}, missingGrace},
-		"outage in all lists":                  {[]List{listed, outage, outage, outage}, outageGrace},
+		"gone":                                    {[]List{listed, gone}, missingGrace},
+		"gone while leaving":                      {[]List{{Targets: []place.TargetRow{leaving}}, gone}, 0},
+		"store outage":                            {[]List{listed, outage}, outageGrace},
+		"store outage, then a read":               {[]List{listed, outage, gone}, outageGrace},
+		"another watcher's store is stable":       {[]List{listed, outage, stable}, step + missingGrace},
+		"stable for another watcher, then outage": {[]List{listed, outage, stable, outage}, step + missingGrace},
+		"stable store, then outage":               {[]List{listed, stable, outage}, missingGrace},
+		"outage in all lists":                     {[]List{listed, outage, outage, outage}, outageGrace},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,9 +40,9 @@
 			tracker := NewTracker()
 			tracker.Update(now, test.lists[0], 0)
 			missing := now.Add(step)
-			for _, d := range test.lists[1:] {
+			for _, l := range test.lists[1:] {
 				now = now.Add(step)
-				tracker.Update(now, d, 0)
+				tracker.Update(now, l, 0)
 			}
 			end := missing.Add(test.grace)
 			if test.grace > 0 {
