--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -59,8 +59,8 @@
 }
 
 // Encode returns the heartbeat in its wire form.
-func (p *Heartbeat) Encode() ([]byte, error) {
-	body, err := cbor.Marshal(wireHeartbeat{Host: wireOf(p.Host), Rank: p.Rank})
+func (hb *Heartbeat) Encode() ([]byte, error) {
+	body, err := cbor.Marshal(wireHeartbeat{Host: wireOf(hb.Host), Rank: hb.Rank})
 	if err != nil {
 		return nil, fmt.Errorf("member: encode heartbeat: %w", err)
 	}
--- a/internal/member/codec_test.go
+++ b/internal/member/codec_test.go
@@ -12,20 +12,20 @@
 }
 
 // FuzzPresence: no datagram makes the decoder panic, and a decoded heartbeat names a
-// host.
+// host and has no negative rank.
 func FuzzPresence(f *testing.F) {
 	body, err := (&Heartbeat{Host: codecHost, Rank: 1}).Encode()
 	assert.NilError(f, err)
 	f.Add(body)
 	f.Add(body[:len(body)/2])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if p, err := DecodeHeartbeat(body); err == nil {
-			assert.Assert(t, p.Host.Name != "" && p.Rank >= 0)
+		if hb, err := DecodeHeartbeat(body); err == nil {
+			assert.Assert(t, hb.Host.Name != "" && hb.Rank >= 0)
 		}
 	})
 }
 
-// FuzzList: no input makes the decoder panic.
+// FuzzList: no input makes the decoder panic, and a decoded list can be encoded again.
 func FuzzList(f *testing.F) {
 	l := List{Hosts: []Host{codecHost}, Leaders: []Leader{{Service: "s", Host: "a", Incarnation: 5, Revision: 9}}}
 	body, err := l.Encode()
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -196,7 +196,7 @@
 	return l.Replaced(leader.Host, leader.Incarnation, leader.Revision)
 }
 
-// HostRows returns the hosts as rows, which document replication uses.
+// HostRows returns the hosts as rows, the form that package docsync takes.
 func (l *List) HostRows() []place.HostRow {
 	out := make([]place.HostRow, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
@@ -208,13 +208,13 @@
 // RankLeaders orders hosts by preference for the leader of a service. Strong hosts come
 // first, as a leader sends orders to all targets of its service twice a second.
 func RankLeaders(work string, hosts []Host) []place.Host {
-	var most float64
+	var maxShare float64
 	for _, h := range hosts {
-		most = max(most, h.CPUShare)
+		maxShare = max(maxShare, h.CPUShare)
 	}
 	var strong, weak []Host
 	for _, h := range hosts {
-		if place.Strong(h.CPUShare, most) {
+		if place.Strong(h.CPUShare, maxShare) {
 			strong = append(strong, h)
 		} else {
 			weak = append(weak, h)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -9,8 +9,9 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// TestReplaced: an incarnation has ended if its host has entered a later one since.
-// Lists whose pages are from different times, and late writes, must not look like that.
+// TestReplaced: an incarnation has ended if its host has been entered with a later one
+// since. Lists whose pages are from different times, and late writes, must not look like
+// that.
 func TestReplaced(t *testing.T) {
 	for name, test := range map[string]struct {
 		entry    Host
--- a/internal/member/registry.go
+++ b/internal/member/registry.go
@@ -24,8 +24,8 @@
 	zone  place.Zone
 	hosts map[place.Host]*heardHost
 	// activeSince is when this host became a registrar, lastHeartbeat when it last got
-	// a heartbeat, and rank its rank then. A watcher has the same rank for all hosts of
-	// its zone.
+	// a heartbeat, and rank its rank then. Registrars are the watchers of the zone, and
+	// all hosts of the zone rank them alike.
 	activeSince, lastHeartbeat time.Time
 	rank                       int
 }
@@ -47,11 +47,13 @@
 	HeartbeatInterval = time.Second
 	// JoinInterval is the same for a host that is not listed yet.
 	JoinInterval = 300 * time.Millisecond
-	// joinBatchDelay is how long a new host waits so that others are entered in the
-	// same write: hosts start within a few hundred milliseconds of each other.
+	// joinBatchDelay is how long a registrar waits before it enters a new host, so that
+	// others are entered in the same write: hosts start within a few hundred
+	// milliseconds of each other.
 	joinBatchDelay = 150 * time.Millisecond
-	// joinRetryDelay is the time after which an entered host should be in this host's
-	// list: a write, a read of the store, and the distribution of the list.
+	// joinRetryDelay is how long Due waits before it again returns a host to enter. By
+	// then the host should be in this registrar's list: that takes a write, a read of the
+	// store, and the distribution of the list.
 	joinRetryDelay = 2 * time.Second
 	// rankDelay is the head start of each registrar over the next one.
 	rankDelay = time.Second
@@ -124,8 +126,8 @@
 			continue
 		}
 		listed++
-		p := r.hosts[h.Name]
-		if p != nil && now.Sub(p.lastHeard) <= limit {
+		sender := r.hosts[h.Name]
+		if sender != nil && now.Sub(sender.lastHeard) <= limit {
 			heard++
 			continue
 		}
--- a/internal/member/registry_test.go
+++ b/internal/member/registry_test.go
@@ -23,33 +23,33 @@
 }
 
 func newRegistrySim(hosts int) *registrySim {
-	b := &registrySim{Registry: NewRegistry("a"), now: time.Unix(1000, 0), hosts: make(map[place.Host]Host)}
+	s := &registrySim{Registry: NewRegistry("a"), now: time.Unix(1000, 0), hosts: make(map[place.Host]Host)}
 	for i := range hosts {
-		b.start(place.Host(fmt.Sprintf("h%03d", i)), 1)
+		s.start(place.Host(fmt.Sprintf("h%03d", i)), 1)
 	}
-	return b
+	return s
 }
 
-func (b *registrySim) start(name place.Host, inc place.Incarnation) {
-	b.hosts[name] = Host{Name: name, Incarnation: inc, Zone: "a"}
+func (s *registrySim) start(name place.Host, inc place.Incarnation) {
+	s.hosts[name] = Host{Name: name, Incarnation: inc, Zone: "a"}
 }
 
 // run advances time. Changes that the registry asks for are in the list at the next
 // step.
-func (b *registrySim) run(d time.Duration) {
+func (s *registrySim) run(d time.Duration) {
 	const step = 100 * time.Millisecond
-	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(step) {
-		for _, h := range b.hosts {
-			b.HandleHeartbeat(b.now, Heartbeat{Host: h, Rank: b.rank})
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
+		for _, h := range s.hosts {
+			s.HandleHeartbeat(s.now, Heartbeat{Host: h, Rank: s.rank})
 		}
-		enter, remove := b.Due(b.now, &b.list)
+		enter, remove := s.Due(s.now, &s.list)
 		if len(enter)+len(remove) > 0 {
-			b.writes++
+			s.writes++
 		}
 		for _, gone := range append(remove, enter...) {
-			b.list.Hosts = without(b.list.Hosts, gone.Name)
+			s.list.Hosts = without(s.list.Hosts, gone.Name)
 		}
-		b.list.Hosts = append(b.list.Hosts, enter...)
+		s.list.Hosts = append(s.list.Hosts, enter...)
 	}
 }
 
@@ -63,70 +63,70 @@
 	return out
 }
 
-func (b *registrySim) incarnation(name place.Host) place.Incarnation {
-	h, _ := b.list.Host(name)
+func (s *registrySim) incarnation(name place.Host) place.Incarnation {
+	h, _ := s.list.Host(name)
 	return h.Incarnation
 }
 
 // TestRegistry covers hosts that start, stop and restart.
 func TestRegistry(t *testing.T) {
-	tests := map[string]func(t *testing.T, b *registrySim){
-		"hosts that start together are entered together": func(t *testing.T, b *registrySim) {
-			b.run(time.Second)
-			assert.Equal(t, len(b.list.Hosts), 60)
-			assert.Equal(t, b.writes, 1)
+	tests := map[string]func(t *testing.T, s *registrySim){
+		"hosts that start together are entered together": func(t *testing.T, s *registrySim) {
+			s.run(time.Second)
+			assert.Equal(t, len(s.list.Hosts), 60)
+			assert.Equal(t, s.writes, 1)
 		},
-		"a minute without changes needs no write": func(t *testing.T, b *registrySim) {
-			b.run(time.Minute)
-			assert.Equal(t, b.writes, 1)
+		"a minute without changes needs no write": func(t *testing.T, s *registrySim) {
+			s.run(time.Minute)
+			assert.Equal(t, s.writes, 1)
 		},
-		"a later incarnation replaces the one before": func(t *testing.T, b *registrySim) {
-			b.run(time.Second)
-			b.start("h007", 2)
-			b.run(time.Second)
-			assert.Equal(t, b.incarnation("h007"), place.Incarnation(2))
+		"a later incarnation replaces the one before": func(t *testing.T, s *registrySim) {
+			s.run(time.Second)
+			s.start("h007", 2)
+			s.run(time.Second)
+			assert.Equal(t, s.incarnation("h007"), place.Incarnation(2))
 		},
-		"an earlier incarnation does not": func(t *testing.T, b *registrySim) {
-			b.start("h007", 2)
-			b.run(time.Second)
-			b.start("h007", 1)
-			b.run(time.Second)
-			assert.Equal(t, b.incarnation("h007"), place.Incarnation(2))
+		"an earlier incarnation does not replace a later one": func(t *testing.T, s *registrySim) {
+			s.start("h007", 2)
+			s.run(time.Second)
+			s.start("h007", 1)
+			s.run(time.Second)
+			assert.Equal(t, s.incarnation("h007"), place.Incarnation(2))
 		},
-		"a silent host is removed, but not at once": func(t *testing.T, b *registrySim) {
-			b.run(10 * time.Second)
-			delete(b.hosts, "h007")
-			b.run(maxSilence - time.Second)
-			assert.Equal(t, len(b.list.Hosts), 60)
-			b.run(2 * time.Second)
-			assert.Equal(t, len(b.list.Hosts), 59)
+		"a silent host is removed, but not at once": func(t *testing.T, s *registrySim) {
+			s.run(10 * time.Second)
+			delete(s.hosts, "h007")
+			s.run(maxSilence - time.Second)
+			assert.Equal(t, len(s.list.Hosts), 60)
+			s.run(2 * time.Second)
+			assert.Equal(t, len(s.list.Hosts), 59)
 		},
-		"a registrar that hears from few hosts removes none": func(t *testing.T, b *registrySim) {
-			b.run(10 * time.Second)
+		"a registrar with heartbeats from few hosts removes none": func(t *testing.T, s *registrySim) {
+			s.run(10 * time.Second)
 			for i := range 31 {
-				delete(b.hosts, place.Host(fmt.Sprintf("h%03d", i)))
+				delete(s.hosts, place.Host(fmt.Sprintf("h%03d", i)))
 			}
-			b.run(time.Minute)
-			assert.Equal(t, len(b.list.Hosts), 60)
+			s.run(time.Minute)
+			assert.Equal(t, len(s.list.Hosts), 60)
 		},
-		"a new registrar removes none": func(t *testing.T, b *registrySim) {
-			b.list.Hosts = append(b.list.Hosts, Host{Name: "gone", Incarnation: 1, Zone: "a"})
-			b.run(maxSilence - time.Second)
-			assert.Equal(t, len(b.list.Hosts), 61)
-			b.run(2 * time.Second)
-			assert.Equal(t, len(b.list.Hosts), 60)
+		"a new registrar removes none": func(t *testing.T, s *registrySim) {
+			s.list.Hosts = append(s.list.Hosts, Host{Name: "gone", Incarnation: 1, Zone: "a"})
+			s.run(maxSilence - time.Second)
+			assert.Equal(t, len(s.list.Hosts), 61)
+			s.run(2 * time.Second)
+			assert.Equal(t, len(s.list.Hosts), 60)
 		},
-		"hosts of other zones are not removed": func(t *testing.T, b *registrySim) {
-			b.list.Hosts = append(b.list.Hosts, Host{Name: "far", Incarnation: 1, Zone: "b"})
-			b.run(time.Minute)
-			assert.Equal(t, len(b.list.Hosts), 61)
+		"hosts of other zones are not removed": func(t *testing.T, s *registrySim) {
+			s.list.Hosts = append(s.list.Hosts, Host{Name: "far", Incarnation: 1, Zone: "b"})
+			s.run(time.Minute)
+			assert.Equal(t, len(s.list.Hosts), 61)
 		},
-		"the second registrar waits for the first one": func(t *testing.T, b *registrySim) {
-			b.rank = 1
-			b.run(rankDelay)
-			assert.Equal(t, len(b.list.Hosts), 0)
-			b.run(time.Second)
-			assert.Equal(t, len(b.list.Hosts), 60)
+		"the second registrar waits for the first one": func(t *testing.T, s *registrySim) {
+			s.rank = 1
+			s.run(rankDelay)
+			assert.Equal(t, len(s.list.Hosts), 0)
+			s.run(time.Second)
+			assert.Equal(t, len(s.list.Hosts), 60)
 		},
 	}
 	for name, test := range tests {
