--- a/internal/partition/capacity.go
+++ b/internal/partition/capacity.go
@@ -19,7 +19,7 @@
 	return float64(max(slots, 1)) * math.Pow(speed, speedExponent)
 }
 
-// Sample is what a target's own requests show of its speed.
+// Sample summarizes the times of a target's own requests.
 type Sample struct {
 	// MeanTime is the mean time of a request, Requests the number of requests that it
 	// is the mean of.
@@ -77,10 +77,10 @@
 	return measured, true
 }
 
-// Retain drops all targets that are no longer there.
-func (c *CapacityFilter) Retain(there func(place.Target) bool) {
+// Retain drops the targets for which listed returns false.
+func (c *CapacityFilter) Retain(listed func(place.Target) bool) {
 	for name := range c.known {
-		if !there(name) {
+		if !listed(name) {
 			delete(c.known, name)
 		}
 	}
--- a/internal/partition/load.go
+++ b/internal/partition/load.go
@@ -10,7 +10,7 @@
 
 const (
 	// longDecay is the decay time of the long averages while the load does not change:
-	// long enough that noise moves nothing.
+	// long enough that noise causes no moves.
 	longDecay = 12 * time.Second
 	// shortDecay is the decay time of the short averages, by which changes are
 	// detected: keys become busy within seconds.
@@ -33,7 +33,7 @@
 	// long and short are exponentially decaying rates, in requests per second.
 	long, short [key.Points]float32
 	// period is the averaging period of each point's long average, as an index into
-	// starts. Periods older than longDecay are alike.
+	// starts. Periods whose decay time has reached longDecay are merged into the first.
 	period    [key.Points]uint8
 	starts    []time.Time
 	decayedAt time.Time
@@ -83,7 +83,8 @@
 	m.mergePeriods(now)
 }
 
-// mergePeriods merges the periods that are older than longDecay into the first one.
+// mergePeriods merges the periods whose decay time has reached longDecay into the first
+// one.
 func (m *Meter) mergePeriods(now time.Time) {
 	var to [maxPeriods]uint8
 	kept := m.starts[:1]
@@ -134,8 +135,9 @@
 
 // DetectChanges compares the recent count of each range with its long average. The
 // averages of points that changed by more than noise are restarted; where all ranges
-// changed by about the same factor, their averages are scaled. It reports whether
-// anything changed.
+// changed by about the same factor, their averages are scaled. If the total changed by
+// more than resetFactor, all averages are restarted. It reports whether the load has
+// changed within suspectWindow.
 func (m *Meter) DetectChanges(now time.Time, ranges []key.Range) bool {
 	m.start(now)
 	if now.Sub(m.starts[0]) < shortDecay {
@@ -209,8 +211,8 @@
 	return 2 * seen * shortDecay.Seconds(), 2 * expected * shortDecay.Seconds()
 }
 
-// deviates reports whether a count is more than that many standard deviations from the
-// expected one.
+// deviates reports whether a count is more than the given number of standard deviations
+// from the expected one. Counts up to minCount never deviate.
 func deviates(seen, expected, deviations float64) bool {
 	return max(seen, expected) > minCount && math.Abs(seen-expected) > deviations*math.Sqrt(expected+1)
 }
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -17,8 +17,8 @@
 // Target is a target that may own ranges.
 type Target struct {
 	Name place.Target
-	// Capacity is the number of requests that the target can run at once, lower if it
-	// is slow.
+	// Capacity is the number of requests that the target can run at once, scaled by its
+	// speed relative to the mean; see the function Capacity.
 	Capacity float64
 	// RelStdDev is the standard deviation of the measured capacity, relative to it.
 	RelStdDev float64
@@ -87,7 +87,7 @@
 	immovable bool
 }
 
-func (b *targetState) utilization() float64 { return b.work / b.Capacity }
+func (t *targetState) utilization() float64 { return t.work / t.Capacity }
 
 type planner struct {
 	cfg             Config
@@ -106,16 +106,16 @@
 		if t.Capacity <= 0 {
 			continue
 		}
-		b := &targetState{Target: t}
-		p.targets = append(p.targets, b)
-		p.byName[t.Name] = b
+		state := &targetState{Target: t}
+		p.targets = append(p.targets, state)
+		p.byName[t.Name] = state
 		capacity += t.Capacity
 	}
 	for _, s := range spans {
-		if b := p.byName[s.Owner]; b != nil {
-			b.work += load.Work(s.Range)
-			b.variance += load.variance(s.Range)
-			b.spans++
+		if state := p.byName[s.Owner]; state != nil {
+			state.work += load.Work(s.Range)
+			state.variance += load.variance(s.Range)
+			state.spans++
 		}
 	}
 	if capacity > 0 {
@@ -137,9 +137,9 @@
 // or nil.
 func (p *planner) mostUtilized() *targetState {
 	var best *targetState
-	for _, b := range p.targets {
-		if !b.immovable && (best == nil || b.utilization() > best.utilization()) {
-			best = b
+	for _, t := range p.targets {
+		if !t.immovable && (best == nil || t.utilization() > best.utilization()) {
+			best = t
 		}
 	}
 	return best
@@ -220,7 +220,7 @@
 // heavySpan finds a span of a hot target that no other target has room for, such as a
 // very hot key, and the target that would be least utilized with it. That target gives
 // away its other work in turn. A move interrupts the requests of the span, so it must
-// gain a lot.
+// lower the utilization a lot. The index is -1 if there is no such span.
 func (p *planner) heavySpan(hot *targetState) (int, key.Range, *targetState) {
 	best, to := -1, (*targetState)(nil)
 	lowest := hot.utilization() * maxHeavyRatio
@@ -229,9 +229,9 @@
 		if s.Owner != hot.Name || s.Fixed || s.Recent || work < minHeavyShare*hot.Capacity {
 			continue
 		}
-		for _, b := range p.targets {
-			if use := (b.work + work) / b.Capacity; b != hot && use < lowest {
-				best, to, lowest = i, b, use
+		for _, t := range p.targets {
+			if utilizationWith := (t.work + work) / t.Capacity; t != hot && utilizationWith < lowest {
+				best, to, lowest = i, t, utilizationWith
 			}
 		}
 	}
@@ -251,10 +251,10 @@
 )
 
 // aroundBusiest returns the parts of a span on both sides of its busiest point, if that
-// point alone is more than a target should have.
-func (p *planner) aroundBusiest(r key.Range, most float64) []key.Range {
+// point alone has at least the work of limit, a target's fair share.
+func (p *planner) aroundBusiest(r key.Range, limit float64) []key.Range {
 	at, work := p.load.busiestPoint(r)
-	if work < most || r.Len() == 1 {
+	if work < limit || r.Len() == 1 {
 		return nil
 	}
 	var out []key.Range
@@ -398,7 +398,8 @@
 	}
 }
 
-// neighbourOwner returns the less utilized of the owners next to span i.
+// neighbourOwner returns the less utilized owner of the two spans next to span i, other
+// than from, or nil.
 func (p *planner) neighbourOwner(i int, from *targetState) *targetState {
 	var best *targetState
 	lowest := math.Inf(1)
@@ -406,9 +407,9 @@
 		if j < 0 || j >= len(p.spans) {
 			continue
 		}
-		b := p.byName[p.spans[j].Owner]
-		if b != nil && b != from && b.utilization() < lowest {
-			best, lowest = b, b.utilization()
+		owner := p.byName[p.spans[j].Owner]
+		if owner != nil && owner != from && owner.utilization() < lowest {
+			best, lowest = owner, owner.utilization()
 		}
 	}
 	return best
--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -35,7 +35,8 @@
 	times  map[place.Target]timeSample
 }
 
-// timeSample is the mean request time of a target as measured by its home.
+// timeSample is the mean request time of a target as measured by its home, in seconds,
+// and the number of requests seen.
 type timeSample struct{ mean, seen float64 }
 
 const (
@@ -78,13 +79,13 @@
 // planConfig returns the bounds that a leader uses: the more targets, the more moves at
 // once.
 func (f *fleetSim) planConfig() Config {
-	b := testConfig
-	b.MaxMoves = max(b.MaxMoves, len(f.targets)/4)
+	cfg := testConfig
+	cfg.MaxMoves = max(cfg.MaxMoves, len(f.targets)/4)
 	if f.plans++; f.plans%rebalanceEvery != 0 {
 		const urgent = 1.3
-		b.UrgentUtilization = urgent
+		cfg.UrgentUtilization = urgent
 	}
-	return b
+	return cfg
 }
 
 // serve runs requests at a target.
@@ -107,17 +108,17 @@
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
 		f.meter.Decay(f.now)
 		arrived := make(map[place.Target]int)
-		heard := loadReport{points: make(map[key.Point]int), times: make(map[place.Target]timeSample)}
+		report := loadReport{points: make(map[key.Point]int), times: make(map[place.Target]timeSample)}
 		for n := f.randomCount(f.rate * step.Seconds()); n > 0; n-- {
 			p := f.point()
-			heard.points[p]++
+			report.points[p]++
 			arrived[f.spans[f.find(p)].Owner]++
 		}
 		for _, t := range f.targets {
 			f.serve(t.Name, arrived[t.Name])
-			heard.times[t.Name] = *f.times[t.Name]
+			report.times[t.Name] = *f.times[t.Name]
 		}
-		if f.reports = append(f.reports, heard); len(f.reports) > lagSteps {
+		if f.reports = append(f.reports, report); len(f.reports) > lagSteps {
 			f.plan(f.reports[0])
 			f.reports = f.reports[1:]
 		}
@@ -129,10 +130,10 @@
 }
 
 // plan does what a leader does with a load report.
-func (f *fleetSim) plan(heard loadReport) {
+func (f *fleetSim) plan(report loadReport) {
 	const remembered = 50 // requests
-	for _, p := range slices.Sorted(maps.Keys(heard.points)) {
-		f.meter.Add(f.now, p, heard.points[p])
+	for _, p := range slices.Sorted(maps.Keys(report.points)) {
+		f.meter.Add(f.now, p, report.points[p])
 	}
 	held := make([]key.Range, 0, len(f.spans))
 	for _, s := range f.spans {
@@ -141,14 +142,14 @@
 	f.meter.DetectChanges(f.now, held)
 	var sum, n float64
 	for _, t := range f.targets {
-		if s := heard.times[t.Name]; s.seen > 0 {
+		if s := report.times[t.Name]; s.seen > 0 {
 			sum, n = sum+s.mean, n+1
 		}
 	}
 	mean := time.Duration(sum / max(n, 1) * float64(time.Second))
 	targets := make([]Target, len(f.targets))
 	for i, t := range f.targets {
-		s := heard.times[t.Name]
+		s := report.times[t.Name]
 		targets[i] = t
 		if s.seen > 0 {
 			own := Sample{MeanTime: time.Duration(s.mean * float64(time.Second)), Requests: min(s.seen, remembered)}
@@ -240,9 +241,9 @@
 
 // TestManyTargets runs services of 37 to 575 targets whose speeds differ by more than a
 // factor of two and show only in the times of their requests, a few per second and
-// target, from the first request on. Callers get nine tenths of the utility that they
-// would get if all speeds were known at once, and noise causes no more moves per target
-// with many targets than with few.
+// target, from the first request on. Callers get at least nine tenths of the utility
+// that they would get if all speeds were known at once, and noise causes no more moves
+// per target with many targets than with few.
 func TestManyTargets(t *testing.T) {
 	tests := map[string]struct {
 		targets int
--- a/internal/partition/sim_test.go
+++ b/internal/partition/sim_test.go
@@ -25,14 +25,14 @@
 	targets []Target
 	spans   []Span
 	now     time.Time
-	rate    float64
+	rate    float64 // requests per second
 
 	capacities CapacityFilter
 	// hot is a range that gets the given share of all requests.
 	hot   key.Range
 	share float64
 	moves int
-	keys  int
+	keys  int // moved, with each key counted once per move
 	// flat spreads the requests over all keys, with the first ones a few times as busy
 	// as the others.
 	flat bool
@@ -173,8 +173,8 @@
 }
 
 // TestHotRange: two hundred keys get a third of all requests, five times what one
-// target can do. They are distributed within a second, and so is a second hot range
-// after it.
+// target can do. They are spread over the targets within a second, and so is a second
+// hot range after it.
 func TestHotRange(t *testing.T) {
 	w := newSim(19, 450)
 	w.run(5 * time.Second)
@@ -235,8 +235,8 @@
 		if target.Name == excluded {
 			continue
 		}
-		use := work[target.Name] / target.Capacity
-		sum, squares, n = sum+use, squares+use*use, n+1
+		utilization := work[target.Name] / target.Capacity
+		sum, squares, n = sum+utilization, squares+utilization*utilization, n+1
 	}
 	mean := sum / n
 	return math.Sqrt(squares/n-mean*mean) / mean
@@ -285,7 +285,7 @@
 	w.hot, w.share = key.Range{First: 40000, Last: 40000}, 0.5
 	w.rate *= 2
 	w.run(10 * time.Second)
-	deviation := w.utilizationSpread(w.hot.First)
-	t.Logf("utilization spread %.3f", deviation)
-	assert.Assert(t, deviation < 0.13, "utilization spread %.3f", deviation)
+	spread := w.utilizationSpread(w.hot.First)
+	t.Logf("utilization spread %.3f", spread)
+	assert.Assert(t, spread < 0.13, "utilization spread %.3f", spread)
 }
