--- a/internal/member/registry.go
+++ b/internal/member/registry.go
@@ -63,8 +63,8 @@
 	// registrarTimeout is how long after the last heartbeat this host still counts as a
 	// registrar.
 	registrarTimeout = 3 * HeartbeatInterval
-	// minHeardShare is the share of its zone's hosts that a registrar must hear from to
-	// remove any: one that hears from fewer is probably isolated itself.
+	// minHeardShare is the share of its zone's hosts from which a registrar must get
+	// heartbeats to remove any: one that gets fewer is probably isolated itself.
 	minHeardShare = 0.5
 )
 
@@ -103,7 +103,8 @@
 			continue
 		}
 		// If the listed incarnation is later, either the host's clock was set back or
-		// this incarnation has ended. Only the host itself knows, and enters itself.
+		// this incarnation has ended. Only the host itself can decide that: it enters
+		// itself.
 		if listed, ok := list.Host(h.Name); !ok || listed.Incarnation < h.Incarnation {
 			h.triedAt = now
 			enter = append(enter, h.Host)
@@ -117,7 +118,7 @@
 // given time.
 func (r *Registry) silentHosts(now time.Time, list *List, limit time.Duration) []Host {
 	if now.Sub(r.activeSince) < limit {
-		return nil // active for too short a time to tell
+		return nil // not active for long enough
 	}
 	var out []Host
 	listed, heard := 0, 0
