--- a/internal/partition/load.go
+++ b/internal/partition/load.go
@@ -200,7 +200,7 @@
 	return scale, common
 }
 
-// counts returns the number of requests for a range that the short average stands for,
+// counts returns the number of requests for a range that the short average represents,
 // and the number expected in the same time from the long average.
 func (m *Meter) counts(r key.Range) (seen, expected float64) {
 	for p := r.First; p <= r.Last; p++ {
