--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -12,7 +12,8 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// Config holds the durations that the ownership rules depend on.
+// Config identifies the host of a core, and holds the durations that the ownership rules
+// depend on.
 type Config struct {
 	Service     key.Service
 	Host        place.Host
@@ -46,16 +47,18 @@
 	// MinPublishInterval is the shortest time between two tables, as each goes to every
 	// host.
 	MinPublishInterval time.Duration
-	// ReleaseNotice is how long before a planned release a table tells hosts to stop
-	// sending requests; the owner refuses requests that arrive after the release.
+	// ReleaseNotice is how long before a planned release a table without the owner is
+	// published, so that hosts stop sending requests; the owner refuses requests that
+	// arrive after the release.
 	ReleaseNotice time.Duration
 	// LeaseFreshness is how recent the last renewal of the lease must be for moves to
-	// start: a range that is released during a store outage has no owner until it ends.
+	// start: a range that is released during a store outage has no owner until the
+	// outage ends.
 	LeaseFreshness time.Duration
 	// ConfirmTimeout is how long a move waits for a renewal of the lease that was sent
-	// after the move was decided. Until then the range stays with its owner: if it were
-	// released and the store could not record the new owner, it would have none until
-	// the outage ends.
+	// after the move was decided, before it is canceled. Until the renewal the range
+	// stays with its owner: if it were released and the store could not record the new
+	// owner, it would have none until the outage ends.
 	ConfirmTimeout time.Duration
 	// ReclaimTimeout is how long a released range waits until its new owner is recorded
 	// before it returns to the old one.
@@ -63,12 +66,13 @@
 	// WriteBatchDelay is how long a free range waits for ranges that are being
 	// released, so that one write records all of them.
 	WriteBatchDelay time.Duration
-	// SettleTime is how long the list of targets must not grow before a service gets
-	// its first owners.
+	// SettleTime is the time without a new target after which a service gets its first
+	// owners.
 	SettleTime time.Duration
 }
 
-// maxClockDrift bounds how much slower than this host's clock a target's clock runs.
+// maxClockDrift bounds how much slower than this host's clock a target's clock runs, as
+// a fraction.
 const maxClockDrift = 0.02
 
 // transitSlack covers the transit of an order that was sent just before its timeout.
@@ -131,12 +135,12 @@
 func (Publish) effect()     {}
 func (Note) effect()        {}
 
-// Prior says what is known of the prior leaders.
+// Prior is the state of the prior leaders, as far as it is known.
 type Prior uint8
 
 // A leader that has stopped, or whose process has ended, sends no more orders; one of
-// unknown state may renew grants until its renewal grace ends. That the predecessor has
-// ended says nothing of the leaders before it: see Doc.PriorMayRenew.
+// unknown state may renew grants until its renewal grace ends. The leaders before the
+// predecessor need not have ended when it has: see Doc.PriorMayRenew.
 const (
 	PriorUnknown Prior = iota
 	PriorEnded
@@ -273,8 +277,8 @@
 	c.changed = true
 }
 
-// PriorEnded says that all prior leaders have ended, or have stopped and have no order
-// in flight.
+// PriorEnded records that all prior leaders have ended, or have stopped and have no
+// order in flight.
 func (c *Core) PriorEnded(now time.Time) {
 	if now.Before(c.frozenUntil) {
 		return // leaders lost in the restore may not have ended
@@ -307,7 +311,8 @@
 	}
 }
 
-// Stop ends all sending until Resume. Idle reports when nothing is in flight any more.
+// Stop ends all sending until Resume. Idle reports when no grant and no write is in
+// flight any more.
 func (c *Core) Stop() { c.stopping = true }
 
 // Resume undoes Stop.
@@ -321,13 +326,13 @@
 // lastRenewal returns when the last successful renewal of the lease was sent.
 func (c *Core) lastRenewal() time.Time { return c.leaseEnd.Add(-c.cfg.LeaseTTL) }
 
-// Idle reports whether no order and no write is in flight.
+// Idle reports whether no grant and no write is in flight.
 func (c *Core) Idle() bool {
 	if c.pending != nil {
 		return false
 	}
-	for _, l := range c.targetConns {
-		if l.inFlight {
+	for _, tc := range c.targetConns {
+		if tc.inFlight {
 			return false
 		}
 	}
@@ -420,8 +425,8 @@
 	if !ok || t.State != place.Live || c.suspect[name] {
 		return false
 	}
-	l := c.targetConns[name]
-	return l == nil || l.failingSince.IsZero() || now.Sub(l.failedAt) > failureCooldown
+	tc := c.targetConns[name]
+	return tc == nil || tc.failingSince.IsZero() || now.Sub(tc.failedAt) > failureCooldown
 }
 
 // hasAlternative reports whether any other target may be given ranges.
@@ -441,13 +446,13 @@
 }
 
 func (c *Core) targetConn(name place.Target) *targetConn {
-	l := c.targetConns[name]
-	if l == nil {
+	tc := c.targetConns[name]
+	if tc == nil {
 		c.lastConn++
-		l = &targetConn{conn: c.lastConn}
-		c.targetConns[name] = l
+		tc = &targetConn{conn: c.lastConn}
+		c.targetConns[name] = tc
 	}
-	return l
+	return tc
 }
 
 // Tick does what is due and returns all effects since the last call.
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -67,11 +67,11 @@
 	refusedWrites int
 	// conn is the connection of the last grants to each target.
 	conn map[place.Target]uint64
-	// storeDown stops renewals of the lease and makes writes fail, writesHang holds back
-	// responses to writes, and releasesHang responses to releases, as running work does.
+	// storeDown stops renewals of the lease and makes writes fail, writesHang holds
+	// writes back, and releasesHang holds releases back, as running work does.
 	storeDown, writesHang, releasesHang bool
 	heldBack                            []Effect
-	// grantsHang holds back responses to grants.
+	// grantsHang holds grants back.
 	grantsHang bool
 	// silentTarget does not respond to orders.
 	silentTarget place.Target
@@ -175,13 +175,13 @@
 	}
 }
 
-// TestMoveDuringStoreOutage: a range that moves for balance when a store outage begins
-// is soon served by the owner named in the document, and remains so until the renewal
-// grace ends.
+// TestMoveDuringStoreOutage: a range that moves to rebalance load when a store outage
+// begins is soon served by the owner named in the document, and remains so until the
+// renewal grace ends.
 func TestMoveDuringStoreOutage(t *testing.T) {
 	const maxGap = 900 * time.Millisecond // ReleaseNotice, ConfirmTimeout or ReclaimTimeout, and tables
 	for name, test := range map[string]struct {
-		// until advances the move to the point at which the outage begins.
+		// until advances time to the point of the move at which the outage begins.
 		until func(d *driver)
 	}{
 		"before the plan": {func(*driver) {}},
@@ -239,7 +239,7 @@
 // TestAvailableInAfterRecord: a range whose new owner has just been recorded is
 // announced as available within the time of a move. With a longer time, hosts refuse
 // requests for it, although its grant is acknowledged within moments;
-// TestLeaderStopsWithoutStore failed because of that.
+// TestLeaderStopsWithoutStore of internal/host failed because of that.
 func TestAvailableInAfterRecord(t *testing.T) {
 	d := newDriver(2)
 	d.run(3 * time.Second)
@@ -304,8 +304,8 @@
 	return !slices.ContainsFunc(d.tables[len(d.tables)-1].Spans, func(s Span) bool { return s.Target == "" })
 }
 
-// TestReleaseAfterTable: a range is released only after a table has told hosts,
-// ReleaseNotice earlier, to stop sending requests to its owner.
+// TestReleaseAfterTable: a range is released only after a table without its owner has
+// been published, at least ReleaseNotice earlier, so that hosts stop sending requests.
 func TestReleaseAfterTable(t *testing.T) {
 	d := newDriver(2)
 	d.cfg.ReleaseNotice = 100 * time.Millisecond
@@ -384,8 +384,8 @@
 	}
 }
 
-// TestColdSpans: tables say which keys are slow, as their owner took them without a
-// handover, and for how long.
+// TestColdSpans: tables mark the keys that are slow because their owner took them
+// without a handover, with the time for which they stay slow.
 func TestColdSpans(t *testing.T) {
 	d := newDriver(4)
 	d.SetWarmup(2 * time.Second)
@@ -463,9 +463,9 @@
 	}
 }
 
-// TestPriorMayRenew: the document says whether prior leaders may still renew. Otherwise
-// a leader that takes over soon would count their grants as expired; seed 60496 of the
-// random runs found that.
+// TestPriorMayRenew: the document records whether prior leaders may still renew. Without
+// that, a leader that takes over soon would count their grants as expired; seed 60496 of
+// the random runs found that.
 func TestPriorMayRenew(t *testing.T) {
 	tests := map[string]struct {
 		prior Prior
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -24,8 +24,8 @@
 // Term numbers the leaders of a service; each new leader has a higher term.
 type Term uint64
 
-// termsPerEra is the number of terms in an era of the store. A leader does not know the
-// last terms of an earlier era, which may be lost; its own terms are higher all the
+// termsPerEra is the number of terms in an era of the store. The last terms of an
+// earlier era may have been lost in a restore; those of a later era are higher all the
 // same.
 const termsPerEra = 1 << 20
 
@@ -35,9 +35,9 @@
 // Era returns the era of the store in which a term began.
 func (t Term) Era() platform.Era { return platform.Era(t / termsPerEra) }
 
-// fencesPerTerm is the number of fencing tokens that a leader may use before it must
-// start a new term. Tokens of a later term are higher than all of an earlier one, so a
-// leader takes a new token without a write to the store.
+// fencesPerTerm is the number of fencing tokens reserved for each term. Tokens of a
+// later term are higher than all of an earlier one, so a leader takes a new token
+// without a write to the store.
 const fencesPerTerm = 1 << 20
 
 // fence returns the n-th fencing token of a term.
@@ -77,8 +77,9 @@
 
 // HistoryLost reports whether a restore of the store may have lost the names of
 // leaders and owners that came after this document: the store is of a later era, or was
-// restored shortly before the document was written. If there is no document, first is
-// true if none existed before this process started, nor before the era began.
+// restored shortly before the document was written. If there is no document, first
+// decides: it is true if none existed before this process started, nor before the era
+// began.
 func (d *Doc) HistoryLost(era platform.Era, first bool) bool {
 	if d.Term == 0 {
 		return era > 0 && !first
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// reclaimPause is how long no range moves for balance after the store failed to record
-// a new owner: its outages last for seconds.
+// reclaimPause is how long no range moves to rebalance load after reclaimedAt: store
+// outages last for seconds.
 const reclaimPause = 2 * time.Second
 
 // targetsPerMove is the number of targets for each move that may run at once: a larger
@@ -126,11 +126,11 @@
 // has not acknowledged one yet or the range is about to be released, otherwise every
 // RenewInterval.
 func (c *Core) grantDue(now time.Time, r *row) bool {
-	l := c.targetConn(r.Target)
-	if l.inFlight || now.Before(l.retryAt) {
+	tc := c.targetConn(r.Target)
+	if tc.inFlight || now.Before(tc.retryAt) {
 		return false
 	}
-	return r.acked == 0 || r.state == releasePending && c.confirmed(r) || now.Sub(l.allSentAt) >= c.cfg.RenewInterval
+	return r.acked == 0 || r.state == releasePending && c.confirmed(r) || now.Sub(tc.allSentAt) >= c.cfg.RenewInterval
 }
 
 // releasable reports whether the response to a release would be evidence: the owner has
@@ -141,8 +141,8 @@
 }
 
 func (c *Core) release(now time.Time, r *row) {
-	l := c.targetConn(r.Target)
-	if now.Before(l.retryAt) || r.unroutableSince.IsZero() || now.Sub(r.unroutableSince) < c.cfg.ReleaseNotice {
+	tc := c.targetConn(r.Target)
+	if now.Before(tc.retryAt) || r.unroutableSince.IsZero() || now.Sub(r.unroutableSince) < c.cfg.ReleaseNotice {
 		return
 	}
 	c.lastRelease++
@@ -194,8 +194,8 @@
 
 // grant sends a target the grants of new ranges and the renewals that are due.
 func (c *Core) grant(now time.Time, name place.Target, rows []*row) {
-	l := c.targetConn(name)
-	if !l.failingSince.IsZero() && l.uncertain {
+	tc := c.targetConn(name)
+	if !tc.failingSince.IsZero() && tc.uncertain {
 		// An order that gets no response may extend a grant all the same. A range that
 		// the owner may no longer hold is left to expire.
 		rows = slices.DeleteFunc(rows, func(r *row) bool { return now.After(r.heldUntil) })
@@ -206,20 +206,20 @@
 	if len(rows) == 0 {
 		return
 	}
-	e := SendGrants{Target: name, Addr: rows[0].Addr, Conn: l.conn}
+	e := SendGrants{Target: name, Addr: rows[0].Addr, Conn: tc.conn}
 	for _, r := range rows {
-		if r.grantConn != l.conn || r.acked < r.fence || r.acked <= r.unacked {
+		if r.grantConn != tc.conn || r.acked < r.fence || r.acked <= r.unacked {
 			// There may be another incarnation of the target behind a new connection,
 			// which must not get a range with a fencing token of the one before.
 			c.lastFence++
 			r.fence = c.term.fence(c.lastFence)
 		}
-		r.grantConn = l.conn
+		r.grantConn = tc.conn
 		e.Grants = append(e.Grants, target.Grant{Range: r.Range, FencingToken: r.fence, Duration: c.cfg.GrantDuration, Handover: r.Handover})
 	}
-	l.inFlight, l.sentAt = true, now
-	if now.Sub(l.allSentAt) >= c.cfg.RenewInterval {
-		l.allSentAt = now
+	tc.inFlight, tc.sentAt = true, now
+	if now.Sub(tc.allSentAt) >= c.cfg.RenewInterval {
+		tc.allSentAt = now
 	}
 	c.emit(e)
 }
@@ -236,11 +236,11 @@
 // Granted takes the result of each grant in a SendGrants. A grant after a failed one
 // was not sent and has target.ErrNotSent.
 func (c *Core) Granted(now time.Time, e SendGrants, results []error) {
-	l := c.targetConns[e.Target]
-	if !c.leading || l == nil || l.conn != e.Conn {
+	tc := c.targetConns[e.Target]
+	if !c.leading || tc == nil || tc.conn != e.Conn {
 		return
 	}
-	l.inFlight = false
+	tc.inFlight = false
 	failed, unknown, ended := false, false, false
 	for i, err := range results {
 		switch {
@@ -266,27 +266,27 @@
 	case ended:
 		c.targetEnded(now, e.Target)
 	case failed:
-		l.uncertain = unknown
-		c.noteFailure(now, l)
+		tc.uncertain = unknown
+		c.noteFailure(now, tc)
 	default:
-		l.failingSince = time.Time{}
+		tc.failingSince = time.Time{}
 	}
 }
 
 // noteFailure records that an order to a target failed. The next ones use a new
 // connection.
-func (c *Core) noteFailure(now time.Time, l *targetConn) {
+func (c *Core) noteFailure(now time.Time, tc *targetConn) {
 	const retry = 200 * time.Millisecond
 	c.lastConn++
-	l.conn = c.lastConn
-	l.allSentAt = time.Time{}
-	l.failedAt, l.retryAt = now, now.Add(retry)
-	if l.failingSince.IsZero() {
-		l.failingSince = now
+	tc.conn = c.lastConn
+	tc.allSentAt = time.Time{}
+	tc.failedAt, tc.retryAt = now, now.Add(retry)
+	if tc.failingSince.IsZero() {
+		tc.failingSince = now
 	}
 }
 
-// eachMatching calls f for each row that a grant was sent for.
+// eachMatching calls f for each row whose newest grant is g, sent in e.
 func (c *Core) eachMatching(e SendGrants, g target.Grant, f func(r *row)) {
 	first := sort.Search(len(c.rows), func(i int) bool { return c.rows[i].Range.Last >= g.Range.First })
 	for _, r := range c.rows[first:] {
@@ -412,7 +412,8 @@
 // work, a write, and a grant.
 const typicalMoveTime = 300 * time.Millisecond
 
-// availableIn returns the estimated time until a range without an owner has one again.
+// availableIn returns the estimated time until requests for an unroutable range can be
+// sent to an owner again.
 func (c *Core) availableIn(now time.Time, r *row) time.Duration {
 	switch r.state {
 	case held:
@@ -421,7 +422,7 @@
 		}
 		return max(r.expiresBy.Sub(now), 0) + typicalMoveTime
 	case releasePending, releasing:
-		if l := c.targetConns[r.Target]; l != nil && !l.failingSince.IsZero() {
+		if tc := c.targetConns[r.Target]; tc != nil && !tc.failingSince.IsZero() {
 			return max(r.expiresBy.Sub(now), 0) + typicalMoveTime
 		}
 	case free, writing:
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -29,7 +29,7 @@
 
 func (w *sim) leavesOut(guard int) bool { return *randomBreak == guard }
 
-// scheduleFaults injects a fault now and then.
+// scheduleFaults injects a fault every 0.1 to 2.5 s until a time.
 func (w *sim) scheduleFaults(until time.Time) {
 	w.after(w.randomDuration(100*time.Millisecond, 2500*time.Millisecond), func() {
 		if w.now.After(until) {
@@ -71,7 +71,7 @@
 		h.dead = true
 		w.after(duration, func() { h.dead, h.incarnation = false, h.incarnation+1; h.boot() })
 	case 2:
-		w.tracef("cut %s off from the store %v", h.name, duration)
+		w.tracef("%s can't reach the store %v", h.name, duration)
 		h.storeUnreachable = true
 		w.after(duration, func() { h.storeUnreachable = false })
 	case 3:
@@ -168,7 +168,7 @@
 			w.after(w.randomDuration(10*time.Millisecond, 2*time.Second), func() { w.restore(w.randomDuration(0, 5*time.Second)) })
 		}
 	case 15:
-		w.tracef("cut %s off from %s %v", h.name, t.row.Target, duration)
+		w.tracef("%s can't reach %s %v", h.name, t.row.Target, duration)
 		h.unreachableTarget = t
 		w.after(duration, func() { h.unreachableTarget = nil })
 	}
@@ -228,8 +228,8 @@
 	return ""
 }
 
-// shortShare is the share of the runs that -short does, for the race detector: it makes
-// each run ten times as long, and the core has no goroutines that could race.
+// shortShare is the share of the runs that -short does, for the race detector: that
+// makes each run ten times as long, and the core has no goroutines that could race.
 const shortShare = 0.2
 
 // randomSeeds returns the seeds that found a fault before, and those that the flags ask
--- a/internal/owner/restore.go
+++ b/internal/owner/restore.go
@@ -6,7 +6,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// StoreRestored says that the store was restored from an older snapshot since a term
+// StoreRestored records that the store was restored from an older snapshot since a term
 // began: the lease of the term and its last writes are lost, or belong to another host.
 // Until this host is elected again, and leaders that were lost in the restore can no
 // longer send orders, it only renews ranges that their owners certainly hold.
@@ -41,9 +41,9 @@
 	c.freeze(now, now.Add(c.restoreWait()))
 }
 
-// freeze cancels all moves, and lets no range become free before until: a leader that
-// was lost in the restore may have released the range and given it to another owner. A
-// range that this host was moving to another owner may be held by any target.
+// freeze cancels all moves, and keeps ranges from becoming free before until: a leader
+// that was lost in the restore may have released a range and given it to another owner.
+// A range that this host was moving to another owner may be held by any target.
 func (c *Core) freeze(now, until time.Time) {
 	c.frozenUntil, c.changed = later(c.frozenUntil, until), true
 	for _, r := range c.rows {
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -15,7 +15,7 @@
 const (
 	// held: the owner holds the range, or may hold it.
 	held state = iota
-	// releasePending: the range is to move; its release has not been sent.
+	// releasePending: the range is to move; no release is in flight.
 	releasePending
 	// releasing: the release is in flight.
 	releasing
@@ -47,12 +47,12 @@
 	expiresBy time.Time
 	// heldUntil is until when the owner certainly holds the range.
 	heldUntil time.Time
-	// routable is true if requests may be sent to the owner, unroutableSince the time
-	// since which tables say that they may not.
+	// routable is true if requests may be sent to the owner. unroutableSince is when the
+	// first table without the owner was made; zero if the last table names the owner.
 	routable        bool
 	unroutableSince time.Time
 	// warmAt is when warm-up ends at an owner that took the keys without a handover;
-	// zero if they are warm.
+	// zero if the keys are warm.
 	warmAt time.Time
 	// releaseID numbers the release in flight.
 	releaseID uint64
@@ -61,7 +61,7 @@
 	released bool
 }
 
-// checkRows applies the changes that are due to the passing of time.
+// checkRows applies the changes that follow from the passage of time.
 func (c *Core) checkRows(now time.Time) {
 	for _, r := range c.rows {
 		if !now.Before(r.warmAt) {
@@ -83,13 +83,13 @@
 }
 
 // checkHeld makes a range unroutable if its owner may no longer hold it, and starts to
-// move it off an owner that is leaving. While frozen, no move starts, as a leader lost
-// in a restore may have made one.
+// move it off an owner that is leaving or not listed. While frozen, no move starts, as a
+// leader lost in a restore may have made one.
 func (c *Core) checkHeld(now time.Time, r *row) {
 	switch {
 	case c.ownerLive(r):
 	case !now.Before(c.frozenUntil):
-		c.startMove(now, r, "", "Range moves off a leaving target.")
+		c.startMove(now, r, "", "Range moves off a target that is leaving or not listed.")
 		return
 	case r.routable:
 		r.routable, c.changed = false, true
@@ -103,10 +103,10 @@
 // expire frees a range whose last grant has expired.
 func (c *Core) expire(now time.Time, r *row) {
 	c.markFree(now, r, "Grant expired.")
-	if l := c.targetConn(r.Target); !l.failingSince.IsZero() && c.hasAlternative(now, r.Target) {
-		// No order was sent once it was uncertain that the target holds the range: its
-		// failure counts from the expiry.
-		l.failedAt = now
+	if tc := c.targetConn(r.Target); !tc.failingSince.IsZero() && c.hasAlternative(now, r.Target) {
+		// No order has been sent since it became uncertain that the target holds the
+		// range, so the cooldown after its failure starts now.
+		tc.failedAt = now
 	}
 }
 
@@ -116,7 +116,7 @@
 
 const (
 	// partsPerRequest is the number of parts into which a range is cut for a release,
-	// for each request that runs on it at a time. maxParts bounds the number of parts.
+	// per concurrent request on its keys. maxParts bounds the number of parts.
 	partsPerRequest = 4
 	maxParts        = 8
 )
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -15,8 +15,8 @@
 )
 
 // sim is the simulation of one random run: hosts that may become leader, a store,
-// targets, and faults in all of them. All times are of one clock, except that targets
-// measure grants with clocks of their own that run up to 2% slow.
+// targets, and faults in all of them. There is one clock, except that targets measure
+// grants with clocks of their own that run up to 2% slow.
 type sim struct {
 	t      *testing.T
 	rng    *rand.Rand
@@ -112,14 +112,15 @@
 	}
 }
 
-// restore restores the store from a snapshot of the given age. Leases in the snapshot
-// have expired or run on. The entries of targets and hosts are written anew.
+// restore restores the store from a snapshot of the given age. The leader's session in
+// the snapshot has expired or continues. The entries of targets and hosts stay, as if
+// they had been written anew.
 func (w *sim) restore(age time.Duration) {
 	s := &w.store
 	w.tracef("store restored from a snapshot %v old", age)
-	for i, c := range w.snapshots {
-		if c.until.After(w.now.Add(-age)) {
-			older := c.store
+	for i, snapshot := range w.snapshots {
+		if snapshot.until.After(w.now.Add(-age)) {
+			older := snapshot.store
 			s.doc, s.revision = older.doc, older.revision
 			s.leader, s.leaderIncarnation, s.leaderRev, s.leaderEra = older.leader, older.leaderIncarnation, older.leaderRev, older.leaderEra
 			w.snapshots = w.snapshots[:i]
--- a/internal/owner/simhost_test.go
+++ b/internal/owner/simhost_test.go
@@ -39,7 +39,7 @@
 	predecessor              place.Host
 	predecessorIncarnation   place.Incarnation
 	predecessorSettled       bool
-	// conns are the connections for grants, each to one incarnation of a target.
+	// conns holds the connections for grants, each to one incarnation of a target.
 	conns map[place.Target]simConn
 	// tickedAt is when the last tick was.
 	tickedAt time.Time
@@ -64,7 +64,7 @@
 	return !h.dead && h.incarnation == inc
 }
 
-// run calls f if the incarnation still runs, once it is not frozen.
+// run calls f once the host is not frozen, unless its incarnation has ended by then.
 func (h *simHost) run(inc place.Incarnation, f func()) {
 	if !h.alive(inc) {
 		return
@@ -108,7 +108,8 @@
 
 func (h *simHost) reachesStore() bool { return !h.storeUnreachable && !h.isolated && !h.w.store.down }
 
-// step renews the lease, reads the store and campaigns.
+// step does one round of a host's work: it follows the store, and passes a leading core
+// its lease, targets and load.
 func (h *simHost) step() {
 	w := h.w
 	if h.reachesStore() {
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -10,7 +10,8 @@
 // outages last for seconds.
 const writeRetryDelay = 200 * time.Millisecond
 
-// writeDoc records the new owners of free ranges in the store, all in one write.
+// writeDoc records the new owners of free ranges in the store, all in one write, and
+// clears the flags of the document that no longer hold.
 func (c *Core) writeDoc(now time.Time) {
 	clearFlags := c.docFlagged && !now.Before(later(c.priorMayRenewUntil, c.frozenUntil))
 	if c.pending != nil || !c.writeDue(now) && !clearFlags || now.Sub(c.writeRefusedAt) < writeRetryDelay {
@@ -51,7 +52,7 @@
 	return ready && (due || !releases)
 }
 
-// Written says that the document has been written.
+// Written records that the document has been written.
 func (c *Core) Written(now time.Time, e WriteDoc, revision platform.Revision) {
 	if !c.leading || c.pending == nil || c.pending.WriteID != e.Doc.WriteID {
 		return
@@ -78,7 +79,7 @@
 	}
 }
 
-// NotWritten says that the document has certainly not been written.
+// NotWritten records that the document has certainly not been written.
 func (c *Core) NotWritten(now time.Time, e WriteDoc) {
 	if !c.leading || c.pending == nil || c.pending.WriteID != e.Doc.WriteID {
 		return
@@ -91,8 +92,8 @@
 	}
 }
 
-// WriteConflict says that another write came first. If this one is still pending,
-// another host is the leader.
+// WriteConflict records that another write came first. If this one is still pending,
+// another host is the leader, and this one steps down.
 func (c *Core) WriteConflict(e WriteDoc) {
 	if c.leading && c.pending != nil && c.pending.WriteID == e.Doc.WriteID {
 		c.StepDown()
