--- a/internal/partition/scale_test.go
+++ b/internal/partition/scale_test.go
@@ -131,7 +131,7 @@
 
 // plan does what a leader does with a load report.
 func (f *fleetSim) plan(report loadReport) {
-	const remembered = 50 // requests
+	const maxSampleRequests = 50
 	for _, p := range slices.Sorted(maps.Keys(report.points)) {
 		f.meter.Add(f.now, p, report.points[p])
 	}
@@ -152,7 +152,7 @@
 		s := report.times[t.Name]
 		targets[i] = t
 		if s.seen > 0 {
-			own := Sample{MeanTime: time.Duration(s.mean * float64(time.Second)), Requests: min(s.seen, remembered)}
+			own := Sample{MeanTime: time.Duration(s.mean * float64(time.Second)), Requests: min(s.seen, maxSampleRequests)}
 			targets[i], _ = f.capacities.Apply(EstimateTarget(t.Name, 3, own, mean))
 		}
 	}
