--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -208,8 +208,8 @@
 	// still send orders. Until then ranges are only renewed, and none is taken to be
 	// free.
 	frozenUntil time.Time
-	// docFlagged is true if PriorMayRenew or AfterRestore is set in the document; a
-	// write clears them when they no longer hold.
+	// docFlagged is true if PriorMayRenew or AfterRestore is set in the document. A
+	// write clears both once neither applies any more.
 	docFlagged  bool
 	lastConn    uint64
 	lastRelease uint64
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -221,8 +221,8 @@
 // on the move, or returns "".
 func (w *sim) unheldPoint() string {
 	for _, p := range w.points {
-		if gone := w.now.Sub(w.heldAt[p]); gone > maxMoveTime {
-			return fmt.Sprintf("no target has held %d for %v after a calm phase of %v", p, gone, calmPhase)
+		if unheld := w.now.Sub(w.heldAt[p]); unheld > maxMoveTime {
+			return fmt.Sprintf("no target has held %d for %v after a calm phase of %v", p, unheld, calmPhase)
 		}
 	}
 	return ""
