--- a/internal/member/registry.go
+++ b/internal/member/registry.go
@@ -24,8 +24,8 @@
 	zone  place.Zone
 	hosts map[place.Host]*heardHost
 	// activeSince is when this host became a registrar, lastHeartbeat when it last got
-	// a heartbeat, and rank its rank then. A watcher has the same rank for all hosts of
-	// its zone.
+	// a heartbeat, and rank its rank then. Registrars are the watchers of the zone, and
+	// all hosts of the zone rank them alike.
 	activeSince, lastHeartbeat time.Time
 	rank                       int
 }
@@ -47,11 +47,13 @@
 	HeartbeatInterval = time.Second
 	// JoinInterval is the same for a host that is not listed yet.
 	JoinInterval = 300 * time.Millisecond
-	// joinBatchDelay is how long a new host waits so that others are entered in the
-	// same write: hosts start within a few hundred milliseconds of each other.
+	// joinBatchDelay is how long a registrar waits before it enters a new host, so that
+	// others are entered in the same write: hosts start within a few hundred
+	// milliseconds of each other.
 	joinBatchDelay = 150 * time.Millisecond
-	// joinRetryDelay is the time after which an entered host should be in this host's
-	// list: a write, a read of the store, and the distribution of the list.
+	// joinRetryDelay is how long Due waits before it again returns a host to enter. By
+	// then the host should be in this registrar's list: that takes a write, a read of the
+	// store, and the distribution of the list.
 	joinRetryDelay = 2 * time.Second
 	// rankDelay is the head start of each registrar over the next one.
 	rankDelay = time.Second
@@ -61,8 +63,8 @@
 	// registrarTimeout is how long after the last heartbeat this host still counts as a
 	// registrar.
 	registrarTimeout = 3 * HeartbeatInterval
-	// minHeardShare is the share of its zone's hosts that a registrar must hear from to
-	// remove any: one that hears from fewer is probably isolated itself.
+	// minHeardShare is the share of its zone's hosts from which a registrar must get
+	// heartbeats to remove any: one that gets fewer is probably isolated itself.
 	minHeardShare = 0.5
 )
 
@@ -101,7 +103,8 @@
 			continue
 		}
 		// If the listed incarnation is later, either the host's clock was set back or
-		// this incarnation has ended. Only the host itself knows, and enters itself.
+		// this incarnation has ended. Only the host itself can decide that: it enters
+		// itself.
 		if listed, ok := list.Host(h.Name); !ok || listed.Incarnation < h.Incarnation {
 			h.triedAt = now
 			enter = append(enter, h.Host)
@@ -115,7 +118,7 @@
 // given time.
 func (r *Registry) silentHosts(now time.Time, list *List, limit time.Duration) []Host {
 	if now.Sub(r.activeSince) < limit {
-		return nil // active for too short a time to tell
+		return nil // not active for long enough
 	}
 	var out []Host
 	listed, heard := 0, 0
@@ -124,8 +127,8 @@
 			continue
 		}
 		listed++
-		p := r.hosts[h.Name]
-		if p != nil && now.Sub(p.lastHeard) <= limit {
+		sender := r.hosts[h.Name]
+		if sender != nil && now.Sub(sender.lastHeard) <= limit {
 			heard++
 			continue
 		}
