--- a/internal/queue/dequeue.go
+++ b/internal/queue/dequeue.go
@@ -7,24 +7,24 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Pop removes and returns the item whose turn it is, of any class but except.
-// Items past their deadline are skipped: Expire returns those.
+// Pop removes and returns the next item of any class other than except. It skips items
+// past their deadline; Expire returns those.
 func (q *Queue[T]) Pop(now time.Time, except settings.Class) (Item[T], bool) {
 	c := q.nextClass(now, except)
 	if c == nil {
 		var zero Item[T]
 		return zero, false
 	}
-	at, i := q.nextNode(c, now)
+	flowIndex, i := q.nextNode(c, now)
 	q.virtualTime = c.pass
 	c.pass += 1 / c.weight
-	c.nextFlow = (at + 1) % len(c.flows)
-	e := q.nodes[i].Item
+	c.nextFlow = (flowIndex + 1) % len(c.flows)
+	item := q.nodes[i].Item
 	q.removeNode(i)
-	return e, true
+	return item, true
 }
 
-// nextClass returns the class of lowest virtual time that has an item within
+// nextClass returns the class with the lowest pass among those that have an item within
 // its deadline.
 func (q *Queue[T]) nextClass(now time.Time, except settings.Class) *class {
 	var best *class
@@ -42,26 +42,26 @@
 	return best
 }
 
-// nextNode returns the oldest item within its deadline of the flow whose turn
-// it is, and that flow's place in the ring.
-func (q *Queue[T]) nextNode(c *class, now time.Time) (at int, i int32) {
+// nextNode returns the oldest item within its deadline of the next flow in turn that
+// has one, and the index of that flow.
+func (q *Queue[T]) nextNode(c *class, now time.Time) (flowIndex int, i int32) {
 	for n := range c.flows {
-		at := (c.nextFlow + n) % len(c.flows)
-		for i := c.flows[at].first; i != noNode; i = q.nodes[i].next {
+		flowIndex := (c.nextFlow + n) % len(c.flows)
+		for i := c.flows[flowIndex].first; i != noNode; i = q.nodes[i].next {
 			if q.nodes[i].Deadline.After(now) {
-				return at, i
+				return flowIndex, i
 			}
 		}
 	}
 	return 0, noNode
 }
 
-// removeFlow takes an empty flow out of its class's ring.
+// removeFlow removes an empty flow from its class.
 func (q *Queue[T]) removeFlow(f *flow) {
 	c := f.class
-	at := slices.Index(c.flows, f)
-	c.flows = slices.Delete(c.flows, at, at+1)
-	if c.nextFlow > at {
+	index := slices.Index(c.flows, f)
+	c.flows = slices.Delete(c.flows, index, index+1)
+	if c.nextFlow > index {
 		c.nextFlow--
 	}
 	if c.nextFlow >= len(c.flows) {
@@ -70,33 +70,33 @@
 	delete(q.flows, flowID{f.caller, c.name})
 }
 
-// Remove takes an item out; it reports false where it had left already.
-func (q *Queue[T]) Remove(t Handle) bool {
-	if int(t.node) >= len(q.nodes) {
+// Remove removes an item. It returns false if the item is no longer in the queue.
+func (q *Queue[T]) Remove(h Handle) bool {
+	if int(h.node) >= len(q.nodes) {
 		return false
 	}
-	if r := &q.nodes[t.node]; !r.inUse || r.generation != t.generation {
+	if n := &q.nodes[h.node]; !n.inUse || n.generation != h.generation {
 		return false
 	}
-	q.removeNode(t.node)
+	q.removeNode(h.node)
 	return true
 }
 
-// Expire removes and returns the items whose deadline has passed.
+// Expire removes the items past their deadline and returns their values.
 func (q *Queue[T]) Expire(now time.Time) []T {
-	return q.RemoveWhere(func(e Item[T]) bool { return !e.Deadline.After(now) })
+	return q.RemoveWhere(func(item Item[T]) bool { return !item.Deadline.After(now) })
 }
 
-// RemoveWhere removes and returns the items for which drop holds.
-func (q *Queue[T]) RemoveWhere(drop func(Item[T]) bool) []T {
+// RemoveWhere removes the items that match and returns their values.
+func (q *Queue[T]) RemoveWhere(match func(Item[T]) bool) []T {
 	if q.size == 0 {
 		return nil
 	}
-	var out []T
+	var removed []T
 	for i := range q.nodes {
-		if q.nodes[i].inUse && drop(q.nodes[i].Item) {
-			out = append(out, q.removeNode(int32(i)))
+		if q.nodes[i].inUse && match(q.nodes[i].Item) {
+			removed = append(removed, q.removeNode(int32(i)))
 		}
 	}
-	return out
+	return removed
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,7 +1,8 @@
-// Package queue holds the requests that wait for one target: bounded, aware of
-// deadlines, fair between classes and, within a class, between callers.
+// Package queue implements the queue of requests for one target. It is bounded, drops
+// items that would miss their deadline, shares service between classes by weight
+// (stride scheduling), and serves the callers of a class round robin.
 //
-// The package is pure: the present time is an argument, nothing waits.
+// The package has no clock: functions take the current time and never block.
 package queue
 
 import (
@@ -10,13 +11,13 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Handle names one waiting item; it is stale once the item left the queue.
+// Handle identifies one item in the queue. It is stale once the item has left.
 type Handle struct {
 	node       int32
 	generation uint32
 }
 
-// Item is what is pushed.
+// Item is one queued value with its caller, class and deadline.
 type Item[T any] struct {
 	Caller   settings.Caller
 	Class    settings.Class
@@ -24,25 +25,26 @@
 	Value    T
 }
 
-// PushResult is the outcome of a push.
+// PushResult says whether Push queued an item, and why not.
 type PushResult uint8
 
-// The verdicts. Full and Late items were not taken.
+// The results of Push.
 const (
 	Queued PushResult = iota
-	Full              // the queue is full and the caller has its share of it
-	Late              // the item would not be served before its deadline
+	Full              // not queued: the queue is full and the caller has its share of it
+	Late              // not queued: the item would not be served before its deadline
 )
 
-// Config bounds a queue.
+// Config configures a Queue.
 type Config struct {
-	// MaxLen is the largest number of waiting items.
+	// MaxLen is the maximum number of items. Requeue may exceed it.
 	MaxLen int
-	// Weights gives the share of each class; a missing one has weight 1.
+	// Weights are the relative shares of the classes. The default weight is 1.
 	Weights map[settings.Class]float64
 }
 
-// DefaultConfig serves interactive work before registrations before bulk.
+// DefaultConfig returns weights that favor interactive requests over registrations and
+// those over bulk requests.
 func DefaultConfig() Config {
 	return Config{
 		MaxLen: 256,
@@ -54,18 +56,20 @@
 	}
 }
 
-// noNode ends the linked lists of rows.
+// noNode is the index that terminates a list of nodes.
 const noNode int32 = -1
 
+// node is an element of a flow's doubly linked list, or unused.
 type node[T any] struct {
 	Item[T]
 	flow       *flow
 	prev, next int32
+	// generation counts the uses of the node, to detect stale handles.
 	generation uint32
 	inUse      bool
 }
 
-// flow is the waiting work of one caller in one class, oldest first.
+// flow is the list of one caller's items in one class, oldest first.
 type flow struct {
 	caller      settings.Caller
 	class       *class
@@ -73,23 +77,27 @@
 	count       int
 }
 
-// class is a ring of flows with waiting work; pass is its virtual time.
+// class holds the nonempty flows of one class.
 type class struct {
-	name     settings.Class
-	weight   float64
-	pass     float64
-	flows    []*flow
+	name   settings.Class
+	weight float64
+	// pass is the virtual time of the class, which advances by 1/weight with each item
+	// served. The class with the lowest pass is served next.
+	pass  float64
+	flows []*flow
+	// nextFlow is the index of the flow to serve next.
 	nextFlow int
 }
 
-// Queue is not safe for concurrent use.
+// Queue is a bounded, weighted fair queue. It is not safe for concurrent use.
 type Queue[T any] struct {
-	cfg         Config
-	nodes       []node[T]
-	free        []int32
-	flows       map[flowID]*flow
-	classes     []*class
-	virtualTime float64 // virtual time of the last class served
+	cfg     Config
+	nodes   []node[T]
+	free    []int32 // indexes of unused nodes
+	flows   map[flowID]*flow
+	classes []*class
+	// virtualTime is the pass of the class that was served last, before the advance.
+	virtualTime float64
 	size        int
 }
 
@@ -103,61 +111,63 @@
 	return &Queue[T]{cfg: cfg, flows: make(map[flowID]*flow)}
 }
 
-// Len returns the number of waiting items.
+// Len returns the number of items.
 func (q *Queue[T]) Len() int { return q.size }
 
-// Push adds an item unless it would wait beyond its deadline or the queue is
-// full. each is the mean time between two items served. A full queue makes
-// room by pushing out the newest item of the caller with the most waiting
-// work, if that is more than the new item's caller has; out is that item.
-func (q *Queue[T]) Push(now time.Time, e Item[T], each time.Duration) (t Handle, v PushResult, out T, pushed bool) {
-	if now.Add(q.estimateWait(e, each)).After(e.Deadline) {
-		return Handle{}, Late, out, false
+// Push adds an item unless it would wait beyond its deadline or the queue is full.
+// interval is the mean time between two served items. A full queue evicts the newest
+// item of its longest flow, provided that this flow is longer than that of the new item
+// would become. hasEvicted reports whether an item was evicted.
+func (q *Queue[T]) Push(now time.Time, item Item[T], interval time.Duration) (h Handle, result PushResult, evicted T, hasEvicted bool) {
+	if now.Add(q.estimateWait(item, interval)).After(item.Deadline) {
+		return Handle{}, Late, evicted, false
 	}
 	if q.size >= q.cfg.MaxLen {
 		longest := q.longestFlow()
-		if longest == nil || longest.count <= q.flowLen(e)+1 {
-			return Handle{}, Full, out, false
+		if longest == nil || longest.count <= q.flowLen(item)+1 {
+			return Handle{}, Full, evicted, false
 		}
-		out, pushed = q.removeNode(longest.last), true
+		evicted, hasEvicted = q.removeNode(longest.last), true
 	}
-	return q.add(e), Queued, out, pushed
+	return q.add(item), Queued, evicted, hasEvicted
 }
 
-// Wait estimates how long an item of a caller and class would wait.
-func (q *Queue[T]) estimateWait(e Item[T], each time.Duration) time.Duration {
+// estimateWait estimates how long a new item would wait, from the length of the queue
+// or, if that is less, the items served before it by weighted shares.
+func (q *Queue[T]) estimateWait(item Item[T], interval time.Duration) time.Duration {
 	ahead := q.size
-	if share := q.aheadByShare(e); share < ahead {
+	if share := q.aheadByShare(item); share < ahead {
 		ahead = share
 	}
-	return time.Duration(ahead) * each
+	return time.Duration(ahead) * interval
 }
 
-// aheadByShare counts the items served before a new one of the caller if
-// every flow gets its weighted share.
-func (q *Queue[T]) aheadByShare(e Item[T]) int {
+// aheadByShare returns how many items are served until a new item has been served, it
+// included, if every flow gets exactly its weighted share.
+func (q *Queue[T]) aheadByShare(item Item[T]) int {
 	var total, weight float64
 	flows := 1
 	for _, c := range q.classes {
 		if len(c.flows) == 0 {
 			continue
 		}
-		if c.name == e.Class {
+		if c.name == item.Class {
 			flows = len(c.flows)
-			if q.flowLen(e) == 0 {
+			if q.flowLen(item) == 0 {
 				flows++
 			}
 			continue
 		}
 		total += c.weight
 	}
-	weight = q.weight(e.Class)
+	weight = q.weight(item.Class)
 	total += weight
-	return int(float64((q.flowLen(e)+1)*flows) * total / weight)
+	return int(float64((q.flowLen(item)+1)*flows) * total / weight)
 }
 
-func (q *Queue[T]) flowLen(e Item[T]) int {
-	if f := q.flows[flowID{e.Caller, e.Class}]; f != nil {
+// flowLen returns the length of the flow that an item belongs to.
+func (q *Queue[T]) flowLen(item Item[T]) int {
+	if f := q.flows[flowID{item.Caller, item.Class}]; f != nil {
 		return f.count
 	}
 	return 0
@@ -170,11 +180,11 @@
 	return 1
 }
 
-// Requeue puts an item back at the head of its flow: it was popped but did not
-// run. The bound does not apply to it.
-func (q *Queue[T]) Requeue(e Item[T]) Handle {
-	f := q.flowOf(e)
-	i := q.newNode(e, f)
+// Requeue puts a popped item that did not run back at the head of its flow, also if the
+// queue is full.
+func (q *Queue[T]) Requeue(item Item[T]) Handle {
+	f := q.flowOf(item)
+	i := q.newNode(item, f)
 	q.nodes[i].next = f.first
 	if f.first != noNode {
 		q.nodes[f.first].prev = i
@@ -185,9 +195,10 @@
 	return q.handle(i)
 }
 
-func (q *Queue[T]) add(e Item[T]) Handle {
-	f := q.flowOf(e)
-	i := q.newNode(e, f)
+// add appends an item to its flow.
+func (q *Queue[T]) add(item Item[T]) Handle {
+	f := q.flowOf(item)
+	i := q.newNode(item, f)
 	q.nodes[i].prev = f.last
 	if f.last != noNode {
 		q.nodes[f.last].next = i
@@ -202,7 +213,8 @@
 	return Handle{node: i, generation: q.nodes[i].generation}
 }
 
-func (q *Queue[T]) newNode(e Item[T], f *flow) int32 {
+// newNode stores an item in an unused node. The caller links it into the flow.
+func (q *Queue[T]) newNode(item Item[T], f *flow) int32 {
 	var i int32
 	if n := len(q.free); n > 0 {
 		i = q.free[n-1]
@@ -212,23 +224,23 @@
 		q.nodes = append(q.nodes, node[T]{})
 	}
 	generation := q.nodes[i].generation + 1
-	q.nodes[i] = node[T]{Item: e, flow: f, prev: noNode, next: noNode, generation: generation, inUse: true}
+	q.nodes[i] = node[T]{Item: item, flow: f, prev: noNode, next: noNode, generation: generation, inUse: true}
 	f.count++
 	q.size++
 	return i
 }
 
-// flowOf returns the flow of an entry's caller, in the ring of its class.
-func (q *Queue[T]) flowOf(e Item[T]) *flow {
-	id := flowID{e.Caller, e.Class}
+// flowOf returns the flow that an item belongs to, and creates it if necessary.
+func (q *Queue[T]) flowOf(item Item[T]) *flow {
+	id := flowID{item.Caller, item.Class}
 	if f := q.flows[id]; f != nil {
 		return f
 	}
-	c := q.classOf(e.Class)
+	c := q.classOf(item.Class)
 	if len(c.flows) == 0 && c.pass < q.virtualTime {
-		c.pass = q.virtualTime // an idle class saves up no share
+		c.pass = q.virtualTime // an idle class must not accumulate a share
 	}
-	f := &flow{caller: e.Caller, class: c, first: noNode, last: noNode}
+	f := &flow{caller: item.Caller, class: c, first: noNode, last: noNode}
 	q.flows[id] = f
 	c.flows = append(c.flows, f)
 	return f
@@ -245,37 +257,37 @@
 	return c
 }
 
-// longestFlow returns the flow with the most waiting items. A class counts by its
-// weight: bulk work is pushed out before registrations.
+// longestFlow returns the flow with the most items relative to the weight of its class,
+// so that bulk requests are evicted before registrations.
 func (q *Queue[T]) longestFlow() *flow {
-	var best *flow
-	var most float64
+	var longest *flow
+	var maxLen float64
 	for _, c := range q.classes {
 		for _, f := range c.flows {
-			if n := float64(f.count) / c.weight; n > most {
-				best, most = f, n
+			if n := float64(f.count) / c.weight; n > maxLen {
+				longest, maxLen = f, n
 			}
 		}
 	}
-	return best
+	return longest
 }
 
-// removeNode removes a row from its flow and returns its value.
+// removeNode removes a node from its flow, frees it and returns its value.
 func (q *Queue[T]) removeNode(i int32) T {
-	r := &q.nodes[i]
-	f := r.flow
-	if r.prev != noNode {
-		q.nodes[r.prev].next = r.next
+	n := &q.nodes[i]
+	f := n.flow
+	if n.prev != noNode {
+		q.nodes[n.prev].next = n.next
 	} else {
-		f.first = r.next
+		f.first = n.next
 	}
-	if r.next != noNode {
-		q.nodes[r.next].prev = r.prev
+	if n.next != noNode {
+		q.nodes[n.next].prev = n.prev
 	} else {
-		f.last = r.prev
+		f.last = n.prev
 	}
-	value := r.Value
-	q.nodes[i] = node[T]{generation: r.generation}
+	value := n.Value
+	q.nodes[i] = node[T]{generation: n.generation}
 	q.free = append(q.free, i)
 	q.size--
 	f.count--
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -20,30 +20,30 @@
 	return queue.Item[int]{Caller: caller, Class: class, Deadline: start.Add(time.Minute), Value: value}
 }
 
-func push(t testing.TB, q *queue.Queue[int], e queue.Item[int]) queue.Handle {
+func push(t testing.TB, q *queue.Queue[int], item queue.Item[int]) queue.Handle {
 	t.Helper()
-	ticket, verdict, _, _ := q.Push(start, e, 0)
-	assert.Equal(t, verdict, queue.Queued)
-	return ticket
+	handle, result, _, _ := q.Push(start, item, 0)
+	assert.Equal(t, result, queue.Queued)
+	return handle
 }
 
 func TestOrder(t *testing.T) {
 	tests := map[string]struct {
-		pushed []queue.Item[int]
-		want   []int
+		items []queue.Item[int]
+		want  []int
 	}{
-		"one caller first in first out": {
+		"one caller is served in order": {
 			[]queue.Item[int]{newItem("a", settings.Bulk, 1), newItem("a", settings.Bulk, 2)},
 			[]int{1, 2},
 		},
-		"callers take turns": {
+		"callers are served round robin": {
 			[]queue.Item[int]{
 				newItem("a", settings.Bulk, 1), newItem("a", settings.Bulk, 2), newItem("a", settings.Bulk, 3),
 				newItem("b", settings.Bulk, 4), newItem("b", settings.Bulk, 5),
 			},
 			[]int{1, 4, 2, 5, 3},
 		},
-		"interactive overtakes bulk": {
+		"interactive is served before bulk": {
 			[]queue.Item[int]{
 				newItem("a", settings.Bulk, 1), newItem("a", settings.Bulk, 2), newItem("a", settings.Bulk, 3),
 				newItem("b", settings.Interactive, 4), newItem("b", settings.Interactive, 5),
@@ -54,12 +54,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			q := queue.New[int](queue.DefaultConfig())
-			for _, e := range test.pushed {
-				push(t, q, e)
+			for _, item := range test.items {
+				push(t, q, item)
 			}
 			var got []int
-			for e, ok := q.Pop(start, ""); ok; e, ok = q.Pop(start, "") {
-				got = append(got, e.Value)
+			for item, ok := q.Pop(start, ""); ok; item, ok = q.Pop(start, "") {
+				got = append(got, item.Value)
 			}
 			assert.DeepEqual(t, got, test.want)
 		})
@@ -72,14 +72,14 @@
 	_, ok := q.Pop(start, settings.Bulk)
 	assert.Assert(t, !ok)
 	push(t, q, newItem("a", settings.Interactive, 2))
-	e, ok := q.Pop(start, settings.Bulk)
+	item, ok := q.Pop(start, settings.Bulk)
 	assert.Assert(t, ok)
-	assert.Equal(t, e.Value, 2)
+	assert.Equal(t, item.Value, 2)
 	assert.Equal(t, q.Len(), 1)
 }
 
-// TestClassShares serves three classes with full queues: the shares follow the
-// weights.
+// TestClassShares tests that three classes that always have queued items are served in
+// the ratio of their weights.
 func TestClassShares(t *testing.T) {
 	q := queue.New[int](queue.Config{MaxLen: 10_000, Weights: queue.DefaultConfig().Weights})
 	served := map[settings.Class]int{}
@@ -89,9 +89,9 @@
 		push(t, q, newItem("c", settings.Interactive, i))
 	}
 	for range 2500 {
-		e, ok := q.Pop(start, "")
+		item, ok := q.Pop(start, "")
 		assert.Assert(t, ok)
-		served[e.Class]++
+		served[item.Class]++
 	}
 	assert.DeepEqual(t, served, map[settings.Class]int{settings.Bulk: 100, settings.Registering: 800, settings.Interactive: 1600})
 }
@@ -101,31 +101,31 @@
 	for i := range 4 {
 		push(t, q, newItem("a", settings.Bulk, i))
 	}
-	_, verdict, _, pushed := q.Push(start, newItem("a", settings.Bulk, 4), 0)
-	assert.Equal(t, verdict, queue.Full)
-	assert.Assert(t, !pushed)
-	_, verdict, out, pushed := q.Push(start, newItem("b", settings.Bulk, 5), 0)
-	assert.Equal(t, verdict, queue.Queued)
-	assert.Assert(t, pushed)
-	assert.Equal(t, out, 3) // the newest of the caller with the most
+	_, result, _, hasEvicted := q.Push(start, newItem("a", settings.Bulk, 4), 0)
+	assert.Equal(t, result, queue.Full)
+	assert.Assert(t, !hasEvicted)
+	_, result, evicted, hasEvicted := q.Push(start, newItem("b", settings.Bulk, 5), 0)
+	assert.Equal(t, result, queue.Queued)
+	assert.Assert(t, hasEvicted)
+	assert.Equal(t, evicted, 3) // the newest item of the longest flow
 	assert.Equal(t, q.Len(), 4)
 }
 
 func TestPushLate(t *testing.T) {
 	q := queue.New[int](queue.DefaultConfig())
 	push(t, q, newItem("a", settings.Bulk, 1))
-	e := newItem("a", settings.Bulk, 2)
-	e.Deadline = start.Add(5 * time.Millisecond)
-	_, verdict, _, pushed := q.Push(start, e, 10*time.Millisecond)
-	assert.Assert(t, !pushed)
-	assert.Equal(t, verdict, queue.Late)
+	item := newItem("a", settings.Bulk, 2)
+	item.Deadline = start.Add(5 * time.Millisecond)
+	_, result, _, hasEvicted := q.Push(start, item, 10*time.Millisecond)
+	assert.Assert(t, !hasEvicted)
+	assert.Equal(t, result, queue.Late)
 }
 
 func TestExpire(t *testing.T) {
 	q := queue.New[int](queue.DefaultConfig())
-	e := newItem("a", settings.Bulk, 1)
-	e.Deadline = start.Add(time.Second)
-	push(t, q, e)
+	item := newItem("a", settings.Bulk, 1)
+	item.Deadline = start.Add(time.Second)
+	push(t, q, item)
 	push(t, q, newItem("a", settings.Bulk, 2))
 	now := start.Add(time.Second)
 	got, ok := q.Pop(now, "")
@@ -139,65 +139,66 @@
 	q := queue.New[int](queue.DefaultConfig())
 	push(t, q, newItem("a", settings.Bulk, 1))
 	push(t, q, newItem("a", settings.Bulk, 2))
-	e, _ := q.Pop(start, "")
-	ticket := q.Requeue(e)
-	assert.Assert(t, q.Remove(ticket))
-	assert.Assert(t, !q.Remove(ticket))
-	q.Requeue(e)
-	e, _ = q.Pop(start, "")
-	assert.Equal(t, e.Value, 1)
+	item, _ := q.Pop(start, "")
+	handle := q.Requeue(item)
+	assert.Assert(t, q.Remove(handle))
+	assert.Assert(t, !q.Remove(handle))
+	q.Requeue(item)
+	item, _ = q.Pop(start, "")
+	assert.Equal(t, item.Value, 1)
 }
 
-// model drives a queue with random steps: each item leaves exactly once, none
-// is served past its deadline, the bound holds.
+// model applies random operations to a queue and tests that each item leaves exactly
+// once, that none is served past its deadline, and that the queue stays within MaxLen.
 type model struct {
 	queue     *queue.Queue[int]
 	now       time.Time
 	nextValue int
-	queued    map[int]time.Time
+	queued    map[int]time.Time // deadlines by value
 	handles   map[int]queue.Handle
 }
 
 const modelMaxLen = 12
 
+// left records that an item left the queue and returns its deadline.
 func (m *model) left(t *rapid.T, value int) time.Time {
 	deadline, ok := m.queued[value]
 	if !ok {
-		t.Fatalf("item %d left twice", value)
+		t.Fatalf("item %d left the queue twice", value)
 	}
 	delete(m.queued, value)
 	return deadline
 }
 
 func (m *model) push(t *rapid.T) {
-	e := queue.Item[int]{
+	item := queue.Item[int]{
 		Caller:   settings.Caller(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "caller"))),
 		Class:    rapid.SampledFrom([]settings.Class{settings.Interactive, settings.Registering, settings.Bulk, "other"}).Draw(t, "class"),
 		Deadline: m.now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "left"))),
 		Value:    m.nextValue,
 	}
 	m.nextValue++
-	ticket, verdict, out, pushed := m.queue.Push(m.now, e, 1)
-	if pushed {
-		m.left(t, out)
+	handle, result, evicted, hasEvicted := m.queue.Push(m.now, item, 1)
+	if hasEvicted {
+		m.left(t, evicted)
 	}
-	if verdict == queue.Queued {
-		m.queued[e.Value], m.handles[e.Value] = e.Deadline, ticket
+	if result == queue.Queued {
+		m.queued[item.Value], m.handles[item.Value] = item.Deadline, handle
 	}
 }
 
 func (m *model) pop(t *rapid.T) {
-	e, ok := m.queue.Pop(m.now, "")
+	item, ok := m.queue.Pop(m.now, "")
 	if !ok {
 		for value, deadline := range m.queued {
 			if deadline.After(m.now) {
-				t.Fatalf("item %d in time is not served", value)
+				t.Fatalf("item %d is within its deadline but not served", value)
 			}
 		}
 		return
 	}
-	if !m.left(t, e.Value).After(m.now) {
-		t.Fatalf("item %d served past its deadline", e.Value)
+	if !m.left(t, item.Value).After(m.now) {
+		t.Fatalf("item %d was served past its deadline", item.Value)
 	}
 }
 
@@ -206,9 +207,9 @@
 		return
 	}
 	value := rapid.IntRange(0, m.nextValue-1).Draw(t, "value")
-	_, inside := m.queued[value]
-	if ticket, known := m.handles[value]; known && m.queue.Remove(ticket) != inside {
-		t.Fatalf("item %d: inside %v", value, inside)
+	_, inQueue := m.queued[value]
+	if handle, known := m.handles[value]; known && m.queue.Remove(handle) != inQueue {
+		t.Fatalf("item %d: in the queue %v", value, inQueue)
 	}
 	delete(m.queued, value)
 }
@@ -217,7 +218,7 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 10).Draw(t, "step")))
 	for _, value := range m.queue.Expire(m.now) {
 		if m.left(t, value).After(m.now) {
-			t.Fatalf("item %d expired early", value)
+			t.Fatalf("item %d expired before its deadline", value)
 		}
 	}
 }
@@ -232,7 +233,7 @@
 			"push": m.push, "pop": m.pop, "remove": m.remove, "expire": m.expire,
 			"": func(t *rapid.T) {
 				if m.queue.Len() != len(m.queued) || m.queue.Len() > modelMaxLen {
-					t.Fatalf("length %d, inside %d", m.queue.Len(), len(m.queued))
+					t.Fatalf("length %d, want %d", m.queue.Len(), len(m.queued))
 				}
 			},
 		})
@@ -256,7 +257,7 @@
 	}
 }
 
-// TestMain fixes the seed, so that CI gives the same verdict every time.
+// TestMain sets a fixed seed unless a flag sets one, so that CI runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
