--- a/internal/entry/bound.go
+++ b/internal/entry/bound.go
@@ -7,23 +7,23 @@
 	"sync/atomic"
 )
 
-// semaphore bounds how many requests are in one state at once.
+// semaphore limits the number of requests in one state, without waiting.
 type semaphore struct {
 	limit int64
 	inUse atomic.Int64
 }
 
-func (g *semaphore) tryAcquire() bool {
-	if g.inUse.Add(1) > g.limit {
-		g.inUse.Add(-1)
+func (s *semaphore) tryAcquire() bool {
+	if s.inUse.Add(1) > s.limit {
+		s.inUse.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (g *semaphore) release() { g.inUse.Add(-1) }
+func (s *semaphore) release() { s.inUse.Add(-1) }
 
-// bodyMemory bounds the bytes of all request bodies held at once.
+// bodyMemory limits the total size of the request bodies in memory, in bytes.
 type bodyMemory struct {
 	limit int64
 	used  atomic.Int64
@@ -39,19 +39,20 @@
 
 func (m *bodyMemory) release(n int64) { m.used.Add(-n) }
 
-// ids makes request ids that no other process or life of it makes.
+// ids generates request IDs that are unique over all processes and their incarnations,
+// by a random prefix.
 type ids struct {
 	prefix string
 	last   atomic.Uint64
 }
 
-// randomIDBytes is the length of the random part of request ids.
+// randomIDBytes is the length of the random prefix, before its hex encoding.
 const randomIDBytes = 9
 
 func newIDs() *ids {
-	var b [randomIDBytes]byte
-	_, _ = rand.Read(b[:])
-	return &ids{prefix: hex.EncodeToString(b[:]) + "-"}
+	var random [randomIDBytes]byte
+	_, _ = rand.Read(random[:])
+	return &ids{prefix: hex.EncodeToString(random[:]) + "-"}
 }
 
 func (i *ids) next() string {
--- a/internal/entry/dedup.go
+++ b/internal/entry/dedup.go
@@ -12,165 +12,170 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Bounds of what is remembered of finished requests with an idempotency key.
+// Limits of the completed runs that are kept for later requests with the same
+// idempotency key.
 const (
 	dedupRetention = 2 * time.Minute
 	maxDedupBytes  = 8 << 20
 	maxDedupRuns   = 20_000
-	// dedupRunOverheadBytes is counted for each row besides its answer's body.
+	// dedupRunOverheadBytes is counted for each run besides its response body.
 	dedupRunOverheadBytes = 512
 )
 
-// dedupKey names a request by the caller that sent it and its idempotency key:
-// no request of one caller joins that of another.
+// dedupKey identifies the requests that share one run. It includes the caller, so that
+// no caller gets the response to another.
 type dedupKey struct {
 	caller settings.Caller
 	route  string
 	key    string
 }
 
-// fingerprint tells different requests with the same idempotency key apart.
+// fingerprint is a hash of a request, to detect different requests with the same
+// idempotency key.
 type fingerprint [sha256.Size]byte
 
-func fingerprintOf(w *job) fingerprint {
+func fingerprintOf(j *job) fingerprint {
 	h := sha256.New()
-	for _, text := range []string{w.request.Method, "\x00", w.request.URI, "\x00"} {
+	for _, text := range []string{j.request.Method, "\x00", j.request.URI, "\x00"} {
 		_, _ = io.WriteString(h, text)
 	}
-	_, _ = h.Write(w.request.Body)
+	_, _ = h.Write(j.request.Body)
 	return fingerprint(h.Sum(nil))
 }
 
-// dedupRun is the one run of all requests with the same joinID.
+// dedupRun is the one run of all requests with the same dedupKey.
 type dedupRun struct {
 	fingerprint fingerprint
 	done        chan struct{}
 	result      outcome.Result
 	completedAt time.Time
 	size        int
-	// waiters counts the callers; at none, cancel takes it out of the queue.
+	// waiters counts the requests that wait for the result. When it reaches zero, the
+	// run is canceled.
 	waiters int
 	cancel  context.CancelFunc
-	element *list.Element
+	element *list.Element // in dedupCache.completed
 }
 
-// dedupCache keeps the flights under way and the newest finished ones.
+// dedupCache holds the runs in progress and the newest completed ones. It is safe for
+// concurrent use.
 type dedupCache struct {
 	mu        sync.Mutex
 	runs      map[dedupKey]*dedupRun
-	completed *list.List // of joinID, oldest first
-	bytes     int
+	completed *list.List // of dedupKey, oldest first
+	bytes     int        // total size of the completed runs
 }
 
 func newDedupCache() *dedupCache {
 	return &dedupCache{runs: make(map[dedupKey]*dedupRun), completed: list.New()}
 }
 
-// begin returns the flight of id and whether the caller has to run it. ok is
-// false where the key was used for a different request.
-func (j *dedupCache) begin(now time.Time, id dedupKey, digest fingerprint, cancel context.CancelFunc) (f *dedupRun, first, ok bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.evict(now)
-	if f := j.runs[id]; f != nil {
-		if f.fingerprint != digest {
+// begin returns the run of id. first reports whether it is new, so that the caller of
+// begin must execute it. ok is false if the key was used for a different request.
+func (c *dedupCache) begin(now time.Time, id dedupKey, sum fingerprint, cancel context.CancelFunc) (run *dedupRun, first, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evict(now)
+	if run := c.runs[id]; run != nil {
+		if run.fingerprint != sum {
 			return nil, false, false
 		}
-		f.waiters++
-		return f, false, true
+		run.waiters++
+		return run, false, true
 	}
-	f = &dedupRun{fingerprint: digest, done: make(chan struct{}), waiters: 1, cancel: cancel}
-	j.runs[id] = f
-	return f, true, true
+	run = &dedupRun{fingerprint: sum, done: make(chan struct{}), waiters: 1, cancel: cancel}
+	c.runs[id] = run
+	return run, true, true
 }
 
-// complete records the result and wakes all that joined. A request that did not
-// run is forgotten, so that its repetition runs. One that may have run is
-// remembered: its repetition must not run again.
-func (j *dedupCache) complete(now time.Time, id dedupKey, f *dedupRun, result outcome.Result) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	f.result, f.completedAt = result, now
-	close(f.done)
-	f.cancel()
+// complete records the result and wakes all waiters. If the request did not run, the
+// run is removed, so that a retry executes it. If it may have run, the run is kept,
+// since a retry must not execute it again.
+func (c *dedupCache) complete(now time.Time, id dedupKey, run *dedupRun, result outcome.Result) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	run.result, run.completedAt = result, now
+	close(run.done)
+	run.cancel()
 	if _, ok := result.(outcome.NotRunFailure); ok {
-		delete(j.runs, id)
+		delete(c.runs, id)
 		return
 	}
-	f.size = dedupRunOverheadBytes
+	run.size = dedupRunOverheadBytes
 	if a, ok := result.(outcome.Response); ok {
-		f.size += len(a.Body)
+		run.size += len(a.Body)
 	}
-	j.bytes += f.size
-	f.element = j.completed.PushBack(id)
-	j.evict(now)
+	c.bytes += run.size
+	run.element = c.completed.PushBack(id)
+	c.evict(now)
 }
 
-// leave tells that one caller no longer waits.
-func (j *dedupCache) leave(f *dedupRun) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	f.waiters--
-	if f.waiters == 0 {
-		f.cancel()
+// leave removes one waiter.
+func (c *dedupCache) leave(run *dedupRun) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	run.waiters--
+	if run.waiters == 0 {
+		run.cancel()
 	}
 }
 
-// evict forgets the oldest finished flights past the bounds.
-func (j *dedupCache) evict(now time.Time) {
-	for front := j.completed.Front(); front != nil; front = j.completed.Front() {
+// evict removes completed runs past their retention, and the oldest ones in excess of
+// the limits.
+func (c *dedupCache) evict(now time.Time) {
+	for front := c.completed.Front(); front != nil; front = c.completed.Front() {
 		id := front.Value.(dedupKey)
-		f := j.runs[id]
-		if now.Sub(f.completedAt) < dedupRetention && j.bytes <= maxDedupBytes && j.completed.Len() <= maxDedupRuns {
+		run := c.runs[id]
+		if now.Sub(run.completedAt) < dedupRetention && c.bytes <= maxDedupBytes && c.completed.Len() <= maxDedupRuns {
 			return
 		}
-		j.bytes -= f.size
-		j.completed.Remove(front)
-		delete(j.runs, id)
+		c.bytes -= run.size
+		c.completed.Remove(front)
+		delete(c.runs, id)
 	}
 }
 
-// serveOnce runs the request, or waits for the run of the same request that came
-// before.
-func (e *Entry) serveOnce(ctx context.Context, w *job) outcome.Result {
-	id := dedupKey{w.caller, w.route, w.idempotencyKey}
+// serveOnce executes the request, or waits for the run of an earlier request with the
+// same idempotency key.
+func (e *Entry) serveOnce(ctx context.Context, j *job) outcome.Result {
+	id := dedupKey{j.caller, j.route, j.idempotencyKey}
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	f, first, ok := e.dedup.begin(time.Now(), id, w.fingerprint, cancel)
+	run, first, ok := e.dedup.begin(time.Now(), id, j.fingerprint, cancel)
 	if !ok {
 		cancel()
 		return outcome.NotRunFailure{Reason: outcome.KeyReused}
 	}
 	if !first {
 		cancel()
-		return e.awaitRun(ctx, w, f)
+		return e.awaitRun(ctx, j, run)
 	}
-	stop := context.AfterFunc(ctx, func() { e.dedup.leave(f) })
-	result := e.serveOrRelay(runCtx, w.withoutKey())
-	e.dedup.complete(time.Now(), id, f, result)
+	stop := context.AfterFunc(ctx, func() { e.dedup.leave(run) })
+	result := e.serveOrRelay(runCtx, j.withoutKey())
+	e.dedup.complete(time.Now(), id, run, result)
 	if stop() {
-		e.dedup.leave(f)
+		e.dedup.leave(run)
 	}
 	return result
 }
 
-// withoutKey returns a copy that runs by itself: what joins it waits for the
-// flight.
-func (w *job) withoutKey() *job {
+// withoutKey returns a copy without the idempotency key, for the one run. Requests with
+// the key wait for that run.
+func (j *job) withoutKey() *job {
 	return &job{
-		caller: w.caller, class: w.class, route: w.route, idempotent: w.idempotent,
-		request: w.request, hash: w.hash, deadline: w.deadline, wake: make(chan slotEvent, 1),
+		caller: j.caller, class: j.class, route: j.route, idempotent: j.idempotent,
+		request: j.request, hash: j.hash, deadline: j.deadline, wake: make(chan slotEvent, 1),
 	}
 }
 
-// awaitRun waits for another request's run. It may have run already, so a
-// caller whose time is up learns that the outcome is unknown.
-func (e *Entry) awaitRun(ctx context.Context, w *job, f *dedupRun) outcome.Result {
-	defer e.dedup.leave(f)
-	timer := time.NewTimer(time.Until(w.deadline))
+// awaitRun waits for the run of another request. At the deadline the outcome is unknown,
+// since that run may have been executed.
+func (e *Entry) awaitRun(ctx context.Context, j *job, run *dedupRun) outcome.Result {
+	defer e.dedup.leave(run)
+	timer := time.NewTimer(time.Until(j.deadline))
 	defer timer.Stop()
 	select {
-	case <-f.done:
-		return f.result
+	case <-run.done:
+		return run.result
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the data path of an entry host: it takes callers' requests,
-// finds the owner of the key, waits for a slot of that target, forwards the
-// request and gives the caller the whole answer or a typed failure.
+// Package entry implements the data path of an entry host. It accepts callers' requests,
+// finds the target that owns the key, waits for a slot of that target, forwards the
+// request, and returns the complete response or a failure with an outcome and a reason.
 package entry
 
 import (
@@ -25,37 +25,38 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// Config is what an entry needs of its process.
+// Config configures an Entry.
 type Config struct {
 	Replica        docsync.Replica
 	DecodeSettings func([]byte) (*settings.Settings, error)
 	DecodeTable    func([]byte) (table.Table, error)
-	// Host and Zone name this entry host.
+	// Host and Zone are those of this entry host.
 	Host place.Host
 	Zone place.Zone
-	// Sharing is how entry hosts share the slots of a target.
+	// Sharing is how the entry hosts share the slots of a target.
 	Sharing Sharing
-	// Transport carries load reports to leads and requests to homes; without it
-	// all is run here.
+	// Transport carries load reports to leaders and relayed requests to homes. If it is
+	// nil, this host serves all requests itself.
 	Transport peer.Transport
 	Log       *slog.Logger
 	Registry  *metric.Registry
-	// Dial opens connections to targets; nil stands for TCP.
+	// Dial opens connections to targets. The default is TCP.
 	Dial forward.Dial
-	// Hosts is the number of entry hosts that share each target's connections.
+	// Hosts is the number of entry hosts that share the connections to each target.
 	Hosts int
-	// Queue bounds the queue of each target.
+	// Queue configures the queue of each target.
 	Queue queue.Config
-	// ParkTimeout bounds the waiting for an owner; Parked the requests that wait.
+	// ParkTimeout limits how long a request waits for an owner of its key, and MaxParked
+	// how many requests do so at once.
 	ParkTimeout time.Duration
 	MaxParked   int
-	// BodyMemory bounds the request bodies held at once, in bytes.
+	// BodyMemory limits the total size of the request bodies in memory, in bytes.
 	BodyMemory int64
-	// TickInterval is the time between two rounds over all lanes.
+	// TickInterval is the time between two passes over all target states.
 	TickInterval time.Duration
 }
 
-// Defaults of Config.
+// The defaults of Config.
 const (
 	DefaultHosts        = 12
 	DefaultParkTimeout  = 5 * time.Second
@@ -64,7 +65,7 @@
 	DefaultTickInterval = 20 * time.Millisecond
 )
 
-// Entry is an http.Handler for callers. Run keeps it going.
+// Entry is an http.Handler for callers. Run keeps its view and queues up to date.
 type Entry struct {
 	cfg          Config
 	log          *slog.Logger
@@ -79,7 +80,7 @@
 	view         atomic.Pointer[view]
 	homes        *homeMonitor
 
-	// refreshMu guards what refresh alone changes.
+	// refreshMu guards the fields below, which only refreshView changes.
 	refreshMu       sync.Mutex
 	settingsVersion docsync.Version
 	settingsSince   time.Time
@@ -95,15 +96,15 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	draining atomic.Bool
-	// relayed counts the work of other entry hosts that runs here.
+	// relayed counts the requests in flight that other entry hosts relayed to this one.
 	relayed atomic.Int64
-	// refuseRelayed tells that no more of it is taken: the end of a planned stop.
+	// refuseRelayed is set during a graceful stop, to accept no more of them.
 	refuseRelayed atomic.Bool
 	stopOnce      sync.Once
 	stopping      chan struct{}
 }
 
-// New returns an entry that knows nothing yet.
+// New returns an entry with the settings and tables that the replica holds so far.
 func New(cfg Config) *Entry {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Entry{
@@ -134,8 +135,8 @@
 	return e
 }
 
-// Run follows the board, goes over all lanes each tick and reports the load,
-// until ctx ends.
+// Run follows the changes of the replica, updates the target states at every tick,
+// reports the load to the leaders and pings homes, until ctx ends.
 func (e *Entry) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return e.loop(ctx) })
@@ -146,6 +147,7 @@
 	return group.Wait()
 }
 
+// loop refreshes the view after changes of the replica, and ticks.
 func (e *Entry) loop(ctx context.Context) error {
 	settingsChanged := e.cfg.Replica.Subscribe(docsync.Settings)
 	fleetChanged := e.cfg.Replica.Subscribe(docsync.Fleet)
@@ -169,32 +171,33 @@
 	}
 }
 
+// tick updates all target states.
 func (e *Entry) tick(now time.Time) {
 	e.refreshMu.Lock()
 	defer e.refreshMu.Unlock()
-	for _, l := range e.targetStates {
-		l.tick(now)
+	for _, ts := range e.targetStates {
+		ts.tick(now)
 	}
 }
 
-// Ready reports whether the entry has settings and does not stop.
+// Ready reports whether the entry has settings and is not draining.
 func (e *Entry) Ready() bool {
 	return e.view.Load().routes != nil && !e.draining.Load()
 }
 
-// Drain makes Ready fail and asks callers to close their connections after
-// each answer. Requests are still served.
+// Drain makes Ready return false and closes each caller's connection after its next
+// response. Requests are still served.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
-// DropWaiting ends the waiting requests with not-run. Those in flight end by
-// themselves.
+// DropWaiting drains the entry and ends all requests that wait for a slot or an owner as
+// not run. Requests in flight go on.
 func (e *Entry) DropWaiting() {
 	e.Drain()
 	e.stopOnce.Do(func() { close(e.stopping) })
 	e.refreshMu.Lock()
 	defer e.refreshMu.Unlock()
-	for _, l := range e.targetStates {
-		l.dropQueued(outcome.Stopping)
+	for _, ts := range e.targetStates {
+		ts.dropQueued(outcome.Stopping)
 	}
 }
 
@@ -203,18 +206,19 @@
 	e.cancel()
 	e.refreshMu.Lock()
 	defer e.refreshMu.Unlock()
-	for _, l := range e.targetStates {
-		l.close()
+	for _, ts := range e.targetStates {
+		ts.close()
 	}
 }
 
+// countForRetries adds one request to the retry budget.
 func (e *Entry) countForRetries() {
 	e.retryBudgetMu.Lock()
 	e.retryBudget.countRequest()
 	e.retryBudgetMu.Unlock()
 }
 
-// withdrawRetry takes the right to send a request once more.
+// withdrawRetry withdraws one retry from the budget, and returns false if there is none.
 func (e *Entry) withdrawRetry() bool {
 	e.retryBudgetMu.Lock()
 	ok := e.retryBudget.withdraw()
@@ -225,7 +229,8 @@
 	return ok
 }
 
-// resetLimits takes over the limits of new settings.
+// resetLimits puts the callers' limits of new settings in force. Requests in flight
+// still count.
 func (e *Entry) resetLimits(s *settings.Settings) {
 	e.limitMu.Lock()
 	defer e.limitMu.Unlock()
@@ -247,8 +252,10 @@
 	}
 }
 
-// acquireLimit counts a request against its caller's limit in its class.
-func (e *Entry) acquireLimit(now time.Time, m route.Match) (leave func(), wait time.Duration, ok bool) {
+// acquireLimit counts a request against its caller's limit in its class. If the limit
+// is reached, ok is false and wait is the retry delay. Otherwise the caller must call
+// release when the request ends.
+func (e *Entry) acquireLimit(now time.Time, m route.Match) (release func(), wait time.Duration, ok bool) {
 	if len(m.Caller.Limits) == 0 {
 		return func() {}, 0, true
 	}
@@ -268,15 +275,15 @@
 	}, 0, true
 }
 
-// Waiting returns the number of requests that wait in queues or for an owner.
+// Waiting returns the number of requests that wait for a slot or for an owner.
 func (e *Entry) Waiting() int {
 	e.refreshMu.Lock()
 	defer e.refreshMu.Unlock()
 	n := int(e.parked.inUse.Load())
-	for _, l := range e.targetStates {
-		l.mu.Lock()
-		n += l.queue.Len()
-		l.mu.Unlock()
+	for _, ts := range e.targetStates {
+		ts.mu.Lock()
+		n += ts.queue.Len()
+		ts.mu.Unlock()
 	}
 	return n
 }
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -15,15 +15,14 @@
 )
 
 const (
-	// defaultTimeout holds for routes that name none.
+	// defaultTimeout applies to routes without a timeout.
 	defaultTimeout = 10 * time.Second
-	// defaultMaxBodyBytes bounds bodies of services that name no bound, in bytes.
-	defaultMaxBodyBytes = 1 << 20
-	// maxIdempotencyKeyBytes is the longest idempotency key, in bytes.
+	// defaultMaxBodyBytes applies to services without a body limit.
+	defaultMaxBodyBytes    = 1 << 20
 	maxIdempotencyKeyBytes = 128
 )
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP serves one request of a caller.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	if e.draining.Load() {
@@ -49,28 +48,30 @@
 	outcome.Write(w, result)
 }
 
-// admit checks the caller's limit, reads the body and runs the request.
+// admit applies the caller's limit, reads the body and handles the request.
 func (e *Entry) admit(rw http.ResponseWriter, r *http.Request, m route.Match, now time.Time) outcome.Result {
-	leave, wait, ok := e.acquireLimit(now, m)
+	releaseLimit, wait, ok := e.acquireLimit(now, m)
 	if !ok {
 		return notRun(outcome.Limited, wait)
 	}
-	defer leave()
-	join, ok := idempotencyKey(r.Header)
+	defer releaseLimit()
+	idemKey, ok := idempotencyKey(r.Header)
 	if !ok {
 		return outcome.NotRunFailure{Reason: outcome.BadHeader}
 	}
-	w, failure := e.newJob(rw, r, m, now)
+	j, failure := e.newJob(rw, r, m, now)
 	if failure != nil {
 		return failure
 	}
-	defer e.bodyMemory.release(int64(len(w.request.Body)))
-	if w.idempotencyKey = join; join != "" {
-		w.fingerprint = fingerprintOf(w)
+	defer e.bodyMemory.release(int64(len(j.request.Body)))
+	if j.idempotencyKey = idemKey; idemKey != "" {
+		j.fingerprint = fingerprintOf(j)
 	}
-	return e.handle(r.Context(), w)
+	return e.handle(r.Context(), j)
 }
 
+// idempotencyKey returns the request's idempotency key, or "" if it has none. It returns
+// false if the header is malformed.
 func idempotencyKey(h http.Header) (string, bool) {
 	values := h[target.HeaderIdempotency]
 	if len(values) == 0 {
@@ -79,7 +80,8 @@
 	return values[0], len(values) == 1 && values[0] != "" && len(values[0]) <= maxIdempotencyKeyBytes
 }
 
-// newJob reads the request whole.
+// newJob reads a request, including its body, and creates its job. A caller may shorten
+// the timeout of the route by a header.
 func (e *Entry) newJob(rw http.ResponseWriter, r *http.Request, m route.Match, now time.Time) (*job, outcome.Result) {
 	timeout := m.Route.Timeout
 	if timeout <= 0 {
@@ -90,11 +92,11 @@
 			timeout = min(timeout, time.Duration(ms)*time.Millisecond)
 		}
 	}
-	bound := m.Service.BodyBytes
-	if bound <= 0 {
-		bound = defaultMaxBodyBytes
+	limit := m.Service.BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	w := &job{
+	j := &job{
 		caller:     m.Caller.Name,
 		class:      m.Route.Class,
 		route:      m.Route.Name,
@@ -103,45 +105,45 @@
 		deadline:   now.Add(timeout),
 		wake:       make(chan slotEvent, 1),
 	}
-	w.request = forward.Request{
+	j.request = forward.Request{
 		ID:       e.requestIDs.next(),
 		Method:   r.Method,
 		URI:      r.URL.RequestURI(),
 		Header:   forward.SanitizeHeader(r.Header),
 		Service:  m.Service.Name,
-		Deadline: w.deadline,
-		MaxBody:  bound,
+		Deadline: j.deadline,
+		MaxBody:  limit,
 	}
 	if r.Body == nil || r.Body == http.NoBody {
-		return w, nil
+		return j, nil
 	}
-	body, failure := e.readBody(rw, r, bound, w.deadline)
-	w.request.Body = body
-	return w, failure
+	body, failure := e.readBody(rw, r, limit, j.deadline)
+	j.request.Body = body
+	return j, failure
 }
 
-// readBody reads a body into memory: bounded for the request, bounded for the
-// entry host, within the deadline.
-func (e *Entry) readBody(rw http.ResponseWriter, r *http.Request, bound int64, deadline time.Time) ([]byte, outcome.Result) {
-	if r.ContentLength > bound {
+// readBody reads the body into memory before the deadline. It is limited by the
+// service's limit and by the entry host's memory for bodies.
+func (e *Entry) readBody(rw http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, outcome.Result) {
+	if r.ContentLength > limit {
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
 	}
 	size := r.ContentLength
 	if size < 0 {
-		size = bound
+		size = limit
 	}
 	if !e.bodyMemory.reserve(size) {
 		return nil, notRun(outcome.Overload, defaultRetryAfter)
 	}
 	control := http.NewResponseController(rw)
 	_ = control.SetReadDeadline(deadline)
-	body, err := io.ReadAll(io.LimitReader(r.Body, bound+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	_ = control.SetReadDeadline(time.Time{})
-	e.bodyMemory.release(size - min(int64(len(body)), bound))
-	if err == nil && int64(len(body)) <= bound {
+	e.bodyMemory.release(size - min(int64(len(body)), limit))
+	if err == nil && int64(len(body)) <= limit {
 		return body, nil
 	}
-	e.bodyMemory.release(min(int64(len(body)), bound))
+	e.bodyMemory.release(min(int64(len(body)), limit))
 	if err == nil {
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
 	}
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -14,96 +14,97 @@
 type Sharing uint8
 
 const (
-	// ShareMixed sends directly while the target has free slots and hands
-	// over to its home while requests wait for one.
+	// ShareMixed sends requests directly to the target while it has free slots, and
+	// relays them to its home while requests wait for one.
 	ShareMixed Sharing = iota
-	// ShareHome hands every request to the target's home, the one entry host
-	// that holds the target's queue.
+	// ShareHome relays all requests to the target's home, the one entry host that holds
+	// the target's queue.
 	ShareHome
-	// ShareAdaptive lets each entry host send by itself; the target refuses
-	// what is too much. Requests with an idempotency key still go home.
+	// ShareAdaptive lets all entry hosts send to the target, with an adaptive
+	// concurrency limit. The target refuses requests in excess of its slots. Requests
+	// with an idempotency key are still relayed to the home of their key.
 	ShareAdaptive
 )
 
 const (
-	// homeResponseGrace is how long past the deadline the home's last word is
-	// waited for: it tells not-run from unknown.
+	// homeResponseGrace is how long past the deadline a home's response is awaited, which
+	// tells whether the request ended as not run or with an unknown outcome.
 	homeResponseGrace = 100 * time.Millisecond
-	// relayLinger is how long a host that stops answers others after the
-	// last work that they handed over.
+	// relayLinger is how long a stopping host still responds to other entry hosts after
+	// the end of the last request that they relayed.
 	relayLinger = 500 * time.Millisecond
 )
 
-// handle runs a request that came to this entry host. One with an
-// idempotency key goes to the home of its key first.
-func (e *Entry) handle(ctx context.Context, w *job) outcome.Result {
-	if w.idempotencyKey == "" {
-		return e.serveOrRelay(ctx, w)
+// handle handles a request that a caller sent to this entry host. One with an
+// idempotency key is relayed to the home of its key.
+func (e *Entry) handle(ctx context.Context, j *job) outcome.Result {
+	if j.idempotencyKey == "" {
+		return e.serveOrRelay(ctx, j)
 	}
 	for {
 		v := e.view.Load()
-		home, ok := v.homeOfKey(w.request.Service, w.hash)
+		home, ok := v.homeOfKey(j.request.Service, j.hash)
 		if !ok || home.Host == e.cfg.Host || e.cfg.Transport == nil {
-			return e.serveOnce(ctx, w)
+			return e.serveOnce(ctx, j)
 		}
-		if result := e.relay(ctx, v, nil, home, w); result != nil {
+		if result := e.relay(ctx, v, nil, home, j); result != nil {
 			return result
 		}
 	}
 }
 
-// serveOrRelay runs the request here or at the home of its target.
-func (e *Entry) serveOrRelay(ctx context.Context, w *job) outcome.Result {
+// serveOrRelay serves the request, or relays it to the home of its target.
+func (e *Entry) serveOrRelay(ctx context.Context, j *job) outcome.Result {
 	if e.cfg.Transport == nil || e.cfg.Sharing == ShareAdaptive {
-		return e.serve(ctx, w)
+		return e.serve(ctx, j)
 	}
 	for {
 		v := e.view.Load()
-		l := e.ownerOf(v, w)
-		if l == nil {
-			if failure := e.park(ctx, v, w, outcome.NoOwner); failure != nil {
-				return w.finalResult(failure)
+		ts := e.ownerOf(v, j)
+		if ts == nil {
+			if failure := e.park(ctx, v, j, outcome.NoOwner); failure != nil {
+				return j.finalResult(failure)
 			}
 			continue
 		}
-		home, self := e.homeOfTarget(l)
+		home, self := e.homeOfTarget(ts)
 		if self {
-			return e.serve(ctx, w)
+			return e.serve(ctx, j)
 		}
-		if e.cfg.Sharing == ShareMixed && l.uncontended(time.Now()) {
-			if result := e.tryDirect(ctx, w); result != nil {
+		if e.cfg.Sharing == ShareMixed && ts.uncontended(time.Now()) {
+			if result := e.tryDirect(ctx, j); result != nil {
 				return result
 			}
 			continue
 		}
-		if result := e.relay(ctx, v, l, home, w); result != nil {
-			return w.finalResult(result)
+		if result := e.relay(ctx, v, ts, home, j); result != nil {
+			return j.finalResult(result)
 		}
 	}
 }
 
-// tryDirect tries the target without its home. It returns nil where the target
-// has no free slot; the request did not run then.
-func (e *Entry) tryDirect(ctx context.Context, w *job) outcome.Result {
-	w.direct = true
-	defer func() { w.direct = false }()
-	return e.serve(ctx, w)
+// tryDirect serves the request without the home of its target. It returns nil if no slot
+// was free and the request did not run.
+func (e *Entry) tryDirect(ctx context.Context, j *job) outcome.Result {
+	j.direct = true
+	defer func() { j.direct = false }()
+	return e.serve(ctx, j)
 }
 
-// ownerOf returns the lane of the request's owner, or nil.
-func (e *Entry) ownerOf(v *view, w *job) *targetState {
-	s := v.services[w.request.Service]
+// ownerOf returns the target that owns the request's key, or nil.
+func (e *Entry) ownerOf(v *view, j *job) *targetState {
+	s := v.services[j.request.Service]
 	if s == nil {
 		return nil
 	}
-	_, o := s.find(w.hash)
+	_, o := s.find(j.hash)
 	return o.target
 }
 
-// homeOfTarget returns the home of a lane's target; self is true for this
-// host. Homes that are suspected are passed over.
-func (e *Entry) homeOfTarget(l *targetState) (home place.HostRow, self bool) {
-	ranked := l.homes.Load()
+// homeOfTarget returns the home of a target: the first candidate that is not suspected.
+// self reports whether this is the home, also if there is no other.
+func (e *Entry) homeOfTarget(ts *targetState) (home place.HostRow, self bool) {
+	ranked := ts.homes.Load()
 	if ranked == nil {
 		return place.HostRow{}, true
 	}
@@ -118,100 +119,103 @@
 	return place.HostRow{}, true
 }
 
-// relay asks the home to run the request. It returns nil where the home
-// certainly did not take it.
-func (e *Entry) relay(ctx context.Context, v *view, l *targetState, home place.HostRow, w *job) outcome.Result {
+// relay sends the request to its home and returns the result. It returns nil if the
+// request must be tried again: the home did not accept it, or an idempotent request had
+// an uncertain result.
+func (e *Entry) relay(ctx context.Context, v *view, ts *targetState, home place.HostRow, j *job) outcome.Result {
 	now := time.Now()
-	if !w.deadline.After(now) {
+	if !j.deadline.After(now) {
 		return notRun(outcome.Deadline, defaultRetryAfter)
 	}
-	body, err := encodeJob(now, w)
+	body, err := encodeJob(now, j)
 	if err != nil {
 		return outcome.NotRunFailure{Reason: outcome.BadHeader}
 	}
-	answer, err := e.callHome(ctx, home, w, body)
+	response, err := e.callHome(ctx, home, j, body)
 	switch {
 	case err == nil:
 	case errors.Is(err, peer.ErrUnreachable), errors.Is(err, peer.ErrRefused):
-		return e.homeNotAccepted(ctx, v, home.Host, w)
+		return e.homeNotAccepted(ctx, v, home.Host, j)
 	case errors.Is(err, peer.ErrTooLarge):
 		return outcome.NotRunFailure{Reason: outcome.BodyTooBig}
 	default:
-		e.log.Debug("Answer of a home lost.", "home", string(home.Host), "error", err)
-		return e.homeUncertain(ctx, home.Host, w)
+		e.log.Debug("No response from the home of a relayed request.", "home", string(home.Host), "error", err)
+		return e.homeUncertain(ctx, home.Host, j)
 	}
-	result, waited, err := decodeResult(answer)
-	if waited && l != nil {
-		l.markContended(time.Now())
+	result, waited, err := decodeResult(response)
+	if waited && ts != nil {
+		ts.markContended(time.Now())
 	}
 	if err != nil {
 		return outcome.UnknownFailure{Reason: outcome.AnswerBad}
 	}
 	if f, ok := result.(outcome.NotRunFailure); ok && f.Reason == reasonNotHome {
-		return e.homeNotAccepted(ctx, v, home.Host, w)
+		return e.homeNotAccepted(ctx, v, home.Host, j)
 	}
-	if f, ok := result.(outcome.UnknownFailure); ok && w.idempotencyKey == "" && e.mayRetry(ctx, w, f.Reason) {
-		w.uncertainReason = f.Reason
+	if f, ok := result.(outcome.UnknownFailure); ok && j.idempotencyKey == "" && e.mayRetry(ctx, j, f.Reason) {
+		j.uncertainReason = f.Reason
 		return nil
 	}
 	return result
 }
 
-// homeUncertain ends a request that the home may have run. A look-up is run once
-// more elsewhere.
-func (e *Entry) homeUncertain(ctx context.Context, host place.Host, w *job) outcome.Result {
+// homeUncertain suspects a home that did not respond but may have run the request. It
+// returns nil if the request may be retried elsewhere.
+func (e *Entry) homeUncertain(ctx context.Context, host place.Host, j *job) outcome.Result {
 	e.homes.suspect(host)
-	if ctx.Err() != nil || !w.deadline.After(time.Now()) {
+	if ctx.Err() != nil || !j.deadline.After(time.Now()) {
 		return outcome.UnknownFailure{Reason: outcome.AnswerLate}
 	}
-	if w.idempotencyKey != "" || !e.mayRetry(ctx, w, outcome.AnswerCut) {
+	if j.idempotencyKey != "" || !e.mayRetry(ctx, j, outcome.AnswerCut) {
 		return outcome.UnknownFailure{Reason: outcome.AnswerCut}
 	}
-	w.uncertainReason = outcome.AnswerCut
+	j.uncertainReason = outcome.AnswerCut
 	return nil
 }
 
-// mayRetry takes the right to run a look-up once more after an uncertain
-// try. Only one entry host does so, the first or the home of its idempotency
-// key: else it would run more than twice.
-func (e *Entry) mayRetry(ctx context.Context, w *job, reason outcome.Reason) bool {
-	if !w.idempotent || w.uncertainReason != "" || w.relayed {
+// mayRetry reports whether an idempotent request is retried after an uncertain attempt,
+// and then withdraws the retry from the budget. Only the entry host that received the
+// request, or the home of its idempotency key, retries it; otherwise it could run more
+// than twice.
+func (e *Entry) mayRetry(ctx context.Context, j *job, reason outcome.Reason) bool {
+	if !j.idempotent || j.uncertainReason != "" || j.relayed {
 		return false
 	}
 	return reason != outcome.AnswerLate && ctx.Err() == nil && e.withdrawRetry()
 }
 
-// callHome carries the request over the peer link. Work that may not be
-// broken off goes on at the home when the caller hangs up or the home is
-// suspected.
-func (e *Entry) callHome(ctx context.Context, home place.HostRow, w *job, body []byte) ([]byte, error) {
-	gone := e.homes.recordUse(time.Now(), home)
-	if !w.idempotent {
+// callHome sends the request to its home. A request that is not idempotent is not
+// canceled when the caller disconnects. Only an idempotent one without an idempotency key
+// is canceled when the home becomes suspected.
+func (e *Entry) callHome(ctx context.Context, home place.HostRow, j *job, body []byte) ([]byte, error) {
+	reachable := e.homes.recordUse(time.Now(), home)
+	if !j.idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
-	ctx, cancel := context.WithDeadline(ctx, w.deadline.Add(homeResponseGrace))
+	ctx, cancel := context.WithDeadline(ctx, j.deadline.Add(homeResponseGrace))
 	defer cancel()
-	if w.idempotent && w.idempotencyKey == "" {
-		stop := context.AfterFunc(gone, cancel)
+	if j.idempotent && j.idempotencyKey == "" {
+		stop := context.AfterFunc(reachable, cancel)
 		defer stop()
 	}
 	return e.cfg.Transport.Call(ctx, home.EntryAddr, peer.KindRelay, body)
 }
 
-// homeNotAccepted passes over a home that did not take the request. With an
-// idempotency key it waits for that home or another list of hosts instead.
-func (e *Entry) homeNotAccepted(ctx context.Context, v *view, host place.Host, w *job) outcome.Result {
+// homeNotAccepted suspects a home that did not accept the request, and returns nil to try
+// the next one. A request with an idempotency key has only one home; it is parked until
+// that home accepts it or the list of hosts changes.
+func (e *Entry) homeNotAccepted(ctx context.Context, v *view, host place.Host, j *job) outcome.Result {
 	e.homes.suspect(host)
 	if ctx.Err() != nil {
 		return notRun(outcome.CallerGone, defaultRetryAfter)
 	}
-	if w.idempotencyKey == "" {
+	if j.idempotencyKey == "" {
 		return nil
 	}
-	return e.park(ctx, v, w, outcome.Unreachable)
+	return e.park(ctx, v, j, outcome.Unreachable)
 }
 
-// HandleRelayed answers a request that another entry host handed over.
+// HandleRelayed serves a request that another entry host relayed.
 func (e *Entry) HandleRelayed(ctx context.Context, _ peer.Identity, body []byte) ([]byte, error) {
 	if len(body) == 0 {
 		return nil, nil // a ping
@@ -219,31 +223,31 @@
 	e.relayed.Add(1)
 	defer e.relayed.Add(-1)
 	now := time.Now()
-	w, err := decodeJob(now, body)
+	j, err := decodeJob(now, body)
 	if err != nil {
 		return nil, err
 	}
-	w.request.ID = e.requestIDs.next()
-	w.relayed = true
-	if !e.acceptsRelayed(w) {
+	j.request.ID = e.requestIDs.next()
+	j.relayed = true
+	if !e.acceptsRelayed(j) {
 		return encodeResult(outcome.NotRunFailure{Reason: reasonNotHome}, false)
 	}
-	size := int64(len(w.request.Body))
+	size := int64(len(j.request.Body))
 	if !e.bodyMemory.reserve(size) {
 		return encodeResult(notRun(outcome.Overload, defaultRetryAfter), true)
 	}
 	defer e.bodyMemory.release(size)
-	if w.idempotencyKey != "" {
-		return encodeResult(e.serveOnce(ctx, w), false)
+	if j.idempotencyKey != "" {
+		return encodeResult(e.serveOnce(ctx, j), false)
 	}
-	result := e.serve(ctx, w)
-	return encodeResult(result, w.waited)
+	result := e.serve(ctx, j)
+	return encodeResult(result, j.waited)
 }
 
-// drainRelayed ends the work that other hosts hand over: what runs here ends,
-// what comes is refused as not run. The link stays open a while longer, for the
-// last answers to arrive and for the other hosts to learn that this one is no
-// home now; a message on its way when the link closes would end as unknown.
+// drainRelayed refuses further relayed requests as not run and waits for those in
+// flight. Then it waits for relayLinger before the transport may close, so that the last
+// responses arrive and other hosts learn that this one is no home any more. A request on
+// its way when the transport closes would have an unknown outcome.
 func (e *Entry) drainRelayed(ctx context.Context) {
 	e.refuseRelayed.Store(true)
 	ticker := time.NewTicker(stopPollInterval)
@@ -258,18 +262,17 @@
 	sleep(ctx, relayLinger)
 }
 
-// acceptsRelayed reports whether this host runs a request that was handed to it:
-// not while it stops, nor before it has the service's table. One with an
-// idempotency key runs nowhere but at the home of its key, which takes it until
-// the end of its stop.
-func (e *Entry) acceptsRelayed(w *job) bool {
+// acceptsRelayed reports whether this host serves a relayed request: not while it drains
+// or has no routing table of the service. A request with an idempotency key is accepted
+// only by the home of its key, until drainRelayed starts.
+func (e *Entry) acceptsRelayed(j *job) bool {
 	if e.refuseRelayed.Load() {
 		return false
 	}
 	v := e.view.Load()
-	if w.idempotencyKey == "" {
-		return !e.draining.Load() && v.services[w.request.Service] != nil
+	if j.idempotencyKey == "" {
+		return !e.draining.Load() && v.services[j.request.Service] != nil
 	}
-	home, ok := v.homeOfKey(w.request.Service, w.hash)
+	home, ok := v.homeOfKey(j.request.Service, j.hash)
 	return ok && home.Host == e.cfg.Host
 }
--- a/internal/entry/homemonitor.go
+++ b/internal/entry/homemonitor.go
@@ -18,45 +18,50 @@
 )
 
 const (
-	// homesPerTarget bounds the entry hosts that stand in for a target's home in
-	// turn.
+	// homesPerTarget is the number of entry hosts that are candidates for a target's
+	// home.
 	homesPerTarget = 3
-	// pingInterval is the time between two pings of a host that work was
-	// handed to, pingTimeout how long its answer may take.
+	// pingInterval is the time between two pings of a host in use, pingTimeout how long
+	// its response may take.
 	pingInterval = 100 * time.Millisecond
 	pingTimeout  = 200 * time.Millisecond
-	// maxMissedPings is the pings in a row that a host may leave unanswered: a busy
-	// host misses one, and suspecting it breaks off the look-ups handed to it.
+	// maxMissedPings is the number of pings without a response, in a row, after which a
+	// host is suspected. A busy host misses single pings, and a suspicion cancels the
+	// idempotent requests relayed to it.
 	maxMissedPings = 3
-	// pingIdleTimeout is how long after the last hand-over a host is pinged.
+	// pingIdleTimeout is how long after the last relayed request a host is pinged.
 	pingIdleTimeout = 2 * time.Second
-	// maxPingsPerRound bounds the pings of one round; with more hosts in use each is
+	// maxPingsPerRound limits the pings per pingInterval. With more hosts in use, each is
 	// pinged less often.
 	maxPingsPerRound = 16
 )
 
-// homeMonitor keeps what is known of the entry hosts that this one hands work to.
+// homeMonitor pings the entry hosts that this one relays requests to, and suspects those
+// that don't respond. It is safe for concurrent use.
 type homeMonitor struct {
-	mu       sync.Mutex
-	hosts    map[place.Host]*homeState
+	mu    sync.Mutex
+	hosts map[place.Host]*homeState
+	// nextPing is the index of the next host to ping, by name.
 	nextPing int
 }
 
-// homeState is one host. gone ends the look-ups that wait for it.
+// homeState is the state of one host.
 type homeState struct {
-	addr            netip.AddrPort
-	usedAt          time.Time
-	suspected       bool
-	pinging         bool
-	missedPings     int // pings in a row without an answer
+	addr        netip.AddrPort
+	usedAt      time.Time // when the last request was relayed
+	suspected   bool
+	pinging     bool
+	missedPings int // in a row
+	// reachable is canceled by markUnreachable when the host becomes suspected, or when
+	// the state is dropped. Relayed idempotent requests end with it.
 	reachable       context.Context
 	markUnreachable context.CancelFunc
 }
 
 func newHomeMonitor() *homeMonitor { return &homeMonitor{hosts: make(map[place.Host]*homeState)} }
 
-// rankHomes orders the entry hosts by rendezvous for a target; those of the
-// target's zone come first, so that a request crosses zones once.
+// rankHomes returns the candidates for a target's home, by rendezvous hashing. Entry
+// hosts in the target's zone come first, so that a request crosses zones at most once.
 func rankHomes(hosts []place.HostRow, zone place.Zone, target place.Target) []place.HostRow {
 	out := slices.Clone(hosts)
 	weight := func(h place.HostRow) uint64 { return xxhash.Sum64String(string(h.Host) + "\x00" + string(target)) }
@@ -72,37 +77,37 @@
 	return out[:min(len(out), homesPerTarget)]
 }
 
-// keyHomeBuckets is the number of parts of a service's key space that each have a
-// home of their own.
+// keyHomeBuckets is the number of equal parts of a service's key space, each of which has
+// one home.
 const keyHomeBuckets = 256
 
-// homeOfKey returns the entry host that runs all work with an idempotency key
-// for a key of a service. It does not depend on the owner of the key, so that
-// a repetition finds the first copy while the key moves. ok is false where no
-// hosts are known.
+// homeOfKey returns the entry host that handles all requests with an idempotency key for
+// a key of a service. It does not depend on the owner of the key, so that a retry finds
+// the first run also while the key moves. ok is false if no entry hosts are known.
 func (v *view) homeOfKey(service key.Service, h key.Hash) (home place.HostRow, ok bool) {
 	if len(v.hosts) == 0 {
 		return place.HostRow{}, false
 	}
-	part := xxhash.Sum64String(string(service)) + uint64(h)>>56
-	return v.hosts[v.keyHomes[part%keyHomeBuckets]], true
+	bucket := xxhash.Sum64String(string(service)) + uint64(h)>>56
+	return v.hosts[v.keyHomes[bucket%keyHomeBuckets]], true
 }
 
-// rankKeyHomes gives each part of the key space a home by rendezvous.
+// rankKeyHomes returns the home of each bucket by rendezvous hashing, as an index into
+// hosts.
 func rankKeyHomes(hosts []place.HostRow) []int {
 	out := make([]int, keyHomeBuckets)
-	for part := range out {
-		var most uint64
+	for bucket := range out {
+		var maxWeight uint64
 		for i, h := range hosts {
-			if w := xxhash.Sum64String(string(h.Host) + "\x00" + strconv.Itoa(part)); w >= most {
-				out[part], most = i, w
+			if w := xxhash.Sum64String(string(h.Host) + "\x00" + strconv.Itoa(bucket)); w >= maxWeight {
+				out[bucket], maxWeight = i, w
 			}
 		}
 	}
 	return out
 }
 
-// entryHosts reads the entry hosts that the platform lists, sorted by name.
+// entryHosts returns the live entry hosts of the fleet document, sorted by name.
 func (e *Entry) entryHosts() []place.HostRow {
 	doc, ok := e.cfg.Replica.Get(docsync.Fleet)
 	if !ok {
@@ -110,7 +115,7 @@
 	}
 	fleet, err := docsync.DecodeFleet(doc.Body)
 	if err != nil {
-		e.log.Error("Fleet list is unreadable.", "error", err)
+		e.log.Error("Fleet document not decodable, no entry hosts are known.", "error", err)
 		return nil
 	}
 	hosts := slices.DeleteFunc(fleet.Hosts, func(h place.HostRow) bool {
@@ -120,8 +125,8 @@
 	return hosts
 }
 
-// recordUse records a hand-over and returns the context that ends once the host is
-// suspected.
+// recordUse records that a request is relayed to a host. It returns a context that is
+// canceled when the host becomes suspected.
 func (h *homeMonitor) recordUse(now time.Time, row place.HostRow) context.Context {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -135,7 +140,7 @@
 	return s.reachable
 }
 
-// suspected reports whether a host did not answer its last ping.
+// suspected reports whether a host is suspected to be unreachable.
 func (h *homeMonitor) suspected(host place.Host) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,7 +148,7 @@
 	return s != nil && s.suspected
 }
 
-// suspect passes over a host until it answers a ping.
+// suspect marks a host as suspected until it responds to a ping.
 func (h *homeMonitor) suspect(host place.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +160,8 @@
 	s.markUnreachable()
 }
 
-// pingMissed counts a ping without an answer; it reports whether they are too many.
+// pingMissed counts a ping without a response and reports whether the host must be
+// suspected.
 func (h *homeMonitor) pingMissed(host place.Host) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,7 +173,7 @@
 	return s.missedPings >= maxMissedPings
 }
 
-// pingAnswered takes a host back that answered a ping.
+// pingAnswered records a response, after which the host is not suspected.
 func (h *homeMonitor) pingAnswered(host place.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -183,7 +189,8 @@
 	s.reachable, s.markUnreachable = context.WithCancel(context.Background())
 }
 
-// duePings returns the hosts to ping now, in turn, and marks them as being pinged.
+// duePings returns the pings of one round, round robin over the hosts in use and the
+// suspected ones. It drops hosts that are not in use any more.
 func (h *homeMonitor) duePings(now time.Time) []ping {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -209,6 +216,7 @@
 	return out
 }
 
+// pingEnded allows the next ping of a host.
 func (h *homeMonitor) pingEnded(host place.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -217,13 +225,13 @@
 	}
 }
 
-// ping is one question whether a host is there.
+// ping is one ping of a host.
 type ping struct {
 	host place.Host
 	addr netip.AddrPort
 }
 
-// send asks once.
+// send sends the ping and records the result.
 func (p ping) send(ctx context.Context, e *Entry) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -236,8 +244,8 @@
 	}
 }
 
-// loopPings asks the hosts that work is handed to whether they are there: a
-// dead one answers nothing, and the link takes seconds to tell.
+// loopPings pings the hosts that requests are relayed to. Without pings, the transport
+// takes seconds to detect that a host is down.
 func (e *Entry) loopPings(ctx context.Context) error {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
--- a/internal/entry/httpserver.go
+++ b/internal/entry/httpserver.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Bounds of the callers' connections.
+// Limits of callers' connections.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeaderBytes bounds a request's line and headers; net/http adds 4 KiB.
-	maxHeaderBytes = 16 << 10
-	// stopPollInterval is how often a stop looks for open connections.
+	// maxHeaderBytes limits the request line and the headers. net/http allows 4 KiB
+	// more.
+	maxHeaderBytes   = 16 << 10
 	stopPollInterval = 5 * time.Millisecond
 )
 
-// Server serves callers on one listener.
+// Server is the HTTP server for callers, on one listener.
 type Server struct {
 	http      http.Server
 	listener  net.Listener
@@ -28,7 +28,7 @@
 	stopping  atomic.Bool
 }
 
-// NewServer returns the server for callers; Run serves.
+// NewServer returns a server. Run starts it.
 func NewServer(handler http.Handler, listener net.Listener) *Server {
 	s := &Server{listener: listener}
 	s.http = http.Server{
@@ -42,6 +42,7 @@
 	return s
 }
 
+// countConn keeps the number of open connections.
 func (s *Server) countConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -51,7 +52,7 @@
 	}
 }
 
-// Run serves until Stop or Close.
+// Run serves until Stop or Close is called.
 func (s *Server) Run() error {
 	err := s.http.Serve(s.listener)
 	if s.stopping.Load() || errors.Is(err, http.ErrServerClosed) {
@@ -60,19 +61,20 @@
 	return err
 }
 
-// Stop takes no new connections and lets those that are open end: each is
-// closed after its next answer, which says so. One that stays idle for
-// patience is closed: closing it at once could cut a request on its way.
-// Requests that run end, within ctx.
-func (s *Server) Stop(ctx context.Context, patience time.Duration) error {
+// Stop closes the listener and waits until all connections are closed. The next response
+// on a connection announces its end if the handler sets "Connection: close". Connections
+// idle after idleWait are closed; closing them at once could abort a request that is
+// on its way. Requests in flight may complete until ctx ends.
+func (s *Server) Stop(ctx context.Context, idleWait time.Duration) error {
 	s.stopping.Store(true)
 	_ = s.listener.Close()
-	s.waitClosed(ctx, patience)
+	s.waitClosed(ctx, idleWait)
 	return s.http.Shutdown(ctx)
 }
 
-func (s *Server) waitClosed(ctx context.Context, patience time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// waitClosed waits until all connections are closed or the timeout passes.
+func (s *Server) waitClosed(ctx context.Context, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
@@ -85,7 +87,7 @@
 	}
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error {
 	s.stopping.Store(true)
 	return s.http.Close()
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -18,17 +18,16 @@
 const refusalBusy = target.RefusalBusy
 
 const (
-	// minParkWait is how long a request that a target refused as not its owner
-	// waits for a newer table before the target is asked again: the target
-	// may get its grant after the table is out.
-	// The wait doubles each time, up to parkDoublings times.
+	// minParkWait is how long a parked request waits for a newer routing table before
+	// the next attempt at the same owner, which may receive its grant after the table is
+	// published. The wait doubles each time, up to maxParkDoublings times.
 	minParkWait      = 40 * time.Millisecond
 	maxParkDoublings = 4
-	// defaultRetryAfter is the hint where nothing better is known.
+	// defaultRetryAfter is the Retry-After hint where nothing better is known.
 	defaultRetryAfter = time.Second
 )
 
-// job is one request on its way to the owner of its key.
+// job is one request on its way to the target that owns its key.
 type job struct {
 	caller     settings.Caller
 	class      settings.Class
@@ -37,37 +36,39 @@
 	request    forward.Request
 	hash       key.Hash
 	deadline   time.Time
-	// idempotencyKey is the idempotency key, or empty; digest tells requests apart
-	// that misuse the same one.
+	// idempotencyKey is empty if the request has none. fingerprint is set only with it.
 	idempotencyKey string
 	fingerprint    fingerprint
-	// parkUntil bounds the waiting for an owner.
-	parkUntil   time.Time
+	// parkUntil is the end of the whole time that the request may be parked.
+	parkUntil time.Time
+	// wake receives the event that ends the wait for a slot.
 	wake        chan slotEvent
 	queueHandle queue.Handle
-	// direct tells that the request goes to its home where the target has no
-	// free slot; waited that it waited for one.
+	// direct is set while the request must not queue on this host: without a free slot
+	// it is relayed to the target's home. waited is set once it has queued for a slot.
 	direct, waited bool
-	// ownerMoved tells that the owner changed while the request ran.
+	// ownerMoved is set if the request was canceled because its key has a new owner.
 	ownerMoved atomic.Bool
-	// relayed tells that another entry host handed the request over.
+	// relayed is set if another entry host relayed the request to this one.
 	relayed bool
-	// requeue tells that the request held a slot before and did not run.
+	// requeue is set once the request has held a slot. It then queues at the head of its
+	// flow.
 	requeue bool
-	// uncertainReason is the reason of an uncertain try, after which the request
-	// was sent again; it can no longer end as not-run.
+	// uncertainReason is why an earlier attempt may have run. Once set, the request
+	// can't end as not run.
 	uncertainReason outcome.Reason
-	// refusedBy is the owner that said it does not own the shard; parks
-	// counts the waits for a newer table.
+	// refusedBy is the owner that refused the request because it does not own the shard
+	// or is draining.
 	refusedBy owner
+	// parkCount is how often the request was parked.
 	parkCount int
 }
 
-// step is what to do after one try.
+// step is what to do after an attempt.
 type step interface{ step() }
 
-// finish ends the request; again tries it at once; park waits for a newer
-// table first.
+// finish ends the request. retryNow tries again immediately. park waits for a newer
+// view first.
 type (
 	finish   struct{ result outcome.Result }
 	retryNow struct{}
@@ -78,146 +79,148 @@
 func (retryNow) step() {}
 func (park) step()     {}
 
-// serve takes one request to its end. ctx ends when nobody waits for the
-// answer any more.
-func (e *Entry) serve(ctx context.Context, w *job) outcome.Result {
+// serve forwards the request to its owner until it ends. ctx is canceled when no caller
+// waits for the response any more.
+func (e *Entry) serve(ctx context.Context, j *job) outcome.Result {
 	e.countForRetries()
 	for {
 		v := e.view.Load()
-		switch s := e.tryOwner(ctx, v, w).(type) {
+		switch s := e.tryOwner(ctx, v, j).(type) {
 		case finish:
-			return w.finalResult(s.result)
+			return j.finalResult(s.result)
 		case park:
-			if failure := e.park(ctx, v, w, s.reason); failure != nil {
-				return w.finalResult(failure)
+			if failure := e.park(ctx, v, j, s.reason); failure != nil {
+				return j.finalResult(failure)
 			}
 		case retryNow:
 		}
 	}
 }
 
-// finalResult keeps not-run true: a look-up that was cut once and then found no
-// owner may have run the first time.
-func (w *job) finalResult(r outcome.Result) outcome.Result {
-	if _, ok := r.(outcome.NotRunFailure); ok && w.uncertainReason != "" {
-		return outcome.UnknownFailure{Reason: w.uncertainReason}
+// finalResult returns the result to report. A request that did not run in its last
+// attempt has an unknown outcome if an earlier attempt may have run.
+func (j *job) finalResult(r outcome.Result) outcome.Result {
+	if _, ok := r.(outcome.NotRunFailure); ok && j.uncertainReason != "" {
+		return outcome.UnknownFailure{Reason: j.uncertainReason}
 	}
 	return r
 }
 
-// tryOwner sends the request to the owner that the view names.
-func (e *Entry) tryOwner(ctx context.Context, v *view, w *job) step {
-	s := v.services[w.request.Service]
+// tryOwner waits for a slot of the owner in the view and sends the request to it.
+func (e *Entry) tryOwner(ctx context.Context, v *view, j *job) step {
+	s := v.services[j.request.Service]
 	if s == nil {
 		return park{outcome.NoOwner}
 	}
-	shard, o := s.find(w.hash)
-	if o.target == nil || o == w.refusedBy && !e.withdrawRetry() {
+	shard, o := s.find(j.hash)
+	if o.target == nil || o == j.refusedBy && !e.withdrawRetry() {
 		return park{outcome.NoOwner}
 	}
-	switch sig := e.awaitSlot(ctx, o.target, w).(type) {
+	switch event := e.awaitSlot(ctx, o.target, j).(type) {
 	case ownerMoved:
 		return retryNow{}
 	case contended:
 		return finish{nil}
 	case dropped:
-		return finish{sig.failure}
+		return finish{event.failure}
 	}
-	w.request.Shard, w.request.Epoch = shard, o.epoch
-	if now, stale := time.Now(), e.ownerChanged(w, o); stale {
-		o.target.release(now, w, 0, forward.NotSent{Err: context.Canceled})
+	j.request.Shard, j.request.Epoch = shard, o.epoch
+	if now, stale := time.Now(), e.ownerChanged(j, o); stale {
+		o.target.release(now, j, 0, forward.NotSent{Err: context.Canceled})
 		return retryNow{}
 	}
-	return e.send(ctx, s, o, w)
+	return e.send(ctx, s, o, j)
 }
 
-// ownerChanged reports whether the owner changed while the request waited.
-func (e *Entry) ownerChanged(w *job, o owner) bool {
-	s := e.view.Load().services[w.request.Service]
+// ownerChanged reports whether the newest view has another owner, epoch or shard for the
+// key than the request was assigned.
+func (e *Entry) ownerChanged(j *job, o owner) bool {
+	s := e.view.Load().services[j.request.Service]
 	if s == nil {
 		return true
 	}
-	shard, newest := s.find(w.hash)
-	return newest != o || shard != w.request.Shard
+	shard, newest := s.find(j.hash)
+	return newest != o || shard != j.request.Shard
 }
 
-// awaitSlot waits for a slot of the lane. On every way out but granted the
-// request is out of the queue and did not run.
-func (e *Entry) awaitSlot(ctx context.Context, l *targetState, w *job) slotEvent {
+// awaitSlot waits for a slot of the target. Unless it returns assigned, the request is
+// not queued any more and was not sent.
+func (e *Entry) awaitSlot(ctx context.Context, ts *targetState, j *job) slotEvent {
 	now := time.Now()
-	if !w.deadline.After(now) {
+	if !j.deadline.After(now) {
 		return dropped{notRun(outcome.Deadline, defaultRetryAfter)}
 	}
-	if sig := l.acquire(now, w); sig != nil {
-		return sig
+	if event := ts.acquire(now, j); event != nil {
+		return event
 	}
-	w.waited = true
+	j.waited = true
 	select {
-	case sig := <-w.wake:
-		return sig
+	case event := <-j.wake:
+		return event
 	case <-ctx.Done():
 	}
-	if !l.dequeue(w) {
-		if _, ok := (<-w.wake).(assigned); ok {
-			l.release(time.Now(), w, 0, forward.NotSent{Err: context.Canceled})
+	if !ts.dequeue(j) {
+		if _, ok := (<-j.wake).(assigned); ok {
+			ts.release(time.Now(), j, 0, forward.NotSent{Err: context.Canceled})
 		}
 	}
 	return dropped{notRun(outcome.CallerGone, defaultRetryAfter)}
 }
 
-// send makes one try with the slot held, and gives the slot back.
-func (e *Entry) send(ctx context.Context, s *service, o owner, w *job) step {
-	l := o.target
+// send makes one attempt and then releases the slot.
+func (e *Entry) send(ctx context.Context, s *service, o owner, j *job) step {
+	ts := o.target
 	start := time.Now()
-	if !w.deadline.After(start) {
-		l.release(start, w, 0, forward.NotSent{Err: context.Canceled})
+	if !j.deadline.After(start) {
+		ts.release(start, j, 0, forward.NotSent{Err: context.Canceled})
 		return finish{notRun(outcome.Deadline, defaultRetryAfter)}
 	}
-	result := l.attempt(w.sendContext(ctx), w, start)
+	result := ts.attempt(j.sendContext(ctx), j, start)
 	end := time.Now()
 	took := end.Sub(start)
-	l.release(end, w, took, result)
-	s.load.add(w.request.Shard, w.hash, took)
+	ts.release(end, j, took, result)
+	s.load.add(j.request.Shard, j.hash, took)
 	e.metrics.countAttempt(result)
-	return e.afterAttempt(ctx, o, w, result)
+	return e.afterAttempt(ctx, o, j, result)
 }
 
-// attempt makes one try; a look-up is broken off where its owner changes.
-func (l *targetState) attempt(ctx context.Context, w *job, now time.Time) forward.Result {
-	if !w.idempotent {
-		return l.pool.Do(ctx, &w.request, now)
+// attempt makes one attempt. An idempotent request is canceled if its owner changes.
+func (ts *targetState) attempt(ctx context.Context, j *job, now time.Time) forward.Result {
+	if !j.idempotent {
+		return ts.pool.Do(ctx, &j.request, now)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l.track(w, cancel)
-	defer l.untrack(w)
-	return l.pool.Do(ctx, &w.request, now)
+	ts.track(j, cancel)
+	defer ts.untrack(j)
+	return ts.pool.Do(ctx, &j.request, now)
 }
 
-// sendContext lets a caller that hung up cancel a look-up that runs. Other
-// work runs to its end: breaking it off would leave its outcome unknown.
-func (w *job) sendContext(ctx context.Context) context.Context {
-	if w.idempotent {
+// sendContext returns the context of an attempt. A caller that disconnects cancels an
+// idempotent request in flight. Other requests run to their end, since canceling them
+// would leave their outcome unknown.
+func (j *job) sendContext(ctx context.Context) context.Context {
+	if j.idempotent {
 		return ctx
 	}
 	return context.WithoutCancel(ctx)
 }
 
-// afterAttempt decides what follows one try.
-func (e *Entry) afterAttempt(ctx context.Context, o owner, w *job, result forward.Result) step {
+// afterAttempt returns the step after an attempt.
+func (e *Entry) afterAttempt(ctx context.Context, o owner, j *job, result forward.Result) step {
 	switch r := result.(type) {
 	case forward.Completed:
 		return finish{r.Response}
 	case forward.Refused:
-		return e.afterRefused(o, w, r.Refusal)
+		return e.afterRefused(o, j, r.Refusal)
 	case forward.NotSent:
-		return e.afterNotSent(ctx, w, r.Err)
+		return e.afterNotSent(ctx, j, r.Err)
 	case forward.Uncertain:
-		if w.ownerMoved.Swap(false) {
+		if j.ownerMoved.Swap(false) {
 			r.Reason = outcome.AnswerCut
 		}
-		if e.mayRetry(ctx, w, r.Reason) {
-			w.uncertainReason, w.requeue = r.Reason, true
+		if e.mayRetry(ctx, j, r.Reason) {
+			j.uncertainReason, j.requeue = r.Reason, true
 			return retryNow{}
 		}
 		return finish{outcome.UnknownFailure{Reason: r.Reason}}
@@ -225,12 +228,12 @@
 	return finish{outcome.UnknownFailure{Reason: outcome.AnswerBad}}
 }
 
-// afterRefused follows a target's word that nothing ran.
-func (e *Entry) afterRefused(o owner, w *job, refusal target.Refusal) step {
-	w.requeue = true
+// afterRefused returns the step after a target refused the request without running it.
+func (e *Entry) afterRefused(o owner, j *job, refusal target.Refusal) step {
+	j.requeue = true
 	switch refusal {
 	case target.RefusalBusy:
-		if w.direct {
+		if j.direct {
 			o.target.markContended(time.Now())
 			return finish{nil}
 		}
@@ -238,15 +241,15 @@
 	case target.RefusalDeadline:
 		return finish{notRun(outcome.Deadline, defaultRetryAfter)}
 	case target.RefusalOwner, target.RefusalDraining:
-		w.refusedBy = o
+		j.refusedBy = o
 		return park{outcome.NoOwner}
 	}
 	return finish{notRun(outcome.Refused, defaultRetryAfter)}
 }
 
-// afterNotSent follows a try of which no byte left.
-func (e *Entry) afterNotSent(ctx context.Context, w *job, err error) step {
-	w.requeue = true
+// afterNotSent returns the step after an attempt that sent nothing.
+func (e *Entry) afterNotSent(ctx context.Context, j *job, err error) step {
+	j.requeue = true
 	if ctx.Err() != nil {
 		return finish{notRun(outcome.CallerGone, defaultRetryAfter)}
 	}
@@ -256,23 +259,23 @@
 	return finish{notRun(outcome.Unreachable, defaultRetryAfter)}
 }
 
-// park waits for a newer view, or parkStep if the view names an owner. It
-// returns the failure where the request is given up instead.
-func (e *Entry) park(ctx context.Context, v *view, w *job, reason outcome.Reason) outcome.Result {
+// park waits for a newer view, or for a backoff that grows with parkCount. It returns a
+// failure if the request must end instead.
+func (e *Entry) park(ctx context.Context, v *view, j *job, reason outcome.Reason) outcome.Result {
 	now := time.Now()
-	if w.parkUntil.IsZero() {
-		w.parkUntil = now.Add(e.cfg.ParkTimeout)
+	if j.parkUntil.IsZero() {
+		j.parkUntil = now.Add(e.cfg.ParkTimeout)
 	}
-	end := w.parkUntil
-	if w.deadline.Before(end) {
-		end = w.deadline
+	end := j.parkUntil
+	if j.deadline.Before(end) {
+		end = j.deadline
 	}
 	if !end.After(now) || !e.parked.tryAcquire() {
 		return notRun(reason, defaultRetryAfter)
 	}
 	defer e.parked.release()
-	pause := minParkWait << min(w.parkCount, maxParkDoublings)
-	w.parkCount++
+	pause := minParkWait << min(j.parkCount, maxParkDoublings)
+	j.parkCount++
 	wait := min(end.Sub(now), pause/2+rand.N(pause))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -8,22 +8,22 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Retry budget: resends are bounded to a tenth of the requests, so that many
-// failures at once do not multiply the load.
+// Limits of the retry budget: one retry per ten requests, and a burst. Many failures at
+// once must not multiply the load.
 const (
 	retryBudgetRatio = 0.1
 	retryBudgetBurst = 20
 )
 
-// retryBudget bounds resends. It is not safe for concurrent use.
+// retryBudget limits retries. It is not safe for concurrent use.
 type retryBudget struct{ tokens float64 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: retryBudgetBurst} }
 
-// countRequest counts one request.
+// countRequest adds one request to the budget.
 func (b *retryBudget) countRequest() { b.tokens = min(b.tokens+retryBudgetRatio, retryBudgetBurst) }
 
-// withdraw takes the right to one resend, if there is one.
+// withdraw withdraws one retry, and returns false if there is none.
 func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1 {
 		return false
@@ -32,15 +32,16 @@
 	return true
 }
 
-// Adaptive concurrency: a whole answer raises the limit a little, a refusal
-// for want of a slot lowers it.
+// The adaptive concurrency limit follows AIMD: it grows by about additiveIncrease per
+// limit complete responses, and is multiplied by multiplicativeDecrease when the target
+// has no free slot.
 const (
 	additiveIncrease       = 0.1
 	multiplicativeDecrease = 0.7
 )
 
-// concurrencyLimit is the number of requests that this entry host sends to one target
-// at once. It is not safe for concurrent use.
+// concurrencyLimit limits the requests in flight from this entry host to one target. It
+// is not safe for concurrent use.
 type concurrencyLimit struct {
 	slots int
 	limit float64
@@ -55,8 +56,8 @@
 }
 func (l *concurrencyLimit) decrease() { l.limit = max(l.limit*multiplicativeDecrease, 1) }
 
-// current returns the concurrency at a time, which ramps up from 1 while the
-// target is cold.
+// current returns the limit at a time. While the target warms up, it increases linearly
+// from 1.
 func (l *concurrencyLimit) current(now, since time.Time, warmUp time.Duration) int {
 	n := int(l.limit + 0.5)
 	age := now.Sub(since)
@@ -67,15 +68,16 @@
 	return min(n, ramp)
 }
 
-// The weights of the newest service time in its decayed mean and deviation,
-// and the deviations above the mean within which most requests are served.
+// The weights of a new sample in the moving averages, and the number of mean deviations
+// above the mean within which most requests are served.
 const (
 	meanWeight      = 0.1
 	deviationWeight = 0.1
 	upperDeviations = 2
 )
 
-// serviceTime estimates how long a target takes for one request.
+// serviceTime estimates how long a target takes for one request, by exponentially
+// weighted moving averages of the time and its absolute deviation.
 type serviceTime struct{ mean, deviation time.Duration }
 
 func (s *serviceTime) add(took time.Duration) {
@@ -84,16 +86,16 @@
 	s.deviation += time.Duration(deviationWeight * float64(off.Abs()-s.deviation))
 }
 
-// upper returns the time within which most requests are served.
+// upper returns a time within which most requests are served.
 func (s *serviceTime) upper() time.Duration { return s.mean + upperDeviations*s.deviation }
 
-// backlogInterval estimates the time between two requests served while more wait.
+// backlogInterval estimates the time between two completed requests while others wait.
 type backlogInterval struct {
-	last time.Time // zero where nothing waited
+	last time.Time // of the last completed request, zero if none waited then
 	mean time.Duration
 }
 
-// add counts a request served at now; waiting tells whether more wait.
+// add records a request completed at now. waiting tells whether others wait.
 func (p *backlogInterval) add(now time.Time, waiting bool) {
 	if !p.last.IsZero() {
 		p.mean += time.Duration(meanWeight * float64(now.Sub(p.last)-p.mean))
@@ -106,10 +108,10 @@
 	p.mean = 0
 }
 
-// estimate returns the estimate, zero where nothing waits.
+// estimate returns the mean interval, or zero if no request waits.
 func (p *backlogInterval) estimate() time.Duration { return p.mean }
 
-// callerLimit is one settings.Limit at this entry host.
+// callerLimit is the state of one settings.Limit on this entry host.
 type callerLimit struct {
 	rate          *rate.Limiter
 	maxConcurrent int
@@ -121,7 +123,8 @@
 	class  settings.Class
 }
 
-// allow takes the right to one request; wait tells when to come back.
+// allow counts a request as in flight if the limit permits it. Otherwise it returns the
+// retry delay.
 func (l *callerLimit) allow(now time.Time) (ok bool, wait time.Duration) {
 	if l.maxConcurrent > 0 && l.inFlight >= l.maxConcurrent {
 		return false, time.Second
--- a/internal/entry/load.go
+++ b/internal/entry/load.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	// reportInterval is the time between two load reports.
+	// reportInterval is the time between two load reports to a leader.
 	reportInterval = time.Second
-	// reportTimeout bounds the sending of one; a lost report is not repeated.
+	// reportTimeout limits the sending of a report. A lost report is not sent again.
 	reportTimeout = time.Second
-	// trackedHotKeys is the number of keys of a service that are weighed at once.
+	// trackedHotKeys is the number of keys of a service that the sketch tracks.
 	trackedHotKeys = 2 * placement.MaxHotKeys
 )
 
-// loadCounters counts what passes here, by service and shard.
+// loadCounters counts the load of this entry host by service. It is safe for concurrent
+// use.
 type loadCounters struct {
 	mu       sync.Mutex
 	services map[key.Service]*serviceLoad
 }
 
-// serviceLoad counts the requests and the busy time of each shard since the
-// last report, and weighs the keys by their busy time.
+// serviceLoad counts the requests and the busy time of each shard since the last report,
+// and finds the keys with the most busy time.
 type serviceLoad struct {
 	count       key.ShardCount
-	rangeShards []shardLoad // hash-range shards, by index
+	rangeShards []shardLoad // hash-range shards, by number
 
 	mu              sync.Mutex
 	singleKeyShards map[key.Shard]*shardLoad
@@ -44,15 +45,15 @@
 
 type shardLoad struct {
 	requests atomic.Uint32
-	busy     atomic.Int64
+	busy     atomic.Int64 // total time of the attempts, in nanoseconds
 }
 
 func newLoadCounters() *loadCounters {
 	return &loadCounters{services: make(map[key.Service]*serviceLoad)}
 }
 
-// service returns the counters of a service, made on first sight and anew
-// where the shard count changed.
+// service returns the counters of a service. They are created by the first call, and
+// again if the shard count changed.
 func (l *loadCounters) service(name key.Service, count key.ShardCount) *serviceLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,10 +70,11 @@
 	return s
 }
 
+// add records one attempt.
 func (s *serviceLoad) add(shard key.Shard, h key.Hash, busy time.Duration) {
-	row := s.shard(shard)
-	row.requests.Add(1)
-	row.busy.Add(int64(busy))
+	counters := s.shard(shard)
+	counters.requests.Add(1)
+	counters.busy.Add(int64(busy))
 	s.mu.Lock()
 	s.hotKeys.Add(h, uint64(busy.Microseconds())+1)
 	s.mu.Unlock()
@@ -84,15 +86,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	row := s.singleKeyShards[shard]
-	if row == nil {
-		row = &shardLoad{}
-		s.singleKeyShards[shard] = row
+	counters := s.singleKeyShards[shard]
+	if counters == nil {
+		counters = &shardLoad{}
+		s.singleKeyShards[shard] = counters
 	}
-	return row
+	return counters
 }
 
-// take returns the counts since the last take, sorted by shard.
+// take returns the counts since the last call, sorted by shard, and the hot keys. It
+// resets both.
 func (s *serviceLoad) take() ([]placement.ShardLoad, []topk.Item) {
 	var out []placement.ShardLoad
 	for i := range s.rangeShards {
@@ -102,8 +105,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for shard, row := range s.singleKeyShards {
-		out = append(out, placement.ShardLoad{Shard: shard, Requests: row.requests.Load(), Busy: time.Duration(row.busy.Load())})
+	for shard, counters := range s.singleKeyShards {
+		out = append(out, placement.ShardLoad{Shard: shard, Requests: counters.requests.Load(), Busy: time.Duration(counters.busy.Load())})
 	}
 	clear(s.singleKeyShards)
 	slices.SortFunc(out, func(a, b placement.ShardLoad) int { return cmp.Compare(a.Shard, b.Shard) })
@@ -112,23 +115,22 @@
 	return out, hot
 }
 
-// cellReport is a load report on its way to the lead of one cell.
+// cellReport is a load report and the address of the cell's leader.
 type cellReport struct {
 	placement.Report
 	leaderAddr netip.AddrPort
 }
 
-// buildReports builds one report for each cell with load, from the counts since
-// the last call.
+// buildReports returns one report for each cell with load since the last call.
 func (e *Entry) buildReports(period time.Duration) []cellReport {
 	v := e.view.Load()
 	var out []cellReport
 	for name, s := range v.services {
 		shards, hot := s.load.take()
 		cells := make(map[place.Zone]*placement.Report)
-		for _, row := range shards {
-			if r := reportOf(cells, s.shardOwner(row.Shard)); r != nil {
-				r.Shards = append(r.Shards, row)
+		for _, counts := range shards {
+			if r := reportOf(cells, s.shardOwner(counts.Shard)); r != nil {
+				r.Shards = append(r.Shards, counts)
 			}
 		}
 		for _, item := range hot {
@@ -144,10 +146,10 @@
 	return out
 }
 
-// addHotKey adds a key to the report of its cell; solo keys have shards of their
-// own already.
+// addHotKey adds a key to the report of its cell, unless it already has a single-key
+// shard.
 func (s *service) addHotKey(cells map[place.Zone]*placement.Report, item topk.Item) {
-	if _, solo := s.singleKeys[item.Hash]; solo {
+	if _, ok := s.singleKeys[item.Hash]; ok {
 		return
 	}
 	_, o := s.find(item.Hash)
@@ -168,6 +170,8 @@
 	return s.singleKeyOwners[shard]
 }
 
+// reportOf returns the report of the owner's cell, and creates it if necessary. It
+// returns nil if there is no owner.
 func reportOf(cells map[place.Zone]*placement.Report, o owner) *placement.Report {
 	if o.target == nil {
 		return nil
@@ -180,7 +184,7 @@
 	return r
 }
 
-// loopReports sends the load of each cell to its lead.
+// loopReports sends load reports to the leaders of the cells.
 func (e *Entry) loopReports(ctx context.Context) error {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -198,7 +202,7 @@
 	}
 }
 
-// send sends one report. A lost one is made up for by the next.
+// send sends the report once. Later reports make up for a lost one.
 func (r cellReport) send(ctx context.Context, e *Entry) {
 	body, err := placement.EncodeReport(r.Report)
 	if err != nil || !r.leaderAddr.IsValid() {
@@ -207,6 +211,6 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if _, err := e.cfg.Transport.Call(ctx, r.leaderAddr, peer.KindLoad, body); err != nil {
-		e.log.Debug("Load report is lost.", "service", string(r.Service), "zone", string(r.Zone), "error", err)
+		e.log.Debug("Load report not delivered.", "service", string(r.Service), "zone", string(r.Zone), "error", err)
 	}
 }
--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -25,10 +25,10 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// idleStopTimeout is how long a stop waits for idle connections of callers.
+// idleStopTimeout bounds how long a stop waits for callers to close idle connections.
 const idleStopTimeout = 2 * time.Second
 
-// Options is what the flags and environment variables of the program say.
+// Options holds the values of the program's flags and environment variables.
 type Options struct {
 	program.Options
 
@@ -42,24 +42,24 @@
 	StopNotice  time.Duration
 }
 
-// Main runs the program and returns its exit code.
+// Main runs citrontray-entry and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	return program.Main("citrontray-entry", "entry", &Options{}, args, out, errOut)
 }
 
-// Read implements program.Opener; it returns all findings together.
+// Read implements program.Opener. It reports all findings in one error.
 func (o *Options) Read(args []string, out io.Writer) (program.Options, error) {
 	var leadAddr, httpAddr string
-	set := option.New("citrontray-entry", "takes callers' requests and forwards each to the one target that owns its key", out)
+	set := option.New("citrontray-entry", "serves callers and forwards each request to the target that owns its key", out)
 	flags := program.AddFlags(set, &o.Options, program.Defaults{Admin: "127.0.0.1:9702", StopTimeout: 15 * time.Second})
-	set.StringVar(&leadAddr, "lead", "", "peer address of this host's own lead process, IP:PORT")
-	set.StringVar(&httpAddr, "http-address", "", "address that callers reach this process at, IP:PORT")
+	set.StringVar(&leadAddr, "lead", "", "peer address of the lead process on this host, IP:PORT")
+	set.StringVar(&httpAddr, "http-address", "", "address to serve callers on, IP:PORT")
 	set.IntVar(&o.Hosts, "hosts", DefaultHosts, "number of entry hosts that share each target's connections")
-	set.IntVar(&o.MaxQueueLen, "queue", queue.DefaultConfig().MaxLen, "longest queue of one target, in requests")
-	set.DurationVar(&o.ParkTimeout, "park", DefaultParkTimeout, "longest wait of a request whose key has no owner")
-	set.IntVar(&o.MaxParked, "parked", DefaultMaxParked, "most requests that wait for an owner at once")
-	set.Int64Var(&o.BodyMemory, "body-memory", DefaultBodyMemory, "most bytes of request bodies held at once")
-	set.DurationVar(&o.StopNotice, "stop-notice", time.Second, "time between failing /ready and closing, for the balancer to notice")
+	set.IntVar(&o.MaxQueueLen, "queue", queue.DefaultConfig().MaxLen, "maximum queue length per target, in requests")
+	set.DurationVar(&o.ParkTimeout, "park", DefaultParkTimeout, "maximum wait of a request whose key has no owner")
+	set.IntVar(&o.MaxParked, "parked", DefaultMaxParked, "maximum number of requests that wait for an owner")
+	set.Int64Var(&o.BodyMemory, "body-memory", DefaultBodyMemory, "maximum memory for request bodies, in bytes")
+	set.DurationVar(&o.StopNotice, "stop-notice", time.Second, "time between failing /ready and closing the listener, for the load balancer to notice")
 	if err := set.Read(args); err != nil || o.Version {
 		return o.Options, err
 	}
@@ -70,20 +70,20 @@
 	return o.Options, set.Findings.Err()
 }
 
-// check finds the bounds that cannot be met.
+// check adds findings for values out of range.
 func (o *Options) check(set *option.Set) {
 	if o.Hosts < 1 {
-		set.Findings.Add("--hosts", "is below 1", "give the number of entry hosts")
+		set.Findings.Add("--hosts", "is less than 1", "set the number of entry hosts")
 	}
 	if o.MaxQueueLen < 1 {
-		set.Findings.Add("--queue", "is below 1", "give a number of requests")
+		set.Findings.Add("--queue", "is less than 1", "set a positive number of requests")
 	}
 	if o.StopNotice >= o.StopTimeout {
-		set.Findings.Add("--stop-notice", "is not below --stop-timeout", "no time is left for requests in flight")
+		set.Findings.Add("--stop-notice", "is not less than --stop-timeout", "set a shorter time, so that requests in flight can complete")
 	}
 }
 
-// daemon is the process: the data path and what feeds it.
+// daemon is the process: the entry, and the servers and replica around it.
 type daemon struct {
 	opts     *Options
 	log      *slog.Logger
@@ -96,21 +96,21 @@
 	server   *Server
 }
 
-// Open implements program.Opener: it reads the keys and binds all sockets.
+// Open implements program.Opener. It loads the credentials and binds all sockets.
 func (o *Options) Open(log *slog.Logger) (program.Daemon, error) {
-	material, err := certs.Load(time.Now(), o.Keys, o.Host, peer.RoleEntry)
+	credentials, err := certs.Load(time.Now(), o.Keys, o.Host, peer.RoleEntry)
 	if err != nil {
 		return nil, fmt.Errorf("--keys: %w (make them with: citrontray keys host)", err)
 	}
 	d := &daemon{opts: o, log: log, metrics: metric.New("citrontray_entry")}
-	if d.link, err = peer.New(peer.Config{Listen: o.Peer, Keys: material, Log: log}); err != nil {
+	if d.link, err = peer.New(peer.Config{Listen: o.Peer, Keys: credentials, Log: log}); err != nil {
 		return nil, fmt.Errorf("--peer-address: %w", err)
 	}
-	board := docsync.New()
-	d.node = docsync.NewNode(board, d.link, docsync.Config{
-		Self: material.Self(), Addr: o.Peer, LocalLead: o.LeadAddr, Seeds: o.Peers, Log: log,
+	replica := docsync.New()
+	d.node = docsync.NewNode(replica, d.link, docsync.Config{
+		Self: credentials.Self(), Addr: o.Peer, LocalLead: o.LeadAddr, Seeds: o.Peers, Log: log,
 	})
-	d.entry = New(d.config(board))
+	d.entry = New(d.config(replica))
 	if d.admin, err = admin.Listen(o.Admin, d.metrics.Handler(), d.entry.StatusHandler()); err != nil {
 		return nil, fmt.Errorf("--admin-address: %w", err)
 	}
@@ -121,11 +121,11 @@
 	return d, nil
 }
 
-func (d *daemon) config(board docsync.Replica) Config {
-	bounds := queue.DefaultConfig()
-	bounds.MaxLen = d.opts.MaxQueueLen
+func (d *daemon) config(replica docsync.Replica) Config {
+	queueConfig := queue.DefaultConfig()
+	queueConfig.MaxLen = d.opts.MaxQueueLen
 	return Config{
-		Replica:        board,
+		Replica:        replica,
 		Host:           d.opts.Host,
 		Zone:           d.opts.Zone,
 		Sharing:        ShareAdaptive,
@@ -135,7 +135,7 @@
 		Log:            d.log,
 		Registry:       d.metrics,
 		Hosts:          d.opts.Hosts,
-		Queue:          bounds,
+		Queue:          queueConfig,
 		ParkTimeout:    d.opts.ParkTimeout,
 		MaxParked:      d.opts.MaxParked,
 		BodyMemory:     d.opts.BodyMemory,
@@ -143,7 +143,7 @@
 	}
 }
 
-// Run serves until ctx ends and then stops in order. All parts stop together.
+// Run serves until ctx ends, then stops gracefully. If one component fails, all stop.
 func (d *daemon) Run(ctx context.Context) error {
 	outer, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -169,13 +169,13 @@
 	return err
 }
 
-// runServer serves callers.
+// runServer serves callers until the server is stopped.
 func (d *daemon) runServer() error {
-	d.log.Info("Callers are served.", slog.String("http", d.listener.Addr().String()))
+	d.log.Info("Serving callers.", slog.String("http", d.listener.Addr().String()))
 	return d.server.Run()
 }
 
-// updateReady keeps /ready in step.
+// updateReady keeps the response of /ready up to date.
 func (d *daemon) updateReady(ctx context.Context) error {
 	const period = 50 * time.Millisecond
 	ticker := time.NewTicker(period)
@@ -190,37 +190,39 @@
 	}
 }
 
-// runStop waits for the planned stop, or for a part that fails, and stops: not
-// ready, no new connections, what runs ends, what waits past the bound is
-// answered with not-run.
+// runStop waits until ctx ends, for a graceful stop, or until another component fails
+// and ends failed, which closes the server at once. A graceful stop fails /ready, then
+// closes the listener and lets requests in flight complete. After half of the remaining
+// time, requests that still wait for a slot or an owner end as not run.
 func (d *daemon) runStop(ctx, failed context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-failed.Done():
 		return d.server.Close()
 	}
-	d.log.Info("Entry stops.")
+	d.log.Info("Stopping entry host.")
 	d.admin.SetReady(false)
 	d.entry.Drain()
 	sleep(failed, d.opts.StopNotice)
-	bound, cancel := context.WithTimeout(failed, d.opts.StopTimeout-d.opts.StopNotice)
+	stopCtx, cancel := context.WithTimeout(failed, d.opts.StopTimeout-d.opts.StopNotice)
 	defer cancel()
 	half := (d.opts.StopTimeout - d.opts.StopNotice) / 2
-	clear := time.AfterFunc(half, d.entry.DropWaiting)
-	defer clear.Stop()
-	var both errgroup.Group
-	both.Go(func() error {
-		d.entry.drainRelayed(bound)
+	dropTimer := time.AfterFunc(half, d.entry.DropWaiting)
+	defer dropTimer.Stop()
+	var group errgroup.Group
+	group.Go(func() error {
+		d.entry.drainRelayed(stopCtx)
 		return nil
 	})
-	both.Go(func() error { return d.server.Stop(bound, min(half, idleStopTimeout)) })
-	if err := both.Wait(); err != nil {
-		d.log.Warn("Requests were cut at the end of the stop.", slog.Any("error", err))
+	group.Go(func() error { return d.server.Stop(stopCtx, min(half, idleStopTimeout)) })
+	if err := group.Wait(); err != nil {
+		d.log.Warn("Requests aborted at the end of the stop.", slog.Any("error", err))
 		return d.server.Close()
 	}
 	return nil
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/entry/meter.go
+++ b/internal/entry/meter.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// meterWindow is the time that one figure of the status page covers.
+	// meterWindow is the time span of the statistics on the status page.
 	meterWindow = 5 * time.Second
-	// maxMeters bounds the callers and classes that are metered.
+	// maxMeters limits the callers and classes with statistics of their own.
 	maxMeters = 1024
 
-	minLatencyMicros = 1          // microseconds
-	maxLatencyMicros = 60_000_000 // microseconds
-	latencyDigits    = 2
+	// The range of the latency histograms.
+	minLatencyMicros = 1
+	maxLatencyMicros = 60_000_000
+	latencyDigits    = 2 // significant decimal digits
 )
 
-// meterID is a caller's work of one class.
+// meterID identifies the requests of one caller and class.
 type meterID struct {
 	caller settings.Caller
 	class  settings.Class
 }
 
-// meters counts the work of callers for the status page, in windows. Safe for
-// concurrent use.
+// meters holds the statistics of callers for the status page. It is safe for concurrent
+// use.
 type meters struct {
 	mu   sync.Mutex
 	rows map[meterID]*meter
 }
 
-// meter is the work of one caller and class, or at one target: a window under way and the one
-// before it, which the page shows.
+// meter holds the statistics of one caller and class, or of one target: the current
+// window and the previous one, which the status page shows.
 type meter struct {
 	mu           sync.Mutex
 	currentSince time.Time
@@ -45,7 +46,7 @@
 	previous     window
 }
 
-// window is what ended in a stretch of time.
+// window holds the statistics of the requests that ended in one time span.
 type window struct {
 	requests uint64
 	refused  uint64
@@ -58,7 +59,7 @@
 	return window{latency: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)}
 }
 
-// get returns the meter of a caller and class, or nil past the bound.
+// get returns the meter of a caller and class, or nil if there are maxMeters others.
 func (m *meters) get(id meterID) *meter {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,7 +71,7 @@
 	return row
 }
 
-// record counts one request of a caller.
+// record records one request of a caller. refused tells that it ended as not run.
 func (m *meters) record(now time.Time, id meterID, took time.Duration, refused bool) {
 	if row := m.get(id); row != nil {
 		row.record(now, took, refused)
@@ -79,7 +80,8 @@
 
 func newMeter() *meter { return &meter{current: newWindow(), previous: newWindow()} }
 
-// record counts one request that ended at now after it took so long.
+// record records one request that ended at now and took so long. The latency of refused
+// requests is not recorded.
 func (r *meter) record(now time.Time, took time.Duration, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,17 +91,17 @@
 		r.current.refused++
 		return
 	}
-	_ = r.current.latency.RecordValue(min(took.Microseconds(), maxLatencyMicros)) // bounded above
+	_ = r.current.latency.RecordValue(min(took.Microseconds(), maxLatencyMicros)) // never above the histogram's maximum
 }
 
-// rotate starts a new window where the one under way is over.
+// rotate starts a new window if the current one has ended.
 func (r *meter) rotate(now time.Time) {
 	passed := now.Sub(r.currentSince)
 	if passed < meterWindow {
 		return
 	}
 	r.previous, r.current = r.current, r.previous
-	if passed >= 2*meterWindow { // nothing ended in the window before this
+	if passed >= 2*meterWindow { // no request ended in the window before the new one
 		r.previous.reset()
 	}
 	r.current.reset()
@@ -111,7 +113,7 @@
 	w.latency.Reset()
 }
 
-// callerRows returns the rows of the page, by caller and class.
+// callerRows returns the callers for the status page, sorted by caller and class.
 func (m *meters) callerRows(now time.Time) []status.Caller {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,19 +127,20 @@
 	return out
 }
 
-// callerRow returns the row of one caller and class.
+// callerRow returns one caller and class for the status page.
 func (r *meter) callerRow(now time.Time, id meterID) status.Caller {
-	f := r.stats(now)
+	s := r.stats(now)
 	return status.Caller{
 		Caller: string(id.caller), Class: string(id.class),
-		PerSecond: f.perSecond, Refused: f.refused, P99: f.p99,
+		PerSecond: s.perSecond, Refused: s.refused, P99: s.p99,
 	}
 }
 
-// windowStats are what the page shows of a window: rates a second, milliseconds.
+// windowStats is the summary of a window: rates per second, and the 99th percentile of
+// the latency in milliseconds.
 type windowStats struct{ perSecond, refused, p99 float64 }
 
-// stats returns those of the newest whole window.
+// stats returns the summary of the last complete window.
 func (r *meter) stats(now time.Time) windowStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -13,8 +13,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// metrics holds latency histograms for each tenant and class, and counters of
-// outcomes and tries.
+// metrics holds latency histograms by tenant and class, and counters of outcomes and of
+// attempts.
 type metrics struct {
 	registry  *metric.Registry
 	mu        sync.RWMutex
@@ -48,7 +48,7 @@
 	return m
 }
 
-// countRequest records the end of a request and its latency.
+// countRequest records the outcome and the latency of a request.
 func (m *metrics) countRequest(match route.Match, result outcome.Result, took time.Duration) {
 	id := latencyID{match.Caller.Tenant, match.Route.Class}
 	m.mu.RLock()
@@ -61,6 +61,7 @@
 	m.outcomeCounter(outcomeID{outcome.Of(result), outcome.ReasonOf(result)}).Inc(1)
 }
 
+// addLatency creates the histogram of a tenant and class.
 func (m *metrics) addLatency(id latencyID) tally.Histogram {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,6 +73,8 @@
 	return h
 }
 
+// outcomeCounter returns the counter of an outcome and reason, and creates it if
+// necessary.
 func (m *metrics) outcomeCounter(id outcomeID) tally.Counter {
 	m.mu.RLock()
 	c := m.outcomes[id]
@@ -89,12 +92,12 @@
 	return c
 }
 
-// countRejected records a request that led nowhere.
+// countRejected records a request for which no route was found.
 func (m *metrics) countRejected(reason outcome.Reason) {
 	m.outcomeCounter(outcomeID{outcome.NotRun, reason}).Inc(1)
 }
 
-// countAttempt records one try at a target.
+// countAttempt records the result of one attempt.
 func (m *metrics) countAttempt(result forward.Result) {
 	name := "uncertain"
 	switch result.(type) {
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -12,7 +12,7 @@
 	"citrontray.example/citrontray/internal/version"
 )
 
-// StatusHandler serves what this entry knows of settings, targets and callers.
+// StatusHandler serves the settings in force, the targets and the callers.
 func (e *Entry) StatusHandler() http.Handler { return status.Handler(e) }
 
 // Report implements status.Source.
@@ -30,7 +30,7 @@
 	return out
 }
 
-// inForce tells which settings this entry acts on.
+// inForce returns the settings in force.
 func (e *Entry) inForce() status.Settings {
 	e.refreshMu.Lock()
 	defer e.refreshMu.Unlock()
@@ -41,13 +41,14 @@
 	return out
 }
 
-// targetRows returns the work that this entry sent to each target.
+// targetRows returns the load that this entry host sends to each target, sorted by
+// service and target.
 func (e *Entry) targetRows(now time.Time) []status.Target {
 	e.refreshMu.Lock()
 	defer e.refreshMu.Unlock()
 	out := make([]status.Target, 0, len(e.targetStates))
-	for _, l := range e.targetStates {
-		out = append(out, l.status(now))
+	for _, ts := range e.targetStates {
+		out = append(out, ts.status(now))
 	}
 	slices.SortFunc(out, func(a, b status.Target) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Target, b.Target))
@@ -55,18 +56,19 @@
 	return out
 }
 
-// status returns the work of one lane.
-func (l *targetState) status(now time.Time) status.Target {
-	f := l.meter.stats(now)
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// status returns the row of one target.
+func (ts *targetState) status(now time.Time) status.Target {
+	s := ts.meter.stats(now)
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
 	return status.Target{
-		Service: string(l.service), Target: string(l.target),
-		PerSecond: f.perSecond, Waiting: l.queue.Len(), Running: l.inFlight, P99: f.p99,
+		Service: string(ts.service), Target: string(ts.target),
+		PerSecond: s.perSecond, Waiting: ts.queue.Len(), Running: ts.inFlight, P99: s.p99,
 	}
 }
 
-// explain tells where this entry sends a key.
+// explain returns where this entry host sends requests for a key, or nil if it has no
+// routing table of the service.
 func (e *Entry) explain(q status.Query) *status.Key {
 	s := e.view.Load().services[q.Service]
 	if s == nil {
@@ -78,7 +80,7 @@
 		SingleKey: shard >= key.Shard(s.shards), Epoch: uint64(o.epoch),
 	}
 	if o.target == nil {
-		out.Reason = "no table names an owner"
+		out.Reason = "no routing table has an owner for the key"
 		return out
 	}
 	out.Zone, out.Owner = string(o.target.zone), string(o.target.target)
--- a/internal/entry/target.go
+++ b/internal/entry/target.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// dialTimeout bounds one attempt to connect to a target.
 	dialTimeout = 500 * time.Millisecond
-	// minConnectBackoff and downMost bound the pause before the next try of a target
-	// that took no connection.
+	// minConnectBackoff and maxConnectBackoff limit the exponential backoff after failed
+	// connects to a target.
 	minConnectBackoff = 20 * time.Millisecond
 	maxConnectBackoff = time.Second
-	// minBusyBackoff is the first pause of a lane after a refusal for want of a
-	// slot. Each refusal in a row doubles it, up to busyDoublings times and to
-	// half of the target's service time: a slot frees no sooner.
+	// minBusyBackoff is the backoff after a target refused a request because it had no
+	// free slot. Each further refusal in a row doubles it, up to maxBusyDoublings times
+	// and up to half of the target's service time, before which no slot is expected to
+	// become free.
 	minBusyBackoff   = 2 * time.Millisecond
 	maxBusyDoublings = 5
-	// contentionTime is how long after the last wait for a slot requests go to the
-	// target's home.
+	// contentionTime is how long after a request found no free slot at the target
+	// requests are relayed to the target's home.
 	contentionTime = 100 * time.Millisecond
-	// waitMarginPercent is what the estimate of a wait is multiplied by before a
-	// request is taken in, in percent: queues do not run evenly.
+	// waitMarginPercent scales the estimated wait in the queue for admission control,
+	// since queues do not advance evenly.
 	waitMarginPercent = 130
-	// interactiveReserveTime is how long after the newest interactive request a slot is
-	// kept free of bulk work.
+	// interactiveReserveTime is how long after the last interactive request one slot is
+	// reserved, so that bulk requests don't use it.
 	interactiveReserveTime = time.Second
-	// initialServiceTime is the service time assumed before the first answer.
+	// initialServiceTime is the estimate before the first response.
 	initialServiceTime = 2 * time.Millisecond
 )
 
-// targetState is the work of this entry host for one target: its queue, its free
-// slots, its connections and what results tell of its health.
+// targetState is what this entry host keeps for one target: the queue, the concurrency
+// limit, the connections, and estimates from past results.
 type targetState struct {
 	entry   *Entry
 	service key.Service
@@ -51,7 +51,7 @@
 	zone    place.Zone
 	addr    string
 	pool    *forward.Pool
-	// homes are the entry hosts that hold the target's queue, best first.
+	// homes are the candidates for the target's home, in order of preference.
 	homes atomic.Pointer[[]place.HostRow]
 
 	mu          sync.Mutex
@@ -60,32 +60,34 @@
 	warmupStart time.Time
 	warmUp      time.Duration
 	inFlight    int
-	// bulkInFlight is how many of them are of the bulk class; interactive is when
-	// the newest request of that class came.
-	bulkInFlight    int
+	// bulkInFlight is the number of bulk requests among inFlight.
+	bulkInFlight int
+	// lastInteractive is when the last interactive request arrived.
 	lastInteractive time.Time
 	serviceTime     serviceTime
 	backlog         backlogInterval
-	// busyRefusals counts the refusals in a row for want of a slot.
+	// busyRefusals counts the refusals in a row because the target had no free slot.
 	busyRefusals int
-	// cancelable are the look-ups that run, with what breaks each off.
+	// cancelable holds the cancel functions of the idempotent requests in flight.
 	cancelable map[*job]context.CancelFunc
 	meter      *meter
-	// connectFailures counts failed connects in a row; until resume nothing is sent.
+	// connectFailures counts the failed connects in a row.
 	connectFailures int
-	pausedUntil     time.Time
-	timer           *time.Timer
-	closed          bool
-	// contendedUntil is how long requests go to the target's home.
+	// pausedUntil is the end of the current backoff, until which no request starts.
+	pausedUntil time.Time
+	// timer starts queued requests at pausedUntil.
+	timer  *time.Timer
+	closed bool
+	// contendedUntil is until when requests are relayed to the target's home.
 	contendedUntil time.Time
 }
 
-// slotEvent is what a waiting request hears from its lane.
+// slotEvent is the result of waiting for a slot.
 type slotEvent interface{ event() }
 
-// granted: the request holds a slot. moved: its shard has another owner.
-// dropped: it left the queue and did not run. contended: there is no free slot
-// for a request that does not queue here.
+// assigned: the request holds a slot. ownerMoved: its key has another owner. dropped: the
+// request left the queue or was not queued, and ends as not run. contended: no slot is
+// free, and the request must not queue on this host.
 type (
 	assigned   struct{}
 	ownerMoved struct{}
@@ -100,8 +102,8 @@
 func (contended) event()  {}
 
 func newTargetState(e *Entry, zone place.Zone, row *table.Target, cfg *settings.Service) *targetState {
-	limit := max(cfg.Connections/max(e.cfg.Hosts, 1), cfg.Slots, 1)
-	l := &targetState{
+	maxOpen := max(cfg.Connections/max(e.cfg.Hosts, 1), cfg.Slots, 1)
+	ts := &targetState{
 		meter:       newMeter(),
 		entry:       e,
 		service:     cfg.Name,
@@ -113,292 +115,301 @@
 		concurrency: newConcurrencyLimit(max(cfg.Slots, 1)),
 		serviceTime: serviceTime{mean: initialServiceTime},
 	}
-	l.pool = forward.New(forward.Config{
+	ts.pool = forward.New(forward.Config{
 		Addr:        row.Addr,
-		MaxOpen:     limit,
+		MaxOpen:     maxOpen,
 		MinOpen:     max(cfg.Slots, 1),
 		Dial:        e.cfg.Dial,
 		DialTimeout: dialTimeout,
 	})
-	return l
+	return ts
 }
 
-// configure takes over what tables and settings say now.
-func (l *targetState) configure(row *table.Target, cfg *settings.Service) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.warmupStart, l.warmUp = row.WarmupStart, cfg.WarmUp
-	if l.concurrency.slots != cfg.Slots && cfg.Slots > 0 {
-		l.concurrency = newConcurrencyLimit(cfg.Slots)
+// configure applies the current routing table and settings.
+func (ts *targetState) configure(row *table.Target, cfg *settings.Service) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.warmupStart, ts.warmUp = row.WarmupStart, cfg.WarmUp
+	if ts.concurrency.slots != cfg.Slots && cfg.Slots > 0 {
+		ts.concurrency = newConcurrencyLimit(cfg.Slots)
 	}
 }
 
-// warmUpPool warms the connections of a new lane: a new one costs a millisecond.
-func (l *targetState) warmUpPool(ctx context.Context, now time.Time) {
-	if err := l.pool.Warm(ctx, now); err != nil {
-		l.entry.log.Debug("Target takes no connection.", "target", string(l.target), "error", err)
+// warmUpPool opens connections ahead of requests, since opening one takes about a
+// millisecond.
+func (ts *targetState) warmUpPool(ctx context.Context, now time.Time) {
+	if err := ts.pool.Warm(ctx, now); err != nil {
+		ts.entry.log.Debug("Connections to target not opened ahead.", "target", string(ts.target), "error", err)
 	}
 }
 
-// acquire gives the request a slot, or queues it, or drops it.
-func (l *targetState) acquire(now time.Time, w *job) slotEvent {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+// acquire assigns a slot to the request, or queues it and returns nil, or returns why it
+// did neither.
+func (ts *targetState) acquire(now time.Time, j *job) slotEvent {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	if ts.closed {
 		return ownerMoved{}
 	}
-	if w.class == settings.Interactive {
-		l.lastInteractive = now
+	if j.class == settings.Interactive {
+		ts.lastInteractive = now
 	}
-	if l.queue.Len() == 0 && l.mayStart(now) && w.class != l.excludedClass(now) {
-		l.takeSlot(w)
+	if ts.queue.Len() == 0 && ts.mayStart(now) && j.class != ts.excludedClass(now) {
+		ts.takeSlot(j)
 		return assigned{}
 	}
-	if w.direct {
-		l.contendedUntil = now.Add(contentionTime)
+	if j.direct {
+		ts.contendedUntil = now.Add(contentionTime)
 		return contended{}
 	}
-	e := queue.Item[*job]{Caller: w.caller, Class: w.class, Deadline: w.deadline, Value: w}
-	if w.requeue {
-		w.queueHandle = l.queue.Requeue(e)
-		l.startQueued(now)
+	item := queue.Item[*job]{Caller: j.caller, Class: j.class, Deadline: j.deadline, Value: j}
+	if j.requeue {
+		j.queueHandle = ts.queue.Requeue(item)
+		ts.startQueued(now)
 		return nil
 	}
-	ticket, verdict, out, pushed := l.queue.Push(now.Add(l.serviceTime.upper()), e, l.serveInterval()*waitMarginPercent/100)
-	if verdict != queue.Queued {
-		return dropped{l.overloadFailure()}
+	handle, result, evicted, hasEvicted := ts.queue.Push(now.Add(ts.serviceTime.upper()), item, ts.serveInterval()*waitMarginPercent/100)
+	if result != queue.Queued {
+		return dropped{ts.overloadFailure()}
 	}
-	if pushed {
-		out.wake <- dropped{l.overloadFailure()}
+	if hasEvicted {
+		evicted.wake <- dropped{ts.overloadFailure()}
 	}
-	w.queueHandle = ticket
-	l.startQueued(now)
+	j.queueHandle = handle
+	ts.startQueued(now)
 	return nil
 }
 
-// uncontended reports whether requests may try the target without its home.
-func (l *targetState) uncontended(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return now.After(l.contendedUntil)
+// uncontended reports whether requests may be sent to the target without its home.
+func (ts *targetState) uncontended(now time.Time) bool {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	return now.After(ts.contendedUntil)
 }
 
-// markContended sends requests to the target's home for a while.
-func (l *targetState) markContended(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.contendedUntil = now.Add(contentionTime)
+// markContended has requests relayed to the target's home for contentionTime.
+func (ts *targetState) markContended(now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.contendedUntil = now.Add(contentionTime)
 }
 
-// overloadFailure tells the caller when the queue as it is will be worked off.
-func (l *targetState) overloadFailure() outcome.NotRunFailure {
-	wait := time.Duration(l.queue.Len()+1) * l.serveInterval()
+// overloadFailure returns the failure of a refused request, with the time that the
+// present queue takes as the retry delay.
+func (ts *targetState) overloadFailure() outcome.NotRunFailure {
+	wait := time.Duration(ts.queue.Len()+1) * ts.serveInterval()
 	return outcome.NotRunFailure{Reason: outcome.Overload, RetryAfter: max(wait, time.Second)}
 }
 
-// serveInterval returns the mean time between two requests served. Other entry hosts use
-// the target's slots as well, so while requests wait it is what was seen.
-func (l *targetState) serveInterval() time.Duration {
-	alone := l.serviceTime.mean / time.Duration(max(int(l.concurrency.limit), 1))
-	return max(alone, l.backlog.estimate())
+// serveInterval returns the mean time between two requests served. It is computed from
+// this host's concurrency limit, but is at least the interval observed while requests
+// wait, since other entry hosts use the target's slots too.
+func (ts *targetState) serveInterval() time.Duration {
+	unshared := ts.serviceTime.mean / time.Duration(max(int(ts.concurrency.limit), 1))
+	return max(unshared, ts.backlog.estimate())
 }
 
-func (l *targetState) mayStart(now time.Time) bool {
-	if now.Before(l.pausedUntil) {
+// mayStart reports whether a slot is free. After a failed connect one request at a time
+// may start.
+func (ts *targetState) mayStart(now time.Time) bool {
+	if now.Before(ts.pausedUntil) {
 		return false
 	}
-	if l.connectFailures > 0 {
-		return l.inFlight == 0
+	if ts.connectFailures > 0 {
+		return ts.inFlight == 0
 	}
-	return l.inFlight < l.concurrency.current(now, l.warmupStart, l.warmUp)
+	return ts.inFlight < ts.concurrency.current(now, ts.warmupStart, ts.warmUp)
 }
 
-// excludedClass returns the class that may not start now: bulk work leaves one slot
-// free while interactive requests come, since each would wait for a whole run
-// of bulk work otherwise.
-func (l *targetState) excludedClass(now time.Time) settings.Class {
-	slots := l.concurrency.current(now, l.warmupStart, l.warmUp)
-	if slots > 1 && l.bulkInFlight >= slots-1 && now.Sub(l.lastInteractive) < interactiveReserveTime {
+// excludedClass returns the class that must not start now, if any. While interactive
+// requests arrive, bulk requests leave one slot free; otherwise an interactive request
+// would wait for a whole bulk request.
+func (ts *targetState) excludedClass(now time.Time) settings.Class {
+	slots := ts.concurrency.current(now, ts.warmupStart, ts.warmUp)
+	if slots > 1 && ts.bulkInFlight >= slots-1 && now.Sub(ts.lastInteractive) < interactiveReserveTime {
 		return settings.Bulk
 	}
 	return ""
 }
 
-// takeSlot counts a request that starts.
-func (l *targetState) takeSlot(w *job) {
-	l.inFlight++
-	if w.class == settings.Bulk {
-		l.bulkInFlight++
+// takeSlot counts a request as in flight.
+func (ts *targetState) takeSlot(j *job) {
+	ts.inFlight++
+	if j.class == settings.Bulk {
+		ts.bulkInFlight++
 	}
 }
 
-// startQueued hands free slots to waiting requests.
-func (l *targetState) startQueued(now time.Time) {
-	for l.queue.Len() > 0 && l.mayStart(now) {
-		// A request that has not the time to be served any more would run
-		// in vain and end as unknown.
-		e, ok := l.queue.Pop(now.Add(l.serviceTime.upper()), l.excludedClass(now))
+// startQueued assigns free slots to queued requests.
+func (ts *targetState) startQueued(now time.Time) {
+	for ts.queue.Len() > 0 && ts.mayStart(now) {
+		// A request that can't complete before its deadline would run in vain and end
+		// with an unknown outcome.
+		item, ok := ts.queue.Pop(now.Add(ts.serviceTime.upper()), ts.excludedClass(now))
 		if !ok {
 			break
 		}
-		l.takeSlot(e.Value)
-		e.Value.wake <- assigned{}
+		ts.takeSlot(item.Value)
+		item.Value.wake <- assigned{}
 	}
-	l.armTimer(now)
+	ts.armTimer(now)
 }
 
-// armTimer sets the timer where waiting work depends on the passing of time.
-func (l *targetState) armTimer(now time.Time) {
-	if l.queue.Len() == 0 || !now.Before(l.pausedUntil) {
+// armTimer sets the timer to the end of the backoff if requests are queued.
+func (ts *targetState) armTimer(now time.Time) {
+	if ts.queue.Len() == 0 || !now.Before(ts.pausedUntil) {
 		return
 	}
-	wait := l.pausedUntil.Sub(now)
-	if l.timer == nil {
-		l.timer = time.AfterFunc(wait, l.handleTimer)
+	wait := ts.pausedUntil.Sub(now)
+	if ts.timer == nil {
+		ts.timer = time.AfterFunc(wait, ts.handleTimer)
 		return
 	}
-	l.timer.Reset(wait)
+	ts.timer.Reset(wait)
 }
 
-// handleTimer is one turn of the lane's timer.
-func (l *targetState) handleTimer() {
+// handleTimer starts queued requests after a backoff.
+func (ts *targetState) handleTimer() {
 	now := time.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.startQueued(now)
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.startQueued(now)
 }
 
-// dequeue takes a request out of the queue; it reports false where the request
-// was handed an event before.
-func (l *targetState) dequeue(w *job) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.queue.Remove(w.queueHandle)
+// dequeue removes a request from the queue. It returns false if the request has left the
+// queue; then its event is in its wake channel.
+func (ts *targetState) dequeue(j *job) bool {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	return ts.queue.Remove(j.queueHandle)
 }
 
-// release gives back a slot and draws the conclusions from the result.
-func (l *targetState) release(now time.Time, w *job, took time.Duration, r forward.Result) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.inFlight--
-	if w.class == settings.Bulk {
-		l.bulkInFlight--
+// release returns a slot and updates the estimates and the backoff from the result.
+func (ts *targetState) release(now time.Time, j *job, took time.Duration, r forward.Result) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.inFlight--
+	if j.class == settings.Bulk {
+		ts.bulkInFlight--
 	}
 	switch r := r.(type) {
 	case forward.Completed:
-		l.meter.record(now, took, false)
-		l.recordCompleted(now, took)
+		ts.meter.record(now, took, false)
+		ts.recordCompleted(now, took)
 	case forward.Refused:
-		l.connectFailures = 0
+		ts.connectFailures = 0
 		if r.Refusal == refusalBusy {
-			l.backOffBusy(now)
+			ts.backOffBusy(now)
 		}
 	case forward.NotSent:
 		if !errors.Is(r.Err, context.Canceled) && !errors.Is(r.Err, forward.ErrFull) {
-			l.connectFailed(now)
+			ts.connectFailed(now)
 		}
 	}
-	l.startQueued(now)
+	ts.startQueued(now)
 }
 
-func (l *targetState) recordCompleted(now time.Time, took time.Duration) {
-	l.connectFailures, l.busyRefusals = 0, 0
-	l.backlog.add(now, l.queue.Len() > 0)
-	l.concurrency.increase()
-	l.serviceTime.add(took)
+// recordCompleted updates the estimates after a complete response.
+func (ts *targetState) recordCompleted(now time.Time, took time.Duration) {
+	ts.connectFailures, ts.busyRefusals = 0, 0
+	ts.backlog.add(now, ts.queue.Len() > 0)
+	ts.concurrency.increase()
+	ts.serviceTime.add(took)
 }
 
-// backOffBusy makes way for others that use the target's slots. A home keeps its
-// limit: those that go past it are few.
-func (l *targetState) backOffBusy(now time.Time) {
-	if l.entry.cfg.Sharing == ShareAdaptive {
-		l.concurrency.decrease()
+// backOffBusy backs off after the target had no free slot, since other entry hosts use
+// its slots. Only ShareAdaptive lowers the concurrency limit; few requests bypass a home.
+func (ts *targetState) backOffBusy(now time.Time) {
+	if ts.entry.cfg.Sharing == ShareAdaptive {
+		ts.concurrency.decrease()
 	}
-	most := max(l.serviceTime.mean/2, minBusyBackoff)
-	l.pause(now, min(minBusyBackoff<<min(l.busyRefusals, maxBusyDoublings), most))
-	l.busyRefusals++
+	maxBackoff := max(ts.serviceTime.mean/2, minBusyBackoff)
+	ts.pause(now, min(minBusyBackoff<<min(ts.busyRefusals, maxBusyDoublings), maxBackoff))
+	ts.busyRefusals++
 }
 
-// connectFailed backs off from a target that takes no connection: one request tries
-// it at a time, however many wait.
-func (l *targetState) connectFailed(now time.Time) {
-	l.connectFailures++
-	l.pause(now, min(minConnectBackoff<<min(l.connectFailures-1, 10), maxConnectBackoff))
+// connectFailed backs off after a failed connect. Until a connect succeeds, one request
+// at a time tries, however many are queued.
+func (ts *targetState) connectFailed(now time.Time) {
+	ts.connectFailures++
+	ts.pause(now, min(minConnectBackoff<<min(ts.connectFailures-1, 10), maxConnectBackoff))
 }
 
-// pause lets nothing start for about d, spread so that entry hosts do not
-// come back together.
-func (l *targetState) pause(now time.Time, d time.Duration) {
-	l.pausedUntil = now.Add(d/2 + rand.N(d))
+// pause starts no request for about d. The jitter keeps entry hosts from resuming at the
+// same time.
+func (ts *targetState) pause(now time.Time, d time.Duration) {
+	ts.pausedUntil = now.Add(d/2 + rand.N(d))
 }
 
-// tick drops what waited past its deadline and starts what may start.
-func (l *targetState) tick(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, w := range l.queue.Expire(now.Add(l.serviceTime.upper())) {
-		w.wake <- dropped{outcome.NotRunFailure{Reason: outcome.Deadline, RetryAfter: time.Second}}
+// tick drops queued requests that would miss their deadline and starts others.
+func (ts *targetState) tick(now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	for _, j := range ts.queue.Expire(now.Add(ts.serviceTime.upper())) {
+		j.wake <- dropped{outcome.NotRunFailure{Reason: outcome.Deadline, RetryAfter: time.Second}}
 	}
-	l.startQueued(now)
+	ts.startQueued(now)
 }
 
-// track notes a look-up that runs; untrack forgets it.
-func (l *targetState) track(w *job, cancel context.CancelFunc) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cancelable[w] = cancel
+// track registers an idempotent request in flight, which wakeMoved may cancel.
+func (ts *targetState) track(j *job, cancel context.CancelFunc) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.cancelable[j] = cancel
 }
 
-func (l *targetState) untrack(w *job) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.cancelable, w)
+// untrack removes a request that track registered.
+func (ts *targetState) untrack(j *job) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	delete(ts.cancelable, j)
 }
 
-// wakeMoved wakes the waiting requests whose shard the view gives to another
-// target. Look-ups that still run here are broken off and run at the new
-// owner: in a planned move they have ended before, so this target is frozen or
-// lost and they would wait for their deadline.
-func (l *targetState) wakeMoved(v *view) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := l.queue.RemoveWhere(func(e queue.Item[*job]) bool { return !l.owns(v, e.Value) })
-	for _, w := range out {
-		w.wake <- ownerMoved{}
+// wakeMoved wakes the queued requests whose key has another owner in the view. It also
+// cancels the idempotent requests in flight for such keys, which then run at the new
+// owner. In a planned move they complete before the shard moves; otherwise this target
+// is frozen or lost, and they would wait until their deadline.
+func (ts *targetState) wakeMoved(v *view) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	moved := ts.queue.RemoveWhere(func(item queue.Item[*job]) bool { return !ts.owns(v, item.Value) })
+	for _, j := range moved {
+		j.wake <- ownerMoved{}
 	}
-	for w, cancel := range l.cancelable {
-		if !l.owns(v, w) {
-			w.ownerMoved.Store(true)
+	for j, cancel := range ts.cancelable {
+		if !ts.owns(v, j) {
+			j.ownerMoved.Store(true)
 			cancel()
 		}
 	}
 }
 
-// owns reports whether a view gives the request's key to the lane's target.
-func (l *targetState) owns(v *view, w *job) bool {
-	s := v.services[l.service]
+// owns reports whether the target owns the request's key in the view.
+func (ts *targetState) owns(v *view, j *job) bool {
+	s := v.services[ts.service]
 	if s == nil {
 		return false
 	}
-	_, o := s.find(w.hash)
-	return o.target == l
+	_, o := s.find(j.hash)
+	return o.target == ts
 }
 
-// dropQueued drops all that waits: the entry host stops.
-func (l *targetState) dropQueued(reason outcome.Reason) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, w := range l.queue.RemoveWhere(func(queue.Item[*job]) bool { return true }) {
-		w.wake <- dropped{outcome.NotRunFailure{Reason: reason, RetryAfter: time.Second}}
+// dropQueued drops all queued requests, when the entry host stops.
+func (ts *targetState) dropQueued(reason outcome.Reason) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	for _, j := range ts.queue.RemoveWhere(func(queue.Item[*job]) bool { return true }) {
+		j.wake <- dropped{outcome.NotRunFailure{Reason: reason, RetryAfter: time.Second}}
 	}
 }
 
-func (l *targetState) close() {
-	l.mu.Lock()
-	l.closed = true
-	for _, w := range l.queue.RemoveWhere(func(queue.Item[*job]) bool { return true }) {
-		w.wake <- ownerMoved{}
+// close closes the connections and has queued requests look for their owner again.
+func (ts *targetState) close() {
+	ts.mu.Lock()
+	ts.closed = true
+	for _, j := range ts.queue.RemoveWhere(func(queue.Item[*job]) bool { return true }) {
+		j.wake <- ownerMoved{}
 	}
-	l.mu.Unlock()
-	l.pool.Close()
+	ts.mu.Unlock()
+	ts.pool.Close()
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -14,31 +14,32 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// view is all that requests are judged by at one moment. It is immutable.
+// view is a snapshot of the settings, the routing tables and the entry hosts. It is
+// immutable.
 type view struct {
 	settings *settings.Settings
 	routes   *route.Table
 	services map[key.Service]*service
 	tables   []*table.Table
 	hosts    []place.HostRow
-	// keyHomes gives the home of each part of a key space, as an index into
+	// keyHomes is the home of each bucket of a service's key space, as an index into
 	// hosts.
 	keyHomes []int
-	// replaced is closed once a newer view is in force.
+	// replaced is closed when a newer view is in force.
 	replaced chan struct{}
 }
 
 // service is the merged routing table of one service over all zones.
 type service struct {
 	shards          key.ShardCount
-	singleKeyOwners map[key.Shard]owner // solo shards included
-	rangeOwners     []owner             // hash-range shards, by index
+	singleKeyOwners map[key.Shard]owner // owners of single-key shards
+	rangeOwners     []owner             // owners of hash-range shards, by number
 	singleKeys      map[key.Hash]key.Shard
-	rangeTables     []*table.Table // whose row stands in dense, by index
+	rangeTables     []*table.Table // the table that each of rangeOwners is from
 	load            *serviceLoad
 }
 
-// owner is the target of one shard; lane is nil where none owns it now.
+// owner is the owner of one shard. target is nil if the shard has none.
 type owner struct {
 	target *targetState
 	epoch  grant.Epoch
@@ -58,7 +59,7 @@
 	return shard, s.rangeOwners[shard]
 }
 
-// refreshView builds a view from the board and puts it in force.
+// refreshView builds a view from the replica's documents and puts it in force.
 func (e *Entry) refreshView(now time.Time) {
 	e.refreshMu.Lock()
 	defer e.refreshMu.Unlock()
@@ -90,8 +91,8 @@
 	e.updateTargets(v)
 }
 
-// readSettings takes the newest settings; it reports false while there are
-// none yet.
+// readSettings sets the newest settings in the view. It returns false if there are none
+// yet.
 func (e *Entry) readSettings(v *view) bool {
 	doc, ok := e.cfg.Replica.Get(docsync.Settings)
 	if !ok {
@@ -102,7 +103,7 @@
 	}
 	s, err := e.cfg.DecodeSettings(doc.Body)
 	if err != nil {
-		e.log.Error("Settings are unreadable.", "error", err)
+		e.log.Error("Settings not decodable, keeping the last ones.", "error", err)
 		return v.settings != nil
 	}
 	e.settingsVersion = doc.Version
@@ -114,21 +115,21 @@
 	return true
 }
 
-// readTables decodes the newest table of each cell, sorted by document name.
+// readTables returns the newest table of each cell, sorted by document name.
 func (e *Entry) readTables() []*table.Table {
 	var out []*table.Table
 	for _, doc := range e.cfg.Replica.List(docsync.TablePrefix) {
-		known, ok := e.tableCache[doc.Name]
-		if !ok || known.version != doc.Version {
+		cached, ok := e.tableCache[doc.Name]
+		if !ok || cached.version != doc.Version {
 			t, err := e.cfg.DecodeTable(doc.Body)
 			if err != nil {
-				e.log.Error("Table is unreadable.", "table", string(doc.Name), "error", err)
+				e.log.Error("Routing table not decodable, left out.", "table", string(doc.Name), "error", err)
 				continue
 			}
-			known = cachedTable{version: doc.Version, table: &t}
-			e.tableCache[doc.Name] = known
+			cached = cachedTable{version: doc.Version, table: &t}
+			e.tableCache[doc.Name] = cached
 		}
-		out = append(out, known.table)
+		out = append(out, cached.table)
 	}
 	return out
 }
@@ -139,28 +140,28 @@
 	table   *table.Table
 }
 
-// mergeTable adds the rows of one cell: for each shard the row with the
-// highest epoch over all zones wins, since a zone that was cut off may still
-// publish what it no longer has custody of.
+// mergeTable adds the rows of one cell's table. For each shard the row with the highest
+// epoch of all zones wins, since a partitioned zone may still publish shards of which it
+// no longer has custody.
 func (e *Entry) mergeTable(v *view, t *table.Table, now time.Time) {
-	at := slices.IndexFunc(v.settings.Services, func(s settings.Service) bool { return s.Name == t.Service })
-	if at < 0 {
+	index := slices.IndexFunc(v.settings.Services, func(s settings.Service) bool { return s.Name == t.Service })
+	if index < 0 {
 		return
 	}
-	cfg := &v.settings.Services[at]
+	cfg := &v.settings.Services[index]
 	s := v.services[t.Service]
 	if s == nil {
 		s = e.newService(t)
 		v.services[t.Service] = s
 	}
-	lanes := make([]*targetState, len(t.Targets))
+	targets := make([]*targetState, len(t.Targets))
 	for i := range t.Targets {
-		lanes[i] = e.targetStateOf(t, &t.Targets[i], cfg, now)
+		targets[i] = e.targetStateOf(t, &t.Targets[i], cfg, now)
 		homes := rankHomes(v.hosts, t.Zone, t.Targets[i].Name)
-		lanes[i].homes.Store(&homes)
+		targets[i].homes.Store(&homes)
 	}
 	for _, row := range t.Rows {
-		s.add(row, lanes, t)
+		s.add(row, targets, t)
 	}
 }
 
@@ -175,11 +176,11 @@
 	}
 }
 
-// add takes one row of a table, unless a row of a higher epoch is known.
-func (s *service) add(row table.Row, lanes []*targetState, t *table.Table) {
+// add adds one row of a table, unless there is a row with a higher epoch.
+func (s *service) add(row table.Row, targets []*targetState, t *table.Table) {
 	o := owner{epoch: row.Epoch}
-	if int(row.Owner) < len(lanes) {
-		o.target = lanes[row.Owner]
+	if int(row.Owner) < len(targets) {
+		o.target = targets[row.Owner]
 	}
 	if int(row.Shard) < len(s.rangeOwners) {
 		if row.Epoch >= s.rangeOwners[row.Shard].epoch {
@@ -188,45 +189,46 @@
 		}
 		return
 	}
-	if known, ok := s.singleKeyOwners[row.Shard]; !ok || row.Epoch >= known.epoch {
+	if existing, ok := s.singleKeyOwners[row.Shard]; !ok || row.Epoch >= existing.epoch {
 		s.singleKeyOwners[row.Shard] = o
 	}
 }
 
-// addSingleKeys takes the solo keys of a table whose parent shards the table has.
-// A zone that was cut off while its shards were taken away still publishes its
-// solo keys; the keys went with their shards.
+// addSingleKeys adds the single keys of a table that also has the row in force of their
+// parent shard. A partitioned zone still publishes single keys after its shards were
+// taken away, but these keys moved with their shards.
 func (s *service) addSingleKeys(t *table.Table) {
-	for _, solo := range t.SingleKeys {
-		parent := solo.Hash.Shard(s.shards)
+	for _, single := range t.SingleKeys {
+		parent := single.Hash.Shard(s.shards)
 		if int(parent) < len(s.rangeTables) && s.rangeTables[parent] == t {
-			s.singleKeys[solo.Hash] = solo.Shard
+			s.singleKeys[single.Hash] = single.Shard
 		}
 	}
 }
 
-// targetStateID tells the lanes of one target's lives at different addresses apart.
+// targetStateID identifies a target state. The address distinguishes the incarnations of
+// a target that were started at different addresses.
 type targetStateID struct {
 	service key.Service
 	target  place.Target
 	addr    string
 }
 
-// targetStateOf returns the lane of a target, made on first sight.
+// targetStateOf returns the state of a target, and creates it if necessary.
 func (e *Entry) targetStateOf(t *table.Table, row *table.Target, cfg *settings.Service, now time.Time) *targetState {
 	id := targetStateID{t.Service, row.Name, row.Addr.String()}
-	l := e.targetStates[id]
-	if l == nil {
-		l = newTargetState(e, t.Zone, row, cfg)
-		e.targetStates[id] = l
-		go l.warmUpPool(e.ctx, now)
+	ts := e.targetStates[id]
+	if ts == nil {
+		ts = newTargetState(e, t.Zone, row, cfg)
+		e.targetStates[id] = ts
+		go ts.warmUpPool(e.ctx, now)
 	}
-	l.configure(row, cfg)
-	return l
+	ts.configure(row, cfg)
+	return ts
 }
 
-// updateTargets wakes waiting work whose owner changed and closes the lanes of
-// targets that no table names any more.
+// updateTargets wakes requests whose owner changed, and closes the states of targets that
+// are in no routing table any more.
 func (e *Entry) updateTargets(v *view) {
 	used := make(map[*targetState]bool, len(e.targetStates))
 	for _, s := range v.services {
@@ -237,25 +239,25 @@
 			used[o.target] = true
 		}
 	}
-	for id, l := range e.targetStates {
-		l.wakeMoved(v)
-		if used[l] || l.listedIn(v) {
+	for id, ts := range e.targetStates {
+		ts.wakeMoved(v)
+		if used[ts] || ts.listedIn(v) {
 			continue
 		}
-		l.close()
+		ts.close()
 		delete(e.targetStates, id)
-		e.log.Info("Target left.", "target", string(id.target))
+		e.log.Info("Target removed.", "target", string(id.target))
 	}
 }
 
-// listedIn reports whether a table of the view still lists the lane's target.
-func (l *targetState) listedIn(v *view) bool {
+// listedIn reports whether a table of the view lists the target at its address.
+func (ts *targetState) listedIn(v *view) bool {
 	for _, t := range v.tables {
-		if t.Service != l.service {
+		if t.Service != ts.service {
 			continue
 		}
 		for i := range t.Targets {
-			if t.Targets[i].Name == l.target && strings.EqualFold(t.Targets[i].Addr.String(), l.addr) {
+			if t.Targets[i].Name == ts.target && strings.EqualFold(t.Targets[i].Addr.String(), ts.addr) {
 				return true
 			}
 		}
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -14,11 +14,11 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// reasonNotHome is the answer of an entry host that does not run a request
-// that was handed to it. Callers never see it.
+// reasonNotHome is the response of an entry host that does not accept a relayed request.
+// Callers never see it.
 const reasonNotHome outcome.Reason = "not-home"
 
-// errMalformed is returned for a message that can't be read.
+// errMalformed is returned for a message that can't be decoded.
 var errMalformed = errors.New("entry: malformed message")
 
 // Messages between entry hosts.
@@ -48,24 +48,24 @@
 		Status  int
 		Header  http.Header
 		Body    []byte
-		// Waited tells that the request waited for a slot.
+		// Waited reports whether the request waited for a slot.
 		Waited bool
 	}
 )
 
-// maxRelayTimeout bounds the time that a request brings along.
+// maxRelayTimeout limits the timeout of a relayed request.
 const maxRelayTimeout = 10 * time.Minute
 
-// maxStatusCode is the highest status of an answer.
+// maxStatusCode is the highest HTTP status code.
 const maxStatusCode = 599
 
-func encodeJob(now time.Time, w *job) ([]byte, error) {
-	r := &w.request
+func encodeJob(now time.Time, j *job) ([]byte, error) {
+	r := &j.request
 	return cbor.Marshal(&wireJob{
-		Caller: string(w.caller), Class: string(w.class), Route: w.route,
-		Idempotent: w.idempotent, IdempotencyKey: w.idempotencyKey, Fingerprint: w.fingerprint[:],
-		Service: string(r.Service), Hash: uint64(w.hash),
-		TimeoutUS: uint64(max(w.deadline.Sub(now), 0).Microseconds()), MaxBody: r.MaxBody,
+		Caller: string(j.caller), Class: string(j.class), Route: j.route,
+		Idempotent: j.idempotent, IdempotencyKey: j.idempotencyKey, Fingerprint: j.fingerprint[:],
+		Service: string(r.Service), Hash: uint64(j.hash),
+		TimeoutUS: uint64(max(j.deadline.Sub(now), 0).Microseconds()), MaxBody: r.MaxBody,
 		Method: r.Method, URI: r.URI, Header: r.Header, Body: r.Body,
 	})
 }
@@ -78,17 +78,17 @@
 	if len(m.Fingerprint) != len(fingerprint{}) || m.MaxBody < 0 || m.TimeoutUS > uint64(maxRelayTimeout.Microseconds()) {
 		return nil, errMalformed
 	}
-	w := &job{
+	j := &job{
 		caller: settings.Caller(m.Caller), class: settings.Class(m.Class), route: m.Route,
 		idempotent: m.Idempotent, idempotencyKey: m.IdempotencyKey, fingerprint: fingerprint(m.Fingerprint),
 		hash: key.Hash(m.Hash), wake: make(chan slotEvent, 1),
 		deadline: now.Add(time.Duration(m.TimeoutUS) * time.Microsecond),
 	}
-	w.request = forward.Request{
+	j.request = forward.Request{
 		Method: m.Method, URI: m.URI, Header: forward.SanitizeHeader(m.Header), Body: m.Body,
-		Service: key.Service(m.Service), Deadline: w.deadline, MaxBody: m.MaxBody,
+		Service: key.Service(m.Service), Deadline: j.deadline, MaxBody: m.MaxBody,
 	}
-	return w, nil
+	return j, nil
 }
 
 func encodeResult(result outcome.Result, waited bool) ([]byte, error) {
