--- a/internal/entry/backloginterval_test.go
+++ b/internal/entry/backloginterval_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBacklogInterval: nine entry hosts share three slots of a target that takes
-// 60 ms; one that counted its own slots alone admitted requests for a wait
-// nine times as long as it took them for.
+// TestBacklogInterval tests that the interval counts the requests of other entry hosts.
+// Nine hosts share the three slots of a target that takes 60 ms per request. A host that
+// assumes it has all slots admits requests for a wait nine times as long as it estimates.
 func TestBacklogInterval(t *testing.T) {
 	start := time.Unix(0, 0)
 	for name, test := range map[string]struct {
@@ -17,7 +17,7 @@
 		waiting bool
 		want    time.Duration
 	}{
-		"nothing waits":          {180 * time.Millisecond, false, 0},
+		"no request waits":       {180 * time.Millisecond, false, 0},
 		"a ninth of three slots": {180 * time.Millisecond, true, 180 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestBacklogIntervalIgnoresIdleTime: the time in which nothing waited says
-// nothing of the target.
+// TestBacklogIntervalIgnoresIdleTime tests that time in which no request waited does not
+// count, since it says nothing about the target.
 func TestBacklogIntervalIgnoresIdleTime(t *testing.T) {
 	start := time.Unix(0, 0)
 	var p backlogInterval
--- a/internal/entry/fairness_bench_test.go
+++ b/internal/entry/fairness_bench_test.go
@@ -14,7 +14,8 @@
 	"citrontray.example/citrontray/internal/outcome"
 )
 
-// openLoopCaller is the requests of one caller at a rate, whatever comes back.
+// openLoopCaller sends the requests of one caller at a mean rate that does not depend on
+// the responses.
 type openLoopCaller struct {
 	credential, method, path string
 	rate                     float64
@@ -29,7 +30,7 @@
 	}
 }
 
-// run sends for d and waits for the answers.
+// run sends requests for d and waits for the responses.
 func (s *openLoopCaller) run(c *cluster, d time.Duration) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -39,14 +40,14 @@
 		next = next.Add(time.Duration(r.ExpFloat64() / s.rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
 		url := fmt.Sprintf("%s%s%d", c.servers[r.IntN(len(c.servers))].URL, s.path, r.IntN(100_000))
-		at := next
+		due := next
 		wg.Go(func() {
-			end := c.request(s.method, url, s.credential)
-			took := time.Since(at)
+			result := c.request(s.method, url, s.credential)
+			took := time.Since(due)
 			mu.Lock()
 			defer mu.Unlock()
-			s.outcomes[end]++
-			if end == outcome.Done {
+			s.outcomes[result]++
+			if result == outcome.Done {
 				_ = s.latency.RecordValue(took.Microseconds())
 			}
 		})
@@ -56,24 +57,24 @@
 
 func (s *openLoopCaller) p99() float64 { return float64(s.latency.ValueAtQuantile(99)) / 1000 }
 
-// BenchmarkFairness measures what a reminder run of one caller at twice the
-// capacity does to the look-ups of another at a quarter of it.
+// BenchmarkFairness measures how bulk requests of one caller at twice the capacity affect
+// the latency of another caller's lookups at a quarter of the capacity.
 func BenchmarkFairness(b *testing.B) {
 	c := newCluster(b, 3, clusterConfig{entry.ShareMixed, false, benchTimeout})
 	capacity := benchTargets * benchSlots / benchServiceTime.Seconds()
 	for range b.N {
 		alone := newOpenLoopCaller(clerkCredential, http.MethodGet, "/balance/k", capacity/4)
 		alone.run(c, *benchTime)
-		look := newOpenLoopCaller(clerkCredential, http.MethodGet, "/balance/k", capacity/4)
+		lookups := newOpenLoopCaller(clerkCredential, http.MethodGet, "/balance/k", capacity/4)
 		bulk := newOpenLoopCaller(officeCredential, http.MethodPost, "/remind/k", 2*capacity)
 		var wg sync.WaitGroup
 		wg.Go(func() { bulk.run(c, *benchTime) })
-		look.run(c, *benchTime)
+		lookups.run(c, *benchTime)
 		wg.Wait()
 		b.ReportMetric(alone.p99(), "alone_p99_ms")
-		b.ReportMetric(look.p99(), "beside_p99_ms")
-		b.ReportMetric(look.p99()/alone.p99(), "ratio")
-		b.ReportMetric(float64(look.outcomes[outcome.NotRun]), "looks_notrun")
+		b.ReportMetric(lookups.p99(), "beside_p99_ms")
+		b.ReportMetric(lookups.p99()/alone.p99(), "ratio")
+		b.ReportMetric(float64(lookups.outcomes[outcome.NotRun]), "looks_notrun")
 		b.ReportMetric(float64(bulk.outcomes[outcome.Done])/benchTime.Seconds(), "bulk_done_s")
 		b.ReportMetric(float64(bulk.outcomes[outcome.NotRun])/benchTime.Seconds(), "bulk_notrun_s")
 	}
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -31,7 +31,8 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// fakeReplica is a spread.Board that keeps decoded documents by their body.
+// fakeReplica is a docsync.Replica that keeps the decoded settings and tables. The body of
+// a table document is an ID.
 type fakeReplica struct {
 	mu          sync.Mutex
 	docs        map[docsync.Name]docsync.Document
@@ -86,6 +87,7 @@
 	return out
 }
 
+// putSettings publishes new settings.
 func (b *fakeReplica) putSettings(s *settings.Settings) {
 	b.mu.Lock()
 	b.settings = s
@@ -95,6 +97,7 @@
 	b.Publish(docsync.Document{Name: docsync.Settings, Version: v})
 }
 
+// putTable publishes a new routing table.
 func (b *fakeReplica) putTable(t *table.Table) {
 	b.mu.Lock()
 	b.lastVersion++
@@ -118,7 +121,8 @@
 	return *b.tables[string(body)], nil
 }
 
-// The services of the fixture and their callers' credentials.
+// The services of the fixture, the credentials of its callers, and the body limit of its
+// services in bytes.
 const (
 	balance          key.Service = "balance"
 	plan             key.Service = "plan"
@@ -127,6 +131,8 @@
 	maxBodyBytes                 = 1000
 )
 
+// testSettings returns settings with an idempotent route to balance and one to plan that
+// is not.
 func testSettings() *settings.Settings {
 	callers := []settings.Caller{"clerk", "office"}
 	return &settings.Settings{
@@ -145,7 +151,7 @@
 	}
 }
 
-// testTable gives all shards of a service to one target.
+// testTable returns a table in which one target owns all shards of a service.
 func testTable(name key.Service, addr netip.AddrPort) *table.Table {
 	t := &table.Table{
 		Service: name, Zone: "zone-a", Shards: 4,
@@ -157,7 +163,7 @@
 	return t
 }
 
-// fixture is an entry behind a server, with a board under the test's control.
+// fixture is an entry behind an HTTP server, with a replica that the test controls.
 type fixture struct {
 	*testing.T
 	replica *fakeReplica
@@ -200,7 +206,7 @@
 	f.replica.putTable(testTable(plan, addr))
 }
 
-// response is what a caller got.
+// response is the response to a caller.
 type response struct {
 	status  int
 	outcome outcome.Outcome
@@ -209,7 +215,7 @@
 	body    string
 }
 
-// call sends one request of a caller.
+// call sends one request of the caller clerk, with pairs of header names and values.
 func (f *fixture) call(method, path, body string, header ...string) response {
 	f.Helper()
 	req, err := http.NewRequest(method, f.server.URL+path, strings.NewReader(body))
@@ -235,23 +241,23 @@
 	}
 }
 
-// fakeTarget is a target of which a test decides what each request meets.
+// fakeTarget is a target whose responses a test controls.
 type fakeTarget struct {
 	listener net.Listener
 	respond  func(c net.Conn, r *http.Request, id string) bool
 
 	mu   sync.Mutex
-	runs map[string]int // by path and body
-	ids  map[string]int
+	runs map[string]int // by method, path and body
+	ids  map[string]int // runs by request ID
 }
 
-// newFakeTarget starts a target; behave answers one request and reports whether
-// the connection stays open. nil stands for a whole answer.
-func newFakeTarget(t *testing.T, behave func(net.Conn, *http.Request, string) bool) *fakeTarget {
+// newFakeTarget starts a target. handler handles one request and reports whether the
+// connection stays open. If it is nil, the target sends complete responses.
+func newFakeTarget(t *testing.T, handler func(net.Conn, *http.Request, string) bool) *fakeTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	f := &fakeTarget{listener: l, respond: behave, runs: map[string]int{}, ids: map[string]int{}}
+	f := &fakeTarget{listener: l, respond: handler, runs: map[string]int{}, ids: map[string]int{}}
 	t.Cleanup(func() { _ = l.Close() })
 	go f.acceptLoop()
 	return f
@@ -312,15 +318,15 @@
 	return n
 }
 
-// writeResponse writes a whole answer.
+// writeResponse writes a complete response.
 func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", target.HeaderRequest, id, len(body), body)
 }
 
-// writeRefusal writes a refusal that guarantees that nothing ran.
-func writeRefusal(c net.Conn, id string, why target.Refusal) {
+// writeRefusal writes a refusal, which guarantees that the request did not run.
+func writeRefusal(c net.Conn, id string, reason target.Refusal) {
 	fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\n%s: %s\r\nContent-Length: 0\r\n\r\n",
-		target.HeaderRequest, id, target.HeaderNotRun, why)
+		target.HeaderRequest, id, target.HeaderNotRun, reason)
 }
 
 type entryConfig = entry.Config
--- a/internal/entry/home_test.go
+++ b/internal/entry/home_test.go
@@ -16,12 +16,12 @@
 )
 
 // sendWithKey sends a request with an idempotency key to one entry host.
-func (c *cluster) sendWithKey(t testing.TB, host int, path, idempotency string) response {
+func (c *cluster) sendWithKey(t testing.TB, host int, path, idempotencyKey string) response {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, c.servers[host].URL+path, nil)
 	assert.NilError(t, err)
 	req.Header.Set("Authorization", "Bearer "+clerkCredential)
-	req.Header.Set(target.HeaderIdempotency, idempotency)
+	req.Header.Set(target.HeaderIdempotency, idempotencyKey)
 	resp, err := c.client.Do(req)
 	assert.NilError(t, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -34,27 +34,27 @@
 	}
 }
 
-// TestDedupAcrossHosts repeats idempotency keys on all entry hosts at once and
-// again after the first ended: each runs once and all get its answer.
+// TestDedupAcrossHosts sends requests with the same idempotency key to all entry hosts at
+// the same time, and again after these completed. It tests that one run serves all.
 func TestDedupAcrossHosts(t *testing.T) {
 	const hosts, requests = 3, 20
 	c := newCluster(t, hosts, withLongTimeout(entry.ShareMixed))
 	var wg sync.WaitGroup
 	for i := range requests {
-		path, idempotency := fmt.Sprintf("/balance/k%d?operation=op-%d", i, i), fmt.Sprint("key-", i)
-		answers := make([]response, 2*hosts)
+		path, idempotencyKey := fmt.Sprintf("/balance/k%d?operation=op-%d", i, i), fmt.Sprint("key-", i)
+		responses := make([]response, 2*hosts)
 		wg.Go(func() {
 			var copies sync.WaitGroup
 			for n := range hosts {
-				copies.Go(func() { answers[n] = c.sendWithKey(t, n, path, idempotency) })
+				copies.Go(func() { responses[n] = c.sendWithKey(t, n, path, idempotencyKey) })
 			}
 			copies.Wait()
 			for n := range hosts {
-				answers[hosts+n] = c.sendWithKey(t, n, path, idempotency)
+				responses[hosts+n] = c.sendWithKey(t, n, path, idempotencyKey)
 			}
-			for _, a := range answers {
+			for _, a := range responses {
 				assert.Check(t, a.outcome == outcome.Done, "%v %v", a.outcome, a.reason)
-				assert.Check(t, a.body == answers[0].body)
+				assert.Check(t, a.body == responses[0].body)
 			}
 		})
 	}
@@ -63,7 +63,8 @@
 	assert.Equal(t, c.targets.Ledger.Counts().DuplicateRuns, uint64(0))
 }
 
-// TestIdempotencyKeyReused shows that another request with a used key does not run.
+// TestIdempotencyKeyReused tests that a different request with the idempotency key of an
+// earlier one does not run.
 func TestIdempotencyKeyReused(t *testing.T) {
 	c := newCluster(t, 2, withLongTimeout(entry.ShareMixed))
 	assert.Equal(t, c.sendWithKey(t, 0, "/balance/k1?a=1", "key").outcome, outcome.Done)
@@ -75,8 +76,8 @@
 	assert.Equal(t, c.targets.Ledger.Counts().Runs, uint64(1))
 }
 
-// TestHomeLost shows that look-ups go on when a home is gone, and that work
-// with an idempotency key ends as not-run instead of running elsewhere.
+// TestHomeLost tests that idempotent requests are served elsewhere when a home is down,
+// and that requests with an idempotency key end as not run instead.
 func TestHomeLost(t *testing.T) {
 	const hosts = 3
 	c := newCluster(t, hosts, withLongTimeout(entry.ShareHome))
@@ -102,18 +103,18 @@
 		}
 		assert.Equal(t, a.outcome, outcome.Done)
 	}
-	assert.Assert(t, notRun > 0, "host 0 is no target's home")
+	assert.Assert(t, notRun > 0, "host 0 is the home of no key")
 	assert.Equal(t, c.targets.Ledger.Counts().DuplicateRuns, uint64(0))
 }
 
-// TestHomeDrains shows that requests go on elsewhere while a home stops.
+// TestHomeDrains tests that requests are served elsewhere while a home drains.
 func TestHomeDrains(t *testing.T) {
 	const hosts = 3
 	c := newCluster(t, hosts, withLongTimeout(entry.ShareHome))
 	c.entries[0].Drain()
 	for i := range 24 {
-		end := c.request(http.MethodGet, fmt.Sprintf("%s/balance/k%d", c.servers[1+i%2].URL, i), clerkCredential)
-		assert.Equal(t, end, outcome.Done)
+		got := c.request(http.MethodGet, fmt.Sprintf("%s/balance/k%d", c.servers[1+i%2].URL, i), clerkCredential)
+		assert.Equal(t, got, outcome.Done)
 	}
 	assert.Equal(t, c.targets.Ledger.Counts().Runs, uint64(24))
 }
--- a/internal/entry/limit_test.go
+++ b/internal/entry/limit_test.go
@@ -16,13 +16,13 @@
 		warmUp time.Duration
 		want   int
 	}{
-		"warm":              {3, time.Hour, time.Minute, 3},
-		"just started":      {3, 0, time.Minute, 1},
-		"half way":          {3, 30 * time.Second, time.Minute, 2},
-		"clock behind":      {3, -time.Second, time.Minute, 1},
-		"no ramp":           {3, 0, 0, 3},
-		"lowered":           {1, time.Hour, time.Minute, 1},
-		"lowered and young": {1, 30 * time.Second, time.Minute, 1},
+		"warm":                        {3, time.Hour, time.Minute, 3},
+		"just started":                {3, 0, time.Minute, 1},
+		"half warmed up":              {3, 30 * time.Second, time.Minute, 2},
+		"warm-up start in the future": {3, -time.Second, time.Minute, 1},
+		"no warm-up":                  {3, 0, 0, 3},
+		"lowered":                     {1, time.Hour, time.Minute, 1},
+		"lowered and warming up":      {1, 30 * time.Second, time.Minute, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	ok, _ = l.allow(now.Add(wait))
 	assert.Assert(t, ok)
 	ok, _ = l.allow(now.Add(time.Hour))
-	assert.Assert(t, !ok) // three run at once
+	assert.Assert(t, !ok) // three requests are in flight
 }
 
 func TestServiceTime(t *testing.T) {
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -18,8 +18,8 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// expectation is the outcome of a row of docs/outcomes.md: of a look-up, which
-// is idempotent, and of a registration, which is not.
+// expectation is the expected result of a row of docs/outcomes.md, either for a lookup,
+// which is idempotent, or for a registration, which is not.
 type expectation struct {
 	outcome outcome.Outcome
 	reason  outcome.Reason
@@ -36,10 +36,10 @@
 	return expectation{outcome.NotRun, reason, 0}
 }
 
-// responder answers one request; it reports whether the connection stays open.
+// responder responds to one request and reports whether the connection stays open.
 type responder func(net.Conn, *http.Request, string) bool
 
-// onFirstRequest behaves badly on the first request alone.
+// onFirstRequest uses bad for the first request and responds completely to the others.
 func onFirstRequest(bad responder) responder {
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
@@ -54,7 +54,7 @@
 	}
 }
 
-// rawResponse answers with a text in which ID stands for the request's id.
+// rawResponse sends a text in which ID is replaced by the request ID.
 func rawResponse(text string, open bool) responder {
 	return func(c net.Conn, _ *http.Request, id string) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", id))
@@ -62,8 +62,7 @@
 	}
 }
 
-// Deadlines in milliseconds: of requests that must not meet theirs, and of
-// those that must.
+// Header values for requests that must not reach their deadline, and for those that must.
 const (
 	longDeadlineMS  = "20000"
 	shortDeadlineMS = "300"
@@ -71,12 +70,12 @@
 
 const responseHead = "HTTP/1.1 200 OK\r\nCitrontray-Request: "
 
-// TestTargetResponses goes through the answers that a target can give.
+// TestTargetResponses tests the outcome of each response that a target can give.
 func TestTargetResponses(t *testing.T) {
 	tests := map[string]struct {
-		behave         responder
-		once           bool // only the first request meets it
-		look, register expectation
+		respond          responder
+		onlyFirst        bool // only the first request gets this response
+		lookup, register expectation
 	}{
 		"target killed after the last byte": {
 			func(net.Conn, *http.Request, string) bool { return false }, true,
@@ -86,56 +85,56 @@
 			func(net.Conn, *http.Request, string) bool { return false }, false,
 			unknown(outcome.AnswerCut, 2), unknown(outcome.AnswerCut, 1),
 		},
-		"answer cut in its head": {
+		"response broken off in its header": {
 			rawResponse(responseHead+"ID\r\nContent-Le", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
-		"answer cut in its body": {
+		"response broken off in its body": {
 			rawResponse(responseHead+"ID\r\nContent-Length: 10\r\n\r\n12345", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
-		"chunked answer cut": {
+		"chunked response broken off": {
 			rawResponse(responseHead+"ID\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
-		"answer of another request": {
+		"response to another request": {
 			rawResponse(responseHead+"another\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
 		},
-		"answer without an id": {
+		"response without an ID": {
 			rawResponse("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
 		},
-		"answer with two ids": {
+		"response with two IDs": {
 			rawResponse(responseHead+"ID\r\nCitrontray-Request: another\r\nContent-Length: 2\r\n\r\nno", true), true, done(2), unknown(outcome.AnswerWrong, 1),
 		},
-		"answer too big by its length": {
+		"response larger than the limit": {
 			rawResponse(responseHead+"ID\r\nContent-Length: 2000\r\n\r\n", true), true, done(2), unknown(outcome.AnswerTooBig, 1),
 		},
-		"answer too big by its chunks": {
+		"chunked response larger than the limit": {
 			rawResponse(responseHead+"ID\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n"+strings.Repeat("x", 2000)+"\r\n0\r\n\r\n", true), true,
 			done(2), unknown(outcome.AnswerTooBig, 1),
 		},
-		"answer whose head is too big": {
+		"response header larger than the limit": {
 			rawResponse(responseHead+"ID\r\nX: "+strings.Repeat("x", 80<<10)+"\r\nContent-Length: 0\r\n\r\n", false), true,
 			done(2), unknown(outcome.AnswerCut, 1),
 		},
-		"answer without a length": {
+		"response without a length": {
 			rawResponse(responseHead+"ID\r\n\r\nbody", false), true, done(2), unknown(outcome.AnswerBad, 1),
 		},
-		"answer that is not HTTP": {
+		"response that is not HTTP": {
 			rawResponse("hello\r\n\r\n", false), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
-		"answer that switches protocols": {
+		"response that switches protocols": {
 			rawResponse("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), true, done(2), unknown(outcome.AnswerCut, 1),
 		},
-		"interim answer first": {
+		"interim response first": {
 			rawResponse("HTTP/1.1 103 Early Hints\r\n\r\n"+responseHead+"ID\r\nContent-Length: 2\r\n\r\nok", true), false, done(1), done(1),
 		},
-		"error status with the id": {
+		"error status with the ID": {
 			rawResponse("HTTP/1.1 500 Internal Server Error\r\nCitrontray-Request: ID\r\nContent-Length: 0\r\n\r\n", true), false, done(1), done(1),
 		},
-		"chunked answer": {
+		"chunked response": {
 			rawResponse(responseHead+"ID\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true), false, done(1), done(1),
 		},
-		"no answer within the deadline": {
+		"no response before the deadline": {
 			func(c net.Conn, _ *http.Request, _ string) bool {
-				_, _ = c.Read(make([]byte, 1)) // until the other side hangs up
+				_, _ = c.Read(make([]byte, 1)) // until the connection is closed
 				return false
 			}, false,
 			unknown(outcome.AnswerLate, 1), unknown(outcome.AnswerLate, 1),
@@ -143,20 +142,20 @@
 	}
 	for name, test := range tests {
 		t.Run(name+"/look", func(t *testing.T) {
-			testTargetResponse(t, test.behave, test.once, "GET", "/balance/k", test.look)
+			testTargetResponse(t, test.respond, test.onlyFirst, "GET", "/balance/k", test.lookup)
 		})
 		t.Run(name+"/register", func(t *testing.T) {
-			testTargetResponse(t, test.behave, test.once, "POST", "/plan/k", test.register)
+			testTargetResponse(t, test.respond, test.onlyFirst, "POST", "/plan/k", test.register)
 		})
 	}
 }
 
-func testTargetResponse(t *testing.T, behave responder, only bool, method, path string, want expectation) {
-	if only {
-		behave = onFirstRequest(behave)
+func testTargetResponse(t *testing.T, respond responder, onlyFirst bool, method, path string, want expectation) {
+	if onlyFirst {
+		respond = onFirstRequest(respond)
 	}
 	f := newFixture(t, nil)
-	owner := newFakeTarget(t, behave)
+	owner := newFakeTarget(t, respond)
 	f.setOwner(owner.addr())
 	deadline := longDeadlineMS
 	if want.reason == outcome.AnswerLate {
@@ -167,24 +166,25 @@
 	assert.Equal(t, a.reason, want.reason)
 	assert.Equal(t, owner.totalRuns(), want.runs)
 	if want.outcome == outcome.Unknown {
-		assert.Assert(t, !strings.Contains(a.body, owner.addr().String()), "the address leaks")
+		assert.Assert(t, !strings.Contains(a.body, owner.addr().String()), "the response contains the target's address")
 	}
 }
 
-// TestRefusals goes through the refusals that guarantee that nothing ran.
+// TestRefusals tests the outcome of each refusal, which guarantees that the request did
+// not run.
 func TestRefusals(t *testing.T) {
 	tests := map[string]struct {
 		refusal target.Refusal
 		first   bool // only the first request is refused
 		want    expectation
 	}{
-		"owner, until the table moves": {target.RefusalOwner, false, notRun(outcome.NoOwner)},
-		"owner, once":                  {target.RefusalOwner, true, done(1)},
-		"busy, once":                   {target.RefusalBusy, true, done(1)},
-		"busy, always":                 {target.RefusalBusy, false, notRun(outcome.Deadline)},
-		"deadline":                     {target.RefusalDeadline, false, notRun(outcome.Deadline)},
-		"draining":                     {target.RefusalDraining, false, notRun(outcome.NoOwner)},
-		"a reason not in the list":     {"other", false, notRun(outcome.Refused)},
+		"not the owner, always": {target.RefusalOwner, false, notRun(outcome.NoOwner)},
+		"not the owner, once":   {target.RefusalOwner, true, done(1)},
+		"busy, once":            {target.RefusalBusy, true, done(1)},
+		"busy, always":          {target.RefusalBusy, false, notRun(outcome.Deadline)},
+		"deadline":              {target.RefusalDeadline, false, notRun(outcome.Deadline)},
+		"draining":              {target.RefusalDraining, false, notRun(outcome.NoOwner)},
+		"unknown reason":        {"other", false, notRun(outcome.Refused)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -214,7 +214,7 @@
 	}
 }
 
-// TestDuplicateResponse shows that the second copy of an answer reaches nobody.
+// TestDuplicateResponse tests that the second copy of a response reaches no caller.
 func TestDuplicateResponse(t *testing.T) {
 	f := newFixture(t, nil)
 	owner := newFakeTarget(t, func(c net.Conn, r *http.Request, id string) bool {
@@ -251,7 +251,7 @@
 	assert.Equal(t, a.reason, outcome.NoOwner)
 }
 
-// TestOwnerAppearsWhileParked shows that a request outlives an unowned moment.
+// TestOwnerAppearsWhileParked tests that a request waits for an owner of its key.
 func TestOwnerAppearsWhileParked(t *testing.T) {
 	f := newFixture(t, nil)
 	owner := newFakeTarget(t, nil)
@@ -263,7 +263,7 @@
 	assert.Equal(t, owner.totalRuns(), 1)
 }
 
-// newBlockingTarget is a target that answers once it is let go.
+// newBlockingTarget starts a target that responds once the channel is closed.
 func newBlockingTarget(t *testing.T) (*fakeTarget, chan struct{}) {
 	free := make(chan struct{})
 	return newFakeTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
@@ -273,7 +273,8 @@
 	}), free
 }
 
-// fillSlots takes all slots of the plan service's target.
+// fillSlots occupies all slots of the target of the plan service, and returns a channel
+// for the responses.
 func (f *fixture) fillSlots(owner *fakeTarget) chan response {
 	out := make(chan response, 3)
 	for i := range 3 {
@@ -291,7 +292,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("did not come")
+	t.Fatal("condition not met in time")
 }
 
 func TestDeadlinePassesInQueue(t *testing.T) {
@@ -357,8 +358,8 @@
 	assert.Equal(t, (<-waits).outcome, outcome.Done)
 }
 
-// TestStopDropsQueue shows that a stop answers what waits with not-run and
-// lets what runs end.
+// TestStopDropsQueue tests that at a stop queued requests end as not run and requests in
+// flight complete.
 func TestStopDropsQueue(t *testing.T) {
 	f := newFixture(t, nil)
 	owner, free := newBlockingTarget(t)
@@ -378,7 +379,7 @@
 	}
 }
 
-// TestOwnerMovesWhileQueued shows that waiting work follows its shard.
+// TestOwnerMovesWhileQueued tests that a queued request goes to the new owner of its key.
 func TestOwnerMovesWhileQueued(t *testing.T) {
 	f := newFixture(t, nil)
 	old, free := newBlockingTarget(t)
@@ -398,8 +399,8 @@
 	assert.Equal(t, old.totalRuns(), 3)
 }
 
-// TestBodyLimits shows that bodies are bounded for a request, by its length
-// or by its chunks, and for the entry host.
+// TestBodyLimits tests the limit of one body, with a length or chunked, and the limit of
+// the entry host's memory.
 func TestBodyLimits(t *testing.T) {
 	tests := map[string]struct {
 		size   int
@@ -408,11 +409,11 @@
 		want   expectation
 		status int
 	}{
-		"at the bound":          {maxBodyBytes, 1 << 20, false, done(1), http.StatusOK},
-		"over it":               {maxBodyBytes + 1, 1 << 20, false, notRun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
-		"at the bound, chunked": {maxBodyBytes, 1 << 20, true, done(1), http.StatusOK},
-		"over it, chunked":      {maxBodyBytes + 1, 1 << 20, true, notRun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
-		"no memory left":        {maxBodyBytes, maxBodyBytes - 1, false, notRun(outcome.Overload), http.StatusServiceUnavailable},
+		"at the limit":            {maxBodyBytes, 1 << 20, false, done(1), http.StatusOK},
+		"over the limit":          {maxBodyBytes + 1, 1 << 20, false, notRun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
+		"at the limit, chunked":   {maxBodyBytes, 1 << 20, true, done(1), http.StatusOK},
+		"over the limit, chunked": {maxBodyBytes + 1, 1 << 20, true, notRun(outcome.BodyTooBig), http.StatusRequestEntityTooLarge},
+		"no memory left":          {maxBodyBytes, maxBodyBytes - 1, false, notRun(outcome.Overload), http.StatusServiceUnavailable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -437,8 +438,8 @@
 	}
 }
 
-// TestIdleConnectionClosed shows that a registration does not meet a kept
-// connection that the target closed: it would end as unknown.
+// TestIdleConnectionClosed tests that a registration is not sent on an idle connection
+// that the target has closed. Its outcome would be unknown.
 func TestIdleConnectionClosed(t *testing.T) {
 	f := newFixture(t, nil)
 	closed := make(chan struct{}, 100)
@@ -456,7 +457,7 @@
 	assert.Equal(t, owner.totalRuns(), 10)
 }
 
-// TestResetWhileSending resets the connection before the request was read.
+// TestResetWhileSending tests a connection that is reset before the request was read.
 func TestResetWhileSending(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -467,7 +468,7 @@
 			if err != nil {
 				return
 			}
-			go func() { // connections opened ahead send nothing yet
+			go func() { // connections that are opened ahead send nothing yet
 				_, _ = c.Read(make([]byte, 10))
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
@@ -482,12 +483,12 @@
 	assert.Equal(t, a.outcome, outcome.Unknown)
 }
 
-// TestCallerDisconnectsInFlight shows that a look-up is cancelled at its target when
-// its caller hangs up, and that a registration runs to its end.
+// TestCallerDisconnectsInFlight tests that a lookup is canceled at its target when its
+// caller disconnects, and that a registration completes.
 func TestCallerDisconnectsInFlight(t *testing.T) {
 	tests := map[string]struct {
 		method, path string
-		cancelled    bool
+		canceled     bool
 	}{
 		"look-up":      {"GET", "/balance/k", true},
 		"registration": {"POST", "/plan/k", false},
@@ -497,7 +498,7 @@
 			started, free, sawEnd := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
 			owner := newFakeTarget(t, func(c net.Conn, _ *http.Request, id string) bool {
 				close(started)
-				if test.cancelled {
+				if test.canceled {
 					_, err := c.Read(make([]byte, 1))
 					sawEnd <- errors.Is(err, io.EOF)
 					return false
@@ -523,13 +524,13 @@
 			}
 			assert.ErrorIs(t, err, context.Canceled)
 			close(free)
-			assert.Equal(t, <-sawEnd, test.cancelled)
+			assert.Equal(t, <-sawEnd, test.canceled)
 		})
 	}
 }
 
-// TestOwnerMovesFromFrozenTarget shows that a look-up at a frozen target goes to
-// the new owner once there is one, and that a registration is not run again.
+// TestOwnerMovesFromFrozenTarget tests that a lookup in flight at a frozen target is
+// retried at the new owner once there is one, and that a registration is not.
 func TestOwnerMovesFromFrozenTarget(t *testing.T) {
 	tests := map[string]struct {
 		method, path string
@@ -544,7 +545,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, nil)
 			frozen := newFakeTarget(t, func(c net.Conn, _ *http.Request, _ string) bool {
-				_, _ = c.Read(make([]byte, 1)) // until the other side hangs up
+				_, _ = c.Read(make([]byte, 1)) // until the connection is closed
 				return false
 			})
 			f.setOwner(frozen.addr())
--- a/internal/entry/path_bench_test.go
+++ b/internal/entry/path_bench_test.go
@@ -20,7 +20,7 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// newEchoTarget is a target that answers at once at little cost.
+// newEchoTarget starts a target that responds immediately, at little cost.
 func newEchoTarget(b *testing.B) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -33,8 +33,8 @@
 	return l
 }
 
-// BenchmarkPath compares the path through an entry with calling the target
-// directly, side by side, by one caller at a time.
+// BenchmarkPath compares requests through an entry with requests directly to the target,
+// by one caller without concurrency.
 func BenchmarkPath(b *testing.B) {
 	f := newBenchFixture(b)
 	direct := fmt.Sprintf("http://%s/balance/k", f.target)
@@ -42,7 +42,7 @@
 	b.Run("entry", func(b *testing.B) { runPath(b, f.url+"/balance/k") })
 }
 
-// BenchmarkHandler is the cost of the entry alone: no server, no caller.
+// BenchmarkHandler measures the entry's handler without an HTTP server and a caller.
 func BenchmarkHandler(b *testing.B) {
 	f := newBenchFixture(b)
 	req, err := http.NewRequest(http.MethodGet, "/balance/k", nil)
@@ -51,7 +51,7 @@
 	credential := []string{"Bearer " + clerkCredential}
 	b.ReportAllocs()
 	for b.Loop() {
-		req.Header["Authorization"] = credential // not forwarded, taken out
+		req.Header["Authorization"] = credential // the handler removes it
 		w := httptest.NewRecorder()
 		f.entry.ServeHTTP(w, req)
 		if w.Code != http.StatusOK {
@@ -79,8 +79,8 @@
 	return benchFixture{entry: e, url: url, target: l.Addr().String()}
 }
 
-// runPath sends requests over one kept connection at the lowest cost, so that
-// the caller's own cost hides little.
+// runPath sends requests over one reused connection, with little overhead of its own that
+// could hide that of the path.
 func runPath(b *testing.B, url string) {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	assert.NilError(b, err)
--- a/internal/entry/sharing_bench_test.go
+++ b/internal/entry/sharing_bench_test.go
@@ -36,9 +36,9 @@
 )
 
 var (
-	benchTime        = flag.Duration("slots.time", 4*time.Second, "length of one point")
-	benchHosts       = flag.Int("slots.hosts", 9, "entry hosts")
-	benchServiceTime = flag.Duration("slots.work", 5*time.Millisecond, "service time")
+	benchTime        = flag.Duration("slots.time", 4*time.Second, "duration of one benchmark run")
+	benchHosts       = flag.Int("slots.hosts", 9, "number of entry hosts")
+	benchServiceTime = flag.Duration("slots.work", 5*time.Millisecond, "mean service time of the targets")
 )
 
 const (
@@ -49,21 +49,24 @@
 	rebalanceInterval = 50 * time.Millisecond
 )
 
-// clusterConfig is one way of sharing the slots of a target between entry hosts.
+// clusterConfig configures a cluster.
 type clusterConfig struct {
-	sharing    entry.Sharing
+	sharing entry.Sharing
+	// rebalances has the slots of each target divided among the entry hosts by demand.
 	rebalances bool
-	timeout    time.Duration
+	// timeout is that of the lookup route.
+	timeout time.Duration
 }
 
-// withLongTimeout is for tests, whose requests must not meet their deadline.
+// withLongTimeout returns a configuration whose requests don't reach their deadline.
 func withLongTimeout(sharing entry.Sharing) clusterConfig {
 	return clusterConfig{sharing: sharing, timeout: 20 * time.Second}
 }
 
-// BenchmarkSlots measures the three ways at four loads, in one run.
+// BenchmarkSlots compares the modes of sharing slots at several loads, in percent of the
+// capacity.
 func BenchmarkSlots(b *testing.B) {
-	ways := []struct {
+	configs := []struct {
 		name string
 		clusterConfig
 	}{
@@ -73,9 +76,9 @@
 		{"mixed", clusterConfig{entry.ShareMixed, false, benchTimeout}},
 	}
 	for _, load := range []int{50, 80, 95, 100, 150} {
-		for _, w := range ways {
-			b.Run(fmt.Sprintf("%s/%d", w.name, load), func(b *testing.B) {
-				c := newCluster(b, *benchHosts, w.clusterConfig)
+		for _, config := range configs {
+			b.Run(fmt.Sprintf("%s/%d", config.name, load), func(b *testing.B) {
+				c := newCluster(b, *benchHosts, config.clusterConfig)
 				capacity := benchTargets * benchSlots / benchServiceTime.Seconds()
 				for range b.N {
 					c.offerLoad(b, capacity*float64(load)/100)
@@ -85,7 +88,7 @@
 	}
 }
 
-// cluster is some entry hosts with real sockets between them, and targets.
+// cluster is a number of entry hosts, connected by real sockets, and their targets.
 type cluster struct {
 	targets *fake.TargetSet
 	entries []*entry.Entry
@@ -94,7 +97,7 @@
 	client  *http.Client
 }
 
-func newCluster(b testing.TB, hosts int, w clusterConfig) *cluster {
+func newCluster(b testing.TB, hosts int, config clusterConfig) *cluster {
 	c := &cluster{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}}
 	c.targets = fake.NewTargetSet([]fake.TargetGroup{{Count: benchTargets, TargetConfig: fake.TargetConfig{
 		Service: balance, Slots: benchSlots, Connections: 130, MeanWork: *benchServiceTime, ConnectDelay: time.Millisecond,
@@ -104,20 +107,20 @@
 	dir := b.TempDir()
 	now := time.Now()
 	assert.NilError(b, certs.CreateAuthority(now, dir))
-	links := make([]*peer.Peer, hosts)
+	entryPeers := make([]*peer.Peer, hosts)
 	fleet := platform.Fleet{}
 	for i := range hosts {
-		links[i] = newPeer(b, dir, hostName(i))
-		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
+		entryPeers[i] = newPeer(b, dir, hostName(i))
+		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: entryPeers[i].Addr()})
 	}
-	c.peers = links
+	c.peers = entryPeers
 	list, err := docsync.EncodeFleet(fleet)
 	assert.NilError(b, err)
 	rows := c.grantShards(b)
 	for i := range hosts {
-		c.startEntry(b, hostName(i), links[i], w, list, rows)
+		c.startEntry(b, hostName(i), entryPeers[i], config, list, rows)
 	}
-	if w.rebalances {
+	if config.rebalances {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -135,21 +138,21 @@
 	now := time.Now()
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	assert.NilError(b, certs.IssueHost(now, dir, host, "zone-a", []peer.Role{peer.RoleEntry}, []netip.Addr{loopback}))
-	material, err := certs.Load(now, dir, host, peer.RoleEntry)
+	credentials, err := certs.Load(now, dir, host, peer.RoleEntry)
 	assert.NilError(b, err)
-	link, err := peer.New(peer.Config{Listen: netip.AddrPortFrom(loopback, 0), Keys: material, Log: logging.Nop()})
+	p, err := peer.New(peer.Config{Listen: netip.AddrPortFrom(loopback, 0), Keys: credentials, Log: logging.Nop()})
 	assert.NilError(b, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = link.Run(ctx)
+		_ = p.Run(ctx)
 	}()
-	b.Cleanup(func() { cancel(); <-done; _ = link.Close() })
-	return link
+	b.Cleanup(func() { cancel(); <-done; _ = p.Close() })
+	return p
 }
 
-// grantShards gives the shards to the targets in turn.
+// grantShards grants the shards to the targets round robin and returns the table's rows.
 func (c *cluster) grantShards(b testing.TB) []table.Row {
 	control := target.NewControl(time.Second)
 	defer control.Close()
@@ -171,25 +174,25 @@
 	return rows
 }
 
-func (c *cluster) startEntry(b testing.TB, host place.Host, link peer.Transport, w clusterConfig, list []byte, rows []table.Row) {
-	bd := newFakeReplica()
+func (c *cluster) startEntry(b testing.TB, host place.Host, transport peer.Transport, config clusterConfig, list []byte, rows []table.Row) {
+	replica := newFakeReplica()
 	s := testSettings()
 	s.Services = []settings.Service{{Name: balance, Shards: benchShards, Slots: benchSlots, Connections: 130, BodyBytes: maxBodyBytes}}
-	s.Routes[0].Timeout = w.timeout
+	s.Routes[0].Timeout = config.timeout
 	s.Routes = append(s.Routes, settings.Route{
 		Name: "remind", Service: balance, Callers: []settings.Caller{"office"}, Methods: []string{http.MethodPost},
 		Path: "/remind/{key}", KeySource: settings.KeyInPath, Class: settings.Bulk, Timeout: 2 * time.Second,
 	})
-	bd.putSettings(s)
-	bd.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
+	replica.putSettings(s)
+	replica.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
 	t := &table.Table{Service: balance, Zone: "zone-a", Shards: benchShards, Rows: rows}
-	for _, one := range c.targets.Targets() {
-		t.Targets = append(t.Targets, table.Target{Name: one.Name(), Addr: one.Addr()})
+	for _, ft := range c.targets.Targets() {
+		t.Targets = append(t.Targets, table.Target{Name: ft.Name(), Addr: ft.Addr()})
 	}
-	bd.putTable(t)
+	replica.putTable(t)
 	e := entry.New(entry.Config{
-		Replica: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
-		Registry: metric.New("test"), Host: host, Transport: link, Sharing: w.sharing, Hosts: *benchHosts,
+		Replica: replica, DecodeSettings: replica.decodeSettings, DecodeTable: replica.decodeTable, Log: logging.Nop(),
+		Registry: metric.New("test"), Host: host, Transport: transport, Sharing: config.sharing, Hosts: *benchHosts,
 		Queue: queue.DefaultConfig(), ParkTimeout: time.Second, MaxParked: 1000, BodyMemory: 16 << 20, TickInterval: entry.DefaultTickInterval,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -208,22 +211,22 @@
 	})
 }
 
-// loopRebalance deals the slots of each target out to the entry hosts with the
-// most demand, as a lead would.
+// loopRebalance divides the slots of each target among the entry hosts with the most
+// demand, as a leader would.
 func (c *cluster) loopRebalance(ctx context.Context) {
-	turn := 0
+	round := 0
 	for ctx.Err() == nil {
 		demand := make([]map[place.Target]int, len(c.entries))
 		for i, e := range c.entries {
 			demand[i] = e.Demand()
 		}
-		turn++
+		round++
 		for _, t := range c.targets.Targets() {
 			share := make([]int, len(c.entries))
 			for range benchSlots {
 				best := -1
 				for n := range c.entries {
-					i := (n + turn) % len(c.entries)
+					i := (n + round) % len(c.entries)
 					if best < 0 || demand[i][t.Name()]-share[i] > demand[best][t.Name()]-share[best] {
 						best = i
 					}
@@ -238,10 +241,11 @@
 	}
 }
 
-// offerLoad sends requests at a rate, whatever comes back, and reports.
+// offerLoad sends requests at a mean rate that does not depend on the responses, and
+// reports the results.
 func (c *cluster) offerLoad(b *testing.B, rate float64) {
 	latency := hdrhistogram.New(1, 10_000_000, 3)
-	ends := map[outcome.Outcome]int{}
+	outcomes := map[outcome.Outcome]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	before, cpu := c.targets.Ledger.Counts(), cpuTime()
@@ -255,13 +259,13 @@
 		url := fmt.Sprintf("%s/balance/k%d", c.servers[r.IntN(len(c.servers))].URL, r.IntN(100_000))
 		sent++
 		wg.Go(func() {
-			at := next
-			end := c.request(http.MethodGet, url, clerkCredential)
-			took := time.Since(at)
+			due := next
+			result := c.request(http.MethodGet, url, clerkCredential)
+			took := time.Since(due)
 			mu.Lock()
 			defer mu.Unlock()
-			ends[end]++
-			if end == outcome.Done {
+			outcomes[result]++
+			if result == outcome.Done {
 				_ = latency.RecordValue(took.Microseconds())
 			}
 		})
@@ -270,9 +274,9 @@
 	after := c.targets.Ledger.Counts()
 	b.ReportMetric(float64(latency.ValueAtQuantile(50))/1000, "p50_ms")
 	b.ReportMetric(float64(latency.ValueAtQuantile(99))/1000, "p99_ms")
-	b.ReportMetric(float64(ends[outcome.Done])/benchTime.Seconds(), "done_s")
-	b.ReportMetric(float64(ends[outcome.NotRun])/float64(sent)*100, "notrun_%")
-	b.ReportMetric(float64(ends[outcome.Unknown]), "unknown")
+	b.ReportMetric(float64(outcomes[outcome.Done])/benchTime.Seconds(), "done_s")
+	b.ReportMetric(float64(outcomes[outcome.NotRun])/float64(sent)*100, "notrun_%")
+	b.ReportMetric(float64(outcomes[outcome.Unknown]), "unknown")
 	b.ReportMetric(float64(after.Sheds-before.Sheds)/float64(sent), "busy/req")
 	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/float64(sent), "cpu_us/req")
 }
@@ -293,8 +297,7 @@
 	return outcome.Outcome(resp.Header.Get(outcome.Header))
 }
 
-// cpuTime is the processor time of the whole process, callers and targets
-// included.
+// cpuTime returns the CPU time of the whole process, which includes callers and targets.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -303,10 +306,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// startBenchEntry starts one entry host without links.
-func startBenchEntry(b testing.TB, bd *fakeReplica) (*entry.Entry, string) {
+// startBenchEntry starts one entry host without a transport.
+func startBenchEntry(b testing.TB, replica *fakeReplica) (*entry.Entry, string) {
 	e := entry.New(entry.Config{
-		Replica: bd, DecodeSettings: bd.decodeSettings, DecodeTable: bd.decodeTable, Log: logging.Nop(),
+		Replica: replica, DecodeSettings: replica.decodeSettings, DecodeTable: replica.decodeTable, Log: logging.Nop(),
 		Registry: metric.New("test"), Hosts: 1, Queue: queue.DefaultConfig(),
 		ParkTimeout: time.Second, MaxParked: 1000, BodyMemory: 16 << 20, TickInterval: entry.DefaultTickInterval,
 	})
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -35,9 +35,9 @@
 )
 
 var (
-	soakRequests = flag.Int("soak.requests", 20_000, "requests of the at-most-once run")
-	soakSeed     = flag.Uint64("soak.seed", 1, "seed of the at-most-once run")
-	soakCallers  = flag.Int("soak.callers", 48, "callers at once")
+	soakRequests = flag.Int("soak.requests", 20_000, "number of requests")
+	soakSeed     = flag.Uint64("soak.seed", 1, "seed of the random operations and faults")
+	soakCallers  = flag.Int("soak.callers", 48, "number of concurrent callers")
 )
 
 const (
@@ -47,12 +47,12 @@
 	soakGrant   = time.Minute
 )
 
-// soak is a run of many requests against targets that fail in all ways, while
-// shards move, with a count of the runs of each operation at the targets.
+// soak sends many requests while targets fail in all ways and shards move, and compares
+// the results with the runs of each operation that the targets counted.
 type soak struct {
 	*testing.T
-	rand         *rand.Rand // of the disturber alone
-	board        *fakeReplica
+	rand         *rand.Rand // used only by loopFaults
+	replica      *fakeReplica
 	targets      *fake.TargetSet
 	control      *target.HTTPControl
 	rows         map[key.Service][]table.Row
@@ -66,34 +66,36 @@
 	deduplicated   atomic.Int64
 }
 
-// callResult is what the caller of one operation learned.
+// callResult is the result of one operation for its caller.
 type callResult uint8
 
 const (
-	resultGone callResult = iota // the caller hung up
+	resultGone callResult = iota // the caller disconnected
 	resultDone
 	resultNotRun
 	resultUnknown
-	resultNone // an answer without an outcome
+	resultNone // a response without an outcome
 )
 
+// TestSoak tests under random faults that no registration runs more than once, no lookup
+// more than twice, and that the outcomes tell the truth.
 func TestSoak(t *testing.T) {
 	s := newSoak(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	var disturber, callers sync.WaitGroup
-	disturber.Go(func() { s.loopFaults(ctx) })
+	var faults, callers sync.WaitGroup
+	faults.Go(func() { s.loopFaults(ctx) })
 	for i := range *soakCallers {
 		callers.Go(func() { s.loopCall(rand.New(rand.NewPCG(*soakSeed, uint64(i)))) })
 	}
 	callers.Wait()
 	cancel()
-	disturber.Wait()
+	faults.Wait()
 	s.check()
 }
 
 func newSoak(t *testing.T) *soak {
 	s := &soak{
-		T: t, rand: rand.New(rand.NewPCG(*soakSeed, 1<<32)), board: newFakeReplica(),
+		T: t, rand: rand.New(rand.NewPCG(*soakSeed, 1<<32)), replica: newFakeReplica(),
 		control: target.NewControl(time.Second),
 		rows:    map[key.Service][]table.Row{}, incarnations: map[place.Target]place.Incarnation{},
 		results: make([]callResult, *soakRequests),
@@ -115,7 +117,7 @@
 	for i := range cfg.Services {
 		cfg.Services[i].Shards = soakShards
 	}
-	s.board.putSettings(cfg)
+	s.replica.putSettings(cfg)
 	for _, name := range []key.Service{balance, plan} {
 		for shard := range key.Shard(soakShards) {
 			s.rows[name] = append(s.rows[name], table.Row{Shard: shard, Epoch: 1, Owner: table.TargetIndex(shard % soakTargets)})
@@ -127,27 +129,27 @@
 	return s
 }
 
-// startEntries starts the entry hosts with links between them that lose
-// messages and answers.
+// startEntries starts the entry hosts. The transports between them lose messages and
+// responses.
 func (s *soak) startEntries() {
 	dir := s.TempDir()
 	assert.NilError(s, certs.CreateAuthority(time.Now(), dir))
-	links := make([]*peer.Peer, soakEntries)
+	peers := make([]*peer.Peer, soakEntries)
 	fleet := platform.Fleet{}
-	for i := range links {
-		links[i] = newPeer(s, dir, hostName(i))
-		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: links[i].Addr()})
+	for i := range peers {
+		peers[i] = newPeer(s, dir, hostName(i))
+		fleet.Hosts = append(fleet.Hosts, place.HostRow{Host: hostName(i), Zone: "zone-a", EntryAddr: peers[i].Addr()})
 	}
 	list, err := docsync.EncodeFleet(fleet)
 	assert.NilError(s, err)
-	s.board.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
-	for i := range links {
-		s.startEntry(hostName(i), &lossyTransport{Transport: links[i], rand: rand.New(rand.NewPCG(*soakSeed, uint64(1<<33+i)))})
+	s.replica.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: list})
+	for i := range peers {
+		s.startEntry(hostName(i), &lossyTransport{Transport: peers[i], rand: rand.New(rand.NewPCG(*soakSeed, uint64(1<<33+i)))})
 	}
 }
 
-// lossyTransport loses one in 200 messages before, and one in 200 answers after
-// the other side got them.
+// lossyTransport loses one in lossOdds messages, and one in lossOdds responses after the
+// other host has handled the message.
 type lossyTransport struct {
 	peer.Transport
 	mu   sync.Mutex
@@ -163,17 +165,17 @@
 	if dice == 0 {
 		return nil, peer.ErrUnreachable
 	}
-	answer, err := l.Transport.Call(ctx, to, kind, body)
+	response, err := l.Transport.Call(ctx, to, kind, body)
 	if dice == 1 {
 		return nil, peer.ErrNoResponse
 	}
-	return answer, err
+	return response, err
 }
 
-func (s *soak) startEntry(host place.Host, link peer.Transport) {
+func (s *soak) startEntry(host place.Host, transport peer.Transport) {
 	e := entry.New(entry.Config{
-		Replica: s.board, DecodeSettings: s.board.decodeSettings, DecodeTable: s.board.decodeTable,
-		Log: logging.Nop(), Registry: metric.New("test"), Host: host, Transport: link, Sharing: entry.ShareAdaptive, Hosts: soakEntries, Queue: queue.DefaultConfig(),
+		Replica: s.replica, DecodeSettings: s.replica.decodeSettings, DecodeTable: s.replica.decodeTable,
+		Log: logging.Nop(), Registry: metric.New("test"), Host: host, Transport: transport, Sharing: entry.ShareAdaptive, Hosts: soakEntries, Queue: queue.DefaultConfig(),
 		ParkTimeout: time.Second, MaxParked: 1000, BodyMemory: 16 << 20, TickInterval: 5 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -198,7 +200,7 @@
 	return t
 }
 
-// order sends an order that is anchored on the target's newest answer.
+// order sends an order whose anchor is the clock in the target's newest response.
 func (s *soak) order(name key.Service, addr netip.AddrPort, o grant.Order) (grant.Response, error) {
 	o.Service, o.Zone, o.Term, o.Duration = name, "zone-a", 1, soakGrant
 	first, err := s.control.Order(context.Background(), addr, grant.Order{Service: name, Zone: "zone-a", Term: 1})
@@ -209,8 +211,8 @@
 	return s.control.Order(context.Background(), addr, o)
 }
 
-// grantAll gives each target what the rows say; a target in a new life gets
-// its shards at a higher epoch.
+// grantAll grants each target its shards of the rows. A target in a new incarnation gets
+// them with higher epochs.
 func (s *soak) grantAll(name key.Service) {
 	for i := range table.TargetIndex(soakTargets) {
 		t := s.targetOf(name, i)
@@ -218,14 +220,14 @@
 		if err != nil {
 			continue
 		}
-		fresh := s.incarnations[t.Name()] != probe.Incarnation
+		restarted := s.incarnations[t.Name()] != probe.Incarnation
 		var items []grant.Item
 		for r := range s.rows[name] {
 			row := &s.rows[name][r]
 			if row.Owner != i {
 				continue
 			}
-			if fresh {
+			if restarted {
 				row.Epoch++
 			}
 			items = append(items, grant.Item{Shard: row.Shard, Epoch: row.Epoch, Kind: grant.Grant})
@@ -236,17 +238,18 @@
 	}
 }
 
+// publish publishes the routing table of a service.
 func (s *soak) publish(name key.Service) {
 	t := &table.Table{Service: name, Zone: "zone-a", Shards: soakShards}
 	for i := range table.TargetIndex(soakTargets) {
-		one := s.targetOf(name, i)
-		t.Targets = append(t.Targets, table.Target{Name: one.Name(), Addr: one.Addr()})
+		ft := s.targetOf(name, i)
+		t.Targets = append(t.Targets, table.Target{Name: ft.Name(), Addr: ft.Addr()})
 	}
 	t.Rows = append(t.Rows, s.rows[name]...)
-	s.board.putTable(t)
+	s.replica.putTable(t)
 }
 
-// loopFaults moves shards and makes targets fail.
+// loopFaults restarts, freezes and disturbs targets and moves shards, until ctx ends.
 func (s *soak) loopFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		name := []key.Service{balance, plan}[s.rand.IntN(2)]
@@ -294,10 +297,10 @@
 	})
 }
 
-// randomFaultRate is none half of the time, and up to 5%.
+// randomFaultRate returns zero half of the time, and otherwise up to 5%.
 func (s *soak) randomFaultRate() float64 { return max(s.rand.Float64()*0.1-0.05, 0) }
 
-// moveShard releases a shard at its owner and grants it to another.
+// moveShard has the owner release a shard and assigns the shard to a random target.
 func (s *soak) moveShard(name key.Service) {
 	row := &s.rows[name][s.rand.IntN(soakShards)]
 	old := s.targetOf(name, row.Owner)
@@ -321,7 +324,7 @@
 	return false
 }
 
-// loopCall sends operations until all are sent.
+// loopCall runs operations until all have been sent.
 func (s *soak) loopCall(r *rand.Rand) {
 	for {
 		n := int(s.sent.Add(1)) - 1
@@ -332,8 +335,8 @@
 	}
 }
 
-// runOperation sends one operation. Some come twice at once with an idempotency
-// key, some with little time, some callers hang up.
+// runOperation sends one operation. Some are sent twice concurrently with an idempotency
+// key, some have short deadlines, and some callers disconnect.
 func (s *soak) runOperation(r *rand.Rand, n int) callResult {
 	server := s.servers[r.IntN(len(s.servers))]
 	ctx := context.Background()
@@ -348,17 +351,17 @@
 	}
 	if n%2 == 1 && r.IntN(10) == 0 {
 		header.Set(target.HeaderIdempotency, operationID(n))
-		again := make(chan callResult, 1)
+		second := make(chan callResult, 1)
 		other := s.servers[r.IntN(len(s.servers))]
-		go func() { again <- s.call(ctx, other.URL, n, header) }()
-		end := s.call(ctx, server.URL, n, header)
-		return s.mergeResults(end, <-again)
+		go func() { second <- s.call(ctx, other.URL, n, header) }()
+		first := s.call(ctx, server.URL, n, header)
+		return s.mergeResults(first, <-second)
 	}
 	return s.call(ctx, server.URL, n, header)
 }
 
-// mergeResults combines what two callers of the same operation learned: one of them
-// may come after the other's not-run and run it then.
+// mergeResults combines the results of two requests for the same operation. One of them
+// may arrive after the other ended as not run, and run then.
 func (s *soak) mergeResults(a, b callResult) callResult {
 	if a == resultDone && b == resultDone {
 		s.deduplicated.Add(1)
@@ -377,7 +380,7 @@
 
 func operationID(n int) string { return fmt.Sprintf("op-%d", n) }
 
-// call sends one copy: even operations are look-ups, odd ones registrations.
+// call sends one request. Even operations are lookups, odd ones registrations.
 func (s *soak) call(ctx context.Context, base string, n int, header http.Header) callResult {
 	method, uri, payload := http.MethodGet, fmt.Sprintf("/balance/k%d?operation=%s", n%997, operationID(n)), ""
 	if n%2 == 1 {
@@ -403,7 +406,7 @@
 	case outcome.Done:
 		if !fake.CheckResponse(body, uri, []byte(payload)) {
 			s.wrongResponses.Add(1)
-			s.Logf("wrong answer to %s: status %d, %d bytes", uri, resp.StatusCode, len(body))
+			s.Logf("wrong response to %s: status %d, %d bytes", uri, resp.StatusCode, len(body))
 		}
 		return resultDone
 	case outcome.NotRun:
@@ -414,7 +417,7 @@
 	return resultNone
 }
 
-// check compares what the callers learned with the runs at the targets.
+// check compares the results with the runs at the targets.
 func (s *soak) check() {
 	operations := make([]string, len(s.results))
 	for n := range operations {
@@ -422,29 +425,29 @@
 	}
 	counts := map[string]int{}
 	for n, runs := range s.targets.Ledger.RunsOf(operations) {
-		end := s.results[n]
-		counts[fmt.Sprintf("%s %s", []string{"look-ups", "registrations"}[n%2], [...]string{"gone", "done", "not-run", "unknown", "none"}[end])]++
+		result := s.results[n]
+		counts[fmt.Sprintf("%s %s", []string{"look-ups", "registrations"}[n%2], [...]string{"gone", "done", "not-run", "unknown", "none"}[result])]++
 		switch {
 		case n%2 == 1 && runs > 1:
-			counts["BROKEN doubled run"]++
-		case end == resultNotRun && runs > 0:
+			counts["BROKEN duplicate run"]++
+		case result == resultNotRun && runs > 0:
 			counts["BROKEN false not-run"]++
-		case end == resultDone && runs == 0:
+		case result == resultDone && runs == 0:
 			counts["BROKEN done without a run"]++
-		case end == resultNone:
-			counts["BROKEN answer without an outcome"]++
+		case result == resultNone:
+			counts["BROKEN response without an outcome"]++
 		case runs > 2:
-			counts["BROKEN look-up ran thrice"]++
+			counts["BROKEN look-up ran more than twice"]++
 		}
 	}
 	l := s.targets.Ledger.Counts()
-	s.Logf("requests %d, runs %d, moves %d, refused busy %d, misrouted %d, joined %d", len(s.results), l.Runs, l.Moves, l.Sheds, l.Misrouted, s.deduplicated.Load())
+	s.Logf("requests %d, runs %d, moves %d, refused busy %d, misrouted %d, deduplicated %d", len(s.results), l.Runs, l.Moves, l.Sheds, l.Misrouted, s.deduplicated.Load())
 	for name, n := range counts {
 		s.Logf("%s: %d", name, n)
 		assert.Check(s, !strings.HasPrefix(name, "BROKEN"), name)
 	}
-	assert.Equal(s, s.wrongResponses.Load(), int64(0), "wrong answers")
+	assert.Equal(s, s.wrongResponses.Load(), int64(0), "wrong responses")
 	assert.Equal(s, l.DuplicateRuns, uint64(0))
 	assert.Equal(s, l.DuplicateOwners, uint64(0))
-	assert.Equal(s, l.RefusedConns, uint64(0), "connections over the limit")
+	assert.Equal(s, l.RefusedConns, uint64(0), "connections refused over the limit")
 }
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -23,8 +23,9 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// TestGracefulStop stops an entry host under load: callers are asked to go
-// elsewhere, none sees a cut connection, what runs ends.
+// TestGracefulStop stops an entry host under load. It tests that responses announce the
+// end of their connection, that no connection is broken off, and that requests in flight
+// complete.
 func TestGracefulStop(t *testing.T) {
 	const callers = 20
 	started, free := make(chan struct{}), make(chan struct{})
@@ -43,7 +44,7 @@
 	server := entry.NewServer(f.entry, l)
 	served := make(chan error, 1)
 	go func() { served <- server.Run() }()
-	var done, cut atomic.Int64
+	var done, brokenOff atomic.Int64
 	var wg sync.WaitGroup
 	post := func(client *http.Client, key string) bool {
 		req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/plan/%s", l.Addr(), key), http.NoBody)
@@ -52,20 +53,20 @@
 		resp, err := client.Do(req)
 		if err != nil {
 			t.Log(err)
-			cut.Add(1)
+			brokenOff.Add(1)
 			return false
 		}
-		_, _ = io.Copy(io.Discard, resp.Body) // else the connection is not kept
+		_, _ = io.Copy(io.Discard, resp.Body) // otherwise the connection is not reused
 		_ = resp.Body.Close()
 		if resp.Header.Get(outcome.Header) == string(outcome.Done) {
 			done.Add(1)
 		}
-		return !resp.Close // as a balancer that saw /ready fall
+		return !resp.Close // like a load balancer that saw /ready fail
 	}
 	for i := range callers {
 		wg.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
-			defer client.CloseIdleConnections() // a dial that came second
+			defer client.CloseIdleConnections() // a second connection may have been dialed
 			for n := 0; post(client, fmt.Sprintf("k%d-%d", i, n)); n++ {
 			}
 		})
@@ -86,21 +87,22 @@
 	close(free)
 	wg.Wait()
 	assert.NilError(t, <-stopped)
-	assert.Equal(t, cut.Load(), int64(0))
+	assert.Equal(t, brokenOff.Load(), int64(0))
 	assert.Equal(t, int64(owner.totalRuns()), done.Load())
 }
 
-// TestRetryBudget takes a third of the targets away at once: the tries stay
-// within the requests, a tenth more, and the first burst.
+// TestRetryBudget gives one of four shards to a target that can't be reached. It tests
+// that the failed attempts don't exceed the requests that did not run, a tenth of all
+// requests, and the initial burst.
 func TestRetryBudget(t *testing.T) {
 	const requests, burst = 600, 20
 	owner := newFakeTarget(t, nil)
-	gone := netip.MustParseAddrPort("127.0.0.1:1")
+	unreachable := netip.MustParseAddrPort("127.0.0.1:1")
 	var failed atomic.Int64
 	f := newFixture(t, func(c *entryConfig) {
 		c.ParkTimeout = 50 * time.Millisecond
 		c.Dial = func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
-			if addr == gone {
+			if addr == unreachable {
 				failed.Add(1)
 				return nil, errors.New("refused")
 			}
@@ -108,7 +110,7 @@
 		}
 	})
 	s := testTable(plan, owner.addr())
-	s.Targets = append(s.Targets, table.Target{Name: "gone", Addr: gone})
+	s.Targets = append(s.Targets, table.Target{Name: "gone", Addr: unreachable})
 	s.Rows[0].Owner = 1
 	f.replica.putTable(s)
 	var wg sync.WaitGroup
@@ -127,6 +129,6 @@
 	assert.Equal(t, ended[2].Load(), int64(0), "unknown")
 	assert.Assert(t, ended[0].Load() > 0)
 	assert.Equal(t, int64(owner.totalRuns()), ended[0].Load())
-	assert.Assert(t, failed.Load() <= ended[1].Load()+requests/10+burst+1, "tries %d, not run %d", failed.Load(), ended[1].Load())
-	t.Logf("requests %d, done %d, failed tries %d", requests, ended[0].Load(), failed.Load())
+	assert.Assert(t, failed.Load() <= ended[1].Load()+requests/10+burst+1, "attempts %d, not run %d", failed.Load(), ended[1].Load())
+	t.Logf("requests %d, done %d, failed attempts %d", requests, ended[0].Load(), failed.Load())
 }
--- a/internal/entry/view_test.go
+++ b/internal/entry/view_test.go
@@ -9,19 +9,20 @@
 	"citrontray.example/citrontray/internal/table"
 )
 
-// TestSingleKeyFollowsItsShard: zone a was cut off and its shards were taken
-// away, but its last table, with a solo key, is still on the board.
+// TestSingleKeyFollowsItsShard tests that a single-key shard goes with its parent shard.
+// Zone a was partitioned and its shards were taken away, but its last table, which has a
+// single key, is still in the replica.
 func TestSingleKeyFollowsItsShard(t *testing.T) {
 	const shards key.ShardCount = 4
 	hash := key.HashOf("00855")
 	parent := hash.Shard(shards)
-	solo := key.Shard(shards) + parent
-	lost := &table.Table{
+	single := key.Shard(shards) + parent
+	older := &table.Table{
 		Zone: "a", Shards: shards,
-		Rows:       []table.Row{{Shard: parent, Epoch: 5, Owner: 0}, {Shard: solo, Epoch: 5, Owner: 0}},
-		SingleKeys: []table.SingleKey{{Hash: hash, Shard: solo}},
+		Rows:       []table.Row{{Shard: parent, Epoch: 5, Owner: 0}, {Shard: single, Epoch: 5, Owner: 0}},
+		SingleKeys: []table.SingleKey{{Hash: hash, Shard: single}},
 	}
-	taker := &table.Table{
+	newer := &table.Table{
 		Zone: "b", Shards: shards,
 		Rows: []table.Row{{Shard: parent, Epoch: 1029, Owner: 0}},
 	}
@@ -29,9 +30,9 @@
 		tables []*table.Table
 		shard  key.Shard
 	}{
-		"one zone":             {[]*table.Table{lost}, solo},
-		"taken away":           {[]*table.Table{lost, taker}, parent},
-		"taken away, reversed": {[]*table.Table{taker, lost}, parent},
+		"one zone":             {[]*table.Table{older}, single},
+		"taken away":           {[]*table.Table{older, newer}, parent},
+		"taken away, reversed": {[]*table.Table{newer, older}, parent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := &Entry{loadCounters: newLoadCounters()}
--- a/internal/entry/wire_test.go
+++ b/internal/entry/wire_test.go
@@ -13,23 +13,23 @@
 
 func TestJobRoundTrip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := &job{
+	j := &job{
 		caller: "clerk", class: "bulk", route: "plan", idempotent: true, hash: 7, idempotencyKey: "key",
 		fingerprint: fingerprint{1, 2}, deadline: now.Add(time.Second),
 	}
-	w.request = forward.Request{
+	j.request = forward.Request{
 		Method: "POST", URI: "/plan/k", Header: http.Header{"Accept": {"x"}}, Body: []byte("body"),
-		Service: "plan", MaxBody: 5, Deadline: w.deadline,
+		Service: "plan", MaxBody: 5, Deadline: j.deadline,
 	}
-	body, err := encodeJob(now, w)
+	body, err := encodeJob(now, j)
 	assert.NilError(t, err)
 	got, err := decodeJob(now, body)
 	assert.NilError(t, err)
 	got.wake = nil
-	assert.DeepEqual(t, got.request, w.request)
-	assert.Equal(t, got.fingerprint, w.fingerprint)
-	assert.Equal(t, got.idempotencyKey, w.idempotencyKey)
-	assert.Assert(t, got.deadline.Equal(w.deadline))
+	assert.DeepEqual(t, got.request, j.request)
+	assert.Equal(t, got.fingerprint, j.fingerprint)
+	assert.Equal(t, got.idempotencyKey, j.idempotencyKey)
+	assert.Assert(t, got.deadline.Equal(j.deadline))
 }
 
 func TestResultRoundTrip(t *testing.T) {
@@ -56,7 +56,7 @@
 	body, _ = encodeResult(outcome.Response{Status: 200, Body: []byte("x")}, false)
 	f.Add(body)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if w, err := decodeJob(time.Unix(1000, 0), body); err == nil && w.deadline.After(time.Unix(1000, 0).Add(maxRelayTimeout)) {
+		if j, err := decodeJob(time.Unix(1000, 0), body); err == nil && j.deadline.After(time.Unix(1000, 0).Add(maxRelayTimeout)) {
 			t.Fatal("deadline past its bound")
 		}
 		if r, _, err := decodeResult(body); err == nil && r == nil {
