--- a/internal/entry/dedup.go
+++ b/internal/entry/dedup.go
@@ -23,7 +23,7 @@
 )
 
 // dedupKey identifies the requests that share one run. It includes the caller, so that
-// no caller gets the response to another.
+// requests of different callers never share one.
 type dedupKey struct {
 	caller settings.Caller
 	route  string
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -35,8 +35,8 @@
 	relayLinger = 500 * time.Millisecond
 )
 
-// handle handles a request that a caller sent to this entry host. One with an
-// idempotency key is relayed to the home of its key.
+// handle serves a request that a caller sent to this entry host. One with an idempotency
+// key is served at the home of its key, this host or another.
 func (e *Entry) handle(ctx context.Context, j *job) outcome.Result {
 	if j.idempotencyKey == "" {
 		return e.serveOrRelay(ctx, j)
--- a/internal/entry/target.go
+++ b/internal/entry/target.go
@@ -71,7 +71,7 @@
 	// cancelable holds the cancel functions of the idempotent requests in flight.
 	cancelable map[*job]context.CancelFunc
 	meter      *meter
-	// connectFailures counts the failed connects in a row.
+	// connectFailures counts the failed connects since the target's last response.
 	connectFailures int
 	// pausedUntil is the end of the current backoff, until which no request starts.
 	pausedUntil time.Time
@@ -209,8 +209,8 @@
 	return max(unshared, ts.backlog.estimate())
 }
 
-// mayStart reports whether a slot is free. After a failed connect one request at a time
-// may start.
+// mayStart reports whether a slot is free and no backoff is in progress. After a failed
+// connect one request at a time may start.
 func (ts *targetState) mayStart(now time.Time) bool {
 	if now.Before(ts.pausedUntil) {
 		return false
@@ -328,8 +328,8 @@
 	ts.busyRefusals++
 }
 
-// connectFailed backs off after a failed connect. Until a connect succeeds, one request
-// at a time tries, however many are queued.
+// connectFailed backs off after a failed connect. Until the target responds again, one
+// request at a time is sent to it, however many are queued.
 func (ts *targetState) connectFailed(now time.Time) {
 	ts.connectFailures++
 	ts.pause(now, min(minConnectBackoff<<min(ts.connectFailures-1, 10), maxConnectBackoff))
--- a/internal/entry/wire_test.go
+++ b/internal/entry/wire_test.go
@@ -57,7 +57,7 @@
 	f.Add(body)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if j, err := decodeJob(time.Unix(1000, 0), body); err == nil && j.deadline.After(time.Unix(1000, 0).Add(maxRelayTimeout)) {
-			t.Fatal("deadline past its bound")
+			t.Fatal("deadline exceeds maxRelayTimeout")
 		}
 		if r, _, err := decodeResult(body); err == nil && r == nil {
 			t.Fatal("no result")
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue implements the queue of requests for one target. It is bounded, drops
-// items that would miss their deadline, shares service between classes by weight
-// (stride scheduling), and serves the callers of a class round robin.
+// Package queue implements the queue of requests for one target. It is bounded, refuses
+// items that would miss their deadline, serves classes by weight (stride scheduling), and
+// serves the callers of a class round robin.
 //
 // The package has no clock: functions take the current time and never block.
 package queue
