--- a/cmd/citrontray-host/main.go
+++ b/cmd/citrontray-host/main.go
@@ -70,11 +70,11 @@
 		},
 		DecodeConfig: platform.DecodeConfig,
 		DecodeTarget: platform.DecodeTarget,
-		Keys:         credentials,
+		Credentials:  credentials,
 		ReadSite: func() (site.Site, error) {
 			s, _, err := platform.ReadSite(config)
 			return s, err
 		},
-		Journal: logging.NewBoundedHandler(os.Stdout, level),
+		LogHandler: logging.NewBoundedHandler(os.Stdout, level),
 	})
 }
--- a/internal/cell/target.go
+++ b/internal/cell/target.go
@@ -174,8 +174,8 @@
 	}
 	t.respondedOrderAt, t.respondedAt = ev.SentAt, c.now
 	t.clock, t.clockAt = a.Clock, c.now
-	c.listsChanged = c.listsChanged || t.announcedLeaving != a.Draining
-	t.announcedLeaving = a.Draining
+	c.listsChanged = c.listsChanged || t.announcedLeaving != a.Leaving
+	t.announcedLeaving = a.Leaving
 	t.digest = a.Digest
 	t.lossRefuted = t.lossRefuted || t.declaredLost && ev.SentAt.After(t.declaredLostAt)
 	t.acceptedTerm = max(t.acceptedTerm, a.Term)
--- a/internal/dispatch/home.go
+++ b/internal/dispatch/home.go
@@ -83,7 +83,7 @@
 type peerState struct {
 	Peer
 
-	heardAt time.Time // when its last message came
+	lastMessageAt time.Time // when its last message came
 }
 
 // NewHome returns a home without pools. They are created by the first message about
@@ -145,7 +145,7 @@
 // schedules the queues.
 func (h *Home) Tick(now time.Time) []PeerMessage {
 	for name, peer := range h.peers {
-		if now.Sub(peer.heardAt) > hostTimeout {
+		if now.Sub(peer.lastMessageAt) > hostTimeout {
 			h.expireHost(now, peer)
 			delete(h.peers, name)
 		}
@@ -200,7 +200,7 @@
 		peer = &peerState{Peer: from}
 		h.peers[from.Host] = peer
 	}
-	peer.heardAt = now
+	peer.lastMessageAt = now
 }
 
 // expireHost releases all tickets of a host, drops its queued Acquires and forgets
--- a/internal/dispatch/reachability.go
+++ b/internal/dispatch/reachability.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// zoneSilenceTimeout is how long no message must have come from any host of a
+	// zoneMessageTimeout is how long no message must have come from any host of a
 	// zone for the zone to count as partitioned. Suspected hosts are pinged every
 	// pingInterval, so that a reachable one replies within it.
-	zoneSilenceTimeout = 400 * time.Millisecond
+	zoneMessageTimeout = 400 * time.Millisecond
 	// minZoneSuspects is how many hosts of the zone must be suspected. Single ones are
 	// more likely to have crashed.
 	minZoneSuspects = 2
@@ -26,13 +26,13 @@
 type Reachability struct {
 	// failed holds the zones in which the latest conclusive attempt failed to connect.
 	failed map[place.Zone]bool
-	// heardAt is when the last message came from a host of each zone.
-	heardAt map[place.Zone]time.Time
+	// lastMessageAt is when the last message came from a host of each zone.
+	lastMessageAt map[place.Zone]time.Time
 }
 
 // NewReachability returns a Reachability without observations.
 func NewReachability() *Reachability {
-	return &Reachability{failed: make(map[place.Zone]bool), heardAt: make(map[place.Zone]time.Time)}
+	return &Reachability{failed: make(map[place.Zone]bool), lastMessageAt: make(map[place.Zone]time.Time)}
 }
 
 // ZoneState counts the targets and hosts of a zone.
@@ -55,7 +55,7 @@
 }
 
 // RecordMessage records a message from a host of the zone.
-func (r *Reachability) RecordMessage(now time.Time, zone place.Zone) { r.heardAt[zone] = now }
+func (r *Reachability) RecordMessage(now time.Time, zone place.Zone) { r.lastMessageAt[zone] = now }
 
 // Suspected reports whether any zone may be partitioned. If not, Partitioned
 // returns false for any zones.
@@ -67,7 +67,7 @@
 	all, unreachable := 0, 0
 	for name, z := range zones {
 		all += z.Targets
-		unresponsive := z.Suspects > 0 && z.Suspects >= min(minZoneSuspects, z.Hosts) && now.Sub(r.heardAt[name]) >= zoneSilenceTimeout
+		unresponsive := z.Suspects > 0 && z.Suspects >= min(minZoneSuspects, z.Hosts) && now.Sub(r.lastMessageAt[name]) >= zoneMessageTimeout
 		if name != self && r.failed[name] && unresponsive {
 			unreachable += z.Targets
 		}
--- a/internal/dispatch/reachability_test.go
+++ b/internal/dispatch/reachability_test.go
@@ -38,7 +38,7 @@
 			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"c": 100 * time.Millisecond}, false,
 		},
 		"replies before the timeout": {
-			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"b": time.Second, "c": zoneSilenceTimeout}, true,
+			suspects(map[place.Zone]int{"b": 2, "c": 2}), []place.Zone{"b", "c"}, map[place.Zone]time.Duration{"b": time.Second, "c": zoneMessageTimeout}, true,
 		},
 		"one host per zone": {
 			map[place.Zone]ZoneState{"a": {Targets: 1, Hosts: 1}, "b": {Targets: 1, Hosts: 1, Suspects: 1}, "c": {Targets: 1, Hosts: 1, Suspects: 1}},
--- a/internal/docsync/followers_bench_test.go
+++ b/internal/docsync/followers_bench_test.go
@@ -83,7 +83,7 @@
 		must(b, certs.IssueHost(time.Now(), dir, row.Host, row.Zone, []peer.Role{peer.RoleLead}, []netip.Addr{row.LeadAddr.Addr()}))
 		m, err := certs.Load(time.Now(), dir, row.Host, peer.RoleLead)
 		must(b, err)
-		p, err := peer.New(peer.Config{Conn: z.conns[i], Keys: m})
+		p, err := peer.New(peer.Config{Conn: z.conns[i], Credentials: m})
 		must(b, err)
 		transport, replica := &countedTransport{Peer: p}, docsync.New()
 		replica.Publish(docsync.Document{Name: docsync.Fleet, Version: docsync.Version{Major: 1}, Body: body})
--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -103,7 +103,7 @@
 		return nil, fmt.Errorf("--keys: %w (make them with: citrontray keys host)", err)
 	}
 	d := &daemon{opts: o, log: log, metrics: metric.New("citrontray_entry")}
-	if d.link, err = peer.New(peer.Config{Listen: o.Peer, Keys: credentials, Log: log}); err != nil {
+	if d.link, err = peer.New(peer.Config{Listen: o.Peer, Credentials: credentials, Log: log}); err != nil {
 		return nil, fmt.Errorf("--peer-address: %w", err)
 	}
 	replica := docsync.New()
--- a/internal/entry/sharing_bench_test.go
+++ b/internal/entry/sharing_bench_test.go
@@ -140,7 +140,7 @@
 	assert.NilError(b, certs.IssueHost(now, dir, host, "zone-a", []peer.Role{peer.RoleEntry}, []netip.Addr{loopback}))
 	credentials, err := certs.Load(now, dir, host, peer.RoleEntry)
 	assert.NilError(b, err)
-	p, err := peer.New(peer.Config{Listen: netip.AddrPortFrom(loopback, 0), Keys: credentials, Log: logging.Nop()})
+	p, err := peer.New(peer.Config{Listen: netip.AddrPortFrom(loopback, 0), Credentials: credentials, Log: logging.Nop()})
 	assert.NilError(b, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/fleet/codec_test.go
+++ b/internal/fleet/codec_test.go
@@ -9,8 +9,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// FuzzDoc: no input makes the decoder panic, and a decoded list can be encoded again.
-func FuzzDoc(f *testing.F) {
+// FuzzList: no input makes the decoder panic, and a decoded list can be encoded again.
+func FuzzList(f *testing.F) {
 	l := List{Targets: []place.TargetRow{{Target: "t", Service: "s", Zone: "z", State: place.Live, Addr: netip.MustParseAddrPort("10.0.0.1:1"), Slots: 3, Incarnation: 7}}}
 	body, err := l.Encode()
 	assert.NilError(f, err)
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -86,8 +86,8 @@
 	Full   bool
 	Held   []ShardEpoch
 	Floors []ShardEpoch
-	// Draining is true if the target has announced that it is leaving.
-	Draining bool
+	// Leaving is true if the target has announced that it is leaving.
+	Leaving bool
 }
 
 // Digest returns a digest of holdings that does not depend on their order.
--- a/internal/host/backoff.go
+++ b/internal/host/backoff.go
@@ -70,7 +70,7 @@
 		return // removed meanwhile
 	}
 	pool := dispatch.PoolID{Service: j.service.Name, Target: t.target}
-	if j.service.Keys == traffic.Keyless {
+	if j.service.KeySpace == traffic.Keyless {
 		pool = j.host.views.view().pool(j.service.Name, j.host.site.Zone)
 	}
 	if j.host.dispatcher.recordSignal(now, pool, row, signal) {
--- a/internal/host/campaign.go
+++ b/internal/host/campaign.go
@@ -58,7 +58,7 @@
 	if c.core.Leading() {
 		// The entry expired with its session. Right after a won campaign the list does
 		// not contain the new entry yet.
-		return !ok && now.Sub(c.wonAt) > leaderListLag && now.Sub(c.vacantSince) > candidateDelay
+		return !ok && now.Sub(c.wonAt) > leaderListLag && now.Sub(c.noLeaderSince) > candidateDelay
 	}
 	rank := slices.Index(v.candidates(c.service), c.host.site.Host)
 	if ok && !v.members.Ended(leader) {
@@ -69,19 +69,19 @@
 		// Without any notice the time counts from the start of this process: if many
 		// processes started together, the list may name a leader that ended with them.
 		since := c.startedAt
-		if c.leaderHeardAt.After(since) {
-			since = c.leaderHeardAt
+		if c.leaderNoticeAt.After(since) {
+			since = c.leaderNoticeAt
 		}
-		silent := now.Sub(since) > leaderSilence+time.Duration(rank)*candidateDelay
+		silent := now.Sub(since) > leaderNoticeTimeout+time.Duration(rank)*candidateDelay
 		return own || silent && rank >= 0 && rank < candidateCount && now.Sub(c.campaignedAt) > candidateDelay
 	}
-	if c.vacantSince.IsZero() || rank < 0 {
+	if c.noLeaderSince.IsZero() || rank < 0 {
 		return false
 	}
 	wait := time.Duration(rank) * candidateDelay
 	if c.storeRestored(v) {
 		// Only the last leader knows the owners, so others wait longer.
-		if now.Sub(c.leaderHeardAt) < leaderSilence {
+		if now.Sub(c.leaderNoticeAt) < leaderNoticeTimeout {
 			return false
 		}
 		wait += restoredDelay
@@ -89,7 +89,7 @@
 	if c.incumbentAlive(now, v, rank) {
 		wait += incumbentDelay
 	}
-	return now.Sub(c.vacantSince) >= wait
+	return now.Sub(c.noLeaderSince) >= wait
 }
 
 // storeRestored reports whether the store's era is later than that of the last routing
@@ -106,7 +106,7 @@
 // rely on the list.
 func (c *controller) incumbentAlive(now time.Time, v *view, rank int) bool {
 	table := v.tables[c.service]
-	if table == nil || rank < candidateCount && now.Sub(c.leaderHeardAt) > leaderSilence {
+	if table == nil || rank < candidateCount && now.Sub(c.leaderNoticeAt) > leaderNoticeTimeout {
 		return false
 	}
 	h, listed := v.members.Host(table.Leader)
@@ -146,11 +146,11 @@
 			return false
 		}
 		c.leaderRevision = won.revision
-		c.vacantSince, c.wonAt = time.Time{}, now
+		c.noLeaderSince, c.wonAt = time.Time{}, now
 		c.predecessor = won.predecessor
 		c.log.Info("Leading.", slog.Uint64("term", uint64(won.doc.Term)), slog.Uint64("revision", uint64(won.revision)),
 			slog.String("before", string(won.predecessor.host)), slog.Bool("ended", won.predecessor.ended),
-			slog.Bool("stragglers", won.predecessor.stragglers))
+			slog.Bool("stragglers", won.predecessor.priorMayRenew))
 		c.controller.lease.abandon()
 		c.controller.lease = c.lease
 		c.tasks.Add(1)
@@ -298,7 +298,7 @@
 func (c *campaign) predecessorOf(doc *owner.Doc, revision platform.Revision, era platform.Era) predecessor {
 	first, _ := c.host.store.eras()
 	return predecessor{
-		host: doc.Leader, incarnation: doc.LeaderIncarnation, revision: revision, stragglers: doc.PriorMayRenew,
+		host: doc.Leader, incarnation: doc.LeaderIncarnation, revision: revision, priorMayRenew: doc.PriorMayRenew,
 		ended:    doc.Leader == "" || doc.Leader == c.host.site.Host || c.members.Replaced(doc.Leader, doc.LeaderIncarnation, revision),
 		restored: doc.HistoryLost(era, c.noLeaderKnown && first == era),
 	}
--- a/internal/host/controller.go
+++ b/internal/host/controller.go
@@ -97,20 +97,20 @@
 	targetStats map[place.Target]targetStats
 	// leaderRevision is the store revision of this host's leader entry.
 	leaderRevision platform.Revision
-	// vacantSince is the time since which no leader is known.
-	vacantSince time.Time
-	campaigning bool
-	resigning   bool
+	// noLeaderSince is the time since which no leader is known.
+	noLeaderSince time.Time
+	campaigning   bool
+	resigning     bool
 	// campaignedAt is the time of the last campaign. No campaign starts before
 	// pausedUntil.
 	campaignedAt, pausedUntil time.Time
 	wonAt                     time.Time
 	// startedAt is when this controller started, leaderHeardAt when the last notice of
 	// a leader arrived, announcedAt when this host last announced its own leadership.
-	startedAt, leaderHeardAt, announcedAt time.Time
-	predecessor                           predecessor
-	lease                                 *lease
-	moveLog                               moveLog
+	startedAt, leaderNoticeAt, announcedAt time.Time
+	predecessor                            predecessor
+	lease                                  *lease
+	moveLog                                moveLog
 	// inFlight counts the orders in flight.
 	inFlight atomic.Int32
 	// leading is a copy of core.Leading for other goroutines.
@@ -345,11 +345,11 @@
 		c.log.Warn("Another host leads, stepping down.", slog.String("lead", string(leader.Host)),
 			slog.Uint64("revision", uint64(leader.Revision)), slog.Uint64("term", uint64(c.core.Term())))
 		c.core.StepDown()
-		c.vacantSince = time.Time{}
+		c.noLeaderSince = time.Time{}
 	case ok && !own && !v.members.Ended(leader):
-		c.vacantSince = time.Time{}
-	case !own && c.vacantSince.IsZero():
-		c.vacantSince = now
+		c.noLeaderSince = time.Time{}
+	case !own && c.noLeaderSince.IsZero():
+		c.noLeaderSince = now
 	}
 }
 
--- a/internal/host/controller_test.go
+++ b/internal/host/controller_test.go
@@ -35,7 +35,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			c := &controller{service: "s", leaderHeardAt: now.Add(-test.lastNotice)}
+			c := &controller{service: "s", leaderNoticeAt: now.Add(-test.lastNotice)}
 			v := &view{
 				members: member.List{Hosts: []member.Host{{Name: "lead", Incarnation: test.incarnation}}},
 				tables:  map[key.Service]*owner.Table{"s": {Leader: "lead", LeaderIncarnation: 1}},
@@ -99,25 +99,25 @@
 	d.eventually("a host leads", 900*time.Millisecond, func() bool { return slices.ContainsFunc(d.hosts, leads) })
 }
 
-// TestCampaignWithoutHeardLeader: a host that has received no notice of the listed
+// TestCampaignWithoutNotice: a host that has received no notice of the listed
 // leader since its start campaigns as long after the start as otherwise after the last
 // notice.
-func TestCampaignWithoutHeardLeader(t *testing.T) {
+func TestCampaignWithoutNotice(t *testing.T) {
 	tests := map[string]struct {
 		started, lastNotice time.Duration // ago
 		want                bool
 	}{
 		"just started":            {100 * time.Millisecond, time.Hour, false},
-		"started, no notice ever": {leaderSilence + candidateDelay, time.Hour, true},
+		"started, no notice ever": {leaderNoticeTimeout + candidateDelay, time.Hour, true},
 		"started, recent notice":  {time.Hour, 100 * time.Millisecond, false},
-		"silent":                  {time.Hour, leaderSilence + candidateDelay, true},
+		"silent":                  {time.Hour, leaderNoticeTimeout + candidateDelay, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			c := &controller{
 				host: &Host{site: site.Site{Host: "self"}}, service: "s", core: owner.New(owner.Config{}),
-				startedAt: now.Add(-test.started), leaderHeardAt: now.Add(-test.lastNotice),
+				startedAt: now.Add(-test.started), leaderNoticeAt: now.Add(-test.lastNotice),
 			}
 			v := &view{rankCache: newRankCache(), members: member.List{
 				Hosts:   []member.Host{{Name: "lead", Incarnation: 1}, {Name: "self", Incarnation: 1}},
--- a/internal/host/fixture_test.go
+++ b/internal/host/fixture_test.go
@@ -85,7 +85,7 @@
 	return &traffic.Config{
 		Version: version,
 		Services: []traffic.Service{
-			{Name: "span", Keys: traffic.Ranged, MaxConnections: 100},
+			{Name: "span", KeySpace: traffic.Ranged, MaxConnections: 100},
 			{Name: "desk", MaxConnections: 100},
 		},
 		Routes: []traffic.Route{
@@ -210,9 +210,9 @@
 			var dialer net.Dialer
 			return dialer.DialContext(ctx, "tcp", addr.String())
 		},
-		DecodeConfig: d.decodeConfig, DecodeTarget: decodeRow, Keys: credentials,
-		ReadSite: func() (site.Site, error) { return s, nil },
-		Journal:  logging.NewBoundedHandler(logs, slog.LevelDebug),
+		DecodeConfig: d.decodeConfig, DecodeTarget: decodeRow, Credentials: credentials,
+		ReadSite:   func() (site.Site, error) { return s, nil },
+		LogHandler: logging.NewBoundedHandler(logs, slog.LevelDebug),
 	})
 	assert.NilError(d.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -321,7 +321,7 @@
 		}
 	}
 	for _, other := range d.hosts {
-		body, err := json.Marshal(other.status(time.Now()))
+		body, err := json.Marshal(other.viewPage(time.Now()))
 		d.t.Logf("%s has view %s (%v)", other.site.Host, body, err)
 	}
 	const shown = 40
--- a/internal/host/handler.go
+++ b/internal/host/handler.go
@@ -17,9 +17,9 @@
 const (
 	// startingRetryAfter is the Retry-After hint while there is no configuration yet.
 	startingRetryAfter = 200 * time.Millisecond
-	// maxAnswerBytes limits the body of a response, which is buffered whole. It also
+	// maxBodyBytes limits the body of a response, which is buffered whole. It also
 	// limits request bodies where no limit is configured.
-	maxAnswerBytes = 16 << 20
+	maxBodyBytes = 16 << 20
 	// maxBodyMemoryShare is the share of memory for the request and response bodies in
 	// flight.
 	maxBodyMemoryShare = 0.25
@@ -69,7 +69,7 @@
 	}
 	j := &job{host: h, route: route, service: service, arrived: now, config: v.routes.Config().Version}
 	j.setDeadlines(now, h.timeLeft(r), h.clientTimeouts.observe(route.Name, h.timeLeft(r)))
-	if service.Keys == traffic.Ranged {
+	if service.KeySpace == traffic.Ranged {
 		point, err := strconv.ParseUint(r.Header.Get(h.names.Key), 10, 32)
 		if err != nil || point >= key.Points {
 			return nil, outcome.NotRunFailure{Reason: outcome.BadKey}
@@ -89,7 +89,7 @@
 	j.reservedBytes = int64(len(body))
 	j.request = forward.Request{
 		ID: id, Method: r.Method, URI: r.RequestURI, Header: header, Body: body,
-		Deadline: j.deadline, MaxBody: maxAnswerBytes, HeaderNames: h.names, Host: r.Host, Reserve: j.reserveMemory,
+		Deadline: j.deadline, MaxBody: maxBodyBytes, HeaderNames: h.names, Host: r.Host, Reserve: j.reserveMemory,
 	}
 	return j, nil
 }
@@ -151,7 +151,7 @@
 		return nil, nil
 	}
 	if limit <= 0 {
-		limit = maxAnswerBytes
+		limit = maxBodyBytes
 	}
 	if r.ContentLength > limit {
 		return nil, outcome.NotRunFailure{Reason: outcome.BodyTooBig}
@@ -197,14 +197,14 @@
 func (j *job) logAttrs() []any {
 	attrs := []any{
 		slog.String("route", string(j.route.Name)), slog.String("service", string(j.service.Name)),
-		slog.Uint64("config", uint64(j.config)), slog.Int("sent", j.arrivals), slog.String("target", string(j.last)),
+		slog.Uint64("config", uint64(j.config)), slog.Int("sent", j.arrivals), slog.String("target", string(j.lastTarget)),
 		millisAttr("queued", j.queued), millisAttr("given", j.deadline.Sub(j.arrived)), slog.String("home", string(j.home)),
 		slog.Uint64("ticket", uint64(j.ticketID)),
 	}
 	if j.refusal != 0 {
 		attrs = append(attrs, slog.String("refusal", j.refusal.String()))
 	}
-	if j.service.Keys == traffic.Ranged {
+	if j.service.KeySpace == traffic.Ranged {
 		attrs = append(attrs, slog.Int("key", int(j.point)), slog.Uint64("term", uint64(j.table.Term)),
 			slog.Uint64("table", j.table.Sequence), millisAttr("age", j.tableAge), millisAttr("parked", j.parked),
 			slog.Bool("cold", j.cold))
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -48,10 +48,10 @@
 	// entries.
 	DecodeConfig func(body []byte) (*traffic.Config, error)
 	DecodeTarget func(name place.Target, body []byte) (place.TargetRow, error)
-	Keys         peer.Credentials
+	Credentials  peer.Credentials
 	// ReadSite reads the settings file again.
-	ReadSite func() (site.Site, error)
-	Journal  *logging.BoundedHandler
+	ReadSite   func() (site.Site, error)
+	LogHandler *logging.BoundedHandler
 }
 
 // Host is one process of the deployment. It implements http.Handler for clients.
@@ -98,7 +98,7 @@
 // Open opens the sockets of a host. Nothing runs until Run.
 func Open(env Environment) (*Host, error) {
 	h := &Host{
-		env: env, site: env.Site, names: env.Names, log: slog.New(env.Journal),
+		env: env, site: env.Site, names: env.Names, log: slog.New(env.LogHandler),
 		incarnation:    place.Incarnation(time.Now().UnixNano()),
 		replica:        docsync.New(),
 		connPools:      newConnPools(env.Dial),
@@ -131,7 +131,7 @@
 }
 
 func (h *Host) openSockets() error {
-	link, err := peer.New(peer.Config{Listen: h.site.Peer, Keys: h.env.Keys, Log: h.log})
+	link, err := peer.New(peer.Config{Listen: h.site.Peer, Credentials: h.env.Credentials, Log: h.log})
 	if err != nil {
 		return fmt.Errorf("host: open peer address: %w", err)
 	}
@@ -171,7 +171,7 @@
 		seeds = append(seeds, seed.Peer)
 	}
 	h.node = docsync.NewNode(h.replica, h.link, docsync.Config{
-		Self: h.env.Keys.Self(), Addr: h.site.Peer, Seeds: seeds, Watch: h.watcher.run, Log: h.log,
+		Self: h.env.Credentials.Self(), Addr: h.site.Peer, Seeds: seeds, Watch: h.watcher.run, Log: h.log,
 		CPUShare: h.site.CPUShare, HostsDocument: docMembers,
 		Hosts: func() []place.HostRow { return h.views.view().members.HostRows() },
 	})
@@ -227,7 +227,7 @@
 	defer cancel()
 	group, background := errgroup.WithContext(background)
 	for _, part := range []func(context.Context) error{
-		h.link.Run, h.node.Run, h.registrar.run, h.dispatcher.run, h.dispatcher.loop, h.loopViews, h.loopReports, h.loopConnPools, h.loopSettings, h.env.Journal.Run,
+		h.link.Run, h.node.Run, h.registrar.run, h.dispatcher.run, h.dispatcher.loop, h.loopViews, h.loopReports, h.loopConnPools, h.loopSettings, h.env.LogHandler.Run,
 	} {
 		group.Go(func() error { return part(background) })
 	}
@@ -364,7 +364,7 @@
 // addController creates the controller of a ranged service. It returns nil for other
 // services and where a controller exists already.
 func (h *Host) addController(s *traffic.Service) *controller {
-	if s.Keys != traffic.Ranged {
+	if s.KeySpace != traffic.Ranged {
 		return nil
 	}
 	h.mu.Lock()
--- a/internal/host/job.go
+++ b/internal/host/job.go
@@ -61,9 +61,9 @@
 	// unsent counts the attempts that reached no target, misdirected those refused by a
 	// target that does not own the key.
 	unsent, misdirected int
-	// uncertain is why an earlier attempt may have run. Once set, the request can't end
+	// uncertainReason is why an earlier attempt may have run. Once set, the request can't end
 	// as not run.
-	uncertain outcome.Reason
+	uncertainReason outcome.Reason
 	// parkedAt is the time since which the key has no owner, parked the last wait for
 	// one, and queued the total wait for slots.
 	parkedAt       time.Time
@@ -72,8 +72,8 @@
 	home     place.Host
 	ticketID dispatch.TicketID
 	refusal  dispatch.Reason
-	// last is the target of the last attempt.
-	last place.Target
+	// lastTarget is the target of the last attempt.
+	lastTarget place.Target
 	// reservedBytes is the memory reserved for bodies.
 	reservedBytes int64
 	// config and table are the versions used for the last decision, tableAge is the age
@@ -142,8 +142,8 @@
 	if j.serverError != nil {
 		return j.serverError
 	}
-	if _, ok := r.(outcome.NotRunFailure); ok && j.uncertain != "" {
-		return outcome.UnknownFailure{Reason: j.uncertain}
+	if _, ok := r.(outcome.NotRunFailure); ok && j.uncertainReason != "" {
+		return outcome.UnknownFailure{Reason: j.uncertainReason}
 	}
 	return r
 }
@@ -170,7 +170,7 @@
 // resolve returns the pool to acquire a ticket from and, for a ranged service, the
 // owner of the key.
 func (j *job) resolve(now time.Time, v *view) (dispatch.PoolID, place.Target, step) {
-	if j.service.Keys == traffic.Keyless {
+	if j.service.KeySpace == traffic.Keyless {
 		return v.pool(j.service.Name, j.host.site.Zone), "", nil
 	}
 	span, wait := j.lookupSpan(now, v)
@@ -226,7 +226,7 @@
 	for {
 		select {
 		case end := <-reply:
-			return j.handleResult(now, id, end, owner)
+			return j.handleReply(now, id, end, owner)
 		case <-ctx.Done():
 			if d.cancel(time.Now(), id) {
 				return ticket{}, finishStep{outcome.NotRunFailure{Reason: outcome.CallerGone}}
@@ -261,8 +261,8 @@
 	isolated bool
 }
 
-// handleResult handles the final reply of a home.
-func (j *job) handleResult(asked time.Time, id dispatch.TicketID, end ticketReply, owner place.Target) (ticket, step) {
+// handleReply handles the final reply of a home.
+func (j *job) handleReply(asked time.Time, id dispatch.TicketID, end ticketReply, owner place.Target) (ticket, step) {
 	waited := time.Since(asked)
 	j.queued += waited
 	j.home, j.ticketID = end.home, id
@@ -329,7 +329,7 @@
 	}
 	h.dispatcher.release(time.Now(), t.id, end, took)
 	h.dispatcher.recordAttempt(h.views.view().targets[t.target].Zone, end)
-	j.last = t.target
+	j.lastTarget = t.target
 	if now := time.Now(); h.idleLimits.observe(now, j.service.Name, result) {
 		h.log.Info("Idle connection to target was dead, lowering the idle limit.", slog.String("request", j.request.ID),
 			slog.String("service", string(j.service.Name)), slog.String("target", string(t.target)),
@@ -406,7 +406,7 @@
 		}
 		return retryStep{j.retryPause(busyPause)}
 	case forward.Uncertain:
-		j.uncertain = r.Reason
+		j.uncertainReason = r.Reason
 		if !j.route.Idempotent || r.Reason == outcome.AnswerLate || !j.mayRetry(t) {
 			return finishStep{outcome.UnknownFailure{Reason: r.Reason}}
 		}
@@ -418,7 +418,7 @@
 // retryPause returns the pause before a retry. A keyless service needs none, as it has
 // other targets.
 func (j *job) retryPause(pause time.Duration) time.Duration {
-	if j.service.Keys == traffic.Keyless {
+	if j.service.KeySpace == traffic.Keyless {
 		return 0
 	}
 	return pause
--- a/internal/host/main.go
+++ b/internal/host/main.go
@@ -16,8 +16,8 @@
 func Main(env Environment) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	defer env.Journal.Close(logFlushTimeout)
-	log := slog.New(env.Journal)
+	defer env.LogHandler.Close(logFlushTimeout)
+	log := slog.New(env.LogHandler)
 	h, err := Open(env)
 	if err != nil {
 		log.Error("Not started.", slog.Any("error", err))
--- a/internal/host/notice.go
+++ b/internal/host/notice.go
@@ -94,7 +94,7 @@
 	switch n.kind {
 	case noticeLeading:
 		if !c.core.Leading() || n.term > c.core.Term() {
-			c.leaderHeardAt = now
+			c.leaderNoticeAt = now
 		}
 	case noticeStop:
 		if c.core.Leading() && n.term > c.core.Term() {
@@ -119,8 +119,8 @@
 	ended       bool
 	// revision is the store revision of the last ownership document that it wrote.
 	revision platform.Revision
-	// stragglers is set if leaders before it may still renew grants.
-	stragglers bool
+	// priorMayRenew is set if leaders before it may still renew grants.
+	priorMayRenew bool
 	// restored is set if the store lost later leaders because it was restored from an
 	// older snapshot.
 	restored bool
@@ -131,7 +131,7 @@
 	switch {
 	case p.restored:
 		return owner.PriorLost
-	case p.ended && !p.stragglers:
+	case p.ended && !p.priorMayRenew:
 		return owner.PriorEnded
 	}
 	return owner.PriorUnknown
@@ -148,9 +148,9 @@
 const (
 	// noticeInterval is the time between two notices of a leader.
 	noticeInterval = 200 * time.Millisecond
-	// leaderSilence is how long candidates receive no notice of a leader before they
+	// leaderNoticeTimeout is how long candidates receive no notice of a leader before they
 	// read the store.
-	leaderSilence = 700 * time.Millisecond
+	leaderNoticeTimeout = 700 * time.Millisecond
 	// candidateCount is the number of hosts, by rank, that receive the leader's
 	// notices.
 	candidateCount = 3
--- a/internal/host/path_bench_test.go
+++ b/internal/host/path_bench_test.go
@@ -36,8 +36,8 @@
 	clients.Wait()
 }
 
-// BenchmarkRest measures three idle hosts for a second.
-func BenchmarkRest(b *testing.B) {
+// BenchmarkIdle measures three idle hosts for a second.
+func BenchmarkIdle(b *testing.B) {
 	d := deploy(b, 3, 6, 6)
 	d.awaitServed()
 	b.ResetTimer()
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -59,14 +59,14 @@
 	v := h.views.view()
 	out := status.Report{
 		Host: string(h.site.Host), Zone: string(h.site.Zone), Role: "host", Version: version.String(),
-		Started: time.Unix(0, int64(h.incarnation)), Ready: v.usable() && !h.stopping.Load(), LastStoreResponse: h.store.lastAnswer(now),
+		Started: time.Unix(0, int64(h.incarnation)), Ready: v.usable() && !h.stopping.Load(), LastStoreResponse: h.store.lastResponse(now),
 	}
 	if v.routes == nil {
 		return out
 	}
 	out.Settings = status.Settings{Number: uint64(v.routes.Config().Version), Revision: v.revision, Since: v.configAt}
 	for _, s := range v.routes.Config().Services {
-		if t := v.tables[s.Name]; t != nil && s.Keys == traffic.Ranged {
+		if t := v.tables[s.Name]; t != nil && s.KeySpace == traffic.Ranged {
 			out.Cells = append(out.Cells, h.cellOf(s.Name, t))
 		}
 	}
--- a/internal/host/servers.go
+++ b/internal/host/servers.go
@@ -39,7 +39,7 @@
 	return &servers{
 		host: h,
 		front: ingress.New(ingress.Config{
-			Handler: h, Concurrent: h.mayRunConcurrently, IdleTimeout: h.idleTime,
+			Handler: h, Concurrent: h.mayRunConcurrently, IdleTimeout: h.clientIdleTimeout,
 			MaxHeaderBytes: maxHeaderBytes, HeaderTimeout: headerTimeout, OnPanic: h.panicked, Log: h.log,
 		}),
 		ready: &http.Server{
@@ -60,8 +60,8 @@
 	return route == nil || route.Idempotent
 }
 
-// idleTime returns how long an idle client connection is kept.
-func (h *Host) idleTime() time.Duration {
+// clientIdleTimeout returns how long an idle client connection is kept.
+func (h *Host) clientIdleTimeout() time.Duration {
 	if v := h.views.view(); v.routes != nil && v.routes.Config().Limits.IdleTimeout > 0 {
 		return v.routes.Config().Limits.IdleTimeout + idleMargin
 	}
--- a/internal/host/status.go
+++ b/internal/host/status.go
@@ -9,7 +9,7 @@
 // The JSON document of the view page. Its fields are in the order in which operators
 // need them.
 type (
-	wireStatus struct {
+	wireView struct {
 		Host     string        `json:"host"`
 		Life     uint64        `json:"life"`
 		Zone     string        `json:"zone"`
@@ -49,14 +49,14 @@
 // serveView writes the state on which this host bases its decisions.
 func (h *Host) serveView(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(h.status(time.Now())); err != nil {
+	if err := json.NewEncoder(w).Encode(h.viewPage(time.Now())); err != nil {
 		h.log.Debug("View page not sent.", "error", err)
 	}
 }
 
-func (h *Host) status(now time.Time) wireStatus {
+func (h *Host) viewPage(now time.Time) wireView {
 	v := h.views.view()
-	s := wireStatus{
+	s := wireView{
 		Host: string(h.site.Host), Life: uint64(h.incarnation), Zone: string(h.site.Zone), Stopping: h.stopping.Load(),
 		Config: wireConfig{Revision: v.revision},
 	}
--- a/internal/host/store.go
+++ b/internal/host/store.go
@@ -21,7 +21,7 @@
 	mu sync.Mutex
 	// calledAt is when the last call ended, answered when the last one with a response
 	// did.
-	calledAt, answered time.Time
+	calledAt, respondedAt time.Time
 	// firstEra is the era of the first response, latestEra the latest of all.
 	firstEra, latestEra platform.Era
 	hasEra              bool
@@ -54,15 +54,15 @@
 // store.
 const callActivityTime = 10 * time.Second
 
-// lastAnswer returns the time of the store's last response, zero if this host has not
+// lastResponse returns the time of the store's last response, zero if this host has not
 // called it recently.
-func (s *instrumentedStore) lastAnswer(now time.Time) time.Time {
+func (s *instrumentedStore) lastResponse(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.calledAt) > callActivityTime {
 		return time.Time{}
 	}
-	return s.answered
+	return s.respondedAt
 }
 
 // recordCall records the end of a call.
@@ -73,7 +73,7 @@
 	defer s.mu.Unlock()
 	s.calledAt = now
 	if !errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrOutcomeUnknown) {
-		s.answered = now
+		s.respondedAt = now
 	}
 }
 
--- a/internal/host/watcher.go
+++ b/internal/host/watcher.go
@@ -53,10 +53,10 @@
 	// roleSettleTime is the longest time until a process that knows the hosts stops
 	// watching, unless it is one of the watchers.
 	roleSettleTime = 500 * time.Millisecond
-	// unsureTime is how long after a failed read the list of targets counts as read
+	// recentOutageTime is how long after a failed read the list of targets counts as read
 	// during an outage. Entries expire while the store is unavailable and are back
 	// within two seconds.
-	unsureTime = 3 * time.Second
+	recentOutageTime = 3 * time.Second
 )
 
 // watcher reads the store for a zone and publishes the documents.
@@ -124,7 +124,7 @@
 		}
 		w.failures = 0
 		w.readAt, w.jitter = now, rand.N(pollJitter)
-		if !w.unsure(time.Now()) {
+		if !w.recentOutage(time.Now()) {
 			// No digest is sent after a recent failure, so that the other watchers read
 			// the store themselves: it may have refused only this watcher.
 			w.broadcast(w.digest())
@@ -241,15 +241,15 @@
 	return nil
 }
 
-// unsure reports whether a read failed recently.
-func (w *watcher) unsure(now time.Time) bool {
-	return !w.failedAt.IsZero() && now.Sub(w.failedAt) < unsureTime
+// recentOutage reports whether a read failed recently.
+func (w *watcher) recentOutage(now time.Time) bool {
+	return !w.failedAt.IsZero() && now.Sub(w.failedAt) < recentOutageTime
 }
 
-// steady reports whether reads have succeeded for so long that entries which expired
+// storeStable reports whether reads have succeeded for so long that entries which expired
 // during an outage are back.
-func (w *watcher) steady(now time.Time) bool {
-	return !w.healthySince.IsZero() && now.Sub(w.healthySince) >= unsureTime
+func (w *watcher) storeStable(now time.Time) bool {
+	return !w.healthySince.IsZero() && now.Sub(w.healthySince) >= recentOutageTime
 }
 
 // publish publishes a document at the store's revision. An unchanged document is not
@@ -290,12 +290,12 @@
 }
 
 func (w *watcher) encodeTargets(now time.Time, entries []platform.Entry) ([]byte, error) {
-	list := fleet.List{RecentOutage: w.unsure(now), StoreStable: w.steady(now)}
+	list := fleet.List{RecentOutage: w.recentOutage(now), StoreStable: w.storeStable(now)}
 	for _, e := range entries {
 		name := place.Target(strings.TrimPrefix(string(e.Path), string(platform.PathTargets)))
 		row, err := w.decodeTarget(name, e.Value)
 		if err != nil {
-			w.logUnreadable(e, err)
+			w.logUndecodable(e, err)
 			continue
 		}
 		list.Targets = append(list.Targets, row)
@@ -311,8 +311,8 @@
 	return list.Encode()
 }
 
-// logUnreadable logs an undecodable target entry once per revision.
-func (w *watcher) logUnreadable(e platform.Entry, err error) {
+// logUndecodable logs an undecodable target entry once per revision.
+func (w *watcher) logUndecodable(e platform.Entry, err error) {
 	if w.rejected[e.Path] == e.Revision {
 		return
 	}
--- a/internal/host/watcher_test.go
+++ b/internal/host/watcher_test.go
@@ -83,9 +83,9 @@
 	assert.Assert(t, first.Less(version()))
 }
 
-// TestUnsureWatcherSendsNoDigest: a watcher sends no digest right after the store
+// TestNoDigestAfterFailedRead: a watcher sends no digest right after the store
 // refused it, so that the others read the store themselves.
-func TestUnsureWatcherSendsNoDigest(t *testing.T) {
+func TestNoDigestAfterFailedRead(t *testing.T) {
 	store, documents := fake.NewSessionStore(), docsync.New()
 	var sent atomic.Int32
 	w := &watcher{
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -72,7 +72,7 @@
 
 func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.handled.Add(1)
-	if r.URL.Path == streamed {
+	if r.URL.Path == streamPath {
 		time.Sleep(time.Millisecond)
 		return
 	}
@@ -437,17 +437,17 @@
 	c.expectClosed()
 }
 
-// streamed is the path of the requests of streamRequests.
-const streamed = "/x"
+// streamPath is the path of the requests of streamRequests.
+const streamPath = "/x"
 
-// stream counts the requests that a client sent and the responses that it got.
-type stream struct{ sent, answered int }
+// streamCounts counts the requests that a client sent and the responses that it got.
+type streamCounts struct{ sent, answered int }
 
 // streamRequests pipelines requests on one connection until the server closes it, with
 // up to depth of them in flight. It returns an error if the connection closes without
 // an announcement in the last response, or does not close.
-func streamRequests(addr string, depth, rounds int) (stream, error) {
-	var counts stream
+func streamRequests(addr string, depth, rounds int) (streamCounts, error) {
+	var counts streamCounts
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		return counts, err
@@ -456,7 +456,7 @@
 	br := bufio.NewReader(c)
 	for range rounds {
 		for counts.sent < counts.answered+depth {
-			if _, err := io.WriteString(c, get(streamed)); err != nil {
+			if _, err := io.WriteString(c, get(streamPath)); err != nil {
 				break // responses in transit are still read
 			}
 			counts.sent++
--- a/internal/lead/call.go
+++ b/internal/lead/call.go
@@ -38,15 +38,15 @@
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		c.send(ctx, cell.DocReceived{FromStore: true})
-	case errors.Is(err, errUnreadable):
+	case errors.Is(err, errUndecodable):
 		c.log.Error("Cell document not decodable.", slog.Any("error", err))
 	case err == nil:
 		c.send(ctx, cell.DocReceived{Exists: true, FromStore: true, Doc: doc, Revision: revision})
 	}
 }
 
-// errUnreadable is returned for a document in the store that cannot be decoded.
-var errUnreadable = errors.New("lead: cell document not decodable")
+// errUndecodable is returned for a document in the store that cannot be decoded.
+var errUndecodable = errors.New("lead: cell document not decodable")
 
 // readDoc reads the document of a cell from the store. It returns the errors of
 // platform.Store.Get, and errUnreadable.
@@ -59,7 +59,7 @@
 	}
 	doc, err := cell.DecodeDoc(entry.Value)
 	if err != nil {
-		return cell.Doc{}, 0, fmt.Errorf("%w: %w", errUnreadable, err)
+		return cell.Doc{}, 0, fmt.Errorf("%w: %w", errUndecodable, err)
 	}
 	return doc, entry.Revision, nil
 }
--- a/internal/lead/evict_test.go
+++ b/internal/lead/evict_test.go
@@ -139,10 +139,10 @@
 	assert.Equal(t, len(doc.OwnableBy("b")), 16)
 }
 
-// TestUnreachableZoneIsEvictedAfterHold checks that the shards of an unreachable zone stay
+// TestUnreachableZoneIsEvictedAfterRenewLimit checks that the shards of an unreachable zone stay
 // there until its renew limit and its grants have ended, and that the zone gets shards again
 // once it is reachable.
-func TestUnreachableZoneIsEvictedAfterHold(t *testing.T) {
+func TestUnreachableZoneIsEvictedAfterRenewLimit(t *testing.T) {
 	z := newTwoZones(t, 10*time.Second)
 	for range 13 {
 		doc := z.runRound(t, time.Second)
--- a/internal/lead/main.go
+++ b/internal/lead/main.go
@@ -122,7 +122,7 @@
 		return nil, fmt.Errorf("--keys: %w (make them with: citrontray keys host)", err)
 	}
 	p := &process{metrics: metric.New("citrontray_lead")}
-	if p.transport, err = peer.New(peer.Config{Listen: o.Peer, Keys: credentials, Log: log}); err != nil {
+	if p.transport, err = peer.New(peer.Config{Listen: o.Peer, Credentials: credentials, Log: log}); err != nil {
 		return nil, fmt.Errorf("--peer-address: %w", err)
 	}
 	p.store = platform.NewClient(platform.ClientConfig{
--- a/internal/member/codec.go
+++ b/internal/member/codec.go
@@ -13,11 +13,11 @@
 )
 
 type wireList struct {
-	Hosts   []wireMember `cbor:"1,keyasint"`
+	Hosts   []wireHost   `cbor:"1,keyasint"`
 	Leaders []wireLeader `cbor:"2,keyasint"`
 }
 
-type wireMember struct {
+type wireHost struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
@@ -40,18 +40,18 @@
 
 type wireHeartbeat struct {
 	_    struct{} `cbor:",toarray"`
-	Host wireMember
+	Host wireHost
 	Rank int
 }
 
-func wireOf(h Host) wireMember {
-	return wireMember{
+func wireOf(h Host) wireHost {
+	return wireHost{
 		Name: string(h.Name), Incarnation: uint64(h.Incarnation), Zone: string(h.Zone), Peer: h.PeerAddr, Ticket: h.TicketAddr, Share: h.CPUShare,
 		Revision: uint64(h.Revision),
 	}
 }
 
-func (w *wireMember) host() Host {
+func (w *wireHost) host() Host {
 	return Host{
 		Name: place.Host(w.Name), Incarnation: place.Incarnation(w.Incarnation), Zone: place.Zone(w.Zone),
 		PeerAddr: w.Peer, TicketAddr: w.Ticket, CPUShare: w.Share, Revision: platform.Revision(w.Revision),
--- a/internal/member/codec_test.go
+++ b/internal/member/codec_test.go
@@ -11,9 +11,9 @@
 	Name: "a", Incarnation: 5, Zone: "z", PeerAddr: netip.MustParseAddrPort("10.0.0.1:1"), TicketAddr: netip.MustParseAddrPort("10.0.0.1:2"), CPUShare: 0.5,
 }
 
-// FuzzPresence: no datagram makes the decoder panic, and a decoded heartbeat names a
+// FuzzHeartbeat: no datagram makes the decoder panic, and a decoded heartbeat names a
 // host and has no negative rank.
-func FuzzPresence(f *testing.F) {
+func FuzzHeartbeat(f *testing.F) {
 	body, err := (&Heartbeat{Host: codecHost, Rank: 1}).Encode()
 	assert.NilError(f, err)
 	f.Add(body)
--- a/internal/member/registry.go
+++ b/internal/member/registry.go
@@ -57,9 +57,9 @@
 	joinRetryDelay = 2 * time.Second
 	// rankDelay is the head start of each registrar over the next one.
 	rankDelay = time.Second
-	// maxSilence is how long a host may send no heartbeat before its entry is removed:
+	// heartbeatTimeout is how long a host may send no heartbeat before its entry is removed:
 	// a restart takes a second or two, a freeze some seconds.
-	maxSilence = 6 * time.Second
+	heartbeatTimeout = 6 * time.Second
 	// registrarTimeout is how long after the last heartbeat this host still counts as a
 	// registrar.
 	registrarTimeout = 3 * HeartbeatInterval
@@ -111,12 +111,12 @@
 		}
 	}
 	slices.SortFunc(enter, func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
-	return enter, r.silentHosts(now, list, maxSilence+time.Duration(r.rank)*rankDelay)
+	return enter, r.unresponsiveHosts(now, list, heartbeatTimeout+time.Duration(r.rank)*rankDelay)
 }
 
-// silentHosts returns the listed hosts of the zone that have sent no heartbeat for the
+// unresponsiveHosts returns the listed hosts of the zone that have sent no heartbeat for the
 // given time.
-func (r *Registry) silentHosts(now time.Time, list *List, limit time.Duration) []Host {
+func (r *Registry) unresponsiveHosts(now time.Time, list *List, limit time.Duration) []Host {
 	if now.Sub(r.activeSince) < limit {
 		return nil // not active for long enough
 	}
--- a/internal/member/registry_test.go
+++ b/internal/member/registry_test.go
@@ -96,7 +96,7 @@
 		"a silent host is removed, but not at once": func(t *testing.T, s *registrySim) {
 			s.run(10 * time.Second)
 			delete(s.hosts, "h007")
-			s.run(maxSilence - time.Second)
+			s.run(heartbeatTimeout - time.Second)
 			assert.Equal(t, len(s.list.Hosts), 60)
 			s.run(2 * time.Second)
 			assert.Equal(t, len(s.list.Hosts), 59)
@@ -111,7 +111,7 @@
 		},
 		"a new registrar removes none": func(t *testing.T, s *registrySim) {
 			s.list.Hosts = append(s.list.Hosts, Host{Name: "gone", Incarnation: 1, Zone: "a"})
-			s.run(maxSilence - time.Second)
+			s.run(heartbeatTimeout - time.Second)
 			assert.Equal(t, len(s.list.Hosts), 61)
 			s.run(2 * time.Second)
 			assert.Equal(t, len(s.list.Hosts), 60)
--- a/internal/outcome/write.go
+++ b/internal/outcome/write.go
@@ -29,7 +29,7 @@
 func write(w http.ResponseWriter, r Result, retry string) {
 	h := w.Header()
 	if resp, ok := r.(Response); ok {
-		writeAnswer(w, resp)
+		writeResponse(w, resp)
 		return
 	}
 	reason := ReasonOf(r)
@@ -49,7 +49,7 @@
 	_, _ = w.Write(body)
 }
 
-func writeAnswer(w http.ResponseWriter, resp Response) {
+func writeResponse(w http.ResponseWriter, resp Response) {
 	h := w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -73,10 +73,10 @@
 	heldBack                            []Effect
 	// grantsHang holds grants back.
 	grantsHang bool
-	// silentTarget does not respond to orders.
-	silentTarget place.Target
-	tables       []*Table
-	notes        []Note
+	// unresponsiveTarget does not respond to orders.
+	unresponsiveTarget place.Target
+	tables             []*Table
+	notes              []Note
 }
 
 func newDriver(targets int) *driver {
@@ -118,7 +118,7 @@
 		}
 		d.conn[e.Target] = e.Conn
 		results := make([]error, len(e.Grants))
-		if e.Target == d.silentTarget {
+		if e.Target == d.unresponsiveTarget {
 			for i := range results {
 				results[i] = target.ErrUnanswered
 			}
@@ -346,10 +346,10 @@
 	t.Fatal("no release was sent")
 }
 
-// TestSilentTarget: a range whose grant expired because its owner stopped responding
+// TestUnresponsiveTarget: a range whose grant expired because its owner stopped responding
 // goes to another target at once. It returns to the unresponsive one only if there is
 // no other.
-func TestSilentTarget(t *testing.T) {
+func TestUnresponsiveTarget(t *testing.T) {
 	tests := map[string]struct {
 		targets int
 		back    bool
@@ -361,9 +361,9 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDriver(test.targets)
 			d.run(3 * time.Second)
-			d.silentTarget, d.notes = "t1", nil
+			d.unresponsiveTarget, d.notes = "t1", nil
 			if test.targets == 1 {
-				d.silentTarget = "t0"
+				d.unresponsiveTarget = "t0"
 			}
 			hasExpired := func() bool {
 				return slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant expired." })
@@ -376,7 +376,7 @@
 			for _, n := range d.notes {
 				if n.Text == "New owner recorded." {
 					recorded++
-					assert.Equal(t, n.To == d.silentTarget, test.back, "%v went to %s", n.Range, n.To)
+					assert.Equal(t, n.To == d.unresponsiveTarget, test.back, "%v went to %s", n.Range, n.To)
 				}
 			}
 			assert.Assert(t, recorded > 0)
@@ -407,7 +407,7 @@
 	d.SetTargets(d.now, targets)
 	d.run(time.Second)
 	assert.Equal(t, cold(), 0, "handed over")
-	d.silentTarget, d.notes = "t1", nil
+	d.unresponsiveTarget, d.notes = "t1", nil
 	for !slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant expired." }) {
 		d.run(20 * time.Millisecond)
 	}
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -27,7 +27,7 @@
 	breakFreeze                 // leaders lost in a restore are not waited for
 )
 
-func (w *sim) leavesOut(guard int) bool { return *randomBreak == guard }
+func (w *sim) guardDisabled(guard int) bool { return *randomBreak == guard }
 
 // scheduleFaults injects a fault every 0.1 to 2.5 s until a time.
 func (w *sim) scheduleFaults(until time.Time) {
@@ -68,8 +68,8 @@
 		h.frozen = w.now.Add(duration)
 	case 1:
 		w.tracef("kill %s", h.name)
-		h.dead = true
-		w.after(duration, func() { h.dead, h.incarnation = false, h.incarnation+1; h.boot() })
+		h.down = true
+		w.after(duration, func() { h.down, h.incarnation = false, h.incarnation+1; h.boot() })
 	case 2:
 		w.tracef("%s can't reach the store %v", h.name, duration)
 		h.storeUnreachable = true
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -87,7 +87,7 @@
 }
 
 type simTarget struct {
-	w           *sim
+	sim         *sim
 	row         place.TargetRow
 	up          bool
 	unreachable bool
@@ -172,7 +172,7 @@
 		w.points = append(w.points, key.Point(i*key.Points/24+w.rng.IntN(key.Points/24)))
 	}
 	for i := range 2 + w.rng.IntN(3) {
-		h := &simHost{w: w, name: place.Host(fmt.Sprintf("h%d", i)), incarnation: 1}
+		h := &simHost{sim: w, name: place.Host(fmt.Sprintf("h%d", i)), incarnation: 1}
 		h.boot()
 		w.hosts = append(w.hosts, h)
 		w.after(w.randomDuration(0, 20*time.Millisecond), h.tick)
@@ -184,7 +184,7 @@
 }
 
 func (w *sim) addTarget(i int) {
-	t := &simTarget{w: w, clockRate: 1 - 0.02*w.rng.Float64(), row: place.TargetRow{
+	t := &simTarget{sim: w, clockRate: 1 - 0.02*w.rng.Float64(), row: place.TargetRow{
 		Target: place.Target(fmt.Sprintf("t%d", i)), Service: "s", Zone: "z", Slots: 3, Incarnation: place.Incarnation(1 + i),
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
 	}}
@@ -196,15 +196,15 @@
 func (t *simTarget) boot() {
 	t.up = true
 	t.seen, t.until = make(map[key.Point]target.FencingToken), make(map[key.Point]time.Time)
-	t.row.Incarnation = place.Incarnation(t.w.now.UnixMilli()) + t.row.Incarnation%7
+	t.row.Incarnation = place.Incarnation(t.sim.now.UnixMilli()) + t.row.Incarnation%7
 	t.writeEntry(t.row)
 }
 
 // writeEntry writes the target's entry to the store, after a delay.
 func (t *simTarget) writeEntry(row place.TargetRow) {
-	t.w.after(t.w.randomDuration(10*time.Millisecond, 900*time.Millisecond), func() {
+	t.sim.after(t.sim.randomDuration(10*time.Millisecond, 900*time.Millisecond), func() {
 		if t.up && t.row.Incarnation == row.Incarnation {
-			t.w.store.listed[row.Target] = row
+			t.sim.store.listed[row.Target] = row
 		}
 	})
 }
@@ -214,7 +214,7 @@
 }
 
 func (t *simTarget) eachPoint(r key.Range, f func(p key.Point)) {
-	for _, p := range t.w.points {
+	for _, p := range t.sim.points {
 		if r.Contains(p) {
 			f(p)
 		}
@@ -230,18 +230,18 @@
 	}
 	end := arrived.Add(time.Duration(float64(g.Duration) / t.clockRate))
 	t.eachPoint(g.Range, func(p key.Point) {
-		if last := t.w.highest[p]; end.After(t.w.now) && last.fence >= g.FencingToken && last.holder != t && t.w.violation == "" {
-			t.w.violation = fmt.Sprintf("%s accepts %d with fencing token %d, %s had it with %d", t.row.Target, p, g.FencingToken, last.holder.row.Target, last.fence)
+		if last := t.sim.highest[p]; end.After(t.sim.now) && last.fence >= g.FencingToken && last.holder != t && t.sim.violation == "" {
+			t.sim.violation = fmt.Sprintf("%s accepts %d with fencing token %d, %s had it with %d", t.row.Target, p, g.FencingToken, last.holder.row.Target, last.fence)
 		}
-		if t.w.highest[p].fence < g.FencingToken {
-			t.w.highest[p] = simFence{g.FencingToken, t}
+		if t.sim.highest[p].fence < g.FencingToken {
+			t.sim.highest[p] = simFence{g.FencingToken, t}
 		}
 	})
 	t.eachPoint(g.Range, func(p key.Point) {
 		t.seen[p] = g.FencingToken
 		t.until[p] = end
 	})
-	t.w.checkOwners()
+	t.sim.checkOwners()
 	return nil
 }
 
--- a/internal/owner/simhost_test.go
+++ b/internal/owner/simhost_test.go
@@ -13,11 +13,11 @@
 )
 
 type simHost struct {
-	w                *sim
+	sim              *sim
 	name             place.Host
 	incarnation      place.Incarnation
 	core             *Core
-	dead             bool
+	down             bool
 	frozen           time.Time // until then
 	storeUnreachable bool
 	isolated         bool // from the store, targets and hosts
@@ -55,13 +55,13 @@
 	h.core = New(simConfig(h))
 	h.inFlight, h.campaigning, h.leaseEnd, h.campaignAt = 0, false, time.Time{}, time.Time{}
 	h.stopping, h.resigning = false, false
-	h.era, h.firstEra = h.w.store.era, h.w.store.era
+	h.era, h.firstEra = h.sim.store.era, h.sim.store.era
 	h.conns = make(map[place.Target]simConn)
-	h.w.store.incarnations[h.name] = h.incarnation
+	h.sim.store.incarnations[h.name] = h.incarnation
 }
 
 func (h *simHost) alive(inc place.Incarnation) bool {
-	return !h.dead && h.incarnation == inc
+	return !h.down && h.incarnation == inc
 }
 
 // run calls f once the host is not frozen, unless its incarnation has ended by then.
@@ -69,8 +69,8 @@
 	if !h.alive(inc) {
 		return
 	}
-	if wait := h.frozen.Sub(h.w.now); wait > 0 {
-		h.w.after(wait, func() { h.run(inc, f) })
+	if wait := h.frozen.Sub(h.sim.now); wait > 0 {
+		h.sim.after(wait, func() { h.run(inc, f) })
 		return
 	}
 	f()
@@ -80,38 +80,38 @@
 	inc := h.incarnation
 	h.run(inc, func() {
 		h.step()
-		h.apply(h.core.Tick(h.w.now))
+		h.apply(h.core.Tick(h.sim.now))
 		h.checkStranded()
-		h.tickedAt = h.w.now
+		h.tickedAt = h.sim.now
 	})
-	h.w.after(h.w.randomDuration(15*time.Millisecond, 25*time.Millisecond), h.tick)
+	h.sim.after(h.sim.randomDuration(15*time.Millisecond, 25*time.Millisecond), h.tick)
 }
 
 // checkStranded looks for released ranges without an owner at the end of the lease:
 // they would have none until the store outage ends.
 func (h *simHost) checkStranded() {
 	const steady = 50 * time.Millisecond // longest time between two ticks of a host that is not frozen
-	c, now := h.core, h.w.now
+	c, now := h.core, h.sim.now
 	ends := c.Leading() && h.tickedAt.Before(c.leaseEnd) && !now.Before(c.leaseEnd)
 	if now.Sub(c.writeRefusedAt) <= steady {
 		return // a write was in flight until now: seeds 2001522, 2081334
 	}
-	if !ends || now.Sub(h.tickedAt) > steady || c.stopping || c.pending != nil || h.w.violation != "" {
+	if !ends || now.Sub(h.tickedAt) > steady || c.stopping || c.pending != nil || h.sim.violation != "" {
 		return
 	}
 	for _, r := range c.rows {
 		if r.state == free && r.released && c.usable(now, r.Target) && now.Sub(r.since) > reclaimMargin {
-			h.w.violation = fmt.Sprintf("%s has released %v and can't record a new owner at %.3f s", h.name, r.Range, now.Sub(h.w.start).Seconds())
+			h.sim.violation = fmt.Sprintf("%s has released %v and can't record a new owner at %.3f s", h.name, r.Range, now.Sub(h.sim.start).Seconds())
 		}
 	}
 }
 
-func (h *simHost) reachesStore() bool { return !h.storeUnreachable && !h.isolated && !h.w.store.down }
+func (h *simHost) reachesStore() bool { return !h.storeUnreachable && !h.isolated && !h.sim.store.down }
 
 // step does one round of a host's work: it follows the store, and passes a leading core
 // its lease, targets and load.
 func (h *simHost) step() {
-	w := h.w
+	w := h.sim
 	if h.reachesStore() {
 		h.followStore()
 	}
@@ -130,7 +130,7 @@
 
 // resign ends leadership in a planned stop, as soon as the store accepts it.
 func (h *simHost) resign() {
-	w, inc, leaderRev := h.w, h.incarnation, h.leaderRev
+	w, inc, leaderRev := h.sim, h.incarnation, h.leaderRev
 	if !h.stopping || h.resigning {
 		return
 	}
@@ -180,7 +180,7 @@
 // followStore reads the store: the leader entry, this host's session, whether to
 // campaign.
 func (h *simHost) followStore() {
-	w, s := h.w, &h.w.store
+	w, s := h.sim, &h.sim.store
 	h.era = s.era
 	if s.era > h.core.Term().Era() {
 		h.core.StoreRestored(w.now, h.core.Term())
@@ -219,7 +219,7 @@
 }
 
 func (h *simHost) campaign() {
-	w, inc := h.w, h.incarnation
+	w, inc := h.sim, h.incarnation
 	h.campaigning = true
 	base, era := w.store.revision, w.store.era
 	doc := w.store.doc
@@ -233,7 +233,7 @@
 		prior = PriorUnknown
 	}
 	next := doc
-	if doc.HistoryLost(era, h.incarnation == 1 && h.firstEra == era) && !w.leavesOut(breakHistoryLost) {
+	if doc.HistoryLost(era, h.incarnation == 1 && h.firstEra == era) && !w.guardDisabled(breakHistoryLost) {
 		prior = PriorLost
 		next.AfterRestore = true
 		if h.core.Leading() {
@@ -243,7 +243,7 @@
 	}
 	next.PriorMayRenew = prior != PriorEnded
 	next.Term = next.Term.Next(era)
-	if w.leavesOut(breakEraTerms) {
+	if w.guardDisabled(breakEraTerms) {
 		next.Term = doc.Term + 1
 	}
 	next.Leader, next.LeaderIncarnation, next.WriteID = h.name, h.incarnation, w.rng.Uint64()
@@ -270,7 +270,7 @@
 				h.leaseEnd = sent.Add(simConfig(h).LeaseTTL)
 				w.tracef("%s becomes leader of term %d prior %d", h.name, next.Term, prior)
 				h.core.BeginTerm(w.now, next, revision, h.leaseEnd, prior)
-				if w.leavesOut(breakFreeze) {
+				if w.guardDisabled(breakFreeze) {
 					h.core.frozenUntil = time.Time{}
 				}
 			})
@@ -280,11 +280,11 @@
 
 // askPredecessor asks the predecessor whether it has stopped.
 func (h *simHost) askPredecessor() {
-	if h.predecessorSettled || !h.w.chance(0.1) {
+	if h.predecessorSettled || !h.sim.chance(0.1) {
 		return
 	}
-	for _, o := range h.w.hosts {
-		if o.name != h.predecessor || o.dead || o.isolated || h.isolated || h.w.now.Before(o.frozen) {
+	for _, o := range h.sim.hosts {
+		if o.name != h.predecessor || o.down || o.isolated || h.isolated || h.sim.now.Before(o.frozen) {
 			continue
 		}
 		if o.incarnation != h.predecessorIncarnation {
@@ -303,7 +303,7 @@
 func (h *simHost) predecessorEnded() {
 	h.predecessorSettled = true
 	if !h.priorMayRenew {
-		h.core.PriorEnded(h.w.now)
+		h.core.PriorEnded(h.sim.now)
 	}
 }
 
@@ -315,11 +315,11 @@
 		case SendRelease:
 			h.sendRelease(e)
 		case WriteDoc:
-			h.write(&simWrite{WriteDoc: e, w: h.w, era: h.leaderEra}, h.incarnation, h.leaderRev)
+			h.write(&simWrite{WriteDoc: e, sim: h.sim, era: h.leaderEra}, h.incarnation, h.leaderRev)
 		case RenewLease: // followStore renews it within moments
 		case Publish:
 		case Note:
-			h.w.tracef("%s %s %s %s>%s fencing token %d", h.name, e.Text, e.Range, e.From, e.To, e.Fence)
+			h.sim.tracef("%s %s %s %s>%s fencing token %d", h.name, e.Text, e.Range, e.From, e.To, e.Fence)
 		}
 	}
 }
@@ -337,7 +337,7 @@
 // its connection is reset and it never arrives. An order that has arrived may be
 // carried out late and never answered.
 func (h *simHost) order(addr netip.AddrPort, apply func(t *simTarget, arrived time.Time) error, done func(error)) {
-	w, inc := h.w, h.incarnation
+	w, inc := h.sim, h.incarnation
 	bound := simConfig(h).OrderTimeout
 	t := w.targetAt(addr)
 	if h.isolated || t == nil || !t.up || t.unreachable || h.unreachableTarget == t {
@@ -380,7 +380,7 @@
 	h.inFlight++
 	if conn := h.conns[e.Target]; conn.number != e.Conn {
 		conn = simConn{number: e.Conn}
-		if t := h.w.targetAt(e.Addr); t != nil {
+		if t := h.sim.targetAt(e.Addr); t != nil {
 			conn.incarnation = t.row.Incarnation
 		}
 		h.conns[e.Target] = conn
@@ -389,7 +389,7 @@
 	next = func(i int) {
 		if i == len(e.Grants) || i > 0 && results[i-1] != nil {
 			h.inFlight--
-			h.core.Granted(h.w.now, e, results)
+			h.core.Granted(h.sim.now, e, results)
 			return
 		}
 		h.order(e.Addr, func(t *simTarget, arrived time.Time) error {
@@ -403,7 +403,7 @@
 		})
 	}
 	// The process may freeze between the decision and the sending.
-	h.w.after(h.w.randomDuration(0, 2*time.Millisecond), func() { h.run(inc, func() { next(0) }) })
+	h.sim.after(h.sim.randomDuration(0, 2*time.Millisecond), func() { h.run(inc, func() { next(0) }) })
 }
 
 func (h *simHost) sendRelease(e SendRelease) {
@@ -413,7 +413,7 @@
 		return nil
 	}, func(err error) {
 		h.inFlight--
-		h.core.Released(h.w.now, e, "token", err)
+		h.core.Released(h.sim.now, e, "token", err)
 	})
 }
 
@@ -421,7 +421,7 @@
 type simWrite struct {
 	WriteDoc
 
-	w *sim
+	sim *sim
 	// era is that of the leader that writes.
 	era  platform.Era
 	sent bool
@@ -429,7 +429,7 @@
 
 // commit carries out the write if its conditions hold.
 func (e *simWrite) commit(leaderRev platform.Revision) bool {
-	w, s := e.w, &e.w.store
+	w, s := e.sim, &e.sim.store
 	if s.revision != e.Expect || s.leaderRev != leaderRev || !w.now.Before(s.leaderSessionEnd) {
 		return false
 	}
@@ -441,7 +441,7 @@
 
 // write sends the document to the store until it is known whether it is stored.
 func (h *simHost) write(e *simWrite, inc place.Incarnation, leaderRev platform.Revision) {
-	w := h.w
+	w := h.sim
 	w.after(w.randomDuration(2*time.Millisecond, 20*time.Millisecond)+w.store.slow, func() {
 		s := &w.store
 		if !h.reachesStore() {
--- a/internal/peer/loss_test.go
+++ b/internal/peer/loss_test.go
@@ -47,7 +47,7 @@
 
 func startOn(t *testing.T, m peer.Credentials, conn net.PacketConn) *peer.Peer {
 	t.Helper()
-	p, err := peer.New(peer.Config{Conn: conn, Keys: m})
+	p, err := peer.New(peer.Config{Conn: conn, Credentials: m})
 	assert.NilError(t, err)
 	p.Handle(peer.KindSync, echo)
 	done := make(chan struct{})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -38,7 +38,7 @@
 
 func start(t *testing.T, m peer.Credentials, at netip.AddrPort) *peer.Peer {
 	t.Helper()
-	p, err := peer.New(peer.Config{Listen: at, Keys: m})
+	p, err := peer.New(peer.Config{Listen: at, Credentials: m})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -156,7 +156,7 @@
 // ErrUnreachable.
 func TestCloseNotifiesCallers(t *testing.T) {
 	dir := newAuthority(t)
-	server, err := peer.New(peer.Config{Listen: anyPort(), Keys: newCredentials(t, dir, "host-2", peer.RoleLead)})
+	server, err := peer.New(peer.Config{Listen: anyPort(), Credentials: newCredentials(t, dir, "host-2", peer.RoleLead)})
 	assert.NilError(t, err)
 	server.Handle(peer.KindSync, echo)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/peer/quic.go
+++ b/internal/peer/quic.go
@@ -83,9 +83,9 @@
 	// Listen is the UDP address to bind; the zero value selects a free port.
 	Listen netip.AddrPort
 	// Conn, where set, is used instead of Listen.
-	Conn net.PacketConn
-	Keys Credentials
-	Log  *slog.Logger
+	Conn        net.PacketConn
+	Credentials Credentials
+	Log         *slog.Logger
 	// UpkeepInterval is the time between two checks of the key files and of
 	// unused connections; zero stands for 2 s.
 	UpkeepInterval time.Duration
@@ -136,9 +136,9 @@
 	if cfg.Log == nil {
 		cfg.Log = logging.Nop()
 	}
-	reset := quic.StatelessResetKey(cfg.Keys.ResetSecret())
+	reset := quic.StatelessResetKey(cfg.Credentials.ResetSecret())
 	p := &Peer{
-		keys:           cfg.Keys,
+		keys:           cfg.Credentials,
 		log:            logging.Component(cfg.Log, "peer"),
 		partitioned:    cfg.Partitioned,
 		upkeepInterval: cmp.Or(cfg.UpkeepInterval, defaultUpkeepInterval),
--- a/internal/peer/trust_test.go
+++ b/internal/peer/trust_test.go
@@ -144,7 +144,7 @@
 func startFastUpkeep(t *testing.T, m peer.Credentials) *peer.Peer {
 	t.Helper()
 	const upkeep = 10 * time.Millisecond
-	p, err := peer.New(peer.Config{Listen: anyPort(), Keys: m, UpkeepInterval: upkeep})
+	p, err := peer.New(peer.Config{Listen: anyPort(), Credentials: m, UpkeepInterval: upkeep})
 	assert.NilError(t, err)
 	p.Handle(peer.KindSync, echo)
 	done := make(chan struct{})
--- a/internal/target/holdings.go
+++ b/internal/target/holdings.go
@@ -253,7 +253,7 @@
 		Accepted:    accepted,
 		Digest:      grant.Digest(held),
 		Full:        full,
-		Draining:    h.draining,
+		Leaving:     h.draining,
 	}
 	if full {
 		response.Held = held
--- a/internal/target/wire.go
+++ b/internal/target/wire.go
@@ -109,7 +109,7 @@
 		Full:        response.Full,
 		Held:        toWire(response.Held),
 		Floors:      toWire(response.Floors),
-		Draining:    response.Draining,
+		Draining:    response.Leaving,
 	})
 }
 
@@ -129,7 +129,7 @@
 		Full:        w.Full,
 		Held:        fromWire(w.Held),
 		Floors:      fromWire(w.Floors),
-		Draining:    w.Draining,
+		Leaving:     w.Draining,
 	}, nil
 }
 
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -31,8 +31,8 @@
 
 // Service is a group of targets that serve the same requests.
 type Service struct {
-	Name key.Service
-	Keys KeySpace
+	Name     key.Service
+	KeySpace KeySpace
 	// MaxConnections bounds the connections of all hosts to one target.
 	MaxConnections int
 	// WarmUp is how long keys stay cold at an owner that took them over without a
