--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -16,7 +16,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// WatchTimeout is the service's own limit on the wait of a watch.
+// WatchTimeout is the platform's own limit on the wait of a watch.
 const WatchTimeout = 10 * time.Second
 
 // maxClientConns bounds the connections of one client to one address.
@@ -151,7 +151,7 @@
 }
 
 // send makes one call to one address. The error is ErrUnavailable only where
-// the service refused the call or nothing was sent.
+// the platform refused the call or nothing was sent.
 func (c *Client) send(ctx context.Context, addr netip.AddrPort, path string, body []byte, out any) error {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }}
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -23,7 +23,7 @@
 	return platform.NewClient(config)
 }
 
-// closedAddr returns an address at which nobody listens.
+// closedAddr returns an address at which no socket listens.
 func closedAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/platform/era.go
+++ b/internal/platform/era.go
@@ -31,7 +31,7 @@
 func (r Revision) Era() Era { return Era(r >> revisionBits) }
 
 // Number returns the store's own number of a revision. The same number may
-// stand for another change in another era.
+// denote another change in another era.
 func (r Revision) Number() uint64 { return uint64(r) & (1<<revisionBits - 1) }
 
 // ErrRestored is returned by Commit where the store was restored from an older
@@ -39,6 +39,6 @@
 // transaction took effect is not known.
 var ErrRestored = errors.New("platform: store was restored from an older snapshot")
 
-// ErrSessionLost is the ErrSessionEnded of a session that was lost by a
-// restore.
+// ErrSessionLost wraps ErrSessionEnded; it is returned where a restore of the
+// store lost the session.
 var ErrSessionLost = fmt.Errorf("%w: %w", ErrSessionEnded, ErrRestored)
--- a/internal/platform/handler.go
+++ b/internal/platform/handler.go
@@ -13,7 +13,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Caller is who makes a call to the platform.
+// Caller identifies the host that makes a call to the platform.
 type Caller struct {
 	Host place.Host
 	Zone place.Zone
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -18,8 +18,8 @@
 type Path string
 
 // Revision is the store's global revision at which a value was written, with
-// the store's era in the highest bits. Zero stands for a value that does not
-// exist.
+// the store's era in the highest bits. Zero is the revision of a value that
+// does not exist.
 type Revision uint64
 
 // Entry is one value of the store.
@@ -86,8 +86,7 @@
 	Delete(ctx context.Context, path Path, expect Revision) error
 	// Watch waits until a value with the prefix changes after the revision
 	// from, and returns the changes and the revision to continue from; after
-	// the service's own timeout it returns none. A waiting watch counts as one
-	// call.
+	// WatchTimeout it returns none. A waiting watch counts as one call.
 	Watch(ctx context.Context, prefix Path, from Revision) ([]Change, Revision, error)
 	// Acquire takes or renews a named lease for holder.
 	Acquire(ctx context.Context, name, holder string, ttl time.Duration) (Lease, error)
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SessionID names a session of a SessionStore. The zero value stands for none.
+// SessionID names a session of a SessionStore. The zero value names none.
 type SessionID struct {
 	Era    Era
 	Number int64
