--- a/internal/docsync/encoding.go
+++ b/internal/docsync/encoding.go
@@ -19,7 +19,7 @@
 	maxWindowBytes = 2 * MaxDocumentBytes
 )
 
-// encoding is how the body of a document is encoded.
+// encoding identifies the encoding of a document's body.
 type encoding uint8
 
 const (
@@ -162,8 +162,8 @@
 	return encoder.EncodeAll(body, nil)
 }
 
-// deltaEncoders reuses the encoders of deltas: a new one takes a megabyte, and
-// a watcher encodes dozens of deltas a second.
+// deltaEncoders pools the encoders of deltas: a new one allocates a megabyte,
+// and a watcher encodes dozens of deltas a second.
 var deltaEncoders sync.Pool
 
 // compressDelta returns body as one zstd frame with a checksum, with base as
--- a/internal/docsync/follower.go
+++ b/internal/docsync/follower.go
@@ -20,7 +20,7 @@
 	// one process alone, so the wait bounds the time until it notices that this
 	// one has failed.
 	entryPollWait = time.Second
-	// responseMargin is added to the wait for the timeout of a poll.
+	// responseMargin is how much longer than its wait a poll may take.
 	responseMargin = 400 * time.Millisecond
 	fetchTimeout   = 2 * time.Second
 	// sharedFetchWait is how long a follower waits for a document that another
@@ -33,9 +33,10 @@
 	// process has too. Where that one has just failed, a change is noticed with
 	// this delay.
 	standbyPollInterval = 500 * time.Millisecond
-	// standbyPromoteAfter is the number of polls in a row after which a standby
-	// that brings news is polled at pollInterval: the preferred process no
-	// longer responds in time. A single one may bring news first by chance.
+	// standbyPromoteAfter is the number of polls in a row with new documents
+	// after which a standby is polled at pollInterval: the preferred process no
+	// longer responds in time. In a single poll, the standby may be the first
+	// with a new document by chance.
 	standbyPromoteAfter = 2
 	minRetryBackoff     = 50 * time.Millisecond
 	maxRetryBackoff     = time.Second
@@ -49,7 +50,7 @@
 	cursor   cursor
 	failures int
 	// standby is set where another process has the same documents. freshPolls
-	// counts the polls in a row that brought news.
+	// counts the polls in a row with new documents.
 	standby    bool
 	freshPolls int
 }
@@ -162,12 +163,12 @@
 		if !f.node.replica.version(h.name).Less(h.version) {
 			continue
 		}
-		other, started := f.node.fetching.begin(h)
+		done, started := f.node.fetching.begin(h)
 		if started {
 			own = append(own, h)
 			continue
 		}
-		others, running = append(others, h), append(running, other)
+		others, running = append(others, h), append(running, done)
 	}
 	complete, err := f.fetchDocs(ctx, own)
 	f.node.fetching.end(own)
@@ -183,10 +184,10 @@
 }
 
 // waitAll waits until all channels are closed, for at most d.
-func waitAll(ctx context.Context, closed []<-chan struct{}, d time.Duration) error {
+func waitAll(ctx context.Context, channels []<-chan struct{}, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	for _, c := range closed {
+	for _, c := range channels {
 		select {
 		case <-c:
 		case <-timer.C:
@@ -214,8 +215,8 @@
 	return received+receivedFull == len(headers), err
 }
 
-// fetchOnce returns how many documents arrived and which have to be fetched
-// again in full.
+// fetchOnce sends one fetch. It returns how many documents arrived and which
+// ones have to be fetched again in full.
 func (f *follower) fetchOnce(ctx context.Context, req fetch) (int, fetch, error) {
 	var resend fetch
 	body, err := f.node.call(ctx, f.addr, req, fetchTimeout)
--- a/internal/docsync/followers_bench_test.go
+++ b/internal/docsync/followers_bench_test.go
@@ -44,9 +44,9 @@
 	calls atomic.Int64
 }
 
-func (l *countedTransport) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
-	l.calls.Add(1)
-	return l.Peer.Call(ctx, to, kind, body)
+func (c *countedTransport) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
+	c.calls.Add(1)
+	return c.Peer.Call(ctx, to, kind, body)
 }
 
 // zone is one availability zone of lead processes that communicate over real
@@ -110,7 +110,8 @@
 	return calls, bytes
 }
 
-// await waits until all replicas have at least a version of a document.
+// await waits until all replicas have the version of the document or a newer
+// one.
 func (z *zone) await(name docsync.Name, version docsync.Version) {
 	for _, replica := range z.replicas {
 		for {
--- a/internal/docsync/network_test.go
+++ b/internal/docsync/network_test.go
@@ -114,7 +114,8 @@
 	return resp, err
 }
 
-// fakeStore is a fake store that counts calls.
+// fakeStore is a platform.Store with one value and a fleet list. It counts the
+// calls.
 type fakeStore struct {
 	platform.Store
 
@@ -164,10 +165,10 @@
 
 func (z zoneStore) beginCall() error {
 	z.mu.Lock()
-	cut, delay := z.partitionedZone == z.zone, z.delay
+	partitioned, delay := z.partitionedZone == z.zone, z.delay
 	z.mu.Unlock()
 	time.Sleep(delay)
-	if cut {
+	if partitioned {
 		return platform.ErrUnavailable
 	}
 	return nil
--- a/internal/docsync/node.go
+++ b/internal/docsync/node.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// topologyInterval is the time between two updates of the topology,
-	// fastTopologyInterval that while an address fails. After a change of the
-	// list of hosts and after a new failure, an update follows in a fifth of
-	// the latter.
+	// topologyInterval is the time between two updates of the topology;
+	// fastTopologyInterval replaces it while an address is failing. After a
+	// change of the list of hosts or a new failure, an update follows after a
+	// fifth of fastTopologyInterval.
 	topologyInterval     = time.Second
 	fastTopologyInterval = 250 * time.Millisecond
 	// suspectAfter is how long a process may fail to respond before it is
@@ -37,8 +37,8 @@
 	// LocalLead is the address of the lead process on an entry process's own
 	// host.
 	LocalLead netip.AddrPort
-	// Seeds are peer addresses of lead processes, for the time before the list
-	// of hosts is known and where all others are suspected.
+	// Seeds are peer addresses of lead processes. They are used before the list
+	// of hosts is known and while all followed processes are suspected.
 	Seeds []netip.AddrPort
 	// Store is the platform's store; it is nil for entry processes.
 	Store platform.Store
@@ -70,7 +70,7 @@
 // health is the state of one address that a node follows or pushes to.
 type health struct {
 	failing bool
-	since   time.Time // the first failure since the last success
+	since   time.Time // when the first call that failed since the last success was sent
 }
 
 // NewNode returns a node for one process. For a lead process it registers the
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	tasks := &taskSet{node: n, ctx: ctx, running: make(map[task]context.CancelFunc)}
-	listed := n.replica.Subscribe(cmp.Or(n.cfg.HostsDocument, Fleet))
+	hostsChanged := n.replica.Subscribe(cmp.Or(n.cfg.HostsDocument, Fleet))
 	timer := time.NewTimer(fastTopologyInterval)
 	defer timer.Stop()
 	for {
@@ -116,10 +116,10 @@
 			return nil
 		case <-timer.C:
 			continue
-		case <-listed:
+		case <-hostsChanged:
 		case <-n.failureSignal:
 		}
-		// Several changes often come together: wait a moment for the others.
+		// Changes often come in groups; one update covers all within this time.
 		select {
 		case <-ctx.Done():
 		case <-time.After(fastTopologyInterval / 5):
@@ -212,7 +212,7 @@
 	delete(n.health, addr)
 }
 
-// task is one thing that a node does in a goroutine of its own.
+// task identifies one activity of a node, which has a goroutine of its own.
 type task struct {
 	kind taskKind
 	addr netip.AddrPort
@@ -237,40 +237,40 @@
 	wg      sync.WaitGroup
 }
 
-func (s *taskSet) reconcile(a Topology) {
+func (s *taskSet) reconcile(topology Topology) {
 	wanted := make(map[task]struct{})
-	if a.Watch && (s.node.cfg.Store != nil || s.node.cfg.Watch != nil) {
+	if topology.Watch && (s.node.cfg.Store != nil || s.node.cfg.Watch != nil) {
 		wanted[task{kind: taskWatch}] = struct{}{}
 	}
-	for _, addr := range a.Follow {
-		wanted[task{kind: taskFollow, addr: addr, standby: slices.Contains(a.Standby, addr)}] = struct{}{}
+	for _, addr := range topology.Follow {
+		wanted[task{kind: taskFollow, addr: addr, standby: slices.Contains(topology.Standby, addr)}] = struct{}{}
 	}
-	for _, addr := range a.Push {
+	for _, addr := range topology.Push {
 		wanted[task{kind: taskPush, addr: addr}] = struct{}{}
 	}
-	for d, cancel := range s.running {
-		if _, ok := wanted[d]; !ok {
+	for t, cancel := range s.running {
+		if _, ok := wanted[t]; !ok {
 			cancel()
-			delete(s.running, d)
-			if _, ok := wanted[task{kind: d.kind, addr: d.addr, standby: !d.standby}]; !ok {
-				s.node.forget(d.addr)
+			delete(s.running, t)
+			if _, ok := wanted[task{kind: t.kind, addr: t.addr, standby: !t.standby}]; !ok {
+				s.node.forget(t.addr)
 			}
 		}
 	}
-	for d := range wanted {
-		if _, ok := s.running[d]; ok {
+	for t := range wanted {
+		if _, ok := s.running[t]; ok {
 			continue
 		}
 		ctx, cancel := context.WithCancel(s.ctx)
-		s.running[d] = cancel
+		s.running[t] = cancel
 		s.wg.Add(1)
-		go s.run(ctx, d)
+		go s.run(ctx, t)
 	}
 }
 
-func (s *taskSet) run(ctx context.Context, d task) {
+func (s *taskSet) run(ctx context.Context, t task) {
 	defer s.wg.Done()
-	switch d.kind {
+	switch t.kind {
 	case taskWatch:
 		s.node.log.Info("Watching the store.")
 		watch := s.node.cfg.Watch
@@ -280,10 +280,10 @@
 		// It returns only when its context ends.
 		_ = watch(ctx)
 	case taskFollow:
-		f := &follower{node: s.node, addr: d.addr, standby: d.standby}
+		f := &follower{node: s.node, addr: t.addr, standby: t.standby}
 		f.loop(ctx)
 	case taskPush:
-		p := &pusher{node: s.node, addr: d.addr, acked: make(map[Name]Version)}
+		p := &pusher{node: s.node, addr: t.addr, acked: make(map[Name]Version)}
 		p.loop(ctx)
 	}
 }
--- a/internal/docsync/node_test.go
+++ b/internal/docsync/node_test.go
@@ -15,7 +15,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// settingsBound is the required time for a change of the settings to be in
+// settingsBound is the time within which a change of the settings has to be in
 // force on all hosts.
 const settingsBound = 4 * time.Second
 
@@ -261,7 +261,8 @@
 
 // TestTablesWithUnresponsiveWatcher: a watcher becomes unresponsive without an
 // error while all polls to it still wait. Documents then arrive from the zone's
-// other watcher, with the delay of a standby at first and at once later.
+// other watcher: the first ones delayed by standbyPollInterval, later ones at
+// once.
 func TestTablesWithUnresponsiveWatcher(t *testing.T) {
 	runDeployment(t, 30, 3, func(t *testing.T, d *deployment) {
 		d.startAll()
--- a/internal/docsync/pusher.go
+++ b/internal/docsync/pusher.go
@@ -14,8 +14,8 @@
 	pushInterval = 20 * time.Millisecond
 )
 
-// pusher pushes the documents that this process published itself to another
-// one.
+// pusher pushes the documents that this process published itself, to one other
+// process.
 type pusher struct {
 	node     *Node
 	addr     netip.AddrPort
@@ -103,7 +103,8 @@
 	return out
 }
 
-// send returns the documents that have to be sent again in full.
+// send pushes a batch and returns the documents that have to be sent again in
+// full.
 func (p *pusher) send(ctx context.Context, batch []encodedDoc) ([]Name, error) {
 	body, err := p.node.call(ctx, p.addr, push{docs: batch}, pushTimeout)
 	if err != nil {
--- a/internal/docsync/random_test.go
+++ b/internal/docsync/random_test.go
@@ -93,8 +93,9 @@
 	}
 }
 
-// TestRandomFaults injects random faults. After they end, all processes get the
-// newest documents.
+// TestRandomFaults injects random faults: no replica returns to an older
+// version of a document, and after the faults all processes get the newest
+// documents.
 func TestRandomFaults(t *testing.T) {
 	const steps = 40
 	seeds := uint64(12)
@@ -121,7 +122,7 @@
 	}
 }
 
-// TestStaleValueFromStore lets the store respond with an older revision than
+// TestStaleValueFromStore makes the store respond with an older revision than
 // the one in force: no process returns to it.
 func TestStaleValueFromStore(t *testing.T) {
 	runDeployment(t, 3, 3, func(t *testing.T, d *deployment) {
--- a/internal/docsync/replica.go
+++ b/internal/docsync/replica.go
@@ -36,8 +36,8 @@
 // cursor counts the changes of one replica.
 type cursor uint64
 
-// MemoryReplica is a Replica in memory. It also keeps what its Node needs to
-// send others only what is new to them.
+// MemoryReplica is a Replica in memory. It also keeps a cursor and older
+// versions, by which its Node sends other processes only the changes.
 type MemoryReplica struct {
 	id instanceID
 
@@ -51,8 +51,7 @@
 
 var _ Replica = (*MemoryReplica)(nil)
 
-// docState is the newest version of one document and what is kept of older
-// ones.
+// docState holds the newest version of one document and a few older ones.
 type docState struct {
 	Document
 
@@ -62,7 +61,7 @@
 	// older holds the versions before this one, newest first.
 	older []Document
 	// encodings caches this version as encoded for transfer, by the base of the
-	// delta. The zero version stands for the full encoding.
+	// delta. The zero version is the key of the full encoding.
 	encodings map[Version]encodedDoc
 }
 
@@ -110,8 +109,8 @@
 	return true
 }
 
-// makeRoom reports whether a document fits into the replica. Where it doesn't,
-// older versions are dropped first.
+// makeRoom reports whether a document fits into the replica, after dropping all
+// older versions where there is too little space.
 func (m *MemoryReplica) makeRoom(r *docState, doc Document) bool {
 	if r == nil && len(m.docs) >= MaxDocuments || len(doc.Body) > MaxDocumentBytes {
 		return false
@@ -153,12 +152,12 @@
 func (m *MemoryReplica) notify(name Name) {
 	close(m.changed)
 	m.changed = make(chan struct{})
-	for _, w := range m.subscriptions {
-		if !strings.HasPrefix(string(name), string(w.prefix)) {
+	for _, s := range m.subscriptions {
+		if !strings.HasPrefix(string(name), string(s.prefix)) {
 			continue
 		}
 		select {
-		case w.tokens <- struct{}{}:
+		case s.tokens <- struct{}{}:
 		default: // a token is already pending
 		}
 	}
--- a/internal/docsync/replica_test.go
+++ b/internal/docsync/replica_test.go
@@ -46,14 +46,14 @@
 	}
 	assert.Assert(t, !replica.Publish(docsync.Document{Name: "more", Version: docsync.Version{Major: 1}}))
 	assert.Assert(t, replica.Publish(docsync.Document{Name: "table/0", Version: docsync.Version{Major: 2}}))
-	bytes := 0
+	accepted := 0
 	for version := range uint64(100) {
 		body := make([]byte, docsync.MaxDocumentBytes)
 		if replica.Publish(docsync.Document{Name: "table/1", Version: docsync.Version{Major: 2 + version}, Body: body}) {
-			bytes++
+			accepted++
 		}
 	}
-	assert.Equal(t, bytes, 100, "the replica keeps older versions without bound")
+	assert.Equal(t, accepted, 100, "the replica keeps older versions without bound")
 }
 
 // TestOlderVersionsEvicted fills the replica with documents and older versions
--- a/internal/docsync/serve.go
+++ b/internal/docsync/serve.go
@@ -11,8 +11,8 @@
 // maxPollWait bounds the wait of a poll, whatever its sender asks for.
 const maxPollWait = 30 * time.Second
 
-// maxResponseBytes bounds the documents of one response, so that it stays below
-// peer.MaxMessage.
+// maxResponseBytes bounds the documents of one response or push, so that the
+// message stays below peer.MaxMessage.
 const maxResponseBytes = peer.MaxMessage - MaxDocumentBytes/2
 
 // serve implements peer.Handler for KindSync.
@@ -39,8 +39,9 @@
 	return nil, ErrMalformed
 }
 
-// servePoll responds at once where there is news, otherwise at the next change
-// or the end of the wait.
+// servePoll responds at once where the follower lacks a version or polls this
+// instance for the first time, otherwise at the next change or the end of the
+// wait.
 func (n *Node) servePoll(ctx context.Context, req poll) pollResponse {
 	ctx, cancel := context.WithTimeout(ctx, min(req.wait, maxPollWait))
 	defer cancel()
@@ -100,7 +101,8 @@
 const maxInlineBytes = 1 << 10
 
 // serveFetch encodes the requested documents. Those that don't fit into one
-// response are left out; the follower's next poll names them again.
+// response are left out; the response to the follower's next poll lists them
+// again.
 func (n *Node) serveFetch(req fetch) fetchResponse {
 	var resp fetchResponse
 	size := 0
--- a/internal/docsync/topology.go
+++ b/internal/docsync/topology.go
@@ -69,7 +69,7 @@
 	return xxhash.Sum64String(string(zone) + "\x00" + string(host))
 }
 
-// View is what a process knows when it computes its topology.
+// View is the input of ComputeTopology: the cluster as one process sees it.
 type View struct {
 	Self place.Host
 	Zone place.Zone
@@ -91,7 +91,7 @@
 	Failing   func(netip.AddrPort) bool
 }
 
-// Topology is whom a process follows and pushes to.
+// Topology lists the processes that a process follows and pushes to.
 type Topology struct {
 	// Watch reports whether this process watches the store.
 	Watch bool
@@ -129,19 +129,19 @@
 }
 
 func leadTopology(v View) Topology {
-	var a Topology
+	var t Topology
 	for _, host := range v.selectWatchers(v.Zone, v.Suspected) {
-		a.Watch = a.Watch || host.Host == v.Self
+		t.Watch = t.Watch || host.Host == v.Self
 	}
 	var push, follow addrSet
 	push.add(v.zoneWatchers(v.Zone)...)
 	follow.add(push.list...)
-	a.Standby = v.standbys(push.list)
-	if a.Watch {
+	t.Standby = v.standbys(push.list)
+	if t.Watch {
 		for _, zone := range v.otherZones() {
 			watchers := v.zoneWatchers(zone)
 			follow.add(watchers...)
-			a.Standby = append(a.Standby, v.standbys(watchers)...)
+			t.Standby = append(t.Standby, v.standbys(watchers)...)
 		}
 	}
 	if follow.allSuspected(v) {
@@ -150,8 +150,8 @@
 	if len(v.Hosts) == 0 {
 		push.add(v.seedSubset()...)
 	}
-	a.Follow, a.Push = follow.list, push.list
-	return a
+	t.Follow, t.Push = follow.list, push.list
+	return t
 }
 
 // zoneWatchers returns the addresses of a zone's watchers by the list of hosts
@@ -171,7 +171,7 @@
 }
 
 // standbys returns all of a zone's watchers but the one that this process
-// prefers. The preferred watchers are distributed evenly over the followers.
+// prefers. The choice distributes the followers evenly over the watchers.
 func (v View) standbys(watchers []netip.AddrPort) []netip.AddrPort {
 	ranked := slices.Clone(watchers)
 	SortByHostHash(v.Self, ranked)
--- a/internal/docsync/watcher.go
+++ b/internal/docsync/watcher.go
@@ -29,8 +29,8 @@
 	maxStoreBackoff    = 2 * time.Second
 )
 
-// Watcher reads the store and publishes what it finds. While the store is down
-// or slow, the replica keeps what it has.
+// Watcher reads the store and publishes its documents. While the store is down
+// or slow, the replica keeps those that it has.
 type Watcher struct {
 	store   platform.Store
 	replica *MemoryReplica
@@ -60,7 +60,7 @@
 	name   Name // replaces the prefix
 }
 
-// feeds returns what a watcher reads in addition to the fleet list.
+// feeds returns the feeds that a watcher reads in addition to the fleet list.
 func feeds() []feed {
 	return []feed{
 		{prefix: settings.StorePath, name: Settings},
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// step reads the feed at the start and waits for a change after from later. An
-// empty store is at revision 0, so that its first write, at revision 1, is a
-// change.
+// step reads the feed until that has succeeded once, as started reports; then
+// it waits for changes after the revision from. An empty store is at revision
+// 0, so that its first write, at revision 1, is a change.
 func (w *Watcher) step(ctx context.Context, f feed, from platform.Revision, started bool) (platform.Revision, error) {
 	if !started {
 		return w.readAll(ctx, f)
--- a/internal/docsync/wire.go
+++ b/internal/docsync/wire.go
@@ -30,8 +30,8 @@
 	known   []header
 }
 
-// fetch asks for the newest versions of documents. wanted names the versions
-// that the sender has.
+// fetch asks for the newest versions of documents. wanted names the documents,
+// each with the version that the sender has.
 type fetch struct{ wanted []header }
 
 // push sends documents that the sender published itself.
@@ -56,7 +56,7 @@
 	inline  []encodedDoc
 }
 
-// fetchResponse responds to a fetch.
+// fetchResponse contains the newest versions of the requested documents.
 type fetchResponse struct{ docs []encodedDoc }
 
 // pushResponse names the documents whose delta had an unknown base; the sender
--- a/internal/docsync/wire_test.go
+++ b/internal/docsync/wire_test.go
@@ -39,17 +39,17 @@
 }
 
 func FuzzDecodeQuestion(f *testing.F) {
-	for _, q := range sampleRequests(f) {
-		data, err := encodeRequest(q)
+	for _, req := range sampleRequests(f) {
+		data, err := encodeRequest(req)
 		assert.NilError(f, err)
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		q, err := decodeRequest(data)
+		req, err := decodeRequest(data)
 		if err != nil {
 			return
 		}
-		_, err = encodeRequest(q)
+		_, err = encodeRequest(req)
 		assert.NilError(t, err)
 	})
 }
@@ -82,18 +82,18 @@
 }
 
 // TestOnlyLeadsPush sends a push from processes of all roles: only those of
-// lead processes are taken.
+// lead processes are accepted.
 func TestOnlyLeadsPush(t *testing.T) {
-	for role, taken := range map[peer.Role]bool{peer.RoleLead: true, peer.RoleEntry: false, peer.RoleOperator: false} {
+	for role, accepted := range map[peer.Role]bool{peer.RoleLead: true, peer.RoleEntry: false, peer.RoleOperator: false} {
 		t.Run(string(role), func(t *testing.T) {
 			replica := New()
 			n := NewNode(replica, unreachableTransport{}, Config{Self: peer.Identity{Host: "h1", Zone: "z1", Role: peer.RoleLead}})
 			data, err := encodeRequest(push{docs: []encodedDoc{{name: "settings", version: Version{Major: 9}, encoding: encodingRaw}}})
 			assert.NilError(t, err)
 			_, err = n.serve(t.Context(), peer.Identity{Host: "h2", Zone: "z1", Role: role}, data)
-			assert.Equal(t, errors.Is(err, peer.ErrRefused), !taken)
+			assert.Equal(t, errors.Is(err, peer.ErrRefused), !accepted)
 			_, known := replica.Get("settings")
-			assert.Equal(t, known, taken)
+			assert.Equal(t, known, accepted)
 		})
 	}
 }
