--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -140,7 +140,7 @@
 }
 
 // backoff returns the time before the next dial: doubling from firstBackoff to
-// maxBackoff, with a jitter of up to half of it.
+// maxBackoff, less a jitter of up to half of it.
 func backoff(failures int) time.Duration {
 	const maxDoublings = 10
 	full := min(firstBackoff<<min(failures, maxDoublings), maxBackoff)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -9,7 +9,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// Role is what a process does on its host.
+// Role is the kind of a process. It decides which messages the process may send
+// and serve.
 type Role string
 
 // The roles of processes that communicate over peer connections.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -150,10 +150,9 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// TestCloseNotifiesCallers: Close has to close all connections. Otherwise
-// callers take a connection for alive, their messages on it reach the next
-// process at the address, and the calls end with ErrNoResponse instead of
-// ErrUnreachable.
+// TestCloseNotifiesCallers: Close has to close all connections. A connection
+// that stays open at the caller's side carries messages to the next process at
+// the address, and the calls end with ErrNoResponse instead of ErrUnreachable.
 func TestCloseNotifiesCallers(t *testing.T) {
 	dir := newAuthority(t)
 	server, err := peer.New(peer.Config{Listen: anyPort(), Keys: newCredentials(t, dir, "host-2", peer.RoleLead)})
--- a/internal/peer/quic.go
+++ b/internal/peer/quic.go
@@ -87,7 +87,7 @@
 	Keys Credentials
 	Log  *slog.Logger
 	// UpkeepInterval is the time between two checks of the key files and of
-	// unused connections; zero stands for 2 s.
+	// unused connections; zero selects 2 s.
 	UpkeepInterval time.Duration
 	// Partitioned, where set, reports whether to simulate a network partition
 	// from an address. Tests and the lab use it.
@@ -222,9 +222,9 @@
 // Close closes all connections, which notifies the other processes, and frees
 // the socket.
 //
-// Closing the QUIC transport alone notifies nobody. A process that isn't
-// notified keeps sending on its connection, to the next process at this
-// address, and never learns whether its messages were received. So no
+// Closing the QUIC transport alone doesn't notify the other processes. A
+// process that isn't notified keeps sending on its connection, to the next
+// process at this address, and the outcome of its calls is unknown. So no
 // connection may be left by then: the listener is closed first, and each
 // connection is closed by its own loop.
 //
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -20,13 +20,13 @@
 	chain    []*x509.Certificate
 }
 
-func newConnection(owner *Peer, conn *quic.Conn, now time.Time) (*connection, error) {
+func newConnection(p *Peer, conn *quic.Conn, now time.Time) (*connection, error) {
 	chain := conn.ConnectionState().TLS.PeerCertificates
-	identity, err := owner.keys.Verify(now, chain)
+	identity, err := p.keys.Verify(now, chain)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{peer: owner, conn: conn, identity: identity, chain: chain}, nil
+	return &connection{peer: p, conn: conn, identity: identity, chain: chain}, nil
 }
 
 func (c *connection) alive() bool { return c.conn.Context().Err() == nil }
--- a/internal/peer/trust_test.go
+++ b/internal/peer/trust_test.go
@@ -28,9 +28,9 @@
 	presented []tls.Certificate
 }
 
-func (s wrongCertificate) ClientTLS(protocol string) *tls.Config {
-	config := s.Material.ClientTLS(protocol)
-	config.Certificates = s.presented
+func (w wrongCertificate) ClientTLS(protocol string) *tls.Config {
+	config := w.Material.ClientTLS(protocol)
+	config.Certificates = w.presented
 	return config
 }
 
@@ -156,13 +156,13 @@
 	return p
 }
 
-func eventually(t *testing.T, what string, check func() bool) {
+func eventually(t *testing.T, condition string, check func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if check() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", condition)
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
