--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -20,7 +20,7 @@
 
 	network  byte // second byte of the claimed network, zero before the first claim
 	listener net.Listener
-	last     uint16
+	last     uint16 // last two bytes of the latest address
 }
 
 // IP returns an address that no other caller and no other process gets.
--- a/internal/table/codec.go
+++ b/internal/table/codec.go
@@ -31,7 +31,7 @@
 	Target  string
 	Addr    string
 	Leaving bool
-	Since   int64
+	Since   int64 // start of the warm-up, Unix time in nanoseconds
 }
 
 // The numbers per entry of wireTable.Rows and wireTable.SingleKeys.
@@ -63,8 +63,8 @@
 	return data, oops.Wrapf(err, "encode table")
 }
 
-// Decode reads what Encode wrote and rejects anything else. The owners in a
-// decoded table are NoOwner or valid indexes into its targets.
+// Decode decodes the output of Encode and returns an error for malformed data.
+// The owners in a decoded table are NoOwner or valid indexes into its targets.
 func Decode(data []byte) (Table, error) {
 	var w wireTable
 	if err := cbor.Unmarshal(data, &w); err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,8 +15,7 @@
 	return a.String()
 }
 
-// ParseAddr parses an address; it returns the zero address for text that is
-// none.
+// ParseAddr parses an address; it returns the zero address for invalid text.
 func ParseAddr(text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
