--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// linesPerSecond and lineBurst are the rate limit of each message. They let
-	// through one line per request at the rate that one host can serve.
+	// linesPerSecond and lineBurst are the rate limit of each message. They
+	// allow one line per request at the rate that one host can serve.
 	linesPerSecond = 300
 	lineBurst      = 600
 	// maxQueuedLines is how many lines wait for a slow reader of the output
@@ -40,7 +40,7 @@
 	dropped atomic.Uint64
 
 	mu      sync.Mutex
-	buckets map[string]*tokenBucket
+	buckets map[string]*tokenBucket // by message
 	closed  bool
 	done    chan struct{}
 }
@@ -108,13 +108,13 @@
 
 // allow takes a token for one line of a message and reports whether there was
 // one.
-func (w *asyncWriter) allow(now time.Time, text string) bool {
+func (w *asyncWriter) allow(now time.Time, message string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	bucket := w.buckets[text]
+	bucket := w.buckets[message]
 	if bucket == nil {
 		bucket = &tokenBucket{tokens: lineBurst, refilled: now}
-		w.buckets[text] = bucket
+		w.buckets[message] = bucket
 	}
 	bucket.tokens = min(bucket.tokens+max(now.Sub(bucket.refilled).Seconds(), 0)*linesPerSecond, lineBurst)
 	bucket.refilled = now
@@ -150,8 +150,8 @@
 // call. It takes the drop count of that call and returns the present one.
 func (h *BoundedHandler) logSuppressed(before uint64) uint64 {
 	log := slog.New(h)
-	for text, suppressed := range h.writer.takeSuppressed() {
-		log.Warn("Log lines suppressed by the rate limit.", slog.String("text", text), slog.Uint64("lines", suppressed))
+	for message, suppressed := range h.writer.takeSuppressed() {
+		log.Warn("Log lines suppressed by the rate limit.", slog.String("text", message), slog.Uint64("lines", suppressed))
 	}
 	dropped := h.Dropped()
 	if dropped > before {
@@ -164,9 +164,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make(map[string]uint64)
-	for text, bucket := range w.buckets {
+	for message, bucket := range w.buckets {
 		if bucket.suppressed > 0 {
-			out[text], bucket.suppressed = bucket.suppressed, 0
+			out[message], bucket.suppressed = bucket.suppressed, 0
 		}
 	}
 	return out
