--- a/internal/fake/admin.go
+++ b/internal/fake/admin.go
@@ -46,7 +46,7 @@
 	PartitionedZones []string `json:"cut_zones"`
 }
 
-// wireAct requests a verb for one target.
+// wireAct requests the action of a verb on one target.
 type wireAct struct {
 	Target string `json:"target"`
 	Verb   string `json:"verb"`
@@ -145,7 +145,8 @@
 	return r
 }
 
-// runVerb carries out a verb and returns the HTTP status of the response.
+// runVerb carries out the action of a verb and returns the HTTP status of the
+// response.
 func (s *TargetSet) runVerb(act wireAct) int {
 	t, ok := s.Target(place.Target(act.Target))
 	if !ok {
--- a/internal/fake/adminclient.go
+++ b/internal/fake/adminclient.go
@@ -70,7 +70,8 @@
 	return LedgerCounts(out.Counts), out.Violations, err
 }
 
-// Act carries out a verb on a target: kill, start, freeze, thaw, drain or heal.
+// Act carries out an action on a target. The verb is kill, start, freeze, thaw,
+// drain or heal.
 func (c *AdminClient) Act(ctx context.Context, target place.Target, verb string) error {
 	return c.call(ctx, pathAct, wireAct{Target: string(target), Verb: verb}, nil)
 }
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -30,7 +30,7 @@
 	violations []string
 }
 
-// LedgerCounts counts what the targets have seen since the start.
+// LedgerCounts counts the events at all targets since the start.
 type LedgerCounts struct {
 	// DuplicateOwners counts the times that a shard was found with two owners
 	// at once.
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -1,6 +1,6 @@
 // Package fake provides fakes of the platform and of the targets for tests and
-// measurements. They run in one process over real sockets, inject faults on
-// demand and count all that happens.
+// measurements. They run in one process, the targets over real sockets, inject
+// faults on demand and count calls, runs and violations of invariants.
 package fake
 
 import (
--- a/internal/fake/rangetarget.go
+++ b/internal/fake/rangetarget.go
@@ -168,6 +168,8 @@
 }
 
 // admit decides whether a request runs; the returned status is 0 where it does.
+// draw is a pseudo-random number from 0 to 1 that selects the faults of the
+// request.
 func (r *RangeTarget) admit(req *http.Request) (status int, f RangeTargetFaults, draw float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,7 +318,8 @@
 	return nil
 }
 
-// release removes a range from what the target holds. The caller holds mu.
+// release removes a range from those that the target holds. The caller holds
+// mu.
 func (r *RangeTarget) release(removed key.Range) {
 	var next []heldRange
 	for _, h := range r.held {
--- a/internal/fake/snapshot.go
+++ b/internal/fake/snapshot.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// RollBack is Restore at the moment before other writers have written their
-// values again.
+// RollBack is like Restore, but doesn't write the values of other writers
+// again.
 func (s *SessionStore) RollBack(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/target.go
+++ b/internal/fake/target.go
@@ -20,8 +20,8 @@
 	"citrontray.example/citrontray/internal/target"
 )
 
-// HealthPath is the path of a target's health endpoint, which can report
-// wrongly.
+// HealthPath is the path of a target's health endpoint. With the fault
+// ReportIdle it reports falsely.
 const HealthPath = "/citrontray/health"
 
 // maxOrderBytes bounds the body of an order, maxRequestBytes that of a request.
@@ -89,9 +89,9 @@
 
 // NewTarget returns a target that records into ledger. It serves after Start.
 func NewTarget(config TargetConfig, ledger *Ledger) *Target {
-	resumed := make(chan struct{})
-	close(resumed)
-	return &Target{config: config, ledger: ledger, addr: config.Addr, thawed: resumed}
+	closed := make(chan struct{})
+	close(closed)
+	return &Target{config: config, ledger: ledger, addr: config.Addr, thawed: closed}
 }
 
 // Start starts a new process of the target, which holds no shards.
@@ -203,7 +203,8 @@
 	return resp
 }
 
-// record records in the ledger what the target holds. The caller holds mu.
+// record records in the ledger the shards that the target holds. The caller
+// holds mu.
 func (t *Target) record(now time.Time, p *targetProcess) {
 	held := make(map[key.Shard]bool)
 	for _, h := range p.holdings.List(p.stamp(now)) {
@@ -234,7 +235,7 @@
 		t.refuse(w, target.RefusalBusy)
 		return
 	}
-	if left, ok := deadlineOf(r); ok && time.Since(arrived) >= left {
+	if timeout, ok := deadlineOf(r); ok && time.Since(arrived) >= timeout {
 		t.refuse(w, target.RefusalDeadline)
 		return
 	}
@@ -247,7 +248,7 @@
 	t.abortIfKilled(p)
 	t.ledger.recordRun(r.URL.Query().Get(OperationParameter), r.Header.Get(target.HeaderIdempotency))
 	if sleep(r.Context(), t.workTime(p, faults)) != nil {
-		return // cancelled: the run ends, nobody waits for the response
+		return // cancelled: the run ends, the sender doesn't wait for the response
 	}
 	t.abortIfKilled(p)
 	t.respond(w, faults, response{request: id, body: ResponseBody(r.URL.RequestURI(), payload, faults.PaddingBytes)})
@@ -323,7 +324,7 @@
 	fmt.Fprintf(w, "{\"running\":%d}\n", running)
 }
 
-// deadlineOf returns the time that the sender has left for the request.
+// deadlineOf returns the timeout that the sender set for the request.
 func deadlineOf(r *http.Request) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(r.Header.Get(target.HeaderDeadline), 10, 64)
 	return time.Duration(ms) * time.Millisecond, err == nil
--- a/internal/fake/targetfaults.go
+++ b/internal/fake/targetfaults.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Thaw lets the target continue.
+// Thaw resumes a frozen target.
 func (t *Target) Thaw() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,10 +90,10 @@
 // process has ended.
 func (t *Target) waitThawed(p *targetProcess) bool {
 	t.mu.Lock()
-	resumed := t.thawed
+	thaw := t.thawed
 	t.mu.Unlock()
 	select {
-	case <-resumed:
+	case <-thaw:
 	case <-p.done:
 	}
 	select {
@@ -183,8 +183,8 @@
 }
 
 // ResponseBody returns the body of the response to a request: the request's
-// path and query, the checksum of its body, padding, and the checksum of all
-// that. CheckResponse verifies it.
+// path and query, the checksum of its body, padding, and the checksum of these.
+// CheckResponse verifies it.
 func ResponseBody(uri string, payload []byte, padding int) []byte {
 	var out bytes.Buffer
 	out.WriteString(uri)
