--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -58,7 +58,7 @@
 	// readStore is true if this incarnation has read the document from the store.
 	readStore   bool
 	readAskedAt time.Time
-	seenTerm    grant.Term // highest term seen in a message or response
+	seenTerm    grant.Term // highest term that a HigherTerm message or a target reported
 
 	term        grant.Term // term at which this host leads
 	leaderSince time.Time
@@ -168,8 +168,8 @@
 	c.emit(Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// dispatch records an event. The decisions that follow from it are made in
-// advance.
+// dispatch passes an event to its handler. The method advance then makes the decisions
+// that are due.
 func (c *Cell) dispatch(ev Event) {
 	switch ev := ev.(type) {
 	case DocReceived:
@@ -258,13 +258,13 @@
 // perMil is one in the unit of Timing.DriftPerMil.
 const perMil = 1000
 
-// Limits of lists that are received or grow over time.
+// Limits of releases, and of lists that are received or grow over time.
 const (
 	maxPlan        = 256
 	maxMoveHistory = 64
 	maxRoster      = 4
 	maxRemoved     = 16
-	maxReleases    = 64
+	maxReleases    = 64 // at one time
 )
 
 // Intervals and timeouts that are not part of Timing.
@@ -285,12 +285,11 @@
 	return max(c.doc.Term, c.seenTerm)
 }
 
-// leading reports whether this host is the leader.
 func (c *Cell) leading() bool { return c.role == leader }
 
 // leaseValid reports whether this host leads with a lease that certainly has not
-// expired, and that has been held without interruption since the document is known
-// to be the newest.
+// expired, and whose last interruption, if any, was before the document was verified to
+// be the newest.
 func (c *Cell) leaseValid() bool {
 	return c.leading() && c.now.Before(c.lease.until) && (c.lease.verified || c.mutations.skipLeaseCheck)
 }
--- a/internal/cell/codec.go
+++ b/internal/cell/codec.go
@@ -30,7 +30,7 @@
 }
 
 // DecodeDoc decodes a document that EncodeDoc encoded. It checks the order of the rows
-// and their indexes of targets.
+// and their target indexes.
 func DecodeDoc(data []byte) (Doc, error) {
 	var w wireDoc
 	if err := decMode.Unmarshal(data, &w); err != nil {
@@ -66,7 +66,8 @@
 	wireHandover
 )
 
-// wireMessage is the wire form of every message. Kind tells which fields are set.
+// wireMessage is the wire form of every message. Kind determines which fields are set.
+// Flag is Heartbeat.Deputy or Promise.ReadStore.
 type wireMessage struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        uint8
--- a/internal/cell/custody.go
+++ b/internal/cell/custody.go
@@ -19,8 +19,9 @@
 	return c.custody.Shards[i], true
 }
 
-// keepsCustody reports whether the shard is still in this cell's custody. A single-key
-// shard is where its parent shard is.
+// keepsCustody reports whether the shard is still in this cell's custody. It assumes so
+// while the custody is unknown or older than that of the rows. A single-key shard is in
+// custody with its parent shard.
 func (c *Cell) keepsCustody(shard key.Shard) bool {
 	if !c.hasCustody || c.custody.Revision < c.doc.Custody {
 		return true
--- a/internal/cell/deputy.go
+++ b/internal/cell/deputy.go
@@ -12,8 +12,8 @@
 
 // considerDeputy makes a candidate a deputy if the store is unavailable or slow and it
 // gets no lease, unless another host holds the lease and will lead. This incarnation
-// must have read the store and heard the leader. With a renew limit there is no deputy,
-// as it does not know when the leader last renewed the lease.
+// must have read the store and received a heartbeat of a leader. With a renew limit
+// there is no deputy, as it does not know when the leader last renewed the lease.
 func (c *Cell) considerDeputy() {
 	if !c.hasDoc || !c.readStore || !c.promise.heardLeader || c.cfg.RenewLimit > 0 || c.write.pending {
 		return
--- a/internal/cell/doc.go
+++ b/internal/cell/doc.go
@@ -151,8 +151,8 @@
 	RenewLimit time.Duration
 	// MovesPerMinute limits planned moves.
 	MovesPerMinute int
-	// ImbalancePercent is by how much placement lets the load of the busiest
-	// target exceed the mean, in percent of the mean.
+	// ImbalancePercent is by how much the load of the busiest target may exceed the
+	// mean before placement moves shards, in percent of the mean.
 	ImbalancePercent int
 	// WarmUp is the duration of a new target's warm-up, used by placement.
 	WarmUp time.Duration
--- a/internal/cell/draft.go
+++ b/internal/cell/draft.go
@@ -90,8 +90,8 @@
 	return best
 }
 
-// maxRows returns the largest number of rows that a target should own: an even part
-// and an eighth of it.
+// maxRows returns the largest number of rows that a target should own: an even share
+// plus an eighth of it.
 func (d *draft) maxRows(may func(TargetIndex) bool) int {
 	n := 0
 	for i := range d.doc.Targets {
@@ -102,8 +102,8 @@
 	if n == 0 {
 		return 0
 	}
-	part := len(d.doc.Rows)/n + 1
-	return part + part/8
+	share := len(d.doc.Rows)/n + 1
+	return share + share/8
 }
 
 // pickStandby returns the target with the highest rendezvous weight among those for
--- a/internal/cell/election.go
+++ b/internal/cell/election.go
@@ -87,8 +87,8 @@
 	c.runCampaign()
 }
 
-// rereadDoc reads the document if this host belongs on the roster but hears no
-// leader, as its document may be outdated. Otherwise a host that could not reach the
+// rereadDoc reads the document if this host belongs on the roster but gets no leader's
+// heartbeats, as its document may be outdated. Otherwise a host that could not reach the
 // store as it restarted could get an old document from a leader that it then
 // succeeded, and the two hosts would wait for each other.
 func (c *Cell) rereadDoc() {
--- a/internal/cell/election_test.go
+++ b/internal/cell/election_test.go
@@ -10,8 +10,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// TestElectionWithoutRoster checks that a cell gets a leader that was evicted before
-// its first document, or whose whole roster is declared lost.
+// TestElectionWithoutRoster checks that a cell gets a leader even if it was evicted
+// before its first document, or if its whole roster is declared lost.
 func TestElectionWithoutRoster(t *testing.T) {
 	tests := map[string]struct {
 		hosts   int
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -28,7 +28,7 @@
 // WriteResult is the outcome of a compare-and-swap.
 type WriteResult uint8
 
-// WriteConflict and WriteUnavailable mean that the write was not committed. After
+// WriteConflict and WriteUnavailable mean that this attempt was not committed. After
 // WriteUnknown it may have been, and the document is read to find out.
 const (
 	WriteCommitted WriteResult = iota
@@ -67,7 +67,7 @@
 }
 
 // FleetReceived reports the platform's lists of the hosts and targets of this
-// cell's zone, which lag behind.
+// cell's zone, which lag behind the actual state.
 type FleetReceived struct {
 	Hosts   []place.HostRow
 	Targets []place.TargetRow
--- a/internal/cell/evict_test.go
+++ b/internal/cell/evict_test.go
@@ -10,10 +10,10 @@
 const (
 	evictor       = place.Host("evict/x0")
 	evictLeaseTTL = 4 * time.Second
-	evictPeriod   = 30 * time.Second
+	evictPeriod   = 30 * time.Second // in which the other zone tries to evict
 )
 
-// tryEvict lets another zone acquire the cell's lease once it has expired, if there is
+// tryEvict makes another zone acquire the cell's lease once it has expired, if there is
 // a renew limit. When that zone has held it for longer than leaders of the cell may
 // renew grants, it evicts the cell.
 func (w *sim) tryEvict() {
--- a/internal/cell/fault_test.go
+++ b/internal/cell/fault_test.go
@@ -232,7 +232,7 @@
 }
 
 // declareLoss takes a host or target down and declares it lost. It starts again only
-// some time after the declaration was removed, as operators are told to make sure.
+// some time after the declaration was removed, as operators have to make sure.
 func (w *sim) declareLoss() {
 	const declaredFor, downFor = 8 * time.Second, 14 * time.Second
 	w.stats.declared++
--- a/internal/cell/invariant.go
+++ b/internal/cell/invariant.go
@@ -76,8 +76,8 @@
 // missingRowError returns nil if the row was removed for a reason: it is ceded with a
 // floor above its epoch, or a single key was merged into its parent shard.
 func missingRowError(r Row, from, to *Doc) error {
-	for _, g := range to.Ceded {
-		if g.Shard == r.Shard && g.Floor > r.Epoch {
+	for _, ceded := range to.Ceded {
+		if ceded.Shard == r.Shard && ceded.Floor > r.Epoch {
 			return nil
 		}
 	}
--- a/internal/cell/network_test.go
+++ b/internal/cell/network_test.go
@@ -23,7 +23,7 @@
 }
 
 // callStore makes a call: apply runs at the store, then done or failed at the host.
-// The argument of failed is whether the call may have taken effect.
+// The argument of failed is true if the call may have taken effect.
 func (w *sim) callStore(h *simHost, apply, done func(), failed func(unknown bool)) {
 	inc := h.incarnation
 	if !w.storeReachable(h) {
@@ -161,11 +161,11 @@
 	var held bool
 	w.callStore(h, func() {
 		now := w.storeClock.at(w.now)
-		me := place.Host(h.name)
-		if w.leaseHolder == me || !now.Before(w.leaseEnd) {
-			w.leaseHolder, w.leaseEnd = me, now.Add(DefaultTiming().LeaseTTL)
+		host := place.Host(h.name)
+		if w.leaseHolder == host || !now.Before(w.leaseEnd) {
+			w.leaseHolder, w.leaseEnd = host, now.Add(DefaultTiming().LeaseTTL)
 		}
-		held = w.leaseHolder == me
+		held = w.leaseHolder == host
 	}, func() {
 		w.handle(h, inc, LeaseDone{SentAt: sent, Reached: true, Held: held})
 	}, func(bool) {
@@ -262,31 +262,31 @@
 
 // checkDuplicates fails the run if the target and another one hold the same shard or
 // hot key, or if the target holds a ceded shard. As ownership begins only with an
-// order, no duplicate owner is missed if it runs after each order.
+// order, no duplicate owner is missed if the check runs after each order.
 func (w *sim) checkDuplicates(t *simTarget, o grant.Order) {
-	for _, mine := range t.holdings.List(t.clockStamp(w.now)) {
-		if floor, isCeded := w.ceded[mine.Shard]; isCeded {
-			w.failf("%s holds shard %d at %d, which is ceded at floor %d", t.name, mine.Shard, mine.Epoch, floor)
+	for _, held := range t.holdings.List(t.clockStamp(w.now)) {
+		if floor, isCeded := w.ceded[held.Shard]; isCeded {
+			w.failf("%s holds shard %d at %d, which is ceded at floor %d", t.name, held.Shard, held.Epoch, floor)
 		}
 		for _, other := range w.targets {
 			if other == t || other.down {
 				continue
 			}
-			for _, theirs := range other.holdings.List(other.clockStamp(w.now)) {
-				if theirs.Shard == mine.Shard {
-					w.failf("duplicate owner of shard %d: %s at %d until +%v, %s at %d; order of term %d", mine.Shard, t.name, mine.Epoch,
-						time.Duration(mine.End-t.clockStamp(w.now)), other.name, theirs.Epoch, o.Term)
+			for _, otherHeld := range other.holdings.List(other.clockStamp(w.now)) {
+				if otherHeld.Shard == held.Shard {
+					w.failf("duplicate owner of shard %d: %s at %d until +%v, %s at %d; order of term %d", held.Shard, t.name, held.Epoch,
+						time.Duration(held.End-t.clockStamp(w.now)), other.name, otherHeld.Epoch, o.Term)
 				}
-				w.checkSingleKeys(t, mine.ShardEpoch, other, theirs.ShardEpoch)
+				w.checkSingleKeys(t, held.ShardEpoch, other, otherHeld.ShardEpoch)
 			}
 		}
 	}
 }
 
-func (w *sim) checkSingleKeys(t *simTarget, mine grant.ShardEpoch, other *simTarget, theirs grant.ShardEpoch) {
+func (w *sim) checkSingleKeys(t *simTarget, held grant.ShardEpoch, other *simTarget, otherHeld grant.ShardEpoch) {
 	for hash := range w.singleKeys {
-		if w.covers(mine, hash) && w.covers(theirs, hash) {
-			w.failf("duplicate owner of a hot key of shard %d: %s by %v, %s by %v", w.singleKeys[hash].Parent, t.name, mine, other.name, theirs)
+		if w.covers(held, hash) && w.covers(otherHeld, hash) {
+			w.failf("duplicate owner of a hot key of shard %d: %s by %v, %s by %v", w.singleKeys[hash].Parent, t.name, held, other.name, otherHeld)
 		}
 	}
 }
--- a/internal/cell/order.go
+++ b/internal/cell/order.go
@@ -37,8 +37,8 @@
 		}
 	}
 	o.Inventory = c.leading() && (t.inventoryTerm != c.term || len(o.Release) > 0)
-	// Orders are identified by the time they were sent, which therefore has to
-	// differ between two orders to a target.
+	// Two orders may have the same anchor. They are identified by the time they were
+	// sent, which therefore has to differ between two orders to a target.
 	sent := c.now
 	if !sent.After(t.sentAt) {
 		sent = t.sentAt.Add(1)
@@ -48,8 +48,8 @@
 	c.emit(SendOrder{Target: t.target, Addr: t.addr, Order: o})
 }
 
-// fillOrder sets what the order extends, grants and releases. It reports whether the
-// order extends or grants anything.
+// fillOrder sets the shards that the order extends, grants and releases. It reports
+// whether the order extends or grants any.
 func (c *Cell) fillOrder(i TargetIndex, o *grant.Order) bool {
 	t := &c.targets[i]
 	expected := c.expectedHoldings(i)
@@ -67,8 +67,8 @@
 }
 
 // itemKind returns Grant if an order may create ownership of the shard, otherwise
-// Extend. That takes a valid lease or, for an activated standby, the promises of all
-// hosts.
+// Extend. To create ownership takes a valid lease or, for an activated standby, the
+// promises of all roster hosts.
 func (c *Cell) itemKind(shard key.Shard) grant.Kind {
 	if c.leaseValid() || c.mutations.alwaysGrant {
 		return grant.Grant
@@ -80,8 +80,8 @@
 	return grant.Extend
 }
 
-// releases returns what the target has to release: shards that are being released,
-// and stale holdings in its last inventory.
+// releases returns the shards that the target has to release: those that are being
+// released, and stale holdings in its last inventory.
 func (c *Cell) releases(t TargetIndex, expected []grant.ShardEpoch) []grant.ShardEpoch {
 	var out []grant.ShardEpoch
 	for i := range c.doc.Rows {
--- a/internal/cell/reconcile.go
+++ b/internal/cell/reconcile.go
@@ -8,8 +8,8 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// reconcile updates the document by the targets, the custody and the plan, in one
-// write. Only a leader with a valid lease does so: then no other host decides that
+// reconcile updates the document to match the targets, the custody and the plan, in
+// one write. Only a leader with a valid lease does so: then no other host decides that
 // grants have expired.
 func (c *Cell) reconcile() {
 	if !c.leaseValid() || c.write.pending || c.now.Before(c.reconcileDue) {
--- a/internal/cell/rendezvous.go
+++ b/internal/cell/rendezvous.go
@@ -20,7 +20,7 @@
 }
 
 // shardWeight is like rendezvousWeight for a shard at a target, without the cost of
-// formatting the shard number.
+// formatting the shard number. It mixes the bits by the finalizer of SplitMix64.
 func shardWeight(shard key.Shard, target string) uint64 {
 	h := xxhash.Sum64String(target) ^ uint64(shard)*0x9e3779b97f4a7c15
 	h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -14,12 +14,14 @@
 type promise struct {
 	to    place.Host
 	until time.Time
-	// heardAt is when the last heartbeat of a leader, not of a deputy, came.
-	heardAt     time.Time
+	// heardAt is when the last heartbeat of a leader, not of a deputy, came. stepDown
+	// sets a later time to delay the next campaign.
+	heardAt time.Time
+	// heardLeader is true if a leader's heartbeat has come in this incarnation.
 	heardLeader bool
 }
 
-// peerState is what a leader or deputy knows of another host of the zone.
+// peerState is a leader's or deputy's state of another host of the zone.
 type peerState struct {
 	host     place.Host
 	onRoster bool // others are asked for promises before they join
@@ -41,10 +43,11 @@
 // heartbeatsKept is how many heartbeats back a late promise may answer.
 const heartbeatsKept = 8
 
-// heartbeatTime returns when the heartbeat was sent whose time a promise echoes.
-func (p *peerState) heartbeatTime(named time.Time) (time.Time, bool) {
+// heartbeatTime returns when the heartbeat was sent whose time a promise echoes, with
+// its monotonic clock reading.
+func (p *peerState) heartbeatTime(echoed time.Time) (time.Time, bool) {
 	for _, at := range p.heartbeatTimes {
-		if !at.IsZero() && at.UnixNano() == named.UnixNano() {
+		if !at.IsZero() && at.UnixNano() == echoed.UnixNano() {
 			return at, true
 		}
 	}
@@ -76,7 +79,7 @@
 	}
 }
 
-func (c *Cell) addPeer(old []peerState, host place.Host, member bool) {
+func (c *Cell) addPeer(old []peerState, host place.Host, isRosterHost bool) {
 	if host == c.cfg.Self {
 		return
 	}
@@ -84,7 +87,7 @@
 	if i := slices.IndexFunc(old, func(p peerState) bool { return p.host == host }); i >= 0 {
 		p = old[i]
 	}
-	p.onRoster = member
+	p.onRoster = isRosterHost
 	c.peers = append(c.peers, p)
 }
 
@@ -176,8 +179,8 @@
 	if c.role == deputy && hb.Deputy {
 		return false
 	}
-	other := c.promise.to != from && c.boundByPromise()
-	return !other || c.mutations.sharedPromises
+	boundToOther := c.promise.to != from && c.boundByPromise()
+	return !boundToOther || c.mutations.sharedPromises
 }
 
 func (c *Cell) handlePromise(from place.Host, msg Promise) {
@@ -298,7 +301,7 @@
 			}
 		}
 		// A host that is declared lost may have made a promise to another host, which
-		// may renew grants until it expires.
+		// may renew grants until the promise expires.
 		for _, since := range c.hostLostSince {
 			if c.mutations.ignoreLostPromises {
 				break
@@ -310,8 +313,9 @@
 }
 
 // grantsExpired reports whether all grants of the target have certainly expired. One
-// possible renewer is allowed: this host has the lease, and no other host can have
-// promised to that one, so that it has neither lease nor promise and renews nothing.
+// possible renewer is allowed: this host has the lease, and every other host that could
+// make a promise has made it to this one, so that the possible renewer has neither lease
+// nor promise and renews nothing.
 func (c *Cell) grantsExpired(t *targetState) bool {
 	if !c.leaseValid() || !c.now.After(c.grantsEndAt(t)) {
 		return false
--- a/internal/cell/row.go
+++ b/internal/cell/row.go
@@ -23,7 +23,7 @@
 	releaseStart time.Time
 	moveTo       TargetIndex // planned next owner; NoTarget for any
 	custodyLost  bool        // the shard is not in the cell's custody any more
-	ceding       bool        // it is released to remove its row
+	ceding       bool        // its row is removed after the release
 	merging      bool        // it is a single-key shard to be merged into its parent shard
 	// activation is set if this leader made the standby the owner.
 	activation *Activation
@@ -118,7 +118,7 @@
 	}
 }
 
-// resolutionKind says who may hold a row that a prior leader granted.
+// resolutionKind classifies who may hold a row that a prior leader granted.
 type resolutionKind uint8
 
 const (
@@ -175,9 +175,10 @@
 	return resolution{kind: asRecorded}
 }
 
-// grantsEnded reports whether all grants of a target have ended without its
-// response. A loss declaration states that no possible renewer renews them. The
-// grants of this host and its peers still have to expire, as the target may be up.
+// grantsEnded reports whether all grants of a target have ended, by evidence that
+// needs no response from it. A loss declaration states that no possible renewer
+// renews them. The grants of this host and its peers still have to expire, as the
+// target may be up.
 func (c *Cell) grantsEnded(t *targetState) bool {
 	declared := t.declaredLost && !t.lossRefuted && c.now.After(c.grantsEndAt(t))
 	return declared || c.grantsExpired(t)
--- a/internal/cell/rule_test.go
+++ b/internal/cell/rule_test.go
@@ -50,7 +50,7 @@
 }
 
 // restartPromiser restarts the host that has promised to the old leader. The new
-// incarnation hears only the successor.
+// incarnation gets heartbeats only from the successor.
 func restartPromiser(w *sim) {
 	a, b, c, _ := promisedLeader(w)
 	w.cutLinks(a.name, b.name)
@@ -58,8 +58,8 @@
 	w.crashHost(b, 50*time.Millisecond)
 }
 
-// switchPromiser makes the host that has promised to the old leader hear only the
-// successor.
+// switchPromiser cuts the host that has promised to the old leader off from it. From
+// then on, the host gets heartbeats only from the successor.
 func switchPromiser(w *sim) {
 	a, b, c, _ := promisedLeader(w)
 	w.cutLinks(a.name, b.name)
@@ -90,7 +90,8 @@
 	w.leaseThenIsolate(a)
 }
 
-// leaseThenIsolate lets a host reach the store until it has the lease.
+// leaseThenIsolate connects a host to the store until it has the lease, and then isolates
+// it again.
 func (w *sim) leaseThenIsolate(h *simHost) {
 	w.restoreLink(h.name, storeName)
 	for end := w.now + 5*time.Second; w.now < end && !h.at(w.now).Before(h.cell.lease.until); {
--- a/internal/cell/scenario_test.go
+++ b/internal/cell/scenario_test.go
@@ -65,7 +65,7 @@
 // TestFailoverGap injects single faults into a cell without other faults and checks for
 // how long a shard is without an owner.
 func TestFailoverGap(t *testing.T) {
-	const loss, long = 4 * time.Second, time.Hour
+	const lossBound, long = 4 * time.Second, time.Hour
 	seeds := uint64(60)
 	if testing.Short() {
 		seeds = 3
@@ -76,9 +76,9 @@
 		hosts  int
 	}{
 		"nothing lost":           {func(*sim) {}, 0, 3},
-		"target killed":          {func(w *sim) { w.crashTarget(w.firstOwner(), long) }, loss, 3},
-		"target frozen":          {func(w *sim) { w.freezeTarget(w.firstOwner(), long) }, loss, 3},
-		"target frozen and back": {func(w *sim) { w.freezeTarget(w.firstOwner(), 8*time.Second) }, loss, 3},
+		"target killed":          {func(w *sim) { w.crashTarget(w.firstOwner(), long) }, lossBound, 3},
+		"target frozen":          {func(w *sim) { w.freezeTarget(w.firstOwner(), long) }, lossBound, 3},
+		"target frozen and back": {func(w *sim) { w.freezeTarget(w.firstOwner(), 8*time.Second) }, lossBound, 3},
 		"target declared lost by mistake": {func(w *sim) {
 			w.declareTargetLost(w.firstOwner())
 		}, time.Second, 3},
@@ -86,7 +86,7 @@
 			t := w.firstOwner()
 			w.declareTargetLost(t)
 			w.after(50*time.Millisecond, func() { w.freezeTarget(t, 10*time.Second) })
-		}, loss, 3},
+		}, lossBound, 3},
 		"target drained": {func(w *sim) {
 			w.drains = []place.Target{place.Target(w.firstOwner().name)}
 			w.sendListsToAll()
@@ -106,7 +106,7 @@
 		"store unavailable, target killed": {func(w *sim) {
 			w.storeUp = false
 			w.after(5*time.Second, func() { w.crashTarget(w.firstOwner(), long) })
-		}, loss, 3},
+		}, lossBound, 3},
 		"store unavailable, leader killed": {func(w *sim) {
 			w.storeUp = false
 			w.after(5*time.Second, func() { w.crashHost(w.leaderHost(), long) })
@@ -118,7 +118,7 @@
 		"store slow, target killed": {func(w *sim) {
 			w.storeSlow = true
 			w.after(5*time.Second, func() { w.crashTarget(w.firstOwner(), long) })
-		}, loss, 3},
+		}, lossBound, 3},
 		"store unavailable, target drained": {func(w *sim) {
 			w.storeUp = false
 			w.after(5*time.Second, func() {
@@ -129,7 +129,7 @@
 		"leader and target killed": {func(w *sim) {
 			w.crashTarget(w.firstOwner(), long)
 			w.crashHost(w.leaderHost(), long)
-		}, loss, 3},
+		}, lossBound, 3},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cell/standby.go
+++ b/internal/cell/standby.go
@@ -9,9 +9,9 @@
 // promises of all roster hosts, whose incarnations must have read the store. Then no
 // host knows a later term or renews the old owner's grants.
 //
-// A later leader or deputy need not know of the activation. The leader asks both owner
-// and standby what they hold. The deputy only extends grants, and the old owner has
-// none.
+// A later leader or deputy need not know of the activation. The leader gets the
+// inventories of both owner and standby. The deputy only extends grants, and the old
+// owner has none.
 func (c *Cell) activateStandbys() {
 	if !c.storeUnavailable() || !c.cfg.ChecksTerms || !c.allPromised() || !c.mayRenew() || c.write.pending {
 		return
--- a/internal/cell/store.go
+++ b/internal/cell/store.go
@@ -219,7 +219,8 @@
 	return a
 }
 
-// changedShards returns the shards of from whose owner or epoch differs in to.
+// changedShards returns the shards of from that have another owner or epoch, or no row,
+// in to.
 func changedShards(from, to *Doc) map[key.Shard]struct{} {
 	changed := make(map[key.Shard]struct{})
 	for _, r := range from.Rows {
--- a/internal/cell/target.go
+++ b/internal/cell/target.go
@@ -11,7 +11,7 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// targetState is what this host knows of one target. Cell.targets has the order of
+// targetState is this host's state of one target. Cell.targets has the order of
 // Doc.Targets.
 type targetState struct {
 	target place.Target
@@ -168,19 +168,19 @@
 	if !ev.Reached || !ev.SentAt.After(t.respondedOrderAt) || ev.Response.Target != ev.Target {
 		return
 	}
-	a := &ev.Response
-	if a.Incarnation != t.incarnation {
-		c.newIncarnation(t, a.Incarnation)
+	r := &ev.Response
+	if r.Incarnation != t.incarnation {
+		c.newIncarnation(t, r.Incarnation)
 	}
 	t.respondedOrderAt, t.respondedAt = ev.SentAt, c.now
-	t.clock, t.clockAt = a.Clock, c.now
-	c.listsChanged = c.listsChanged || t.announcedLeaving != a.Leaving
-	t.announcedLeaving = a.Leaving
-	t.digest = a.Digest
+	t.clock, t.clockAt = r.Clock, c.now
+	c.listsChanged = c.listsChanged || t.announcedLeaving != r.Leaving
+	t.announcedLeaving = r.Leaving
+	t.digest = r.Digest
 	t.lossRefuted = t.lossRefuted || t.declaredLost && ev.SentAt.After(t.declaredLostAt)
-	t.acceptedTerm = max(t.acceptedTerm, a.Term)
-	c.observeTerm(a.Term, string(ev.Target))
-	if c.role == leader && a.Accepted {
+	t.acceptedTerm = max(t.acceptedTerm, r.Term)
+	c.observeTerm(r.Term, string(ev.Target))
+	if c.role == leader && r.Accepted {
 		c.handleAccepted(i, ev)
 	}
 }
--- a/internal/cell/wire.go
+++ b/internal/cell/wire.go
@@ -85,7 +85,9 @@
 	wireDeclared
 )
 
-// wireEvidence is the wire form of every evidence. Kind tells which fields are set.
+// wireEvidence is the wire form of every evidence. Kind determines which fields are set:
+// First is an epoch, a Unix time in nanoseconds or the old incarnation, Second the new
+// incarnation.
 type wireEvidence struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   uint8
