--- a/internal/custody/plan.go
+++ b/internal/custody/plan.go
@@ -44,7 +44,7 @@
 }
 
 // roomAndExcess returns how many shards are missing from the zones below their shares,
-// and by how many the zones above exceed theirs.
+// and by how many the zones above exceed theirs, if by more than slackPercent.
 func roomAndExcess(d Doc, share []quota) ([]quota, map[place.Zone]int) {
 	count := d.CountByZone()
 	excess := make(map[place.Zone]int)
