--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -184,7 +184,8 @@
 
 // maxTransfer returns the largest load that one move may transfer from one target to
 // another. It is above the load that would make them equal, so that also shards with
-// much load can move, but at equal weights to ends up less loaded than from was.
+// much load can move, but at equal weights the receiving target ends up less loaded
+// than the sending one was.
 func (b *balance) maxTransfer(from, to int) Load {
 	if b.weights[from] <= 0 {
 		return b.targetLoads[from]
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -24,7 +24,8 @@
 	// minGainShare is the share of the mean load that a move has to transfer.
 	minGainShare = 0.01
 	// splitShare is the share of the best shard's load from which splitting off one key
-	// is preferred to moving the shard, as then only that key has to be loaded again.
+	// is preferred to moving the shard, as then the new owner has to load the data of
+	// only that key.
 	splitShare = 0.8
 	// underloadedShare is the share of the mean load below which moves to a target
 	// start, sufficientShare the share at which they end.
@@ -46,10 +47,10 @@
 	Shards key.ShardCount
 }
 
-// Planner plans the moves of one cell. Its only state is its own recent moves. It is
-// not safe for concurrent use.
+// Planner plans the moves of one cell. Its only state is its own recent moves and the
+// hysteresis. It is not safe for concurrent use.
 type Planner struct {
-	moving      bool
+	moving      bool                     // by the last decision of shouldMove
 	movedShards map[key.Shard]recentMove // within the cooldown
 	splitKeys   map[key.Hash]recentMove  // within the cooldown
 	moveStarts  []time.Time              // of the moves of the last minute
@@ -85,13 +86,13 @@
 }
 
 func (p *Planner) dropOld(now time.Time) {
-	for shard, a := range p.movedShards {
-		if now.Sub(a.at) >= cooldown {
+	for shard, m := range p.movedShards {
+		if now.Sub(m.at) >= cooldown {
 			delete(p.movedShards, shard)
 		}
 	}
-	for h, a := range p.splitKeys {
-		if now.Sub(a.at) >= cooldown {
+	for h, m := range p.splitKeys {
+		if now.Sub(m.at) >= cooldown {
 			delete(p.splitKeys, h)
 		}
 	}
@@ -153,14 +154,14 @@
 
 func (p *Planner) recordMove(now time.Time, m move) {
 	p.moveStarts = append(p.moveStarts, now)
-	a := recentMove{at: now, to: m.to}
+	recent := recentMove{at: now, to: m.to}
 	if m.split {
-		p.splitKeys[m.hash] = a
+		p.splitKeys[m.hash] = recent
 		return
 	}
-	p.movedShards[m.shard] = a
+	p.movedShards[m.shard] = recent
 	if m.singleKey {
-		p.splitKeys[m.hash] = a
+		p.splitKeys[m.hash] = recent
 	}
 }
 
