--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -100,7 +100,7 @@
 	for _, a := range responses {
 		r := a.Report
 		if a.Err != nil {
-			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t-\tno response\n", a.Addr)
+			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t-\tno answer\n", a.Addr)
 			continue
 		}
 		number := fmt.Sprint(r.Settings.Number)
@@ -134,13 +134,14 @@
 	return fmt.Sprintf("%dd", int(d.Hours()/24))
 }
 
-// printCells prints one line per cell and one per leaving target.
+// printCells prints one line per cell and one per leaving target. Operators' scripts match
+// the column heads.
 func (c *command) printCells(cells []status.Cell) {
 	if len(cells) == 0 {
 		return
 	}
 	t := c.table()
-	fmt.Fprintln(t, "\nSERVICE\tZONE\tLEADER\tTERM\tSHARDS\tOWNED\tBLOCKED\tMOVING\tSOLO")
+	fmt.Fprintln(t, "\nSERVICE\tZONE\tLEAD\tTERM\tSHARDS\tOWNED\tDOUBT\tMOVING\tSOLO")
 	for _, x := range cells {
 		lead := x.Lead
 		if lead == "" {
@@ -159,7 +160,8 @@
 	}
 }
 
-// printBlocked prints the shards that can get no owner, with the reasons.
+// printBlocked prints the blocked shards with the reasons. Operators' scripts match the
+// prefix "in doubt:".
 func (c *command) printBlocked(cells []status.Cell) {
 	left := maxBlockedLines
 	for _, x := range cells {
@@ -169,7 +171,7 @@
 				return
 			}
 			left--
-			fmt.Fprintf(c.Out, "blocked: %s shard %d", x.Service, d.Shard)
+			fmt.Fprintf(c.Out, "in doubt: %s shard %d", x.Service, d.Shard)
 			if !d.Since.IsZero() {
 				fmt.Fprintf(c.Out, " for %s", c.formatAge(d.Since))
 			}
