--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -203,12 +203,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("certs: serial number: %w", err)
 	}
-	// The authority's name contains the first four bytes: with the top bit set,
-	// the number always has them.
+	// The authority's common name contains the first four bytes of its serial number.
+	// The top bit is set so that every number has at least four.
 	return serial.SetBit(serial, serialBits, 1), nil
 }
 
-// identityURI writes a process as citrontray:///zone/host/role.
+// identityURI returns the URI of a process: citrontray:///zone/host/role.
 func identityURI(id peer.Identity) (*url.URL, error) {
 	for _, name := range []string{string(id.Host), string(id.Zone)} {
 		if !namePattern.MatchString(name) {
--- a/internal/certs/material.go
+++ b/internal/certs/material.go
@@ -104,7 +104,7 @@
 	return next, nil
 }
 
-// Self returns the identity that the process presents to others.
+// Self returns the identity in the process's own certificate.
 func (m *Material) Self() peer.Identity { return m.current.Load().identity }
 
 // ResetSecret returns a secret that stays the same across restarts of the process.
--- a/internal/certs/unverified.go
+++ b/internal/certs/unverified.go
@@ -56,8 +56,8 @@
 	return Identity(chain[0])
 }
 
-// ResetSecret implements peer.Credentials. It is the same in the next incarnation of
-// the process, so that peers notice a restart at once.
+// ResetSecret implements peer.Credentials. The secret is the same in the next incarnation
+// of the process, so that a stateless reset ends the peers' old connections at once.
 func (u *Unverified) ResetSecret() [sha256.Size]byte {
 	return sha256.Sum256([]byte(resetLabel + "\x00" + string(u.self.Host)))
 }
