--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -165,21 +165,21 @@
 	if !strings.HasPrefix(r.Path, "/") {
 		return "does not start with /"
 	}
-	holes := 0
+	placeholders := 0
 	for part := range strings.SplitSeq(r.Path[1:], "/") {
-		open, shut := strings.Count(part, "{"), strings.Count(part, "}")
-		if open == 0 && shut == 0 {
+		opening, closing := strings.Count(part, "{"), strings.Count(part, "}")
+		if opening == 0 && closing == 0 {
 			continue
 		}
-		if open != 1 || shut != 1 || part[0] != '{' || part[len(part)-1] != '}' {
+		if opening != 1 || closing != 1 || part[0] != '{' || part[len(part)-1] != '}' {
 			return "has a segment with an incomplete placeholder"
 		}
 		if part != "{"+r.KeyName+"}" || r.KeySource != KeyInPath {
 			return "has a placeholder that is not the key"
 		}
-		holes++
+		placeholders++
 	}
-	if r.KeySource == KeyInPath && holes != 1 {
+	if r.KeySource == KeyInPath && placeholders != 1 {
 		return "does not contain the placeholder {" + r.KeyName + "} exactly once"
 	}
 	return ""
--- a/internal/settings/commit.go
+++ b/internal/settings/commit.go
@@ -20,14 +20,14 @@
 	maxHistoryBytes = 4 << 20
 )
 
-// maxAttempts bounds the attempts of one commit.
+// maxAttempts bounds the compare-and-swap attempts of one commit.
 const maxAttempts = 64
 
 // immediateAttempts is the number of attempts without backoff after losing
 // against another writer.
 const immediateAttempts = 4
 
-// maxReads bounds the attempts to read the document.
+// maxReads bounds how often a read of the document is tried.
 const maxReads = 2
 
 // meanBackoff is the mean delay before another attempt.
@@ -46,11 +46,14 @@
 // does not know, since writing would drop them.
 var ErrNewer = errors.New("settings: document was written by a later release, use that release to write")
 
-// ConflictError tells a writer which write changed one of its paths first.
+// ConflictError is returned if another write changed a path of the request after the
+// revision that the writer expects.
 type ConflictError struct {
-	// Path is the first path of the request that another write changed.
+	// Path is a path of the request that another write changed. If the history does
+	// not go back far enough to exclude a conflict, it is the request's first path.
 	Path Path
-	// Winner is the newest accepted write of that path.
+	// Winner is the newest accepted write of that path, or the newest write of all if
+	// the history does not go back far enough.
 	Winner Write
 }
 
@@ -66,7 +69,7 @@
 	ID      string
 	Changes []Change
 	// Rollback, if not zero, replaces Changes by the changes that restore the
-	// values that were in force at that number.
+	// values of the revision with that number.
 	Rollback uint64
 	// Below, if set, limits a rollback to this path and the paths below it.
 	Below Path
@@ -78,8 +81,8 @@
 	Reason string
 	// DryRun validates the write and returns the resulting settings only.
 	DryRun bool
-	// Permit authorizes the changes against the settings in force, on each
-	// attempt. It returns the name of the writer, or an error to deny the write.
+	// Permit authorizes the changes against the current settings, on each attempt.
+	// It returns the name of the writer, or an error to deny the write.
 	Permit func(current *Settings, changes []Change) (by string, err error)
 }
 
@@ -88,11 +91,11 @@
 	// Settings includes the write and possibly later ones.
 	Settings *Settings
 	Write    Write
-	// Differences is what the write changed, or would change in a dry run.
+	// Differences lists the changes that the write made, or would make in a dry run.
 	Differences []Difference
 }
 
-// Committer writes settings to the platform's service. Safe for concurrent use.
+// Committer writes settings to the platform's service. It is safe for concurrent use.
 type Committer struct {
 	store platform.Store
 	// writeSem admits one write at a time, so that the writers of one process
@@ -118,7 +121,7 @@
 	}
 }
 
-// Load returns the settings in force, or empty settings if the store has none.
+// Load returns the newest accepted settings, or empty settings if the store has none.
 func (c *Committer) Load(ctx context.Context) (*Settings, error) {
 	entry, err := c.get(ctx)
 	switch {
@@ -158,7 +161,7 @@
 
 // Commit commits the request by one compare-and-swap. It returns *finding.Error,
 // *ConflictError, ErrNotAccepted, ErrUnresolved, ErrNewer, ErrTooLarge, or the
-// error of Permit. It records now in the history.
+// error of Permit. now is the time of the write in the history.
 func (c *Committer) Commit(ctx context.Context, now time.Time, req Request) (CommitResult, error) {
 	if req.ID == "" {
 		req.ID = uuid.NewString()
@@ -220,8 +223,8 @@
 		return current, nil
 	}
 	// A write in doubt can only take effect at the revision that it expects. Once
-	// there is another revision, it has failed for good. At the same revision it
-	// is sent again with the same ID, and one of both takes effect.
+	// there is another revision, it can no longer take effect. At the same revision
+	// it is sent again with the same ID: the store accepts only one of the two.
 	if a.inDoubt && current.Revision == a.base.Revision {
 		return a.write(ctx)
 	}
--- a/internal/settings/converge_bench_test.go
+++ b/internal/settings/converge_bench_test.go
@@ -22,8 +22,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Latencies as in the users' networks: one way between two availability zones, and
-// one call of the platform's service.
+// Latencies as in the customers' networks: zoneLatency is one way between two
+// availability zones, storeLatency one call of the platform's service.
 const (
 	zoneLatency  = 1500 * time.Microsecond
 	storeLatency = 2 * time.Millisecond
@@ -64,14 +64,14 @@
 	documents *docsync.MemoryReplica
 }
 
-// applyUpdates applies each new settings document and reports its number to at.
-func (h *replica) applyUpdates(ctx context.Context, at func(number uint64)) error {
-	news := h.documents.Subscribe(docsync.Settings)
+// applyUpdates applies each new settings document and then calls applied with its number.
+func (h *replica) applyUpdates(ctx context.Context, applied func(number uint64)) error {
+	updates := h.documents.Subscribe(docsync.Settings)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-news:
+		case <-updates:
 		}
 		doc, ok := h.documents.Get(docsync.Settings)
 		if !ok {
@@ -81,7 +81,7 @@
 			return err
 		}
 		_, number, _ := h.InForce()
-		at(number)
+		applied(number)
 	}
 }
 
--- a/internal/settings/lookup.go
+++ b/internal/settings/lookup.go
@@ -134,7 +134,7 @@
 	return x.drained[target] || x.drainedZone[zone]
 }
 
-// Allows reports whether the delegation lets its bearer write path.
+// Allows reports whether the bearer of the delegation may write path.
 func (d *Delegation) Allows(path Path) bool {
 	for _, below := range d.Below {
 		if below.Covers(path) {
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -219,12 +219,12 @@
 
 func randomPath(i int) Path { return Path(fmt.Sprintf("teams/t/callers/c%d", i)) }
 
-// runOperator runs the commits of one operator and passes each to note.
-func runOperator(store *scheduledStore, ops []randomOp, note func(i int, op randomOp, run func() randomResult)) {
+// runOperator passes the commits of one operator to record, which runs them.
+func runOperator(store *scheduledStore, ops []randomOp, record func(i int, op randomOp, run func() randomResult)) {
 	c := NewCommitter(store)
 	seen := uint64(0)
 	for i, op := range ops {
-		note(i, op, func() randomResult {
+		record(i, op, func() randomResult {
 			req := Request{ID: fmt.Sprintf("%d.%d", store.operator, i), By: fmt.Sprint(store.operator)}
 			for _, p := range op.paths {
 				hash := FormatHash(HashCredential(fmt.Sprint(p)))
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -179,9 +179,9 @@
 
 // holdField returns the codec of Service.Hold.
 func holdField() textCodec[Service] {
-	a := durationField(func(r *Service) *time.Duration { return &r.Hold }, 0, maxHold)
-	read := a.parse
-	a.parse = func(row *Service, values []string) error {
+	codec := durationField(func(r *Service) *time.Duration { return &r.Hold }, 0, maxHold)
+	read := codec.parse
+	codec.parse = func(row *Service, values []string) error {
 		if err := read(row, values); err != nil {
 			return err
 		}
@@ -190,5 +190,5 @@
 		}
 		return nil
 	}
-	return a
+	return codec
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -79,7 +79,7 @@
 	Shares []Share
 }
 
-// Share lets the routes of another team use the keys that start with Prefix.
+// Share permits the routes of another team to use the keys that start with Prefix.
 type Share struct {
 	Team   Team
 	Prefix string
@@ -140,8 +140,8 @@
 	Concurrent int
 }
 
-// Delegation lets the bearer of a credential write some subtrees. Team is empty
-// for a delegation at the platform level.
+// Delegation permits the bearer of a credential to write the subtrees in Below. Team
+// is empty for a delegation at the platform level.
 type Delegation struct {
 	Team           Team
 	Operator       string
