--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status defines the reports that daemons give operators on their state, as
-// JSON, and the HTTP handler that serves them.
+// Package status defines the reports on the state of a daemon, as JSON for operators, and
+// the HTTP handler that serves them.
 package status
 
 import (
@@ -13,7 +13,7 @@
 // Path is the URL path of the reports at a daemon's admin address.
 const Path = "/status"
 
-// Query parameters. With both, the report includes where one key is.
+// Query parameters. With both, the report includes the location of one key.
 const (
 	paramService = "service"
 	paramKey     = "key"
@@ -29,15 +29,16 @@
 	Ready   bool      `json:"ready"`
 	// Settings is the revision in force.
 	Settings Settings `json:"settings"`
-	// LastStoreResponse is the time of the last response of the platform's service,
-	// zero if the daemon does not use it.
+	// LastStoreResponse is the time of the last call to which the platform's service
+	// responded. It is zero if there was none or the daemon does not use the service.
 	LastStoreResponse time.Time `json:"store"`
-	// Cells are the cells that this host may lead (lead process only).
+	// Cells are the cells that this host may lead (roles lead and host).
 	Cells []Cell `json:"cells,omitempty"`
-	// Targets and Callers are the requests that this host forwarded (entry only).
+	// Targets is the load that this host sends to each target (roles entry and host),
+	// Callers the load that it gets from each caller (role entry).
 	Targets []Target `json:"targets,omitempty"`
 	Callers []Caller `json:"callers,omitempty"`
-	// Key is set if the query names a key.
+	// Key is set if the query names a key that the daemon knows.
 	Key *Key `json:"key,omitempty"`
 }
 
@@ -48,17 +49,17 @@
 	Since    time.Time `json:"since"`
 }
 
-// Cell is a cell as one host sees it.
+// Cell is the state of a cell as known to one host.
 type Cell struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
 	Term    uint64 `json:"term"`
 	Lead    string `json:"lead"`
-	// Leading is set if this host leads the cell. Other hosts report what they last
-	// heard about it.
+	// Leading is set if this host leads the cell; in a lead process, if it may renew
+	// the cell's grants now. Other hosts report the last state that they received.
 	Leading    bool           `json:"leading"`
 	Shards     int            `json:"shards"` // in the custody of the zone
-	Owned      int            `json:"owned"`  // with a running owner
+	Owned      int            `json:"owned"`  // with an owner in the routing table
 	Moving     int            `json:"moving"`
 	SingleKeys int            `json:"solos"` // single-key shards
 	Blocked    []BlockedShard `json:"doubts,omitempty"`
@@ -115,7 +116,7 @@
 	P99       float64 `json:"p99"`     // milliseconds
 }
 
-// Key is the location of a key, as one daemon knows it.
+// Key is the location of a key as known to one daemon.
 type Key struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
