--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -121,8 +121,8 @@
 }
 
 // isFinal reports whether there is no need to try another host. While a write at an
-// earlier host is in inDoubt, only a conflict is final: the conflicting write is part of
-// all later revisions, so the earlier host's write conflicts as well.
+// earlier host is in doubt, only a conflict is final: the conflicting write is part of all
+// later revisions, so the earlier host's write conflicts as well.
 func isFinal(err error, inDoubt bool) bool {
 	var lost *transportError
 	var conflict *settings.ConflictError
@@ -151,15 +151,15 @@
 		return &transportError{sent: sent.Load(), err: err}
 	}
 	defer response.Body.Close()
-	answer := json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes))
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxBodyBytes))
 	if response.StatusCode == http.StatusOK {
-		if err := answer.Decode(out); err != nil {
+		if err := decoder.Decode(out); err != nil {
 			return &transportError{sent: true, err: err}
 		}
 		return nil
 	}
 	var failed wireError
-	if err := answer.Decode(&failed); err != nil || failed.Code == "" {
+	if err := decoder.Decode(&failed); err != nil || failed.Code == "" {
 		return &transportError{sent: true, err: fmt.Errorf("response has status %d", response.StatusCode)}
 	}
 	return failed.err()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -11,10 +11,10 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// View is the part of the settings in force that an operator may see.
+// View is the part of the accepted settings that an operator may see.
 type View struct {
 	// Local is set if the store was unavailable: the view then shows the settings in
-	// force on one host.
+	// the documents of one host, which may be older.
 	Local    bool
 	Revision platform.Revision
 	Number   uint64
@@ -47,8 +47,8 @@
 
 // API reads and writes settings. Client and Direct implement it.
 type API interface {
-	// Read returns what the operator may see. Errors: DeniedError,
-	// platform.ErrUnavailable.
+	// Read returns the settings and the history that the operator may see. Errors:
+	// DeniedError, platform.ErrUnavailable.
 	Read(ctx context.Context) (View, error)
 	// Write performs a write. Errors: *finding.Error, *settings.ConflictError,
 	// DeniedError, settings.ErrNotAccepted, settings.ErrUnresolved.
@@ -128,7 +128,7 @@
 }
 
 // commit parses and commits a request. On each attempt authenticate determines the
-// principal from the settings in force.
+// principal from the current settings.
 func commit(ctx context.Context, c *settings.Committer, request WriteRequest, authenticate func(*settings.Settings) (principal, error)) (WriteResult, error) {
 	changes, err := settings.Parse(request.File)
 	if err != nil {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -97,7 +97,7 @@
 	writeJSON(w, http.StatusOK, toWireView(view))
 }
 
-// localSettings returns the settings from this process's documents, or nil.
+// localSettings returns the settings in this process's documents, or nil if there are none.
 func (s *Server) localSettings() *settings.Settings {
 	if s.config.Replica == nil {
 		return nil
@@ -118,8 +118,8 @@
 func (s *Server) write(w http.ResponseWriter, r *http.Request) {
 	credential := bearer(r)
 	var in wireWriteRequest
-	body := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
-	if err := body.Decode(&in); err != nil {
+	decoder := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
+	if err := decoder.Decode(&in); err != nil {
 		writeJSON(w, http.StatusUnprocessableEntity, wireError{Code: codeFindings, Text: "body is not a write request"})
 		return
 	}
@@ -142,7 +142,7 @@
 	writeJSON(w, http.StatusOK, toWireWriteResult(out))
 }
 
-// authenticate returns the principal of a credential, by the settings in force.
+// authenticate returns the principal of a credential according to the given settings.
 func (s *Server) authenticate(current *settings.Settings, credential string) (principal, error) {
 	if credential == "" {
 		return principal{}, &DeniedError{Text: "no credential"}
@@ -156,7 +156,7 @@
 	return principal{}, &DeniedError{Text: "unknown credential"}
 }
 
-// filterView removes what the viewer's subtrees do not cover.
+// filterView removes the settings and the history that the viewer's subtrees do not cover.
 func filterView(v View, viewer principal) View {
 	v.Items = slices.DeleteFunc(slices.Clone(v.Items), func(i settings.Item) bool { return !viewer.allows(i.Path) })
 	var history []settings.Write
--- a/internal/operator/wire.go
+++ b/internal/operator/wire.go
@@ -120,7 +120,7 @@
 	return o
 }
 
-// toWireError converts an error of an API and returns the HTTP status for it.
+// toWireError converts an error of the API and returns the HTTP status for it.
 func toWireError(err error) (status int, w wireError) {
 	w.Text = err.Error()
 	var found *finding.Error
