--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -53,7 +53,7 @@
 // SetReady sets whether the load balancer may send callers to this host.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done. Requests in flight then have closeTimeout to finish.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
@@ -64,7 +64,7 @@
 	return err
 }
 
-// close shuts the server down and lets open responses finish within closeTimeout.
+// close shuts the server down gracefully, within closeTimeout.
 func (s *Server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -58,7 +58,7 @@
 	return &Error{Findings: l.Sorted()}
 }
 
-// Error is an error made of findings.
+// Error is the error for one or more findings.
 type Error struct{ Findings []Finding }
 
 // Error implements error. Each finding is one line.
--- a/internal/preset/preset.go
+++ b/internal/preset/preset.go
@@ -29,7 +29,7 @@
 	Consortium Name = "consortium"
 )
 
-// Preset is a deployment.
+// Preset is a deployment: its hosts, its targets and its settings.
 type Preset struct {
 	Name   Name
 	Region place.Region
@@ -75,7 +75,7 @@
 	return Preset{}, fmt.Errorf("unknown preset %q, the presets are %v", name, All())
 }
 
-// Settings returns the preset's settings as the first accepted revision.
+// Settings returns the preset's settings, with the number of a first accepted revision.
 func (p Preset) Settings() (*settings.Settings, error) {
 	changes, err := settings.Parse(p.File)
 	if err != nil {
