--- a/cmd/citrontray/deploy_test.go
+++ b/cmd/citrontray/deploy_test.go
@@ -46,6 +46,8 @@
 	store.SetFleetLag(0)
 	startTargets(ts, p, store)
 	dir := filepath.Join(ts.Getenv("WORK"), "tls")
+	// Six addresses per host: the peer addresses of both daemons, the lead's admin and
+	// operator addresses, the entry's admin and caller addresses.
 	addrs, err := freeAddrs(6 * deployHosts)
 	ts.Check(err)
 	seeds := make([]string, 0, deployHosts)
@@ -138,7 +140,7 @@
 
 // request is the script command that sends a caller's request to each entry host in turn:
 // request METHOD PATH CALLER OUTCOME [REASON]. A request that missed its deadline in the
-// queue, as on a busy machine, is repeated.
+// queue, as on a busy machine, is repeated, as callers may do: it was not run.
 func request(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 4 || len(args) > 5 {
 		ts.Fatalf("usage: request METHOD PATH CALLER OUTCOME [REASON]")
@@ -169,13 +171,13 @@
 		return "", err
 	}
 	r.Header.Set("Authorization", "Bearer "+preset.Credential(settings.Caller(caller)))
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return "", err
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return "", err
 	}
-	return strings.TrimSpace(answer.Header.Get(outcome.Header) + " " + answer.Header.Get(outcome.HeaderReason)), nil
+	return strings.TrimSpace(response.Header.Get(outcome.Header) + " " + response.Header.Get(outcome.HeaderReason)), nil
 }
--- a/cmd/citrontray/main.go
+++ b/cmd/citrontray/main.go
@@ -17,11 +17,11 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	shell := &command.Env{
+	env := &command.Env{
 		In: os.Stdin, Out: os.Stdout, Err: os.Stderr,
 		Getenv: os.Getenv, Now: time.Now, User: userName(),
 	}
-	return command.Run(ctx, shell, os.Args[1:])
+	return command.Run(ctx, env, os.Args[1:])
 }
 
 // userName returns the login name of the user.
--- a/cmd/citrontray/script_test.go
+++ b/cmd/citrontray/script_test.go
@@ -71,13 +71,13 @@
 	if !ok {
 		ts.Fatalf("the script has no documents")
 	}
-	news := documents.Subscribe(docsync.Settings)
+	updates := documents.Subscribe(docsync.Settings)
 	for {
 		if _, ok := documents.Get(docsync.Settings); ok {
 			return
 		}
 		select {
-		case <-news:
+		case <-updates:
 		case <-time.After(awaitTimeout):
 			ts.Fatalf("the host has no settings from the store")
 		}
@@ -100,7 +100,7 @@
 	}
 	router := mux.NewRouter()
 	router.Handle(status.Path, status.Handler(status.SourceFunc(report)))
-	pages, err := serve(env, router)
+	statusAddr, err := serve(env, router)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	env.Setenv("CITRONTRAY_OPERATORS", api)
 	env.Setenv("CITRONTRAY_CREDENTIAL", bootstrap)
 	env.Setenv("CITRONTRAY_AUTHORITY", filepath.Join(env.WorkDir, "tls", certs.AuthorityFile))
-	env.Setenv("CITRONTRAY_DAEMONS", pages)
+	env.Setenv("CITRONTRAY_DAEMONS", statusAddr)
 	env.Setenv("PLATFORM", platformAddr)
 	for _, name := range preset.All() {
 		p, err := preset.Get(name)
--- a/internal/command/connection.go
+++ b/internal/command/connection.go
@@ -89,8 +89,8 @@
 	return platform.NewClient(platform.ClientConfig{Addrs: c.platformAddrs, Timeout: c.timeout}), nil
 }
 
-// api returns the operators' API, or direct access to the platform's service if only
-// that is given.
+// api returns a client of the operators' API, or direct access to the platform's service
+// if only --platform is given.
 func (c *command) api() (operator.API, error) {
 	if len(c.operatorAddrs) > 0 {
 		return c.client()
--- a/internal/command/program.go
+++ b/internal/command/program.go
@@ -84,7 +84,7 @@
 		{declarationCommand("drain", "keep new work off a target or zone and move its shards away", "drains", false), groupHosts},
 		{declarationCommand("undrain", "end a drain", "drains", true), groupHosts},
 		{declarationCommand("lost", "declare a target, host or zone lost, after it has been switched off", "losses", false), groupHosts},
-		{declarationCommand("found", "withdraw a declaration of loss", "losses", true), groupHosts},
+		{declarationCommand("found", "withdraw a loss declaration", "losses", true), groupHosts},
 		{statusCommand(), groupHosts},
 		{explainCommand(), groupHosts},
 		{topCommand(), groupHosts},
--- a/internal/command/read.go
+++ b/internal/command/read.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// readAt reads the settings in force and returns the path in args, if any.
+// readAt reads the accepted settings and returns them with the path in args, if any.
 func (c *command) readAt(ctx context.Context, args []string) (operator.View, settings.Path, error) {
 	var path settings.Path
 	if len(args) == 1 {
@@ -125,7 +125,7 @@
 	return view, path, err
 }
 
-// read reads the settings in force.
+// read reads the accepted settings.
 func (c *command) read(ctx context.Context) (operator.View, error) {
 	client, err := c.api()
 	if err != nil {
@@ -147,11 +147,11 @@
 		return fmt.Errorf("there is no setting at or below %s", path)
 	}
 	if c.output != outputJSON {
-		where := ""
+		origin := ""
 		if view.Local {
-			where = ", as known to one host; the store is unavailable"
+			origin = ", as known to one host; the store is unavailable"
 		}
-		fmt.Fprintf(c.Out, "# revision %d%s\n%s", view.Number, where, settings.Format(items))
+		fmt.Fprintf(c.Out, "# revision %d%s\n%s", view.Number, origin, settings.Format(items))
 		return nil
 	}
 	out := wireSettings{Revision: view.Number, Local: view.Local, Settings: make(map[string]map[string]any)}
@@ -237,8 +237,8 @@
 	}
 }
 
-// watch prints accepted writes below path until ctx is done. It keeps trying while the
-// store is unavailable.
+// watch prints accepted writes at or below path until ctx is done. After the first read it
+// keeps trying while the store is unavailable.
 func (c *command) watch(ctx context.Context, path settings.Path) error {
 	view, err := c.read(ctx)
 	if err != nil {
@@ -257,13 +257,13 @@
 		if err != nil || view.Number <= seen {
 			continue
 		}
-		var news []settings.Write
+		var added []settings.Write
 		for _, w := range view.History {
 			if w.Number > seen {
-				news = append(news, w)
+				added = append(added, w)
 			}
 		}
-		if err := c.printHistory(news, path); err != nil {
+		if err := c.printHistory(added, path); err != nil {
 			return err
 		}
 		seen = view.Number
--- a/internal/command/reference.go
+++ b/internal/command/reference.go
@@ -12,23 +12,23 @@
 
 This page is the output of ` + "`citrontray reference`" + `; a test compares them.
 
-A settings file is YAML. Its top is a mapping of paths to fields; comments are
-allowed, the order does not matter. ` + "`path: null`" + ` deletes a setting. A file
+A settings file is a YAML mapping of paths to fields; comments are allowed, the
+order does not matter. ` + "`path: null`" + ` deletes a setting. A file
 sets the whole value of each path in it and leaves all other paths unchanged.
 Names in paths consist of lower-case letters, digits and ` + "`.` `_` `-`" + ` (not at either end), at most
 63 bytes. A file has at most 1 MiB, all settings together at most 1 MB as kept in the
 platform's service, compressed and with their history.
 
-Beyond the fields, these rules must hold, or nothing is written:
+In addition, these rules must hold, or nothing is written:
 
 - names of services and of callers are unique in the deployment;
 - a route refers to an existing service, and to callers of its own team;
-- a route to another team's service needs a share there, and its prefix starts
-  with the share's prefix;
-- keys of routes to one service do not overlap where teams or tenants differ;
-- one caller's method and path lead to one route;
+- a route to another team's service needs a share in that service, and its prefix
+  starts with the share's prefix;
+- keys of routes to one service do not overlap if teams or tenants differ;
+- a caller's method and path match only one route;
 - a route that takes GET is idempotent;
-- a team's delegation stays below the team's own path;
+- a team's delegation covers only paths of the team;
 - no two callers or operators share a credential.
 
 `
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -21,7 +21,7 @@
 	maxMoveLines    = 10
 )
 
-// lineWidth is the maximum width of tables and texts.
+// lineWidth is the maximum width of tables and texts, in columns.
 const lineWidth = 80
 
 // wireResponse is the JSON output of status: one daemon's report, or the error.
@@ -219,7 +219,7 @@
 	}
 }
 
-// responsesWithKey returns the responses that know the key, the newest first.
+// responsesWithKey returns the responses that include the key, newest first.
 func responsesWithKey(responses []status.Response) []status.Response {
 	var out []status.Response
 	for _, a := range responses {
@@ -244,20 +244,21 @@
 	return len(a.Moves) > len(b.Moves)
 }
 
-// printKey prints the newest location of the key and the daemons that differ.
+// printKey prints the newest location of the key, then the daemons that report another
+// owner.
 func (c *command) printKey(found []status.Response) {
 	k := found[0].Report.Key
-	what := fmt.Sprintf("shard %d", k.Shard)
+	location := fmt.Sprintf("shard %d", k.Shard)
 	if k.Range != "" {
-		what = "range " + k.Range
+		location = "range " + k.Range
 	}
 	if k.SingleKey {
-		what += ", a single-key shard"
+		location += ", a single-key shard"
 	}
 	if k.Zone != "" {
-		what += ", in the custody of " + k.Zone
+		location += ", in the custody of " + k.Zone
 	}
-	fmt.Fprintf(c.Out, "%s %s: %s\n", k.Service, k.Key, what)
+	fmt.Fprintf(c.Out, "%s %s: %s\n", k.Service, k.Key, location)
 	owner := k.Owner
 	if owner == "" {
 		owner = "none: " + k.Reason
--- a/internal/command/write.go
+++ b/internal/command/write.go
@@ -86,7 +86,7 @@
 			if err != nil {
 				return err
 			}
-			// Reports syntax errors before anything is sent.
+			// A syntax error is reported before anything is sent.
 			if _, err := settings.Parse(file); err != nil {
 				return err
 			}
@@ -217,7 +217,7 @@
 	}
 }
 
-// declaration is a command that makes or withdraws a drain or a declaration of loss.
+// declaration is a command that makes or withdraws a drain or a loss declaration.
 type declaration struct {
 	writeFlags
 	kind     string // drains or losses
