--- a/internal/load/generator_test.go
+++ b/internal/load/generator_test.go
@@ -18,7 +18,7 @@
 	"citrontray.example/citrontray/internal/preset"
 )
 
-// fakeEntry responds like an entry host, as its respond function decides.
+// fakeEntry is a fake entry host whose responses come from the respond function.
 type fakeEntry struct {
 	mu      sync.Mutex
 	runs    map[string]uint32
@@ -55,8 +55,8 @@
 
 func TestGeneratorChecksResponses(t *testing.T) {
 	tests := map[string]struct {
-		how  func(w http.ResponseWriter, uri string, payload []byte, run func())
-		fits func(s load.Summary) bool
+		handle func(w http.ResponseWriter, uri string, payload []byte, run func())
+		want   func(s load.Summary) bool
 	}{
 		"done": {func(w http.ResponseWriter, uri string, payload []byte, run func()) {
 			run()
@@ -91,7 +91,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			entry := &fakeEntry{runs: make(map[string]uint32), respond: tt.how}
+			entry := &fakeEntry{runs: make(map[string]uint32), respond: tt.handle}
 			server := httptest.NewServer(entry)
 			defer server.Close()
 			addr := netip.MustParseAddrPort(server.Listener.Addr().String())
@@ -103,7 +103,7 @@
 			summary, err := g.Result().Summarize(time.Now(), entry.runsOf)
 			assert.NilError(t, err)
 			assert.Assert(t, summary.Requests > 0)
-			assert.Assert(t, tt.fits(summary), "%+v", summary.Counts)
+			assert.Assert(t, tt.want(summary), "%+v", summary.Counts)
 		})
 	}
 }
--- a/internal/load/outage.go
+++ b/internal/load/outage.go
@@ -8,8 +8,8 @@
 	"citrontray.example/citrontray/internal/key"
 )
 
-// slowResponse is the latency from which a response counts as unavailability: the request
-// waited for an owner.
+// slowResponse is the latency from which a response counts as an outage of its shard, as
+// the request probably waited for an owner.
 const slowResponse = 500 * time.Millisecond
 
 // shardID identifies a shard of a service.
@@ -58,7 +58,7 @@
 	o.add(at, now.Sub(start))
 }
 
-// Finish ends the measurement at now and counts the outages that are not over.
+// Finish ends the measurement at now, and with it the outages that have not ended.
 func (o *Outages) Finish(now time.Time) {
 	for at, start := range o.open {
 		o.add(at, now.Sub(start))
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,5 +1,5 @@
-// Package load generates the open-loop load of a deployment's callers and checks that each
-// response is complete, belongs to its request and is true about what ran.
+// Package load generates the open-loop load of a deployment's callers. It checks that each
+// response is complete, belongs to its request, and is right on whether the request ran.
 package load
 
 import (
@@ -28,10 +28,10 @@
 	bulkWork        = 20 * time.Millisecond
 )
 
-// connectCost is the time that a target takes for a new connection.
+// connectCost is the delay of each new connection to a target.
 const connectCost = time.Millisecond
 
-// coldTime is how long a restarted target is slow.
+// coldTime is how long a target runs requests more slowly after a start.
 const coldTime = 2 * time.Second
 
 // Stream is the load of one caller on one route.
@@ -66,8 +66,8 @@
 	Share        float64
 }
 
-// TargetGroups returns the targets of a preset at their present sizes. slowdown multiplies
-// the time of a run.
+// TargetGroups returns the targets of a preset, in one group per service. slowdown
+// multiplies the time of a run.
 func TargetGroups(p preset.Preset, s *settings.Settings, slowdown int) []fake.TargetGroup {
 	groups := make([]fake.TargetGroup, 0, len(p.Services))
 	for _, service := range p.Services {
@@ -138,9 +138,9 @@
 
 // randomStream returns a random stream, weighted by rate.
 func (p *Plan) randomStream(r *rand.Rand) *Stream {
-	at := r.Float64() * p.PerSecond()
+	rest := r.Float64() * p.PerSecond()
 	for i := range p.Streams {
-		if at -= p.Streams[i].PerSecond; at < 0 {
+		if rest -= p.Streams[i].PerSecond; rest < 0 {
 			return &p.Streams[i]
 		}
 	}
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -157,7 +157,8 @@
 // maxWorst is the number of longest outages in a summary.
 const maxWorst = 5
 
-// Summarize ends the record at now and compares it with the operations that ran.
+// Summarize ends the record at now, compares it with the operations that ran, and returns
+// the summary.
 func (r *Result) Summarize(now time.Time, runs RunCounter) (Summary, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
