--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -16,12 +16,12 @@
 )
 
 func TestSupervisorProtocol(t *testing.T) {
-	var asked bytes.Buffer
-	d := NewSupervisor(&asked, strings.NewReader("ok\nfailed\n"))
+	var requests bytes.Buffer
+	d := NewSupervisor(&requests, strings.NewReader("ok\nfailed\n"))
 	assert.NilError(t, d.Signal("KILL", "host-1", LeadProcess))
 	assert.ErrorContains(t, d.Stop("host-2", EntryProcess), "failed")
 	assert.ErrorContains(t, d.StopAll(), "EOF")
-	assert.Equal(t, asked.String(), "signal KILL lead host-1\nstop entry host-2\nended\n")
+	assert.Equal(t, requests.String(), "signal KILL lead host-1\nstop entry host-2\nended\n")
 }
 
 func TestReadHosts(t *testing.T) {
@@ -29,9 +29,9 @@
 	tests := map[string]struct {
 		body, finding string
 	}{
-		"good":      {body: good},
-		"two words": {body: good + "host-2 zone-a\n", finding: "hosts:2: has 2 words"},
-		"host name": {body: strings.Replace(good, "127.0.0.1:3", "localhost:3", 1), finding: `hosts:1: "localhost:3" is not an address`},
+		"good":       {body: good},
+		"two fields": {body: good + "host-2 zone-a\n", finding: "hosts:2: has 2 fields"},
+		"host name":  {body: strings.Replace(good, "127.0.0.1:3", "localhost:3", 1), finding: `hosts:1: "localhost:3" is not an address`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 }
 
 func TestViolations(t *testing.T) {
-	cut := load.Summary{Counts: load.Counts{Done: 1}, Reasons: map[string]uint64{"answer-cut": 2}}
+	brokenOff := load.Summary{Counts: load.Counts{Done: 1}, Reasons: map[string]uint64{"answer-cut": 2}}
 	tests := map[string]struct {
 		scenario Scenario
 		ledger   fake.LedgerCounts
@@ -87,10 +87,10 @@
 		want     string
 	}{
 		"no violation":                {summary: load.Summary{Counts: load.Counts{Done: 1}}},
-		"broken off by a fault":       {summary: cut},
-		"broken off without a fault":  {scenario: Scenario{NoFailures: true}, summary: cut, want: "2 requests broken off without a fault"},
-		"duplicate owner":             {ledger: fake.LedgerCounts{DuplicateOwners: 1}, summary: cut, want: "1 duplicate owners"},
-		"duplicate run":               {ledger: fake.LedgerCounts{DuplicateRuns: 1}, summary: cut, want: "1 duplicate runs"},
+		"broken off by a fault":       {summary: brokenOff},
+		"broken off without a fault":  {scenario: Scenario{NoFailures: true}, summary: brokenOff, want: "2 requests broken off without a fault"},
+		"duplicate owner":             {ledger: fake.LedgerCounts{DuplicateOwners: 1}, summary: brokenOff, want: "1 duplicate owners"},
+		"duplicate run":               {ledger: fake.LedgerCounts{DuplicateRuns: 1}, summary: brokenOff, want: "1 duplicate runs"},
 		"false not-run":               {summary: load.Summary{FalseNotRun: 3, Counts: load.Counts{Done: 1}}, want: "3 responses not-run for operations that ran"},
 		"done, never ran":             {summary: load.Summary{FalseDone: 1, Counts: load.Counts{Done: 1}}, want: "1 responses done for operations that did not run"},
 		"no response":                 {summary: load.Summary{Counts: load.Counts{Done: 1, Lost: 1}}, want: "1 requests without a response"},
--- a/internal/bench/convergence.go
+++ b/internal/bench/convergence.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// recordRevision records the store's revision, if it is new.
+// recordRevision records the revision of the settings in the store, if it is new.
 func (c *Convergence) recordRevision(now time.Time) {
 	revision, at := c.platform.RevisionOf(settings.StorePath)
 	c.mu.Lock()
@@ -120,24 +120,25 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	var page struct {
+	var report struct {
 		Revision uint64 `json:"revision"` // reported here or in Settings
 		Settings struct {
 			Revision uint64 `json:"revision"`
 		} `json:"settings"`
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&page); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&report); err != nil {
 		return 0, err
 	}
-	return platform.Revision(max(page.Revision, page.Settings.Revision)), nil
+	return platform.Revision(max(report.Revision, report.Settings.Revision)), nil
 }
 
 // ConvergenceResult is the result of a Convergence.
 type ConvergenceResult struct {
 	// Longest is the longest time until a revision was in force at a daemon.
 	Longest time.Duration
-	// Revisions counts the accepted revisions, Missing those that are not in force
-	// at all daemons, Reverted the times that a daemon went back.
+	// Revisions counts the accepted revisions, Missing those that have not been in
+	// force at every daemon, Reverted the times that a daemon went back to an earlier
+	// revision.
 	Revisions, Missing, Reverted int
 }
 
@@ -145,11 +146,11 @@
 func (c *Convergence) Result() ConvergenceResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	figures := ConvergenceResult{Longest: c.longest, Revisions: len(c.accepted), Reverted: c.reverted}
+	result := ConvergenceResult{Longest: c.longest, Revisions: len(c.accepted), Reverted: c.reverted}
 	for _, a := range c.accepted {
 		if len(a.missing) > 0 {
-			figures.Missing++
+			result.Missing++
 		}
 	}
-	return figures
+	return result
 }
--- a/internal/bench/convergence_test.go
+++ b/internal/bench/convergence_test.go
@@ -38,7 +38,7 @@
 	}
 	c := NewConvergence(p, addrs)
 	ctx := context.Background()
-	look := func() {
+	pollAll := func() {
 		c.recordRevision(time.Now())
 		for _, addr := range addrs {
 			c.poll(ctx, addr)
@@ -46,18 +46,18 @@
 	}
 	first, err := p.Write(ctx, settings.StorePath, []byte("one"), 0)
 	assert.NilError(t, err)
-	look()
+	pollAll()
 	assert.Equal(t, c.Result(), ConvergenceResult{Revisions: 1, Missing: 1})
 
 	daemons[0].revision.Store(uint64(first))
-	look()
+	pollAll()
 	assert.Equal(t, c.Result().Missing, 1)
 
 	daemons[1].revision.Store(uint64(first))
-	look()
+	pollAll()
 	assert.Equal(t, c.Result().Missing, 0)
 
 	daemons[0].revision.Store(0)
-	look()
+	pollAll()
 	assert.Equal(t, c.Result().Reverted, 1)
 }
--- a/internal/bench/hosts.go
+++ b/internal/bench/hosts.go
@@ -35,15 +35,15 @@
 	var hosts []Host
 	for i, line := range strings.Split(strings.TrimSpace(string(body)), "\n") {
 		at := fmt.Sprintf("%s:%d", path, i+1)
-		words := strings.Fields(line)
-		if len(words) != hostFields {
-			findings.Add(at, fmt.Sprintf("has %d words", len(words)), fmt.Sprintf("write %d", hostFields))
+		fields := strings.Fields(line)
+		if len(fields) != hostFields {
+			findings.Add(at, fmt.Sprintf("has %d fields", len(fields)), fmt.Sprintf("write %d", hostFields))
 			continue
 		}
-		host := Host{Name: place.Host(words[0]), Zone: place.Zone(words[1])}
+		host := Host{Name: place.Host(fields[0]), Zone: place.Zone(fields[1])}
 		for j, addr := range []*netip.AddrPort{&host.LeadPeer, &host.EntryPeer, &host.Callers, &host.EntryAdmin, &host.LeadAdmin} {
-			if *addr, err = netip.ParseAddrPort(words[j+2]); err != nil {
-				findings.Add(at, fmt.Sprintf("%q is not an address", words[j+2]), "write IP:PORT")
+			if *addr, err = netip.ParseAddrPort(fields[j+2]); err != nil {
+				findings.Add(at, fmt.Sprintf("%q is not an address", fields[j+2]), "write IP:PORT")
 			}
 		}
 		hosts = append(hosts, host)
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// addSettings adds how long accepted settings took to be in force.
+// addSettings adds how long accepted settings took to be in force at all daemons.
 func (r *Run) addSettings(report *Report) {
 	if !r.Scenario.Settings {
 		return
@@ -118,7 +118,7 @@
 	r.Metrics = append(r.Metrics, Metric{Name: name, Value: number, Unit: unit})
 }
 
-// addLoad adds the metrics of the load, as callers saw it.
+// addLoad adds the metrics of the load, as measured at the callers.
 func (r *Report) addLoad(s load.Summary) {
 	r.add("requests", float64(s.Requests), "1")
 	r.add("done", float64(s.Done), "1")
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -134,11 +134,11 @@
 	for i := range r.Hosts {
 		host := &r.Hosts[i]
 		for _, addr := range []*netip.AddrPort{&host.LeadPeer, &host.EntryPeer} {
-			inside, err := r.network.Add(*addr, host.Zone)
+			networkAddr, err := r.network.Add(*addr, host.Zone)
 			if err != nil {
 				return fmt.Errorf("bench: network: %w", err)
 			}
-			*addr = inside
+			*addr = networkAddr
 		}
 	}
 	return nil
@@ -173,16 +173,16 @@
 	if err := r.Supervisor.StopAll(); err != nil {
 		report.Violations = append(report.Violations, err.Error())
 	}
-	stop, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	r.targets.Stop(stop)
+	r.targets.Stop(stopCtx)
 	return report, nil
 }
 
 // seeds returns the peer addresses that the daemons contact first.
 func (r *Run) seeds() []string {
-	const most = 6
-	seeds := make([]string, min(most, len(r.Hosts)))
+	const maxSeeds = 6
+	seeds := make([]string, min(maxSeeds, len(r.Hosts)))
 	for i := range seeds {
 		seeds[i] = r.Hosts[i].LeadPeer.String()
 	}
@@ -230,13 +230,13 @@
 func (r *Run) measure(ctx context.Context) (Report, error) {
 	r.generator = load.NewGenerator(r.plan, r.balancer, "m", r.Seed)
 	before := r.snapshot()
-	loaded, cancel := context.WithTimeout(ctx, r.Scenario.Length)
+	loadCtx, cancel := context.WithTimeout(ctx, r.Scenario.Length)
 	defer cancel()
-	group, loaded := errgroup.WithContext(loaded)
-	group.Go(func() error { return r.generator.Run(loaded) })
-	group.Go(func() error { return r.runSteps(loaded) })
+	group, loadCtx := errgroup.WithContext(loadCtx)
+	group.Go(func() error { return r.generator.Run(loadCtx) })
+	group.Go(func() error { return r.runSteps(loadCtx) })
 	if r.Scenario.Settings {
-		group.Go(func() error { return r.settings.Run(loaded) })
+		group.Go(func() error { return r.settings.Run(loadCtx) })
 	}
 	if err := group.Wait(); err != nil {
 		return Report{}, err
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -1,5 +1,5 @@
 // Package bench runs scenarios: deployments of real processes under load, with faults at
-// fixed times, measured by what callers and targets see.
+// fixed times, measured at the callers and the targets.
 package bench
 
 import (
@@ -28,9 +28,10 @@
 	Hot      load.HotSet
 	// NoFailures is set if no step is a failure: then no request may be broken off.
 	NoFailures bool
-	// Network puts a fake network that can be partitioned between the hosts' peers.
+	// Network routes the traffic between the hosts' peers through a fake network,
+	// which SplitZone can partition.
 	Network bool
-	// Settings enables the measurement of when settings come into force.
+	// Settings enables measuring how long settings take to come into force.
 	Settings bool
 	Steps    []Step
 }
@@ -55,7 +56,7 @@
 // FreezeTarget pauses a target.
 type FreezeTarget struct{ Target int }
 
-// ThawTarget resumes a frozen target, which does not notice the pause.
+// ThawTarget resumes a frozen target. Its clock ran during the pause.
 type ThawTarget struct{ Target int }
 
 // Misbehave makes a target break off, mix up, truncate, oversize or delay some responses.
@@ -79,7 +80,8 @@
 // StoreSlow makes each call of the platform's service take 2 to 10 s.
 type StoreSlow struct{}
 
-// StoreLosesAnswers loses the responses to 3 of 10 calls that took effect.
+// StoreLosesAnswers makes the platform's service lose the responses to 3 of 10 calls that
+// took effect.
 type StoreLosesAnswers struct{}
 
 // StoreUp ends all faults of the platform's service.
@@ -183,7 +185,7 @@
 			Steps: []Step{{4 * time.Second, KillTarget{0}}, {14 * time.Second, RestartTarget{0}}},
 		},
 		{
-			Name: "targetfreeze", Description: "one target is paused for 10 s and does not notice it",
+			Name: "targetfreeze", Description: "one target is paused for 10 s while its clock runs",
 			Length: 20 * time.Second, Load: baseLoad,
 			Steps: []Step{{4 * time.Second, FreezeTarget{0}}, {14 * time.Second, ThawTarget{0}}},
 		},
