--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -18,7 +18,7 @@
 // readyTimeout limits the wait until all entry hosts are ready.
 const readyTimeout = 15 * time.Second
 
-// loadCommand generates load on a running deployment.
+// loadCommand generates load on a running deployment and checks the responses.
 type loadCommand struct {
 	hosts, targets, preset string
 
@@ -72,17 +72,17 @@
 		return err
 	}
 	g := load.NewGenerator(load.NewPlan(p, s, c.fraction, 1), balancer, fmt.Sprintf("l%d-", time.Now().UnixNano()), c.seed)
-	loaded, cancel := context.WithTimeout(ctx, c.length)
+	loadCtx, cancel := context.WithTimeout(ctx, c.length)
 	defer cancel()
-	group, loaded := errgroup.WithContext(loaded)
-	group.Go(func() error { return balancer.Run(loaded) })
-	group.Go(func() error { return g.Run(loaded) })
+	group, loadCtx := errgroup.WithContext(loadCtx)
+	group.Go(func() error { return balancer.Run(loadCtx) })
+	group.Go(func() error { return g.Run(loadCtx) })
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	remote := fake.NewAdminClient(targets)
+	admin := fake.NewAdminClient(targets)
 	summary, err := g.Result().Summarize(time.Now(), func(operations []string) ([]uint32, error) {
-		return remote.RunsOf(ctx, operations)
+		return admin.RunsOf(ctx, operations)
 	})
 	if err != nil {
 		return err
@@ -132,13 +132,13 @@
 	if err := found.Err(); err != nil {
 		return o.exit(err)
 	}
-	counts, findings, err := fake.NewAdminClient(addr).Ledger(ctx)
+	counts, violations, err := fake.NewAdminClient(addr).Ledger(ctx)
 	if err != nil {
 		return o.exit(err)
 	}
 	fmt.Fprintf(o.out, "runs %d 1\nmoves %d 1\nsheds %d 1\nmisrouted %d 1\ndoubled_owner %d 1\ndoubled_run %d 1\n",
 		counts.Runs, counts.Moves, counts.Sheds, counts.Misrouted, counts.DuplicateOwners, counts.DuplicateRuns)
-	for _, text := range findings {
+	for _, text := range violations {
 		fmt.Fprintln(o.out, "broken:", text)
 	}
 	if counts.DuplicateOwners+counts.DuplicateRuns > 0 {
--- a/internal/lab/preset.go
+++ b/internal/lab/preset.go
@@ -16,8 +16,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// maxPorts bounds the free ports that one call returns, portAttempts the ports that it
-// tries.
+// maxPorts bounds the ports that the command ports prints, portAttempts the ports that
+// freePorts tries.
 const (
 	maxPorts     = 1000
 	portAttempts = 10 * maxPorts
--- a/internal/lab/sized.go
+++ b/internal/lab/sized.go
@@ -39,8 +39,8 @@
 	return p, true
 }
 
-// sizedServiceFile is the settings file of one service, with its name and shards as %s
-// and %d.
+// sizedServiceFile is the format of one service's settings, with its name and its number
+// of shards as arguments.
 const sizedServiceFile = `teams/sized/services/%s:
   zones: [region-a, region-b, region-c]
   shards: %d
--- a/internal/lab/standin.go
+++ b/internal/lab/standin.go
@@ -125,9 +125,9 @@
 		return err
 	}
 	err := serve(ctx, admin, fake.NewTargetAdmin(targets))
-	stop, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	stopCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	targets.Stop(stop)
+	targets.Stop(stopCtx)
 	return err
 }
 
@@ -140,7 +140,7 @@
 	return addr
 }
 
-// serve serves until ctx is done.
+// serve serves handler at addr until ctx is done.
 func serve(ctx context.Context, addr netip.AddrPort, handler http.Handler) error {
 	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
