--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets are named after what they tell you. `make help` lists them.
+# `make help` lists the targets.
 GO ?= go
 TOOL = $(GO) tool -modfile=tools/go.mod
 DEMO ?= agency
@@ -20,33 +20,33 @@
 test: ## run all tests
 	$(GO) test ./...
 
-race: ## run the decision packages under the race detector
+race: ## run the short tests of the packages in DECISIONS under the race detector
 	$(GO) test -race -short $$($(GO) list -e -f '{{if .GoFiles}}{{.ImportPath}}{{end}}' $(DECISIONS) 2>/dev/null)
 
 fmt: ## format the sources
 	$(TOOL) golangci-lint fmt
 
-fmt-check: ## fail where the formatter would change something
+fmt-check: ## fail if the formatter would change a file
 	$(TOOL) golangci-lint fmt --diff
 
 lint: ## run the linter
 	$(TOOL) golangci-lint run ./...
 
-soak: ## play many random runs of the ownership core (RUNS, SEED; RULES=n breaks each rule n times)
+soak: ## run many random simulations of a cell, then soak-path (RUNS, SEED; RULES=n adds n runs without each rule)
 	CELL_RUNS=$(RUNS) CELL_SEED=$(SEED) CELL_BREAK=$(RULES) $(GO) test ./internal/cell -run 'RandomRuns|RulesNeeded' -v -count=1 -timeout 4h
 	$(MAKE) -s soak-path
 
 REQUESTS ?= 1000000
 PATH_SEED ?= 1
 
-soak-path: ## send many requests through failing targets and count their runs (REQUESTS, PATH_SEED)
+soak-path: ## send many requests through an entry to failing targets and check how often each ran (REQUESTS, PATH_SEED)
 	$(GO) test ./internal/entry -run 'TestSoak$$' -v -count=1 -timeout 1h -soak.requests=$(REQUESTS) -soak.seed=$(PATH_SEED) -soak.callers=160
 
 SEEDS ?= 50
 SOAK_SEED ?= 1
 SOAK_LOGS ?= $(CURDIR)/out/soak
 
-soak-processes: ## harm real host processes from outside, seed by seed (SEEDS, SOAK_SEED)
+soak-processes: ## inject faults into real host processes, one run per seed (SEEDS, SOAK_SEED)
 	$(GO) test ./platform/soak -v -count=1 -timeout 4h -soak.seeds=$(SEEDS) -soak.seed=$(SOAK_SEED) -soak.logs=$(SOAK_LOGS)
 
 vet: ## run go vet
@@ -55,20 +55,20 @@
 ci: ## run everything that CI runs
 	bash .ci/run
 
-demo: build ## run the whole system for a few seconds, DEMO=agency or consortium
+demo: build ## run the whole system for at most 30 s, DEMO=agency or consortium
 	@scripts/demo.sh $(DEMO)
 
-# Without SCENARIO or PRESET all of them run, one after the other.
+# By default all scenarios run with each preset, one after the other.
 SCENARIO ?= $(shell bin/citrontray-lab scenarios 2>/dev/null | cut -d' ' -f1)
 PRESET ?= agency consortium
 
-bench: build ## run scenarios of the bench, SCENARIO=steady PRESET=agency
+bench: build ## run scenarios of the bench, such as SCENARIO=steady PRESET=agency
 	@status=0; for preset in $(PRESET); do for scenario in $(SCENARIO); do \
 		echo "# $$scenario $$preset"; scripts/bench.sh $$scenario $$preset || status=1; \
 	done; done; exit $$status
 
-capacity: build ## measure the slopes behind docs/CAPACITY.md
+capacity: build ## measure how costs grow with size, for docs/CAPACITY.md
 	@scripts/capacity.sh
 
-clean: ## remove what the targets made
+clean: ## remove bin and out
 	rm -rf bin out
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
 # Runs one scenario of the bench on real processes: bench.sh SCENARIO PRESET.
-# Exits 0 only if every invariant held and every daemon stopped as planned.
+# Exits 0 only if every invariant held and every daemon stopped gracefully.
 #
-# The lab process holds the stand-ins and the load. It asks for what has to be
-# done to the daemons, a line each, and this script answers "ok" or "failed".
+# The lab process runs the fakes and the load. It writes requests to start, stop
+# or signal daemons, one per line, and this script answers each with a line "ok"
+# or "failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 SCENARIO=${1:-steady}
@@ -20,7 +21,8 @@
 # shellcheck source=scripts/cluster.sh
 . scripts/cluster.sh
 
-# operate TASK ARGS... does an operator's work.
+# operate TASK ARGS... runs an operator task: drain TARGET, or race, in which ten
+# operators write the same setting at once.
 operate() {
   local i status=0 pids=()
   case $1 in
@@ -33,7 +35,8 @@
           "$RACE_PATH" rate="$((20000 + i))" >>"$RUN/operators.log" 2>&1 &
         pids+=($!)
       done
-      # A conflict (3) is a loser of the race; anything else but 0 is a failure.
+      # Exit code 3 is a conflict with another of the ten writes. Any other code
+      # except 0 is a failure.
       for i in "${pids[@]}"; do
         wait "$i" || [ $? -eq 3 ] || status=1
       done
@@ -42,8 +45,8 @@
   esac
 }
 
-# change_settings sets FIELD=VALUE of all services, where CHANGE says so:
-# CHANGE=moves=0 compares with the static layout.
+# change_settings sets a field of all services if CHANGE is FIELD=VALUE. With
+# CHANGE=moves=0 no planned moves take place, for comparison with a static layout.
 change_settings() {
   local path
   [ -n "${CHANGE:-}" ] || return 0
@@ -52,7 +55,7 @@
   done
 }
 
-# serve_request does one thing that the lab process asks for.
+# serve_request WORDS... carries out one request of the lab process.
 serve_request() {
   case $1 in
     started)
@@ -75,15 +78,16 @@
   consortium) RACE_PATH=teams/mesa/limits/mesa-crews/interactive ;;
   [0-9]*x[0-9]*x[0-9]*) RACE_PATH= ;;
   *)
-    echo "PRESET: there is no preset $PRESET (agency, consortium or SERVICESxTARGETSxSHARDS)" >&2
+    echo "PRESET: unknown preset $PRESET (agency, consortium or SERVICESxTARGETSxSHARDS)" >&2
     exit 2
     ;;
 esac
 
-# The whole script is read before it runs: a change of it does not disturb a run.
+# Bash reads all of main before running it, so that editing this file does not
+# affect a run.
 main() {
   trap kill_all EXIT
-  plan_hosts && make_keys >"$RUN/keys.log" 2>&1 || { echo "no keys, see $RUN/keys.log" >&2; exit 1; }
+  plan_hosts && make_keys >"$RUN/keys.log" 2>&1 || { echo "cannot create hosts and certificates, see $RUN/keys.log" >&2; exit 1; }
   mkfifo "$RUN/requests" "$RUN/answers"
   exec 5<>"$RUN/requests" 6<>"$RUN/answers"
   timeout -k 2 "$RUN_SECONDS" "$BIN/citrontray-lab" bench --scenario "$SCENARIO" --preset "$PRESET" --load "$LOAD" --seed "$SEED" \
@@ -92,7 +96,7 @@
   LAB=$!
   local line='' part
   while kill -0 "$LAB" 2>/dev/null; do
-    # On a busy machine the time may run out within a line: keep its start.
+    # On a busy machine read can time out within a line: keep the part read so far.
     if IFS= read -r -t 0.2 part <&5; then
       line+=$part
       # shellcheck disable=SC2086 # the words of the request
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Measures the slopes behind docs/CAPACITY.md: what control costs as targets,
-# shards, cells and hosts grow, with real processes and no load. Each line is
-# one size; CPU and bytes are means over the processes of a role, memory is
-# that of the largest one.
+# Measures how the costs of the control plane grow with the numbers of targets,
+# shards, cells and hosts, for docs/CAPACITY.md, with real processes and no load.
+# Each output line is for one size. CPU (percent of a core) and bytes per second
+# are means over the processes of a role; memory (MiB) is that of the largest one.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 RESULT=out/capacity.txt
 NAMES="control_cpu rss_mb control_bytes_s entry_cpu entry_rss_mb store_reads_s store_writes_s"
 mkdir -p out
 
-# measure HOSTS SIZE prints one line.
+# measure HOSTS SERVICESxTARGETSxSHARDS measures one size and prints its line.
 measure() {
   local report
   report=$(HOSTS=$1 scripts/bench.sh idle "$2")
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# Functions that start and stop the daemons of a deployment on loopback. A
-# process of the system starts no other, so scripts do. Sourced by bench.sh.
+# Functions that start and stop the daemons of a deployment on loopback, as no
+# process of the system starts another. Sourced by bench.sh.
 #
-# Needs: BIN (binaries), RUN (directory of this run), PRESET, HOSTS (number),
-# SEEDS (peer addresses that the daemons start from).
+# Needs: BIN (directory of the binaries), RUN (directory of this run), PRESET,
+# HOSTS (number), SEEDS (peer addresses that the daemons contact first).
 
-# STOP_SECONDS bounds the planned stop of one process.
+# STOP_SECONDS limits the graceful stop of one process.
 STOP_SECONDS=20
 
-# plan_hosts writes RUN/hosts: name, zone and five addresses a line, and
+# plan_hosts writes RUN/hosts, one line per host with its name, its zone and five
+# addresses: lead peer, entry peer, callers, entry admin, lead admin. It also
 # chooses the platform's address.
 plan_hosts() {
   local zones ports i at=1
@@ -31,7 +32,7 @@
   done
 }
 
-# make_keys makes an authority of this run and a certificate for each process.
+# make_keys creates an authority for this run and a certificate for each process.
 make_keys() {
   local host zone
   "$BIN/citrontray" keys authority --dir "$RUN/keys" || return 1
@@ -40,7 +41,8 @@
   done <"$RUN/hosts"
 }
 
-# start PART HOST starts one daemon and keeps its process id.
+# start PART HOST starts one daemon, PART being lead or entry, and writes its pid
+# file.
 start() {
   local part=$1 host zone lead_peer entry_peer callers entry_admin lead_admin
   read -r host zone lead_peer entry_peer callers entry_admin lead_admin < <(grep "^$2 " "$RUN/hosts")
@@ -59,6 +61,7 @@
   echo $! >"$RUN/processes/$part-$host.pid"
 }
 
+# start_all starts all daemons, the lead processes first.
 start_all() {
   local part host
   for part in lead entry; do
@@ -66,9 +69,11 @@
   done
 }
 
+# pid_of PART HOST prints the process ID of one daemon.
 pid_of() { cat "$RUN/processes/$1-$2.pid" 2>/dev/null; }
 
-# send SIGNAL PART HOST sends a signal to one daemon.
+# send SIGNAL PART HOST sends a signal to one daemon. After KILL it waits for the
+# end of the process and removes its pid file.
 send() {
   local pid
   pid=$(pid_of "$2" "$3") && kill -"$1" "$pid"
@@ -78,8 +83,8 @@
   fi
 }
 
-# finish PID waits for a process that was told to stop; past the bound it is
-# killed, which is a failure.
+# finish PID waits for a process that got SIGTERM and returns its exit code. After
+# STOP_SECONDS it kills the process and returns 1.
 finish() {
   local i
   for ((i = 0; i < STOP_SECONDS * 20; i++)); do
@@ -95,19 +100,19 @@
   wait "$1"
 }
 
-# stop PART HOST stops one daemon as planned; it fails where the daemon does
-# not end by itself with exit code 0.
+# stop PART HOST stops one daemon gracefully. It fails if the daemon does not exit
+# by itself with code 0.
 stop() {
   local pid status=0
   pid=$(pid_of "$1" "$2") || return 0
   kill -TERM "$pid" 2>/dev/null
   finish "$pid" || status=$?
-  [ $status -eq 0 ] || echo "$1 of $2 ended with $status" >&2
+  [ $status -eq 0 ] || echo "$1 of $2 exited with code $status" >&2
   rm -f "$RUN/processes/$1-$2.pid"
   return $status
 }
 
-# stop_all stops the entries first, all at once, then the leads.
+# stop_all stops all entry processes at once, then all lead processes.
 stop_all() {
   local part host file pid status=0
   for part in entry lead; do
@@ -122,7 +127,7 @@
   return $status
 }
 
-# kill_all ends what is left of this run, by the process ids it kept.
+# kill_all kills the daemons of this run that still have a pid file.
 kill_all() {
   local file
   for file in "$RUN"/processes/*.pid; do
--- a/scripts/measures.sh
+++ b/scripts/measures.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Runs scenarios of the bench and prints a row of docs/MEASURES.md for each:
 #   SCENARIO="steady targetloss" PRESET=agency scripts/measures.sh
-# CHANGE=moves=0 sets a field of all services first. A row carries the commit that was built, with a + where the tree had changes.
+# CHANGE=FIELD=VALUE, such as moves=0, sets a field of all services first. A row
+# starts with the commit at HEAD, with a + if tracked files have changes.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 HOSTS=${HOSTS:-9}
