--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -51,21 +51,21 @@
 func TestLoadRejects(t *testing.T) {
 	certificate := certs.CertificateFile("h1", peer.RoleLead)
 	tests := map[string]struct {
-		at    time.Time
-		spoil func(t *testing.T, dir string)
+		at     time.Time
+		damage func(t *testing.T, dir string)
 	}{
-		"expired certificate":   {at: now.Add(2 * year), spoil: func(*testing.T, string) {}},
-		"not yet valid":         {at: now.Add(-year), spoil: func(*testing.T, string) {}},
-		"no authority":          {at: now, spoil: removeFile(certs.AuthorityFile)},
-		"no certificate":        {at: now, spoil: removeFile(certificate)},
-		"no key":                {at: now, spoil: removeFile(certs.KeyFile("h1", peer.RoleLead))},
-		"truncated certificate": {at: now, spoil: truncateFile(certificate)},
-		"key of another role":   {at: now, spoil: renameFile(certs.KeyFile("h1", peer.RoleEntry), certs.KeyFile("h1", peer.RoleLead))},
-		"certificate of another role": {at: now, spoil: func(t *testing.T, dir string) {
+		"expired certificate":   {at: now.Add(2 * year), damage: func(*testing.T, string) {}},
+		"not yet valid":         {at: now.Add(-year), damage: func(*testing.T, string) {}},
+		"no authority":          {at: now, damage: removeFile(certs.AuthorityFile)},
+		"no certificate":        {at: now, damage: removeFile(certificate)},
+		"no key":                {at: now, damage: removeFile(certs.KeyFile("h1", peer.RoleLead))},
+		"truncated certificate": {at: now, damage: truncateFile(certificate)},
+		"key of another role":   {at: now, damage: renameFile(certs.KeyFile("h1", peer.RoleEntry), certs.KeyFile("h1", peer.RoleLead))},
+		"certificate of another role": {at: now, damage: func(t *testing.T, dir string) {
 			renameFile(certs.KeyFile("h1", peer.RoleEntry), certs.KeyFile("h1", peer.RoleLead))(t, dir)
 			renameFile(certs.CertificateFile("h1", peer.RoleEntry), certificate)(t, dir)
 		}},
-		"another authority": {at: now, spoil: func(t *testing.T, dir string) {
+		"another authority": {at: now, damage: func(t *testing.T, dir string) {
 			assert.NilError(t, certs.CreateAuthority(now, dir))
 			assert.NilError(t, certs.RemoveOldAuthorities(dir))
 		}},
@@ -73,7 +73,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			dir := newDir(t, "h1")
-			tt.spoil(t, dir)
+			tt.damage(t, dir)
 			_, err := certs.Load(tt.at, dir, "h1", peer.RoleLead)
 			assert.Assert(t, err != nil)
 		})
