--- a/internal/settings/commit.go
+++ b/internal/settings/commit.go
@@ -14,7 +14,7 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
-// maxHistory and maxHistoryBytes bound the history in the document.
+// maxHistory and maxHistoryBytes bound the history in the document, in writes and in bytes.
 const (
 	maxHistory      = 200
 	maxHistoryBytes = 4 << 20
--- a/internal/settings/commit_test.go
+++ b/internal/settings/commit_test.go
@@ -251,7 +251,7 @@
 func TestStaleReadsNeverRevert(t *testing.T) {
 	store, c := newStore(t)
 	var applied settings.Applied
-	offer := func() {
+	applyStored := func() {
 		entry, err := store.Get(t.Context(), settings.StorePath)
 		assert.NilError(t, err)
 		_, err = applied.ApplyDocument(commitTime, entry.Revision, entry.Value)
@@ -259,9 +259,9 @@
 	}
 	_, err := c.Commit(t.Context(), commitTime, settings.Request{Changes: parse(t, movesFile("plan", 7))})
 	assert.NilError(t, err)
-	offer()
+	applyStored()
 	store.SetFaults(fake.PlatformFaults{StaleReads: true})
-	offer()
+	applyStored()
 	_, number, since := applied.InForce()
 	assert.Equal(t, number, uint64(2))
 	assert.Equal(t, since, commitTime)
--- a/internal/settings/converge_bench_test.go
+++ b/internal/settings/converge_bench_test.go
@@ -22,12 +22,13 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// Latencies as in the customers' networks: zoneLatency is one way between two
-// availability zones, storeLatency one call of the platform's service.
 const (
+	// Latencies as in the customers' networks: zoneLatency is one way between two
+	// availability zones, storeLatency one call of the platform's service.
 	zoneLatency  = 1500 * time.Microsecond
 	storeLatency = 2 * time.Millisecond
-	burstWrites  = 100
+	// burstWrites is the number of writes in the burst of all operators.
+	burstWrites = 100
 )
 
 // network connects the links of all replicas within one process.
--- a/internal/settings/mutate_test.go
+++ b/internal/settings/mutate_test.go
@@ -13,7 +13,7 @@
 
 // mutate modifies, deletes or repeats a few random parts of body.
 func mutate(r *rand.Rand, body []byte) []byte {
-	const signs = "[]{}:,&*!|>'\"%@-#?~ \n\t\x00a\xff"
+	const yamlChars = "[]{}:,&*!|>'\"%@-#?~ \n\t\x00a\xff"
 	out := slices.Clone(body)
 	for range 1 + r.IntN(8) {
 		if len(out) == 0 {
@@ -23,7 +23,7 @@
 		j := min(len(out), i+r.IntN(200))
 		switch r.IntN(4) {
 		case 0:
-			out[i] = signs[r.IntN(len(signs))]
+			out[i] = yamlChars[r.IntN(len(yamlChars))]
 		case 1:
 			out[i] = byte(r.IntN(256))
 		case 2:
--- a/internal/settings/random_test.go
+++ b/internal/settings/random_test.go
@@ -17,6 +17,8 @@
 	"citrontray.example/citrontray/internal/platform"
 )
 
+// randomPaths is the number of paths that the operators write, randomFaults bounds the
+// store faults and canceled backoffs of a run.
 const (
 	randomPaths  = 4
 	randomFaults = 14
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -16,10 +16,10 @@
 	maxShards      = 1 << 16
 	maxSlots       = 1 << 12
 	maxConnections = 1 << 16
-	maxMoves       = 6000
+	maxMoves       = 6000 // per minute and zone
 	maxPercent     = 1000
 	maxBodyBytes   = 64 << 20
-	maxRate        = 1e7
+	maxRate        = 1e7 // requests per second; also bounds bursts and concurrency
 	maxTextBytes   = 256
 	minTimeout     = 10 * time.Millisecond
 	maxTimeout     = 10 * time.Minute
