--- a/cmd/citrontray/script_test.go
+++ b/cmd/citrontray/script_test.go
@@ -223,7 +223,7 @@
 		Settings:          status.Settings{Number: 7, Revision: 90, Since: now.Add(-time.Hour)},
 		LastStoreResponse: now.Add(-time.Second),
 		Cells: []status.Cell{{
-			Service: "balance", Zone: "anadolu-a", Lead: "entry-1", Leading: true, Term: 3,
+			Service: "balance", Zone: "anadolu-a", Leader: "entry-1", Leading: true, Term: 3,
 			Shards: 342, Owned: 341, Moving: 1, SingleKeys: 2,
 			Blocked: []status.BlockedShard{{
 				Shard: 12, Target: "balance-3", Since: now.Add(-time.Minute),
--- a/internal/bench/convergence_test.go
+++ b/internal/bench/convergence_test.go
@@ -18,18 +18,18 @@
 
 // fakeDaemon serves a status report with a revision.
 type fakeDaemon struct {
-	form     string
+	format   string
 	revision atomic.Uint64
 }
 
 // ServeHTTP implements http.Handler.
 func (d *fakeDaemon) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	fmt.Fprintf(w, d.form, d.revision.Load())
+	fmt.Fprintf(w, d.format, d.revision.Load())
 }
 
 func TestConvergence(t *testing.T) {
 	p := fake.NewPlatform()
-	daemons := []*fakeDaemon{{form: `{"revision":%d}`}, {form: `{"settings":{"revision":%d}}`}}
+	daemons := []*fakeDaemon{{format: `{"revision":%d}`}, {format: `{"settings":{"revision":%d}}`}}
 	addrs := make([]netip.AddrPort, len(daemons))
 	for i, daemon := range daemons {
 		server := httptest.NewServer(daemon)
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -100,10 +100,10 @@
 
 // addSettings adds how long accepted settings took to be in force at all daemons.
 func (r *Run) addSettings(report *Report) {
-	if !r.Scenario.Settings {
+	if !r.Scenario.MeasureConvergence {
 		return
 	}
-	f := r.settings.Result()
+	f := r.convergence.Result()
 	report.add("settings_revisions", float64(f.Revisions), "1")
 	report.add("settings_in_force_ms", millis(f.Longest), "ms")
 	report.add("settings_missing", float64(f.Missing), "1")
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -55,15 +55,15 @@
 type Run struct {
 	Config
 
-	platform   *fake.Platform
-	targets    *fake.TargetSet
-	network    *fake.Network
-	balancer   *load.Balancer
-	plan       load.Plan
-	generator  *load.Generator
-	settings   *Convergence
-	drained    drainedTarget
-	chosenLead place.Host // host that KillLead or PauseLead chose
+	platform    *fake.Platform
+	targets     *fake.TargetSet
+	network     *fake.Network
+	balancer    *load.Balancer
+	plan        load.Plan
+	generator   *load.Generator
+	convergence *Convergence
+	drained     drainedTarget
+	chosenLead  place.Host // host that KillLead or PauseLead chose
 }
 
 // drainedTarget is the target that an operator drained, and when.
@@ -83,7 +83,7 @@
 	for _, host := range config.Hosts {
 		daemons = append(daemons, host.LeadAdmin, host.EntryAdmin)
 	}
-	r.settings = NewConvergence(r.platform, daemons)
+	r.convergence = NewConvergence(r.platform, daemons)
 	return r
 }
 
@@ -235,8 +235,8 @@
 	group, loadCtx := errgroup.WithContext(loadCtx)
 	group.Go(func() error { return r.generator.Run(loadCtx) })
 	group.Go(func() error { return r.runSteps(loadCtx) })
-	if r.Scenario.Settings {
-		group.Go(func() error { return r.settings.Run(loadCtx) })
+	if r.Scenario.MeasureConvergence {
+		group.Go(func() error { return r.convergence.Run(loadCtx) })
 	}
 	if err := group.Wait(); err != nil {
 		return Report{}, err
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -31,9 +31,9 @@
 	// Network routes the traffic between the hosts' peers through a fake network,
 	// which SplitZone can partition.
 	Network bool
-	// Settings enables measuring how long settings take to come into force.
-	Settings bool
-	Steps    []Step
+	// MeasureConvergence enables measuring how long settings take to come into force.
+	MeasureConvergence bool
+	Steps              []Step
 }
 
 func (s Scenario) slowdown() int { return max(s.Slowdown, 1) }
@@ -291,7 +291,7 @@
 		},
 		{
 			Name: "settingsrace", Description: "ten operators write the same settings at once, three times",
-			Length: 15 * time.Second, Load: baseLoad, NoFailures: true, Settings: true,
+			Length: 15 * time.Second, Load: baseLoad, NoFailures: true, MeasureConvergence: true,
 			Steps: []Step{
 				{2 * time.Second, RaceSettings{}},
 				{5 * time.Second, RaceSettings{}},
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -114,7 +114,7 @@
 // mutations disable one rule each. Tests set them to show that the simulation
 // detects the violation that the rule prevents.
 type mutations struct {
-	alwaysGrant, skipInventory, ignoreRenewers, renewUnbacked                                                 bool
+	alwaysGrant, skipInventory, ignoreRenewers, renewWithoutRight                                             bool
 	expireFromAnchor, sharedPromises, skipStartupSilence, skipStoreRead                                       bool
 	ignoreRemoved, skipParentCheck                                                                            bool
 	assumeWriteFailed, leaseFromResponse, skipLeaseCheck, ignoreLostPromises, limitFromContact, leadPastLimit bool
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -219,7 +219,7 @@
 	if c.renewLimitPassed() {
 		return false
 	}
-	if c.leaseValid() || c.mutations.renewUnbacked {
+	if c.leaseValid() || c.mutations.renewWithoutRight {
 		return true
 	}
 	rosterPeers := 0
--- a/internal/cell/rule_test.go
+++ b/internal/cell/rule_test.go
@@ -142,11 +142,11 @@
 	w.crashHost(b, 50*time.Millisecond)
 }
 
-// splitUnheard splits a hot key off a shard whose owner does not learn of it. The next
+// splitAtUnreachableOwner splits a hot key off a shard whose owner does not learn of it. The next
 // leader then finds out the holder of the key's row, but not that of the parent's row, as
 // it does not reach the parent's standby. The owner still holds the parent shard at the
 // epoch that includes the key.
-func splitUnheard(w *sim) {
+func splitAtUnreachableOwner(w *sim) {
 	w.runUntil(4 * time.Second)
 	a, t := w.leaderHost(), w.firstOwner()
 	row := w.doc.Rows[0]
@@ -236,7 +236,7 @@
 			func(o *options) { o.mutations.ignoreRemoved = true },
 		},
 		"parent of a solo key ended": {
-			splitUnheard, options{hosts: 3, targets: 5}, func(o *options) { o.mutations.skipParentCheck = true },
+			splitAtUnreachableOwner, options{hosts: 3, targets: 5}, func(o *options) { o.mutations.skipParentCheck = true },
 		},
 		"lease got back is verified": {
 			regainLease, options{hosts: 3, targets: 4}, func(o *options) { o.mutations.skipLeaseCheck = true },
--- a/internal/command/local.go
+++ b/internal/command/local.go
@@ -52,7 +52,7 @@
 			case "authority":
 				return certs.CreateAuthority(c.Now(), dir)
 			case "host":
-				return makeHost(c, dir, host, zone, ips)
+				return issueHostCertificates(c, dir, host, zone, ips)
 			case "retire":
 				return certs.RemoveOldAuthorities(dir)
 			}
@@ -61,8 +61,8 @@
 	}
 }
 
-// makeHost issues the certificates of a host's processes.
-func makeHost(c *command, dir, host, zone, ips string) error {
+// issueHostCertificates issues the certificates of a host's processes.
+func issueHostCertificates(c *command, dir, host, zone, ips string) error {
 	var found finding.List
 	if host == "" {
 		found.Add("--host", "is required", "")
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -143,7 +143,7 @@
 	t := c.table()
 	fmt.Fprintln(t, "\nSERVICE\tZONE\tLEAD\tTERM\tSHARDS\tOWNED\tDOUBT\tMOVING\tSOLO")
 	for _, x := range cells {
-		lead := x.Lead
+		lead := x.Leader
 		if lead == "" {
 			lead = "-"
 		}
--- a/internal/docsync/fleet.go
+++ b/internal/docsync/fleet.go
@@ -14,12 +14,12 @@
 }
 
 type wireHost struct {
-	_     struct{} `cbor:",toarray"`
-	Host  string
-	Zone  string
-	State uint8
-	Lead  netip.AddrPort
-	Entry netip.AddrPort
+	_         struct{} `cbor:",toarray"`
+	Host      string
+	Zone      string
+	State     uint8
+	LeadAddr  netip.AddrPort
+	EntryAddr netip.AddrPort
 }
 
 type wireTarget struct {
@@ -36,7 +36,7 @@
 	var w wireFleet
 	for _, h := range fleet.Hosts {
 		w.Hosts = append(w.Hosts, wireHost{
-			Host: string(h.Host), Zone: string(h.Zone), State: uint8(h.State), Lead: h.LeadAddr, Entry: h.EntryAddr,
+			Host: string(h.Host), Zone: string(h.Zone), State: uint8(h.State), LeadAddr: h.LeadAddr, EntryAddr: h.EntryAddr,
 		})
 	}
 	for _, t := range fleet.Targets {
@@ -56,7 +56,7 @@
 	var fleet platform.Fleet
 	for _, h := range w.Hosts {
 		fleet.Hosts = append(fleet.Hosts, place.HostRow{
-			Host: place.Host(h.Host), Zone: place.Zone(h.Zone), State: place.Liveness(h.State), LeadAddr: h.Lead, EntryAddr: h.Entry,
+			Host: place.Host(h.Host), Zone: place.Zone(h.Zone), State: place.Liveness(h.State), LeadAddr: h.LeadAddr, EntryAddr: h.EntryAddr,
 		})
 	}
 	for _, t := range w.Targets {
--- a/internal/docsync/network_test.go
+++ b/internal/docsync/network_test.go
@@ -261,13 +261,13 @@
 
 // deployment is a set of hosts with a lead and an entry process each.
 type deployment struct {
-	net   *network
-	store *fakeStore
-	hosts []place.HostRow
-	ctx   context.Context
-	stops map[place.Host]context.CancelFunc
-	leads map[place.Host]*docsync.MemoryReplica
-	entry map[place.Host]*docsync.MemoryReplica
+	net     *network
+	store   *fakeStore
+	hosts   []place.HostRow
+	ctx     context.Context
+	stops   map[place.Host]context.CancelFunc
+	leads   map[place.Host]*docsync.MemoryReplica
+	entries map[place.Host]*docsync.MemoryReplica
 }
 
 func zoneOf(i, zones int) place.Zone { return place.Zone(fmt.Sprintf("zone-%c", 'a'+i%zones)) }
@@ -275,9 +275,9 @@
 func newDeployment(ctx context.Context, hosts, zones int) *deployment {
 	d := &deployment{
 		net: newNetwork(), store: newStore(), ctx: ctx,
-		stops: make(map[place.Host]context.CancelFunc),
-		leads: make(map[place.Host]*docsync.MemoryReplica),
-		entry: make(map[place.Host]*docsync.MemoryReplica),
+		stops:   make(map[place.Host]context.CancelFunc),
+		leads:   make(map[place.Host]*docsync.MemoryReplica),
+		entries: make(map[place.Host]*docsync.MemoryReplica),
 	}
 	for i := range hosts {
 		addr := netip.AddrFrom4([4]byte{10, byte(i % zones), byte(i >> 8), byte(i)})
@@ -303,9 +303,9 @@
 	seeds := []netip.AddrPort{d.hosts[0].LeadAddr, d.hosts[1].LeadAddr, d.hosts[2].LeadAddr}
 	lead := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleLead}
 	entry := peer.Identity{Host: row.Host, Zone: row.Zone, Role: peer.RoleEntry}
-	d.leads[row.Host], d.entry[row.Host] = docsync.New(), docsync.New()
+	d.leads[row.Host], d.entries[row.Host] = docsync.New(), docsync.New()
 	leadNode := docsync.NewNode(d.leads[row.Host], d.net.transport(lead, row.LeadAddr), docsync.Config{Self: lead, Addr: row.LeadAddr, Seeds: seeds, Store: d.store.inZone(row.Zone)})
-	entryNode := docsync.NewNode(d.entry[row.Host], d.net.transport(entry, row.EntryAddr), docsync.Config{Self: entry, LocalLead: row.LeadAddr, Seeds: seeds})
+	entryNode := docsync.NewNode(d.entries[row.Host], d.net.transport(entry, row.EntryAddr), docsync.Config{Self: entry, LocalLead: row.LeadAddr, Seeds: seeds})
 	go func() { _ = leadNode.Run(ctx) }()
 	go func() { _ = entryNode.Run(ctx) }()
 }
@@ -316,13 +316,13 @@
 	d.net.remove(row.LeadAddr)
 	d.net.remove(row.EntryAddr)
 	delete(d.leads, row.Host)
-	delete(d.entry, row.Host)
+	delete(d.entries, row.Host)
 }
 
 // outdated returns the processes whose document doesn't have the expected body.
 func (d *deployment) outdated(name docsync.Name, body string) []string {
 	var out []string
-	for kind, replicas := range map[string]map[place.Host]*docsync.MemoryReplica{"lead": d.leads, "entry": d.entry} {
+	for kind, replicas := range map[string]map[place.Host]*docsync.MemoryReplica{"lead": d.leads, "entry": d.entries} {
 		for host, replica := range replicas {
 			if doc, _ := replica.Get(name); string(doc.Body) != body {
 				out = append(out, fmt.Sprintf("%s of %s has %q", kind, host, doc.Body))
--- a/internal/docsync/node_test.go
+++ b/internal/docsync/node_test.go
@@ -222,7 +222,7 @@
 				watchers := docsync.Watchers("zone-a", d.hosts)
 				d.net.dropLargeResponses(watchers[congested].LeadAddr)
 				delete(d.leads, watchers[congested].Host)
-				d.entry = nil
+				d.entries = nil
 				large := make([]byte, 16<<10)
 				rng := rand.New(rand.NewPCG(1, 2)) // random bytes, which don't compress
 				for i := range large {
@@ -293,7 +293,7 @@
 			return (from.Addr() == unresponsive) != (to.Addr() == unresponsive)
 		})
 		delete(d.leads, watchers[0].Host)
-		delete(d.entry, watchers[0].Host)
+		delete(d.entries, watchers[0].Host)
 		for range 3 {
 			publish(510 * time.Millisecond)
 		}
--- a/internal/docsync/random_test.go
+++ b/internal/docsync/random_test.go
@@ -13,9 +13,9 @@
 	"citrontray.example/citrontray/internal/place"
 )
 
-// chaos injects faults into a deployment: partitions, outages of the store,
+// injector injects faults into a deployment: partitions, outages of the store,
 // restarts.
-type chaos struct {
+type injector struct {
 	*deployment
 
 	random  *rand.Rand
@@ -24,7 +24,7 @@
 	seen map[*docsync.MemoryReplica]map[docsync.Name]docsync.Version
 }
 
-func (c *chaos) step(t *testing.T) {
+func (c *injector) step(t *testing.T) {
 	t.Helper()
 	row := c.hosts[c.random.IntN(len(c.hosts))]
 	switch c.random.IntN(6) {
@@ -47,40 +47,40 @@
 	c.checkMonotonic(t)
 }
 
-func (c *chaos) setPartition(drops func(from, to netip.AddrPort) bool) {
+func (c *injector) setPartition(drops func(from, to netip.AddrPort) bool) {
 	if drops == nil {
 		drops = func(_, _ netip.AddrPort) bool { return false }
 	}
 	c.net.setPartition(drops)
 }
 
-func (c *chaos) partitionZones(a, b byte) {
+func (c *injector) partitionZones(a, b byte) {
 	c.setPartition(func(from, to netip.AddrPort) bool {
 		x, y := from.Addr().As4()[1], to.Addr().As4()[1]
 		return x != y && (x == a && y == b || x == b && y == a)
 	})
 }
 
-func (c *chaos) isolateHost(row place.HostRow) {
+func (c *injector) isolateHost(row place.HostRow) {
 	c.setPartition(func(from, to netip.AddrPort) bool {
 		return (from.Addr() == row.LeadAddr.Addr()) != (to.Addr() == row.LeadAddr.Addr())
 	})
 }
 
-func (c *chaos) publish(row place.HostRow) {
+func (c *injector) publish(row place.HostRow) {
 	c.version++
 	c.store.set(fmt.Sprint(c.version))
 	c.leads[row.Host].Publish(c.table())
 }
 
-func (c *chaos) table() docsync.Document {
+func (c *injector) table() docsync.Document {
 	body := fmt.Appendf(nil, "%01000d %d", 7, c.version)
 	return docsync.Document{Name: "table/s/zone-a", Version: docsync.Version{Major: c.version}, Body: body}
 }
 
-func (c *chaos) checkMonotonic(t *testing.T) {
+func (c *injector) checkMonotonic(t *testing.T) {
 	t.Helper()
-	for _, replicas := range []map[place.Host]*docsync.MemoryReplica{c.leads, c.entry} {
+	for _, replicas := range []map[place.Host]*docsync.MemoryReplica{c.leads, c.entries} {
 		for host, replica := range replicas {
 			if c.seen[replica] == nil {
 				c.seen[replica] = make(map[docsync.Name]docsync.Version)
@@ -105,7 +105,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			runDeployment(t, 9, 3, func(t *testing.T, d *deployment) {
-				c := &chaos{deployment: d, random: rand.New(rand.NewPCG(seed, 0)), seen: make(map[*docsync.MemoryReplica]map[docsync.Name]docsync.Version)}
+				c := &injector{deployment: d, random: rand.New(rand.NewPCG(seed, 0)), seen: make(map[*docsync.MemoryReplica]map[docsync.Name]docsync.Version)}
 				d.startAll()
 				for range steps {
 					c.step(t)
--- a/internal/docsync/wire_test.go
+++ b/internal/docsync/wire_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func FuzzDecodeQuestion(f *testing.F) {
+func FuzzDecodeRequest(f *testing.F) {
 	for _, req := range sampleRequests(f) {
 		data, err := encodeRequest(req)
 		assert.NilError(f, err)
@@ -54,7 +54,7 @@
 	})
 }
 
-func FuzzOpen(f *testing.F) {
+func FuzzDecodeDoc(f *testing.F) {
 	base := bytes.Repeat([]byte("0123456789abcdef"), 100)
 	next := append(bytes.Clone(base), "more"...)
 	f.Add(uint8(encodingRaw), next)
@@ -69,7 +69,7 @@
 	})
 }
 
-func FuzzDecodeAnswers(f *testing.F) {
+func FuzzDecodeResponses(f *testing.F) {
 	data, err := encodePollResponse(pollResponse{replica: 1, cursor: 2, newer: []header{{name: "a"}}})
 	assert.NilError(f, err)
 	f.Add(data)
--- a/internal/fake/rangetarget.go
+++ b/internal/fake/rangetarget.go
@@ -60,7 +60,7 @@
 	fences  map[key.Point]target.FencingToken
 	running int
 	arrived int
-	counter int
+	draws   int
 }
 
 type heldRange struct {
@@ -174,9 +174,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrived++
-	r.counter++
+	r.draws++
 	const scale = 1000
-	draw = float64(r.counter*7919%scale) / scale
+	draw = float64(r.draws*7919%scale) / scale
 	if expect := req.Header.Get(r.names.Expect); expect != "" && expect != string(r.Name) {
 		return http.StatusMisdirectedRequest, r.faults, draw
 	}
--- a/internal/fake/target.go
+++ b/internal/fake/target.go
@@ -72,13 +72,13 @@
 // targetProcess is one process of the target, from its start until it is
 // killed.
 type targetProcess struct {
-	started  time.Time
-	holdings *target.Holdings
-	held     map[key.Shard]bool // shards that the ledger has recorded as held
-	server   *http.Server
-	done     chan struct{}
-	running  int
-	open     int
+	started   time.Time
+	holdings  *target.Holdings
+	held      map[key.Shard]bool // shards that the ledger has recorded as held
+	server    *http.Server
+	done      chan struct{}
+	running   int
+	openConns int
 }
 
 // response is the response to one request.
@@ -235,7 +235,7 @@
 		t.refuse(w, target.RefusalBusy)
 		return
 	}
-	if timeout, ok := deadlineOf(r); ok && time.Since(arrived) >= timeout {
+	if timeout, ok := timeoutOf(r); ok && time.Since(arrived) >= timeout {
 		t.refuse(w, target.RefusalDeadline)
 		return
 	}
@@ -324,8 +324,8 @@
 	fmt.Fprintf(w, "{\"running\":%d}\n", running)
 }
 
-// deadlineOf returns the timeout that the sender set for the request.
-func deadlineOf(r *http.Request) (time.Duration, bool) {
+// timeoutOf returns the timeout that the sender set for the request.
+func timeoutOf(r *http.Request) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(r.Header.Get(target.HeaderDeadline), 10, 64)
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
@@ -337,13 +337,13 @@
 		defer t.mu.Unlock()
 		switch state {
 		case http.StateNew:
-			p.open++
-			if t.config.Connections > 0 && p.open > t.config.Connections {
+			p.openConns++
+			if t.config.Connections > 0 && p.openConns > t.config.Connections {
 				t.ledger.count(func(c *LedgerCounts) { c.RefusedConns++ })
 				_ = conn.Close()
 			}
 		case http.StateClosed, http.StateHijacked:
-			p.open--
+			p.openConns--
 		}
 	}
 }
--- a/internal/fake/target_test.go
+++ b/internal/fake/target_test.go
@@ -75,7 +75,7 @@
 	return response.Header, got, err
 }
 
-func TestTargetRunsWhatItOwns(t *testing.T) {
+func TestTargetRunsOwnedShards(t *testing.T) {
 	set := newTargetSet(t)
 	member := set.Targets()[0]
 	grantShard(t, member, 3)
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -84,7 +84,7 @@
 // cellOf returns the state of a ranged service, which has a single cell for all zones.
 func (h *Host) cellOf(service key.Service, t *owner.Table) status.Cell {
 	out := status.Cell{
-		Service: string(service), Zone: "all", Term: uint64(t.Version.Term), Lead: string(t.Leader), Leading: t.Leader == h.site.Host,
+		Service: string(service), Zone: "all", Term: uint64(t.Version.Term), Leader: string(t.Leader), Leading: t.Leader == h.site.Host,
 		Shards: len(t.Spans),
 	}
 	for _, s := range t.Spans {
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -18,8 +18,8 @@
 // File descriptors that the script passes: the bench writes requests to one and reads
 // responses from the other.
 const (
-	requestsFile = 3
-	answersFile  = 4
+	requestsFile  = 3
+	responsesFile = 4
 )
 
 // demoScenario is the scenario whose report ends with Report.DemoLine.
@@ -107,7 +107,7 @@
 		Settings:   s,
 		Hosts:      hosts,
 		Platform:   addr,
-		Supervisor: bench.NewSupervisor(os.NewFile(requestsFile, "requests"), os.NewFile(answersFile, "answers")),
+		Supervisor: bench.NewSupervisor(os.NewFile(requestsFile, "requests"), os.NewFile(responsesFile, "answers")),
 		Processes:  c.processes,
 		Seed:       c.seed,
 		Log:        logging.Component(logging.New(o.errOut, slog.LevelInfo, false), "bench"),
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -52,7 +52,7 @@
 func (d *Daemon) cellReport(now time.Time, s cell.Status) status.Cell {
 	out := status.Cell{
 		Service: string(s.ID.Service), Zone: string(s.ID.Zone),
-		Term: uint64(s.Term), Lead: string(s.Leader), Leading: s.MayRenew,
+		Term: uint64(s.Term), Leader: string(s.Leader), Leading: s.MayRenew,
 		Shards: s.Rows, Owned: d.ownedShards(s.ID), Moving: len(s.Releasing), SingleKeys: s.SingleKeys,
 		Moves: toStatusMoves(s.Moves),
 	}
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -60,7 +60,7 @@
 	states := make([]bool, len(hosts))
 	var wg sync.WaitGroup
 	for i, host := range hosts {
-		wg.Go(func() { states[i] = b.ask(ctx, host) })
+		wg.Go(func() { states[i] = b.isReady(ctx, host) })
 	}
 	wg.Wait()
 	var ready []netip.AddrPort
@@ -75,7 +75,7 @@
 	return len(ready)
 }
 
-func (b *Balancer) ask(ctx context.Context, host EntryHost) bool {
+func (b *Balancer) isReady(ctx context.Context, host EntryHost) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host.Admin.String()+readyPath, nil)
 	if err != nil {
 		return false
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -21,22 +21,22 @@
 
 // Result records the results of all calls of a generator. It is safe for concurrent use.
 type Result struct {
-	mu         sync.Mutex
-	latency    *hdrhistogram.Histogram
-	byClass    map[settings.Class]*hdrhistogram.Histogram
-	done       []string // operations to compare with those that ran
-	notRun     []string
-	rejections []rejection // for each of notRun
-	counts     Counts
-	reasons    map[string]uint64
-	outages    *Outages
-	examples   []string
-	firstDone  time.Time
-	lastDone   time.Time
+	mu        sync.Mutex
+	latency   *hdrhistogram.Histogram
+	byClass   map[settings.Class]*hdrhistogram.Histogram
+	done      []string // operations to compare with those that ran
+	notRun    []string
+	refusals  []refusal // for each of notRun
+	counts    Counts
+	reasons   map[string]uint64
+	outages   *Outages
+	examples  []string
+	firstDone time.Time
+	lastDone  time.Time
 }
 
-// rejection is the response to an operation that was reported as not run.
-type rejection struct {
+// refusal is the response to an operation that was reported as not run.
+type refusal struct {
 	service key.Service
 	reason  string
 }
@@ -74,7 +74,7 @@
 	case endNotRun:
 		r.counts.NotRun++
 		r.notRun = append(r.notRun, c.operation)
-		r.rejections = append(r.rejections, rejection{service: c.stream.Service, reason: end.reason})
+		r.refusals = append(r.refusals, refusal{service: c.stream.Service, reason: end.reason})
 	case endUnknown:
 		r.counts.Unknown++
 	case endLost:
@@ -192,7 +192,7 @@
 		if n > 0 {
 			s.FalseNotRun++
 			r.addExample("false not-run: operation %s of %s ran %d times, refused as %s",
-				r.notRun[i], r.rejections[i].service, n, r.rejections[i].reason)
+				r.notRun[i], r.refusals[i].service, n, r.refusals[i].reason)
 		}
 	}
 	if counts, err = runs(r.done); err != nil {
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-func FuzzReadAnswer(f *testing.F) {
+func FuzzReadResponse(f *testing.F) {
 	f.Add(encodeResponse([]byte("yes"), nil))
 	f.Add(encodeResponse(nil, errors.New("no")))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -18,7 +18,7 @@
 	wholePerMinute   float64 // of hash-range shards
 	maxPerMinute     int
 	lastMinute       int // moves in the last minute
-	solos            int
+	singleKeys       int
 	p99              time.Duration
 	newTargetRatio   float64 // load of the last target divided by the mean, at the end
 }
@@ -57,7 +57,7 @@
 	out.p99 = w.p99()
 	_, truth := w.runSecond()
 	out.newTargetRatio = truth[len(truth)-1] / (simLoad / float64(len(truth)))
-	out.solos = len(w.singleKeyShards)
+	out.singleKeys = len(w.singleKeyShards)
 	out.movesPerMinute = float64(len(starts)) / float64(sc.minutes)
 	slices.Sort(imbalance)
 	for _, x := range imbalance {
@@ -69,7 +69,7 @@
 
 func (o simResult) String() string {
 	return fmt.Sprintf("imbalance mean %.2f p95 %.2f worst %.2f, moves a minute %.1f (shards %.1f, max %d), single keys %d, p99 %v",
-		o.mean, o.p95, o.worst, o.movesPerMinute, o.wholePerMinute, o.maxPerMinute, o.solos, o.p99.Round(time.Millisecond/10))
+		o.mean, o.p95, o.worst, o.movesPerMinute, o.wholePerMinute, o.maxPerMinute, o.singleKeys, o.p99.Round(time.Millisecond/10))
 }
 
 // TestAgainstRendezvous compares placement with the static layout by rendezvous hashing,
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -73,11 +73,11 @@
 }
 
 type wireHost struct {
-	Host  string         `json:"host"`
-	Zone  string         `json:"zone"`
-	State uint8          `json:"state"`
-	Lead  netip.AddrPort `json:"lead"`
-	Entry netip.AddrPort `json:"entry"`
+	Host      string         `json:"host"`
+	Zone      string         `json:"zone"`
+	State     uint8          `json:"state"`
+	LeadAddr  netip.AddrPort `json:"lead"`
+	EntryAddr netip.AddrPort `json:"entry"`
 }
 
 type wireTarget struct {
@@ -130,7 +130,7 @@
 	for _, row := range fleet.Hosts {
 		out.Hosts = append(out.Hosts, wireHost{
 			Host: string(row.Host), Zone: string(row.Zone), State: uint8(row.State),
-			Lead: row.LeadAddr, Entry: row.EntryAddr,
+			LeadAddr: row.LeadAddr, EntryAddr: row.EntryAddr,
 		})
 	}
 	for _, row := range fleet.Targets {
@@ -147,7 +147,7 @@
 	for _, row := range w.Hosts {
 		out.Hosts = append(out.Hosts, place.HostRow{
 			Host: place.Host(row.Host), Zone: place.Zone(row.Zone),
-			State: place.Liveness(row.State), LeadAddr: row.Lead, EntryAddr: row.Entry,
+			State: place.Liveness(row.State), LeadAddr: row.LeadAddr, EntryAddr: row.EntryAddr,
 		})
 	}
 	for _, row := range w.Targets {
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -54,7 +54,7 @@
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
 	Term    uint64 `json:"term"`
-	Lead    string `json:"lead"`
+	Leader  string `json:"lead"`
 	// Leading is set if this host leads the cell; in a lead process, if it may renew
 	// the cell's grants now. Other hosts report the last state that they received.
 	Leading    bool           `json:"leading"`
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -14,7 +14,7 @@
 
 func TestCollect(t *testing.T) {
 	source := status.SourceFunc(func(_ time.Time, q status.Query) status.Report {
-		r := status.Report{Host: "h", Cells: []status.Cell{{Service: "s", Zone: "z", Term: 4, Leading: true, Lead: "h"}}}
+		r := status.Report{Host: "h", Cells: []status.Cell{{Service: "s", Zone: "z", Term: 4, Leading: true, Leader: "h"}}}
 		if q.HasKey() {
 			r.Key = &status.Key{Service: string(q.Service), Key: q.Key}
 		}
@@ -32,7 +32,7 @@
 
 func TestMergeCells(t *testing.T) {
 	row := func(term uint64, leading bool, lead string) status.Response {
-		return status.Response{Report: status.Report{Cells: []status.Cell{{Service: "s", Zone: "z", Term: term, Leading: leading, Lead: lead}}}}
+		return status.Response{Report: status.Report{Cells: []status.Cell{{Service: "s", Zone: "z", Term: term, Leading: leading, Leader: lead}}}}
 	}
 	cases := map[string]struct {
 		responses []status.Response
@@ -46,7 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			cells := status.MergeCells(c.responses)
 			assert.Equal(t, len(cells), 1)
-			assert.Equal(t, cells[0].Lead, c.want)
+			assert.Equal(t, cells[0].Leader, c.want)
 		})
 	}
 }
--- a/internal/table/codec.go
+++ b/internal/table/codec.go
@@ -27,11 +27,11 @@
 }
 
 type wireTarget struct {
-	_       struct{} `cbor:",toarray"`
-	Target  string
-	Addr    string
-	Leaving bool
-	Since   int64 // start of the warm-up, Unix time in nanoseconds
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Addr        string
+	Leaving     bool
+	WarmupStart int64 // start of the warm-up, Unix time in nanoseconds
 }
 
 // The numbers per entry of wireTable.Rows and wireTable.SingleKeys.
@@ -102,14 +102,14 @@
 
 func targetToWire(t Target) wireTarget {
 	return wireTarget{
-		Target: string(t.Name), Addr: wire.FormatAddr(t.Addr),
-		Leaving: t.Leaving, Since: wire.UnixNano(t.WarmupStart),
+		Name: string(t.Name), Addr: wire.FormatAddr(t.Addr),
+		Leaving: t.Leaving, WarmupStart: wire.UnixNano(t.WarmupStart),
 	}
 }
 
 func targetFromWire(w wireTarget) Target {
 	return Target{
-		Name: place.Target(w.Target), Addr: wire.ParseAddr(w.Addr),
-		Leaving: w.Leaving, WarmupStart: wire.Time(w.Since),
+		Name: place.Target(w.Name), Addr: wire.ParseAddr(w.Addr),
+		Leaving: w.Leaving, WarmupStart: wire.Time(w.WarmupStart),
 	}
 }
