--- a/internal/queue/dequeue.go
+++ b/internal/queue/dequeue.go
@@ -24,8 +24,8 @@
 	return item, true
 }
 
-// nextClass returns the class with the lowest pass among those that have an item within
-// its deadline.
+// nextClass returns the class other than except with the lowest pass among those that
+// have an item within its deadline, or nil if there is none.
 func (q *Queue[T]) nextClass(now time.Time, except settings.Class) *class {
 	var best *class
 	for _, c := range q.classes {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -25,13 +25,13 @@
 	Value    T
 }
 
-// PushResult says whether Push queued an item, and why not.
+// PushResult is whether Push queued an item and, if not, why.
 type PushResult uint8
 
 // The results of Push.
 const (
 	Queued PushResult = iota
-	Full              // not queued: the queue is full and the caller has its share of it
+	Full              // not queued: the queue is full, and the item's flow is too long to evict another item
 	Late              // not queued: the item would not be served before its deadline
 )
 
@@ -43,8 +43,8 @@
 	Weights map[settings.Class]float64
 }
 
-// DefaultConfig returns weights that favor interactive requests over registrations and
-// those over bulk requests.
+// DefaultConfig returns a configuration whose weights favor interactive requests over
+// registrations, and those over bulk requests.
 func DefaultConfig() Config {
 	return Config{
 		MaxLen: 256,
@@ -116,8 +116,8 @@
 
 // Push adds an item unless it would wait beyond its deadline or the queue is full.
 // interval is the mean time between two served items. A full queue evicts the newest
-// item of its longest flow, provided that this flow is longer than that of the new item
-// would become. hasEvicted reports whether an item was evicted.
+// item of the flow that longestFlow returns, provided that this flow has more items than
+// that of the new item would have. hasEvicted reports whether an item was evicted.
 func (q *Queue[T]) Push(now time.Time, item Item[T], interval time.Duration) (h Handle, result PushResult, evicted T, hasEvicted bool) {
 	if now.Add(q.estimateWait(item, interval)).After(item.Deadline) {
 		return Handle{}, Late, evicted, false
@@ -132,8 +132,8 @@
 	return q.add(item), Queued, evicted, hasEvicted
 }
 
-// estimateWait estimates how long a new item would wait, from the length of the queue
-// or, if that is less, the items served before it by weighted shares.
+// estimateWait estimates how long a new item would wait: for as many intervals as the
+// queue has items, or as aheadByShare returns if that is lower.
 func (q *Queue[T]) estimateWait(item Item[T], interval time.Duration) time.Duration {
 	ahead := q.size
 	if share := q.aheadByShare(item); share < ahead {
