--- a/internal/entry/backloginterval_test.go
+++ b/internal/entry/backloginterval_test.go
@@ -21,23 +21,23 @@
 		"a ninth of three slots": {180 * time.Millisecond, true, 180 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var p backlogInterval
+			var b backlogInterval
 			for i := range 100 {
-				p.add(start.Add(time.Duration(i)*test.every), test.waiting)
+				b.add(start.Add(time.Duration(i)*test.every), test.waiting)
 			}
-			assert.Equal(t, p.estimate().Round(time.Millisecond), test.want)
+			assert.Equal(t, b.estimate().Round(time.Millisecond), test.want)
 		})
 	}
 }
 
 // TestBacklogIntervalIgnoresIdleTime tests that time in which no request waited does not
-// count, since it says nothing about the target.
+// count, since it does not depend on the target's speed.
 func TestBacklogIntervalIgnoresIdleTime(t *testing.T) {
 	start := time.Unix(0, 0)
-	var p backlogInterval
-	p.add(start, true)
-	p.add(start.Add(20*time.Millisecond), false)
-	p.add(start.Add(time.Hour), true)
-	p.add(start.Add(time.Hour+20*time.Millisecond), true)
-	assert.Assert(t, p.estimate() <= 20*time.Millisecond)
+	var b backlogInterval
+	b.add(start, true)
+	b.add(start.Add(20*time.Millisecond), false)
+	b.add(start.Add(time.Hour), true)
+	b.add(start.Add(time.Hour+20*time.Millisecond), true)
+	assert.Assert(t, b.estimate() <= 20*time.Millisecond)
 }
--- a/internal/entry/dedup.go
+++ b/internal/entry/dedup.go
@@ -50,8 +50,8 @@
 	result      outcome.Result
 	completedAt time.Time
 	size        int
-	// waiters counts the requests that wait for the result. When it reaches zero, the
-	// run is canceled.
+	// waiters counts the requests that wait for the result. When it reaches zero, cancel
+	// ends the run, except for an attempt in flight that is not idempotent.
 	waiters int
 	cancel  context.CancelFunc
 	element *list.Element // in dedupCache.completed
@@ -89,8 +89,8 @@
 }
 
 // complete records the result and wakes all waiters. If the request did not run, the
-// run is removed, so that a retry executes it. If it may have run, the run is kept,
-// since a retry must not execute it again.
+// run is removed, so that a retry executes it. Otherwise the run is kept, since a retry
+// must not execute it again.
 func (c *dedupCache) complete(now time.Time, id dedupKey, run *dedupRun, result outcome.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +102,8 @@
 		return
 	}
 	run.size = dedupRunOverheadBytes
-	if a, ok := result.(outcome.Response); ok {
-		run.size += len(a.Body)
+	if response, ok := result.(outcome.Response); ok {
+		run.size += len(response.Body)
 	}
 	c.bytes += run.size
 	run.element = c.completed.PushBack(id)
@@ -158,8 +158,9 @@
 	return result
 }
 
-// withoutKey returns a copy without the idempotency key, for the one run. Requests with
-// the key wait for that run.
+// withoutKey returns a copy for the one run, without the idempotency key, since requests
+// with the key wait for that run. The copy is not marked as relayed, since the home of
+// the key may retry it.
 func (j *job) withoutKey() *job {
 	return &job{
 		caller: j.caller, class: j.class, route: j.route, idempotent: j.idempotent,
@@ -167,8 +168,8 @@
 	}
 }
 
-// awaitRun waits for the run of another request. At the deadline the outcome is unknown,
-// since that run may have been executed.
+// awaitRun waits for the run of another request. If its own request reaches its deadline
+// or is canceled first, the outcome is unknown, since that run may have been executed.
 func (e *Entry) awaitRun(ctx context.Context, j *job, run *dedupRun) outcome.Result {
 	defer e.dedup.leave(run)
 	timer := time.NewTimer(time.Until(j.deadline))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -186,7 +186,8 @@
 }
 
 // Drain makes Ready return false and closes each caller's connection after its next
-// response. Requests are still served.
+// response. Requests of callers are still served; of those that other entry hosts relay,
+// only the ones with an idempotency key are.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
 // DropWaiting drains the entry and ends all requests that wait for a slot or an owner as
--- a/internal/entry/fairness_bench_test.go
+++ b/internal/entry/fairness_bench_test.go
@@ -14,8 +14,8 @@
 	"citrontray.example/citrontray/internal/outcome"
 )
 
-// openLoopCaller sends the requests of one caller at a mean rate that does not depend on
-// the responses.
+// openLoopCaller sends the requests of one caller at a mean rate per second that does not
+// depend on the responses.
 type openLoopCaller struct {
 	credential, method, path string
 	rate                     float64
--- a/internal/entry/fixture_test.go
+++ b/internal/entry/fixture_test.go
@@ -46,11 +46,11 @@
 	return &fakeReplica{docs: map[docsync.Name]docsync.Document{}, tables: map[string]*table.Table{}}
 }
 
-func (b *fakeReplica) Publish(doc docsync.Document) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.docs[doc.Name] = doc
-	for _, c := range b.subscribers {
+func (r *fakeReplica) Publish(doc docsync.Document) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.docs[doc.Name] = doc
+	for _, c := range r.subscribers {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -59,26 +59,26 @@
 	return true
 }
 
-func (b *fakeReplica) Get(name docsync.Name) (docsync.Document, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	d, ok := b.docs[name]
+func (r *fakeReplica) Get(name docsync.Name) (docsync.Document, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	d, ok := r.docs[name]
 	return d, ok
 }
 
-func (b *fakeReplica) Subscribe(docsync.Name) <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *fakeReplica) Subscribe(docsync.Name) <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	c := make(chan struct{}, 1)
-	b.subscribers = append(b.subscribers, c)
+	r.subscribers = append(r.subscribers, c)
 	return c
 }
 
-func (b *fakeReplica) List(prefix docsync.Name) []docsync.Document {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *fakeReplica) List(prefix docsync.Name) []docsync.Document {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []docsync.Document
-	for name, d := range b.docs {
+	for name, d := range r.docs {
 		if strings.HasPrefix(string(name), string(prefix)) {
 			out = append(out, d)
 		}
@@ -88,37 +88,37 @@
 }
 
 // putSettings publishes new settings.
-func (b *fakeReplica) putSettings(s *settings.Settings) {
-	b.mu.Lock()
-	b.settings = s
-	b.lastVersion++
-	v := docsync.Version{Major: uint64(b.lastVersion)}
-	b.mu.Unlock()
-	b.Publish(docsync.Document{Name: docsync.Settings, Version: v})
+func (r *fakeReplica) putSettings(s *settings.Settings) {
+	r.mu.Lock()
+	r.settings = s
+	r.lastVersion++
+	v := docsync.Version{Major: uint64(r.lastVersion)}
+	r.mu.Unlock()
+	r.Publish(docsync.Document{Name: docsync.Settings, Version: v})
 }
 
 // putTable publishes a new routing table.
-func (b *fakeReplica) putTable(t *table.Table) {
-	b.mu.Lock()
-	b.lastVersion++
-	id := fmt.Sprint(b.lastVersion)
-	b.tables[id] = t
-	v := docsync.Version{Major: uint64(b.lastVersion)}
-	b.mu.Unlock()
+func (r *fakeReplica) putTable(t *table.Table) {
+	r.mu.Lock()
+	r.lastVersion++
+	id := fmt.Sprint(r.lastVersion)
+	r.tables[id] = t
+	v := docsync.Version{Major: uint64(r.lastVersion)}
+	r.mu.Unlock()
 	name := docsync.TablePrefix + docsync.Name(string(t.Service)+"/"+string(t.Zone))
-	b.Publish(docsync.Document{Name: name, Version: v, Body: []byte(id)})
+	r.Publish(docsync.Document{Name: name, Version: v, Body: []byte(id)})
 }
 
-func (b *fakeReplica) decodeSettings([]byte) (*settings.Settings, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.settings, nil
+func (r *fakeReplica) decodeSettings([]byte) (*settings.Settings, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.settings, nil
 }
 
-func (b *fakeReplica) decodeTable(body []byte) (table.Table, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return *b.tables[string(body)], nil
+func (r *fakeReplica) decodeTable(body []byte) (table.Table, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return *r.tables[string(body)], nil
 }
 
 // The services of the fixture, the credentials of its callers, and the body limit of its
@@ -173,17 +173,17 @@
 
 func newFixture(t *testing.T, change func(*entry.Config)) *fixture {
 	t.Helper()
-	b := newFakeReplica()
-	b.putSettings(testSettings())
+	r := newFakeReplica()
+	r.putSettings(testSettings())
 	cfg := entry.Config{
-		Replica: b, DecodeSettings: b.decodeSettings, DecodeTable: b.decodeTable,
+		Replica: r, DecodeSettings: r.decodeSettings, DecodeTable: r.decodeTable,
 		Log: logging.Nop(), Registry: metric.New("test"), Hosts: 1, Queue: queue.DefaultConfig(),
 		ParkTimeout: time.Second, MaxParked: 100, BodyMemory: 1 << 20, TickInterval: time.Millisecond,
 	}
 	if change != nil {
 		change(&cfg)
 	}
-	f := &fixture{T: t, replica: b, entry: entry.New(cfg)}
+	f := &fixture{T: t, replica: r, entry: entry.New(cfg)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -301,10 +301,10 @@
 	}
 }
 
-func (f *fakeTarget) count(what, id string) {
+func (f *fakeTarget) count(request, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.runs[what]++
+	f.runs[request]++
 	f.ids[id]++
 }
 
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -20,15 +20,16 @@
 	// ShareHome relays all requests to the target's home, the one entry host that holds
 	// the target's queue.
 	ShareHome
-	// ShareAdaptive lets all entry hosts send to the target, with an adaptive
-	// concurrency limit. The target refuses requests in excess of its slots. Requests
-	// with an idempotency key are still relayed to the home of their key.
+	// ShareAdaptive sends requests directly to the target from all entry hosts, with an
+	// adaptive concurrency limit. The target refuses requests in excess of its slots.
+	// Requests with an idempotency key are still relayed to the home of their key.
 	ShareAdaptive
 )
 
 const (
-	// homeResponseGrace is how long past the deadline a home's response is awaited, which
-	// tells whether the request ended as not run or with an unknown outcome.
+	// homeResponseGrace is how long past the deadline a home's response is awaited.
+	// Without the response the outcome is unknown, although the request may have ended as
+	// not run.
 	homeResponseGrace = 100 * time.Millisecond
 	// relayLinger is how long a stopping host still responds to other entry hosts after
 	// the end of the last request that they relayed.
@@ -83,8 +84,8 @@
 	}
 }
 
-// tryDirect serves the request without the home of its target. It returns nil if no slot
-// was free and the request did not run.
+// tryDirect serves the request without the home of its target. It returns nil if the
+// target had no free slot, so that the request must be relayed to the home.
 func (e *Entry) tryDirect(ctx context.Context, j *job) outcome.Result {
 	j.direct = true
 	defer func() { j.direct = false }()
@@ -102,7 +103,8 @@
 }
 
 // homeOfTarget returns the home of a target: the first candidate that is not suspected.
-// self reports whether this is the home, also if there is no other.
+// self reports whether the home is this host, which it also is if there is no such
+// candidate.
 func (e *Entry) homeOfTarget(ts *targetState) (home place.HostRow, self bool) {
 	ranked := ts.homes.Load()
 	if ranked == nil {
@@ -119,9 +121,10 @@
 	return place.HostRow{}, true
 }
 
-// relay sends the request to its home and returns the result. It returns nil if the
-// request must be tried again: the home did not accept it, or an idempotent request had
-// an uncertain result.
+// relay sends the request to its home and returns the result. ts is the target whose
+// home it is, or nil for the home of an idempotency key. relay returns nil if the request
+// must be tried again: the home did not accept it, or an idempotent request had an
+// uncertain result.
 func (e *Entry) relay(ctx context.Context, v *view, ts *targetState, home place.HostRow, j *job) outcome.Result {
 	now := time.Now()
 	if !j.deadline.After(now) {
@@ -160,7 +163,7 @@
 }
 
 // homeUncertain suspects a home that did not respond but may have run the request. It
-// returns nil if the request may be retried elsewhere.
+// returns nil if the request must be retried elsewhere.
 func (e *Entry) homeUncertain(ctx context.Context, host place.Host, j *job) outcome.Result {
 	e.homes.suspect(host)
 	if ctx.Err() != nil || !j.deadline.After(time.Now()) {
@@ -262,9 +265,9 @@
 	sleep(ctx, relayLinger)
 }
 
-// acceptsRelayed reports whether this host serves a relayed request: not while it drains
-// or has no routing table of the service. A request with an idempotency key is accepted
-// only by the home of its key, until drainRelayed starts.
+// acceptsRelayed reports whether this host serves a relayed request. Without an
+// idempotency key, it does not while it drains or has no routing table of the service.
+// With one, it does if it is the home of the key, until drainRelayed starts.
 func (e *Entry) acceptsRelayed(j *job) bool {
 	if e.refuseRelayed.Load() {
 		return false
--- a/internal/entry/homemonitor.go
+++ b/internal/entry/homemonitor.go
@@ -53,7 +53,8 @@
 	pinging     bool
 	missedPings int // in a row
 	// reachable is canceled by markUnreachable when the host becomes suspected, or when
-	// the state is dropped. Relayed idempotent requests end with it.
+	// the state is dropped. It cancels the relayed requests that are idempotent and have
+	// no idempotency key.
 	reachable       context.Context
 	markUnreachable context.CancelFunc
 }
--- a/internal/entry/httpserver.go
+++ b/internal/entry/httpserver.go
@@ -16,7 +16,9 @@
 	idleTimeout   = 2 * time.Minute
 	// maxHeaderBytes limits the request line and the headers. net/http allows 4 KiB
 	// more.
-	maxHeaderBytes   = 16 << 10
+	maxHeaderBytes = 16 << 10
+	// stopPollInterval is the time between two checks, during a stop, for open
+	// connections and relayed requests.
 	stopPollInterval = 5 * time.Millisecond
 )
 
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -39,7 +39,7 @@
 	// idempotencyKey is empty if the request has none. fingerprint is set only with it.
 	idempotencyKey string
 	fingerprint    fingerprint
-	// parkUntil is the end of the whole time that the request may be parked.
+	// parkUntil is when the request must no longer be parked, however often it was.
 	parkUntil time.Time
 	// wake receives the event that ends the wait for a slot.
 	wake        chan slotEvent
@@ -51,8 +51,8 @@
 	ownerMoved atomic.Bool
 	// relayed is set if another entry host relayed the request to this one.
 	relayed bool
-	// requeue is set once the request has held a slot. It then queues at the head of its
-	// flow.
+	// requeue is set after an attempt that did not end the request. The request then
+	// queues at the head of its flow.
 	requeue bool
 	// uncertainReason is why an earlier attempt may have run. Once set, the request
 	// can't end as not run.
@@ -64,11 +64,11 @@
 	parkCount int
 }
 
-// step is what to do after an attempt.
+// step is the next action after an attempt.
 type step interface{ step() }
 
-// finish ends the request. retryNow tries again immediately. park waits for a newer
-// view first.
+// finish ends the request or, with a nil result, has it relayed to its target's home.
+// retryNow tries again immediately. park waits for a newer view first.
 type (
 	finish   struct{ result outcome.Result }
 	retryNow struct{}
@@ -79,8 +79,8 @@
 func (retryNow) step() {}
 func (park) step()     {}
 
-// serve forwards the request to its owner until it ends. ctx is canceled when no caller
-// waits for the response any more.
+// serve sends the request to the owner of its key, with retries, until it ends. ctx is
+// canceled when no caller waits for the response any more.
 func (e *Entry) serve(ctx context.Context, j *job) outcome.Result {
 	e.countForRetries()
 	for {
@@ -133,7 +133,7 @@
 }
 
 // ownerChanged reports whether the newest view has another owner, epoch or shard for the
-// key than the request was assigned.
+// key than o and the request have.
 func (e *Entry) ownerChanged(j *job, o owner) bool {
 	s := e.view.Load().services[j.request.Service]
 	if s == nil {
@@ -184,7 +184,8 @@
 	return e.afterAttempt(ctx, o, j, result)
 }
 
-// attempt makes one attempt. An idempotent request is canceled if its owner changes.
+// attempt makes one attempt. An idempotent request is canceled if its key gets another
+// owner.
 func (ts *targetState) attempt(ctx context.Context, j *job, now time.Time) forward.Result {
 	if !j.idempotent {
 		return ts.pool.Do(ctx, &j.request, now)
--- a/internal/entry/limit.go
+++ b/internal/entry/limit.go
@@ -32,9 +32,9 @@
 	return true
 }
 
-// The adaptive concurrency limit follows AIMD: it grows by about additiveIncrease per
-// limit complete responses, and is multiplied by multiplicativeDecrease when the target
-// has no free slot.
+// The concurrency limit follows AIMD: each complete response adds additiveIncrease divided
+// by the limit to it and, with ShareAdaptive, each refusal for lack of a free slot
+// multiplies it by multiplicativeDecrease.
 const (
 	additiveIncrease       = 0.1
 	multiplicativeDecrease = 0.7
@@ -56,12 +56,12 @@
 }
 func (l *concurrencyLimit) decrease() { l.limit = max(l.limit*multiplicativeDecrease, 1) }
 
-// current returns the limit at a time. While the target warms up, it increases linearly
-// from 1.
-func (l *concurrencyLimit) current(now, since time.Time, warmUp time.Duration) int {
+// current returns the limit at a time. While the target warms up, it is bounded by a
+// linear ramp from 1 to the number of slots.
+func (l *concurrencyLimit) current(now, warmupStart time.Time, warmUp time.Duration) int {
 	n := int(l.limit + 0.5)
-	age := now.Sub(since)
-	if since.IsZero() || warmUp <= 0 || age >= warmUp {
+	age := now.Sub(warmupStart)
+	if warmupStart.IsZero() || warmUp <= 0 || age >= warmUp {
 		return n
 	}
 	ramp := 1 + int(float64(l.slots-1)*float64(max(age, 0))/float64(warmUp))
@@ -95,21 +95,21 @@
 	mean time.Duration
 }
 
-// add records a request completed at now. waiting tells whether others wait.
-func (p *backlogInterval) add(now time.Time, waiting bool) {
-	if !p.last.IsZero() {
-		p.mean += time.Duration(meanWeight * float64(now.Sub(p.last)-p.mean))
+// add records a request completed at now. waiting reports whether others wait.
+func (b *backlogInterval) add(now time.Time, waiting bool) {
+	if !b.last.IsZero() {
+		b.mean += time.Duration(meanWeight * float64(now.Sub(b.last)-b.mean))
 	}
-	p.last = time.Time{}
+	b.last = time.Time{}
 	if waiting {
-		p.last = now
+		b.last = now
 		return
 	}
-	p.mean = 0
+	b.mean = 0
 }
 
 // estimate returns the mean interval, or zero if no request waits.
-func (p *backlogInterval) estimate() time.Duration { return p.mean }
+func (b *backlogInterval) estimate() time.Duration { return b.mean }
 
 // callerLimit is the state of one settings.Limit on this entry host.
 type callerLimit struct {
--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -38,7 +38,7 @@
 	MaxQueueLen int
 	ParkTimeout time.Duration
 	MaxParked   int
-	BodyMemory  int64
+	BodyMemory  int64 // in bytes
 	StopNotice  time.Duration
 }
 
--- a/internal/entry/meter.go
+++ b/internal/entry/meter.go
@@ -71,7 +71,7 @@
 	return row
 }
 
-// record records one request of a caller. refused tells that it ended as not run.
+// record records one request of a caller. refused reports whether it ended as not run.
 func (m *meters) record(now time.Time, id meterID, took time.Duration, refused bool) {
 	if row := m.get(id); row != nil {
 		row.record(now, took, refused)
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -457,7 +457,8 @@
 	assert.Equal(t, owner.totalRuns(), 10)
 }
 
-// TestResetWhileSending tests a connection that is reset before the request was read.
+// TestResetWhileSending tests that the outcome is unknown if the connection is reset
+// before the whole request was read.
 func TestResetWhileSending(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -535,7 +536,7 @@
 	tests := map[string]struct {
 		method, path string
 		outcome      outcome.Outcome
-		again        int
+		retries      int
 		deadline     string
 	}{
 		"look-up":      {"GET", "/balance/k", outcome.Done, 1, longDeadlineMS},
@@ -555,7 +556,7 @@
 			owner := newFakeTarget(t, nil)
 			f.setOwner(owner.addr())
 			assert.Equal(t, (<-got).outcome, test.outcome)
-			assert.Equal(t, owner.totalRuns(), test.again)
+			assert.Equal(t, owner.totalRuns(), test.retries)
 		})
 	}
 }
--- a/internal/entry/sharing_bench_test.go
+++ b/internal/entry/sharing_bench_test.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// offerLoad sends requests at a mean rate that does not depend on the responses, and
-// reports the results.
+// offerLoad sends requests at a mean rate per second that does not depend on the
+// responses, and reports the results.
 func (c *cluster) offerLoad(b *testing.B, rate float64) {
 	latency := hdrhistogram.New(1, 10_000_000, 3)
 	outcomes := map[outcome.Outcome]int{}
--- a/internal/entry/soak_test.go
+++ b/internal/entry/soak_test.go
@@ -47,8 +47,9 @@
 	soakGrant   = time.Minute
 )
 
-// soak sends many requests while targets fail in all ways and shards move, and compares
-// the results with the runs of each operation that the targets counted.
+// soak sends many requests while targets are restarted, frozen and given faults and
+// shards move, and compares the results with the runs of each operation that the targets
+// counted.
 type soak struct {
 	*testing.T
 	rand         *rand.Rand // used only by loopFaults
@@ -78,7 +79,7 @@
 )
 
 // TestSoak tests under random faults that no registration runs more than once, no lookup
-// more than twice, and that the outcomes tell the truth.
+// more than twice, and that no outcome contradicts the number of runs.
 func TestSoak(t *testing.T) {
 	s := newSoak(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -160,13 +161,13 @@
 
 func (l *lossyTransport) Call(ctx context.Context, to netip.AddrPort, kind peer.Kind, body []byte) ([]byte, error) {
 	l.mu.Lock()
-	dice := l.rand.IntN(lossOdds)
+	draw := l.rand.IntN(lossOdds)
 	l.mu.Unlock()
-	if dice == 0 {
+	if draw == 0 {
 		return nil, peer.ErrUnreachable
 	}
 	response, err := l.Transport.Call(ctx, to, kind, body)
-	if dice == 1 {
+	if draw == 1 {
 		return nil, peer.ErrNoResponse
 	}
 	return response, err
@@ -249,7 +250,8 @@
 	s.replica.putTable(t)
 }
 
-// loopFaults restarts, freezes and disturbs targets and moves shards, until ctx ends.
+// loopFaults restarts and freezes targets, sets their faults and moves shards, until ctx
+// ends.
 func (s *soak) loopFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		name := []key.Service{balance, plan}[s.rand.IntN(2)]
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -61,7 +61,7 @@
 		if resp.Header.Get(outcome.Header) == string(outcome.Done) {
 			done.Add(1)
 		}
-		return !resp.Close // like a load balancer that saw /ready fail
+		return !resp.Close // like a load balancer, which stops sending when /ready fails
 	}
 	for i := range callers {
 		wg.Go(func() {
@@ -92,8 +92,8 @@
 }
 
 // TestRetryBudget gives one of four shards to a target that can't be reached. It tests
-// that the failed attempts don't exceed the requests that did not run, a tenth of all
-// requests, and the initial burst.
+// that there are no more failed attempts than requests that did not run, plus a tenth of
+// all requests and the initial burst.
 func TestRetryBudget(t *testing.T) {
 	const requests, burst = 600, 20
 	owner := newFakeTarget(t, nil)
@@ -114,7 +114,7 @@
 	s.Rows[0].Owner = 1
 	f.replica.putTable(s)
 	var wg sync.WaitGroup
-	var ended [3]atomic.Int64
+	var ended [3]atomic.Int64 // requests by outcome: done, not run, unknown
 	for i := range requests {
 		wg.Go(func() {
 			a := f.call("POST", fmt.Sprintf("/plan/k%d", i), "", target.HeaderDeadline, "200")
--- a/internal/entry/target.go
+++ b/internal/entry/target.go
@@ -42,8 +42,8 @@
 	initialServiceTime = 2 * time.Millisecond
 )
 
-// targetState is what this entry host keeps for one target: the queue, the concurrency
-// limit, the connections, and estimates from past results.
+// targetState is this entry host's state of one target: the queue, the concurrency limit,
+// the connections, and estimates from past results.
 type targetState struct {
 	entry   *Entry
 	service key.Service
@@ -318,7 +318,8 @@
 }
 
 // backOffBusy backs off after the target had no free slot, since other entry hosts use
-// its slots. Only ShareAdaptive lowers the concurrency limit; few requests bypass a home.
+// its slots. Only ShareAdaptive lowers the concurrency limit; in the other modes few
+// requests bypass the target's home.
 func (ts *targetState) backOffBusy(now time.Time) {
 	if ts.entry.cfg.Sharing == ShareAdaptive {
 		ts.concurrency.decrease()
--- a/internal/entry/wire.go
+++ b/internal/entry/wire.go
@@ -14,8 +14,8 @@
 	"citrontray.example/citrontray/internal/settings"
 )
 
-// reasonNotHome is the response of an entry host that does not accept a relayed request.
-// Callers never see it.
+// reasonNotHome is the reason with which an entry host refuses a relayed request. It is
+// never sent to callers.
 const reasonNotHome outcome.Reason = "not-home"
 
 // errMalformed is returned for a message that can't be decoded.
