--- a/internal/entry/main.go
+++ b/internal/entry/main.go
@@ -85,15 +85,15 @@
 
 // daemon is the process: the entry, and the servers and replica around it.
 type daemon struct {
-	opts     *Options
-	log      *slog.Logger
-	link     *peer.Peer
-	metrics  *metric.Registry
-	entry    *Entry
-	node     *docsync.Node
-	admin    *admin.Server
-	listener net.Listener
-	server   *Server
+	opts      *Options
+	log       *slog.Logger
+	transport *peer.Peer
+	metrics   *metric.Registry
+	entry     *Entry
+	node      *docsync.Node
+	admin     *admin.Server
+	listener  net.Listener
+	server    *Server
 }
 
 // Open implements program.Opener. It loads the credentials and binds all sockets.
@@ -103,11 +103,11 @@
 		return nil, fmt.Errorf("--keys: %w (make them with: citrontray keys host)", err)
 	}
 	d := &daemon{opts: o, log: log, metrics: metric.New("citrontray_entry")}
-	if d.link, err = peer.New(peer.Config{Listen: o.Peer, Credentials: credentials, Log: log}); err != nil {
+	if d.transport, err = peer.New(peer.Config{Listen: o.Peer, Credentials: credentials, Log: log}); err != nil {
 		return nil, fmt.Errorf("--peer-address: %w", err)
 	}
 	replica := docsync.New()
-	d.node = docsync.NewNode(replica, d.link, docsync.Config{
+	d.node = docsync.NewNode(replica, d.transport, docsync.Config{
 		Self: credentials.Self(), Addr: o.Peer, LocalLead: o.LeadAddr, Seeds: o.Peers, Log: log,
 	})
 	d.entry = New(d.config(replica))
@@ -129,7 +129,7 @@
 		Host:           d.opts.Host,
 		Zone:           d.opts.Zone,
 		Sharing:        ShareAdaptive,
-		Transport:      d.link,
+		Transport:      d.transport,
 		DecodeSettings: settings.Decode,
 		DecodeTable:    table.Decode,
 		Log:            d.log,
@@ -148,7 +148,7 @@
 	outer, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	group, outer := errgroup.WithContext(outer)
-	group.Go(func() error { return d.link.Run(outer) })
+	group.Go(func() error { return d.transport.Run(outer) })
 	group.Go(func() error { return d.node.Run(outer) })
 	group.Go(func() error { return d.entry.Run(outer) })
 	group.Go(func() error { return d.admin.Run(outer) })
@@ -161,7 +161,7 @@
 	})
 	err := group.Wait()
 	d.entry.Close()
-	_ = d.link.Close()
+	_ = d.transport.Close()
 	_ = d.metrics.Close()
 	if errors.Is(err, context.Canceled) {
 		return nil
--- a/internal/entry/meter.go
+++ b/internal/entry/meter.go
@@ -49,7 +49,7 @@
 // window holds the statistics of the requests that ended in one time span.
 type window struct {
 	requests uint64
-	refused  uint64
+	notRun   uint64
 	latency  *hdrhistogram.Histogram
 }
 
@@ -88,7 +88,7 @@
 	r.rotate(now)
 	r.current.requests++
 	if refused {
-		r.current.refused++
+		r.current.notRun++
 		return
 	}
 	_ = r.current.latency.RecordValue(min(took.Microseconds(), maxLatencyMicros)) // never above the histogram's maximum
@@ -109,7 +109,7 @@
 }
 
 func (w *window) reset() {
-	w.requests, w.refused = 0, 0
+	w.requests, w.notRun = 0, 0
 	w.latency.Reset()
 }
 
@@ -132,13 +132,13 @@
 	s := r.stats(now)
 	return status.Caller{
 		Caller: string(id.caller), Class: string(id.class),
-		PerSecond: s.perSecond, Refused: s.refused, P99: s.p99,
+		PerSecond: s.perSecond, Refused: s.notRun, P99: s.p99,
 	}
 }
 
 // windowStats is the summary of a window: rates per second, and the 99th percentile of
 // the latency in milliseconds.
-type windowStats struct{ perSecond, refused, p99 float64 }
+type windowStats struct{ perSecond, notRun, p99 float64 }
 
 // stats returns the summary of the last complete window.
 func (r *meter) stats(now time.Time) windowStats {
@@ -148,7 +148,7 @@
 	seconds := meterWindow.Seconds()
 	return windowStats{
 		perSecond: float64(r.previous.requests) / seconds,
-		refused:   float64(r.previous.refused) / seconds,
+		notRun:    float64(r.previous.notRun) / seconds,
 		p99:       float64(r.previous.latency.ValueAtQuantile(99)) / 1000,
 	}
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -64,7 +64,7 @@
 
 	store          *instrumentedStore
 	replica        *docsync.MemoryReplica
-	link           *peer.Peer
+	transport      *peer.Peer
 	node           *docsync.Node
 	views          *viewBuilder
 	registrar      *registrar
@@ -135,7 +135,7 @@
 	if err != nil {
 		return fmt.Errorf("host: open peer address: %w", err)
 	}
-	h.link = link
+	h.transport = link
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(h.site.Ticket))
 	if err != nil {
 		return fmt.Errorf("host: open ticket address: %w", err)
@@ -170,7 +170,7 @@
 	for _, seed := range h.site.Seeds {
 		seeds = append(seeds, seed.Peer)
 	}
-	h.node = docsync.NewNode(h.replica, h.link, docsync.Config{
+	h.node = docsync.NewNode(h.replica, h.transport, docsync.Config{
 		Self: h.env.Credentials.Self(), Addr: h.site.Peer, Seeds: seeds, Watch: h.watcher.run, Log: h.log,
 		CPUShare: h.site.CPUShare, HostsDocument: docMembers,
 		Hosts: func() []place.HostRow { return h.views.view().members.HostRows() },
@@ -227,7 +227,7 @@
 	defer cancel()
 	group, background := errgroup.WithContext(background)
 	for _, part := range []func(context.Context) error{
-		h.link.Run, h.node.Run, h.registrar.run, h.dispatcher.run, h.dispatcher.loop, h.loopViews, h.loopReports, h.loopConnPools, h.loopSettings, h.env.LogHandler.Run,
+		h.transport.Run, h.node.Run, h.registrar.run, h.dispatcher.run, h.dispatcher.loop, h.loopViews, h.loopReports, h.loopConnPools, h.loopSettings, h.env.LogHandler.Run,
 	} {
 		group.Go(func() error { return part(background) })
 	}
