--- a/internal/cell/publish.go
+++ b/internal/cell/publish.go
@@ -136,9 +136,9 @@
 	r := c.doc.Rows[i]
 	switch c.resolve(i).kind {
 	case awaitOwner:
-		return "owner " + string(c.targets[r.Owner].target) + " has not responded since the change of leader"
+		return "owner " + string(c.targets[r.Owner].target) + " was not reached since the change of lead"
 	case awaitStandby:
-		return "standby " + string(c.targets[r.Standby].target) + " has not responded since the change of leader"
+		return "standby " + string(c.targets[r.Standby].target) + " was not reached since the change of lead"
 	}
-	return "holder known but not recorded yet"
+	return "to be recorded"
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -80,7 +80,7 @@
 		SingleKey: shard >= key.Shard(s.shards), Epoch: uint64(o.epoch),
 	}
 	if o.target == nil {
-		out.Reason = "no routing table has an owner for the key"
+		out.Reason = "no table names an owner"
 		return out
 	}
 	out.Zone, out.Owner = string(o.target.zone), string(o.target.target)
--- a/internal/host/report.go
+++ b/internal/host/report.go
@@ -127,7 +127,7 @@
 		Moves: h.movesOf(q.Service, key.Range{First: key.Point(point), Last: key.Point(point)}),
 	}
 	if span.Target == "" {
-		out.Reason = fmt.Sprintf("on the move, expected back in about %v by a routing table %v old",
+		out.Reason = fmt.Sprintf("on the move, back in about %v by a table %v old",
 			span.AvailableIn.Round(time.Millisecond), now.Sub(v.tableAt[q.Service]).Round(time.Millisecond))
 	}
 	return out
--- a/internal/lead/status.go
+++ b/internal/lead/status.go
@@ -146,7 +146,7 @@
 		Shard: uint32(shard), SingleKey: single, Epoch: uint64(row.Epoch), Term: uint64(t.Version.Term),
 	}
 	if row.Owner == table.NoOwner {
-		out.Reason = "no target may serve it now: an earlier grant has not ended, the new owner has not acknowledged its grant, or no target is available"
+		out.Reason = "its owner's grant has not ended, or no target is there"
 	} else {
 		out.Owner = string(t.Targets[row.Owner].Name)
 	}
--- a/internal/owner/core_test.go
+++ b/internal/owner/core_test.go
@@ -366,7 +366,7 @@
 				d.unresponsiveTarget = "t0"
 			}
 			hasExpired := func() bool {
-				return slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant expired." })
+				return slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant has lapsed." })
 			}
 			for !hasExpired() {
 				d.run(20 * time.Millisecond)
@@ -408,7 +408,7 @@
 	d.run(time.Second)
 	assert.Equal(t, cold(), 0, "handed over")
 	d.unresponsiveTarget, d.notes = "t1", nil
-	for !slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant expired." }) {
+	for !slices.ContainsFunc(d.notes, func(n Note) bool { return n.Text == "Grant has lapsed." }) {
 		d.run(20 * time.Millisecond)
 	}
 	d.run(time.Second)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -41,7 +41,7 @@
 		switch r.state {
 		case held:
 			if now.Sub(c.reclaimedAt) > reclaimPause {
-				c.startMove(now, r, m.To, "Range moves to rebalance load.")
+				c.startMove(now, r, m.To, "Range moves for balance.")
 			}
 		case releasePending, releasing, free:
 			r.to = m.To
@@ -173,7 +173,7 @@
 		// A grant in flight may still change until when the owner certainly holds the
 		// range.
 		if !renewed && live && now.Sub(r.since) > c.cfg.ConfirmTimeout && !c.targetConn(r.Target).inFlight {
-			c.note(now, "Move canceled, store not responding.", r, r.to)
+			c.note(now, "Range stays, the store does not answer.", r, r.to)
 			r.state, r.to, r.since = held, "", now
 			if r.releaseID != 0 && now.Before(c.leaseEnd) {
 				r.grantConn, r.acked = 0, 0 // it may have been released: grant it anew at once
@@ -343,7 +343,7 @@
 // tokens.
 func (c *Core) grantFenced(now time.Time, e SendGrants, g target.Grant) {
 	c.eachMatching(e, g, func(r *row) {
-		c.note(now, "Target has seen a higher fencing token.", r, "")
+		c.note(now, "Target has seen a higher fence.", r, "")
 		if now.Before(c.frozenUntil) {
 			c.markUnknown(now, r) // given by a leader that was lost in the restore
 		}
@@ -376,7 +376,7 @@
 			c.markFree(now, r, "Another target has the address.")
 		default:
 			const retry = 200 * time.Millisecond
-			c.note(now, "Release not acknowledged.", r, r.to)
+			c.note(now, "Release not answered.", r, r.to)
 			r.state, r.since = releasePending, now // the move has to be confirmed again
 			c.targetConn(r.Target).retryAt = now.Add(retry)
 		}
--- a/internal/owner/rows.go
+++ b/internal/owner/rows.go
@@ -89,20 +89,20 @@
 	switch {
 	case c.ownerLive(r):
 	case !now.Before(c.frozenUntil):
-		c.startMove(now, r, "", "Range moves off a target that is leaving or not listed.")
+		c.startMove(now, r, "", "Range leaves a target that leaves.")
 		return
 	case r.routable:
 		r.routable, c.changed = false, true
 	}
 	if r.routable && now.After(r.heldUntil) {
-		c.note(now, "Target does not acknowledge grants.", r, "")
+		c.note(now, "Target leaves grants unanswered.", r, "")
 		r.routable, c.changed = false, true
 	}
 }
 
 // expire frees a range whose last grant has expired.
 func (c *Core) expire(now time.Time, r *row) {
-	c.markFree(now, r, "Grant expired.")
+	c.markFree(now, r, "Grant has lapsed.")
 	if tc := c.targetConn(r.Target); !tc.failingSince.IsZero() && c.hasAlternative(now, r.Target) {
 		// No order has been sent since it became uncertain that the target holds the
 		// range, so the cooldown after its failure starts now.
@@ -163,7 +163,7 @@
 // reclaim returns a released range to its owner, as the new owner could not be
 // recorded.
 func (c *Core) reclaim(now time.Time, r *row) {
-	c.note(now, "Range returned to its owner, new owner not recorded.", r, r.to)
+	c.note(now, "Range goes back, its new owner can't be recorded.", r, r.to)
 	r.state, r.to, r.since, r.released = held, "", now, false
 	r.expiresBy, r.heldUntil = now.Add(c.cfg.FirstGrantTimeout), now.Add(c.cfg.FirstGrantTimeout)
 	c.changed, c.reclaimedAt = true, now
