--- a/internal/cell/publish.go
+++ b/internal/cell/publish.go
@@ -132,6 +132,8 @@
 	}
 }
 
+// blockedReason returns the reason of a blocked shard. The status report has it in its
+// JSON, so the texts are fixed.
 func (c *Cell) blockedReason(i int) string {
 	r := c.doc.Rows[i]
 	switch c.resolve(i).kind {
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -119,6 +119,8 @@
 
 // Note is a decision to be logged.
 type Note struct {
+	// Text is the log message. It is also the label "text" of the metric "decisions" and
+	// the evidence of a move in the status report, so the texts are fixed.
 	Text  string
 	Range key.Range
 	From  place.Target
