--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -160,14 +160,14 @@
 	}
 }
 
-// printBlocked prints the blocked shards with the reasons. Operators' scripts match the
-// prefix "in doubt:".
+// printBlocked prints the blocked shards with the reasons. Operators' scripts match
+// "in doubt".
 func (c *command) printBlocked(cells []status.Cell) {
 	left := maxBlockedLines
 	for _, x := range cells {
 		for _, d := range x.Blocked {
 			if left == 0 {
-				fmt.Fprintln(c.Out, "more blocked shards: see --output json")
+				fmt.Fprintln(c.Out, "more in doubt: see --output json")
 				return
 			}
 			left--
