--- a/internal/host/controller.go
+++ b/internal/host/controller.go
@@ -105,7 +105,7 @@
 	// pausedUntil.
 	campaignedAt, pausedUntil time.Time
 	wonAt                     time.Time
-	// startedAt is when this controller started, leaderHeardAt when the last notice of
+	// startedAt is when this controller started, leaderNoticeAt when the last notice of
 	// a leader arrived, announcedAt when this host last announced its own leadership.
 	startedAt, leaderNoticeAt, announcedAt time.Time
 	predecessor                            predecessor
@@ -334,7 +334,7 @@
 	c.apply(ctx, c.core.Tick(now))
 }
 
-// observeLeader updates vacantSince from the list of hosts. It steps down if the list
+// observeLeader updates noLeaderSince from the list of hosts. It steps down if the list
 // names another, later leader.
 func (c *controller) observeLeader(now time.Time, v *view) {
 	leader, ok := v.members.Leader(c.service)
--- a/internal/host/store.go
+++ b/internal/host/store.go
@@ -19,7 +19,7 @@
 	log     *slog.Logger
 
 	mu sync.Mutex
-	// calledAt is when the last call ended, answered when the last one with a response
+	// calledAt is when the last call ended, respondedAt when the last one with a response
 	// did.
 	calledAt, respondedAt time.Time
 	// firstEra is the era of the first response, latestEra the latest of all.
--- a/internal/lead/call.go
+++ b/internal/lead/call.go
@@ -49,7 +49,7 @@
 var errUndecodable = errors.New("lead: cell document not decodable")
 
 // readDoc reads the document of a cell from the store. It returns the errors of
-// platform.Store.Get, and errUnreadable.
+// platform.Store.Get, and errUndecodable.
 func (d *Daemon) readDoc(ctx context.Context, id cell.ID) (cell.Doc, platform.Revision, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/internal/settings/converge_bench_test.go
+++ b/internal/settings/converge_bench_test.go
@@ -37,7 +37,7 @@
 	links map[netip.AddrPort]*fakeLink
 }
 
-// fakeLink implements peer.Link for one replica.
+// fakeLink implements peer.Transport for one replica.
 type fakeLink struct {
 	*network
 	self     peer.Identity
